--- a/benchmarks/absence_day.py
+++ b/benchmarks/absence_day.py
@@ -44,7 +44,9 @@
     if only is not None:
         click.echo(json.dumps(one(only[0], gateways, only[1])))
         return
-    click.echo(f"{os.cpu_count()} cores, load {os.getloadavg()[0]:.1f}, {gateways} gateways; median, least and largest")
+    click.echo(
+        f"{os.cpu_count()} cores, load {os.getloadavg()[0]:.1f}, {gateways} gateways; median, least and largest"
+    )
     told: dict[bool, list[dict[str, Any]]] = {True: [], False: []}
     for seed in map(int, seeds.split(",")):
         for backlog in (True, False):
@@ -60,7 +62,9 @@
         click.echo(f"{name:42} {shown[0]:>24} {shown[1]:>24}")
     broken = [day for days in told.values() for day in days if day["troubles"] or not day["kept"]]
     for day in broken:
-        click.echo(f"BROKEN seed {day['seed']}: {day['troubles']} {[r for r in day['rules'] if r['breaches']]}")
+        click.echo(
+            f"BROKEN seed {day['seed']}: {day['troubles']} {[r for r in day['rules'] if r['breaches']]}"
+        )
     sys.exit(bool(broken))
 
 
--- a/benchmarks/announcements.py
+++ b/benchmarks/announcements.py
@@ -83,7 +83,9 @@
 
     network = VirtualNetwork(5)
     ends = [StandInPeer(network, identifier=f"10.0.{i // 200}.{i % 200 + 1}") for i in range(peers)]
-    fit = FitnessFigures(SECOND // 2, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, SECOND, 60 * SECOND, 60 * SECOND)
+    fit = FitnessFigures(
+        SECOND // 2, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, SECOND, 60 * SECOND, 60 * SECOND
+    )
     drain = DrainFigures(SECOND, SECOND, SECOND)
     began, cpu = network.seconds(), time.process_time()
     made: list[Any] = []
@@ -128,11 +130,17 @@
             pay = [each[1] for each in runs if each[0] is steers]
             kept = all(each[2] for each in runs if each[0] is steers)
             how = "go by the peer's table" if steers else "keep to their gateway"
-            print(f"bad evening, clients {how}: payoff {statistics.median(pay):.3f} ({min(pay):.3f} to {max(pay):.3f}), rules kept: {kept}")
+            print(
+                f"bad evening, clients {how}: payoff {statistics.median(pay):.3f} ({min(pay):.3f} to {max(pay):.3f}), rules kept: {kept}"
+            )
     up, spent, after = speakers(1, 200)
-    print(f"200 peers of one speaker: all told after {up:.2f} s (virtual), {spent:.2f} s of CPU; then {after:.2f} ms a session and minute")
+    print(
+        f"200 peers of one speaker: all told after {up:.2f} s (virtual), {spent:.2f} s of CPU; then {after:.2f} ms a session and minute"
+    )
     up, spent, after = speakers(190, 1)
-    print(f"190 gateways at one peer: all told after {up:.2f} s (virtual), {spent:.2f} s of CPU; then {after:.2f} ms a session and minute")
+    print(
+        f"190 gateways at one peer: all told after {up:.2f} s (virtual), {spent:.2f} s of CPU; then {after:.2f} ms a session and minute"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -72,7 +72,9 @@
 
     def _at(self) -> str:
         hour = self.chance.choice([0, 0, 1, 2, 3, 12, 17, 18, 19, 20, 21, 22, 23])
-        return f"{hour:02}:{self.chance.choice([0, 15, 30, 45, 59]):02}:{self.chance.choice([0, 0, 7, 59]):02}"
+        return (
+            f"{hour:02}:{self.chance.choice([0, 15, 30, 45, 59]):02}:{self.chance.choice([0, 0, 7, 59]):02}"
+        )
 
     def change(self, moves: bool) -> None:
         """What the settings say from now on."""
@@ -140,9 +142,16 @@
     told: Counter[tuple[str, str]] = Counter()
     differ = []
     for body in site.fired:
-        covered = [m for m in expected if m[0] == body["rule"] and body.get("since", body["date"]) <= m[1] <= body["date"]]
+        covered = [
+            m
+            for m in expected
+            if m[0] == body["rule"] and body.get("since", body["date"]) <= m[1] <= body["date"]
+        ]
         told.update(covered or [(body["rule"], body["date"])])
-        got, wanted = (body["edition"], body["at"] - body["late_ms"]), expected.get((body["rule"], body["date"]))
+        got, wanted = (
+            (body["edition"], body["at"] - body["late_ms"]),
+            expected.get((body["rule"], body["date"])),
+        )
         if wanted is None and body["at"] - body["late_ms"] > site.ms - BOUND:
             del told[body["rule"], body["date"]]  # an edge is early by its bound
         elif got != wanted:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -265,7 +265,9 @@
     print(
         f"the gateway adds {adds:.1f} us beyond relay and decisions: {adds / median['relay']:.2f} of the relay's own cost"
     )
-    print(f"with a speaker a job costs {median['with speaker'] / median['gateway']:.3f} of what it costs without")
+    print(
+        f"with a speaker a job costs {median['with speaker'] / median['gateway']:.3f} of what it costs without"
+    )
     print(f"jobs denied: {bench.denied}")
 
 
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -101,7 +101,10 @@
     done = r.ToFile(folder / "done.jsonl")
     words = ("load", "webdav", folder / "day.json", *doors, "--people", people, "--json")
     load = subprocess.Popen(
-        command(*words, "--records", folder / "clients.jsonl"), stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
+        command(*words, "--records", folder / "clients.jsonl"),
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
     )
     assert load.stderr is not None and street.nodes.stdin is not None
     faults: list[str] = []
@@ -128,7 +131,9 @@
     )  # fmt: skip
     told = json.loads(said)
     acted = {name: count for name, count in sorted(told["counts"].items()) if name.endswith("acted")}
-    print(f"{people} people, {took:.1f} s; load ended with {load.returncode}, gateways with {codes}; folder {folder}")
+    print(
+        f"{people} people, {took:.1f} s; load ended with {load.returncode}, gateways with {codes}; folder {folder}"
+    )
     print(json.dumps({name: value for name, value in told.items() if name != "counts"}))
     print(", ".join(f"{count} {name}" for name, count in acted.items()))
     print(", ".join(f"{count} {name}" for name, count in sorted(told["counts"].items()) if name not in acted))
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -56,16 +56,27 @@
         self.folder = Path(tempfile.mkdtemp())
         self.started: list[subprocess.Popen[bytes]] = []
         day = quiet()
-        products = [msgspec.structs.replace(each, unit_ms=0.01, cv=0.0, promised_ms=60_000, timeout_ms=120_000, unit_bytes=SMALL) for each in day.products]
+        products = [
+            msgspec.structs.replace(
+                each, unit_ms=0.01, cv=0.0, promised_ms=60_000, timeout_ms=120_000, unit_bytes=SMALL
+            )
+            for each in day.products
+        ]
         plans = [msgspec.structs.replace(each, limit=0.0) for each in day.plans]
-        kinds = tuple(msgspec.structs.replace(each, cores=8, slots=64, queue=1000, defer=0.0) for each in day.kinds)
-        self.day = msgspec.structs.replace(day, gateways=1, nodes=1, products=products, plans=plans, kinds=kinds)
+        kinds = tuple(
+            msgspec.structs.replace(each, cores=8, slots=64, queue=1000, defer=0.0) for each in day.kinds
+        )
+        self.day = msgspec.structs.replace(
+            day, gateways=1, nodes=1, products=products, plans=plans, kinds=kinds
+        )
         (self.folder / "day.json").write_bytes(msgspec.json.encode(self.day))
         lines = self.start("-m", "ochrecourse", "nodes", str(self.folder / "day.json"), lines=1)
         self.list = lines[0].split()[-1]
 
     def start(self, *words: str, lines: int) -> list[str]:
-        process = subprocess.Popen([sys.executable, *words], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [sys.executable, *words], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
+        )
         self.started.append(process)
         assert process.stdout is not None
         return [process.stdout.readline().decode().strip() for _ in range(lines)]
@@ -90,7 +101,11 @@
     def node_port(self) -> int:
         """The one node's port: of the nodes' process, the listening one that is not the list's."""
         of_list = int(self.list.rpartition(":")[2])
-        ports = [each.laddr.port for each in psutil.Process(self.started[0].pid).net_connections() if each.status == "LISTEN"]
+        ports = [
+            each.laddr.port
+            for each in psutil.Process(self.started[0].pid).net_connections()
+            if each.status == "LISTEN"
+        ]
         return next(port for port in ports if port != of_list)
 
     def end(self) -> None:
@@ -146,7 +161,12 @@
     for line in lines:
         line.transport.loseConnection()
     assert not bad[0], f"{bad[0]} requests were not served"
-    return spent * 1e6 / JOBS, JOBS / took, told.get_value_at_percentile(50) / 1000, told.get_value_at_percentile(99) / 1000
+    return (
+        spent * 1e6 / JOBS,
+        JOBS / took,
+        told.get_value_at_percentile(50) / 1000,
+        told.get_value_at_percentile(99) / 1000,
+    )
 
 
 @inlineCallbacks
@@ -162,7 +182,16 @@
         state["sent"] += 1
         due[state["sent"]] = reactor.seconds()
         client.say(
-            m.JobAsked(id=state["sent"], product=product, plan="open", volume=1, timeout_ms=60_000, key=5 * write * state["sent"], shard=0, size=len(body)),
+            m.JobAsked(
+                id=state["sent"],
+                product=product,
+                plan="open",
+                volume=1,
+                timeout_ms=60_000,
+                key=5 * write * state["sent"],
+                shard=0,
+                size=len(body),
+            ),
             body,
         )
 
@@ -183,7 +212,12 @@
     took, spent = reactor.seconds() - began, cpu(process) - spent
     client.transport.loseConnection()
     assert not state["bad"], f"{state['bad']} jobs were not served"
-    return spent * 1e6 / JOBS, JOBS / took, told.get_value_at_percentile(50) / 1000, told.get_value_at_percentile(99) / 1000
+    return (
+        spent * 1e6 / JOBS,
+        JOBS / took,
+        told.get_value_at_percentile(50) / 1000,
+        told.get_value_at_percentile(99) / 1000,
+    )
 
 
 def spread(values: list[float], form: str = ".0f") -> str:
@@ -202,14 +236,25 @@
         ):  # fmt: skip
             got.setdefault(name, []).append((yield run()))
     for name, runs in got.items():
-        print(f"{name:22} CPU us a job {spread([each[0] for each in runs])}, {spread([each[1] for each in runs])} a second, p50 {spread([each[2] for each in runs], '.2f')} ms", flush=True)
-    for web, other in (("GET, WebDAV door", "read, native framing"), ("PUT, WebDAV door", "write, native framing"), ("GET, WebDAV door", "GET, HTTP relay"), ("PUT, WebDAV door", "PUT, HTTP relay")):
+        print(
+            f"{name:22} CPU us a job {spread([each[0] for each in runs])}, {spread([each[1] for each in runs])} a second, p50 {spread([each[2] for each in runs], '.2f')} ms",
+            flush=True,
+        )
+    for web, other in (
+        ("GET, WebDAV door", "read, native framing"),
+        ("PUT, WebDAV door", "write, native framing"),
+        ("GET, WebDAV door", "GET, HTTP relay"),
+        ("PUT, WebDAV door", "PUT, HTTP relay"),
+    ):
         ratios = [a[0] / b[0] for a, b in zip(got[web], got[other], strict=True)]
         print(f"CPU, {web} over {other}: {spread(ratios, '.2f')}", flush=True)
     before = process.memory_info().rss
     for _ in range(4):
         yield http_run(process, door, "GET")
-    print(f"resident size after {4 * JOBS} more requests: {(process.memory_info().rss - before) / 1024:+.0f} KiB", flush=True)
+    print(
+        f"resident size after {4 * JOBS} more requests: {(process.memory_info().rss - before) / 1024:+.0f} KiB",
+        flush=True,
+    )
 
 
 @inlineCallbacks
@@ -242,9 +287,13 @@
         beside.append((*got, so_far() - before, reactor.seconds() - began))
         stop[0] = True
         yield from running
-    print(f"small GETs alone: p50 {spread([each[2] for each in alone], '.2f')}, p99 {spread([each[3] for each in alone], '.2f')} ms")
+    print(
+        f"small GETs alone: p50 {spread([each[2] for each in alone], '.2f')}, p99 {spread([each[3] for each in alone], '.2f')} ms"
+    )
     rate = statistics.median(each[4] / max(each[5], 1e-9) / 1e6 for each in beside)
-    print(f"beside {DOWNLOADS} downloads of {LARGE >> 20} MiB ({rate:.0f} MB/s): p50 {spread([each[2] for each in beside], '.2f')}, p99 {spread([each[3] for each in beside], '.2f')} ms")
+    print(
+        f"beside {DOWNLOADS} downloads of {LARGE >> 20} MiB ({rate:.0f} MB/s): p50 {spread([each[2] for each in beside], '.2f')}, p99 {spread([each[3] for each in beside], '.2f')} ms"
+    )
     ratios = [b[3] / a[3] for a, b in zip(alone, beside, strict=True)]
     print(f"p99 beside over alone: {spread(ratios, '.2f')}", flush=True)
     line.transport.loseConnection()
@@ -260,7 +309,10 @@
     before, began = process.memory_info().rss, reactor.seconds()
     answer = yield ask(line, "PROPFIND", "/v1/many", Depth="1")
     took = reactor.seconds() - began
-    print(f"PROPFIND of {MEMBERS} members: {MEMBERS / took:.0f} a second, {answer.size / 1e6:.1f} MB, resident {(process.memory_info().rss - before) / 1024:+.0f} KiB", flush=True)
+    print(
+        f"PROPFIND of {MEMBERS} members: {MEMBERS / took:.0f} a second, {answer.size / 1e6:.1f} MB, resident {(process.memory_info().rss - before) / 1024:+.0f} KiB",
+        flush=True,
+    )
     line.transport.loseConnection()
 
 
@@ -276,7 +328,10 @@
         lines.append((yield talk(door)))
     for each in lines:
         assert (yield ask(each, "OPTIONS", "/")).status == 200
-    print(f"{IDLE} open connections, each after a request: {(process.memory_info().rss - before) / IDLE / 1024:.1f} KiB each", flush=True)
+    print(
+        f"{IDLE} open connections, each after a request: {(process.memory_info().rss - before) / IDLE / 1024:.1f} KiB each",
+        flush=True,
+    )
     for each in lines:
         each.transport.loseConnection()
     yield wait(2.0)
@@ -305,7 +360,10 @@
         while len(line.transport._tempDataBuffer) > 8 or line.transport._tempDataLen > 4 << 20:
             yield wait(0.001)
     answer = yield done
-    print(f"PUT of 1 GiB: status {answer.status} after {reactor.seconds() - began:.1f} s; peak resident size {before >> 10} MiB before, {peak() >> 10} MiB after", flush=True)
+    print(
+        f"PUT of 1 GiB: status {answer.status} after {reactor.seconds() - began:.1f} s; peak resident size {before >> 10} MiB before, {peak() >> 10} MiB after",
+        flush=True,
+    )
     line.transport.loseConnection()
 
 
@@ -327,7 +385,10 @@
     for name in names:
         mine = [run for run in runs if run[0] == name]
         broken = sorted({rule for run in mine for rule in run[2]})
-        print(f"bad evening at the doors, {name:12} payoff {spread([run[1] for run in mine], '.3f')}, rules broken {broken or 'none'}, faults {sum(run[3] for run in mine)}", flush=True)
+        print(
+            f"bad evening at the doors, {name:12} payoff {spread([run[1] for run in mine], '.3f')}, rules broken {broken or 'none'}, faults {sum(run[3] for run in mine)}",
+            flush=True,
+        )
 
 
 @inlineCallbacks
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -149,7 +149,9 @@
                     click.echo(f"  BROKEN seed {seed} {how}: {broken}")
         if costs:
             for gateways, off, on in pool.map(cost, [each for each in sorted(counts) if each < LARGE]):
-                click.echo(f"{gateways} gateways, CPU a job: {off:.3f} ms off, {on:.3f} ms on: {on / off:.2f}")
+                click.echo(
+                    f"{gateways} gateways, CPU a job: {off:.3f} ms off, {on:.3f} ms on: {on / off:.2f}"
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -48,7 +48,11 @@
         assert paths.parse(paths.href(target.path, False)).path == target.path
     except paths.BadPath:
         pass
-    for read in (lambda: conditions.parse_if(text, "h"), lambda: conditions.tags_of(text), lambda: conditions.date_of(text)):
+    for read in (
+        lambda: conditions.parse_if(text, "h"),
+        lambda: conditions.tags_of(text),
+        lambda: conditions.date_of(text),
+    ):
         with contextlib.suppress(conditions.BadCondition, paths.BadPath):
             read()
     slices = conditions.ranges_of(text, 1000)
@@ -63,7 +67,9 @@
     if len(sys.argv) < 2 or sys.argv[1] not in targets:
         sys.exit(f"usage: python -m benchmarks.fuzz {'|'.join(targets)} [SECONDS]")
     seconds = sys.argv[2] if len(sys.argv) > 2 else "60"
-    atheris.Setup([sys.argv[0], f"-max_total_time={seconds}", "-max_len=4096", "-seed=1"], targets[sys.argv[1]])
+    atheris.Setup(
+        [sys.argv[0], f"-max_total_time={seconds}", "-max_len=4096", "-seed=1"], targets[sys.argv[1]]
+    )
     atheris.Fuzz()
 
 
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -126,7 +126,10 @@
         fleet.start(i)
     began = time.process_time()
     network.advance(SETTLE)
-    told: dict[str, float] = {"CPU s to settle": time.process_time() - began, "reached at rest": fleet.reach()}
+    told: dict[str, float] = {
+        "CPU s to settle": time.process_time() - began,
+        "reached at rest": fleet.reach(),
+    }
     start, rows, began = network.seconds(), fleet.rows(), time.process_time()
     network.advance(rest)
     cpu = time.process_time() - began
@@ -177,7 +180,9 @@
 @click.option("--workers", default=1)
 def main(sizes: str, beat: float, quiet: float, legs: float, rest: float, loss: bool, workers: int) -> None:
     tasks = [(int(size), beat, quiet, legs, rest, loss) for size in sizes.split(",")]
-    click.echo(f"{os.cpu_count()} cores; beat {beat:g} ms, quiet {quiet:g} ms, {legs:g} legs a gateway a second")
+    click.echo(
+        f"{os.cpu_count()} cores; beat {beat:g} ms, quiet {quiet:g} ms, {legs:g} legs a gateway a second"
+    )
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
         for size, told in pool.map(one, tasks):
             click.echo(f"{size} gateways")
--- a/benchmarks/http_relay.py
+++ b/benchmarks/http_relay.py
@@ -49,7 +49,17 @@
         write = self.method == b"PUT"
         product = "note-save" if write else "page-read"
         out.say(
-            m.LegSent(id=out.count, mark=str(out.count), product=product, volume=1, key=1, units=1.0, shard=-1, write=write, size=len(body)),
+            m.LegSent(
+                id=out.count,
+                mark=str(out.count),
+                product=product,
+                volume=1,
+                key=1,
+                units=1.0,
+                shard=-1,
+                write=write,
+                size=len(body),
+            ),
             body,
         )
 
--- a/benchmarks/notices.py
+++ b/benchmarks/notices.py
@@ -26,7 +26,9 @@
 
 
 def value(node: int, health: str) -> bytes:
-    return json.dumps({"node": node, "address": f"10.0.0.{node}:7000", "shard": node, "health": health}).encode()
+    return json.dumps(
+        {"node": node, "address": f"10.0.0.{node}:7000", "shard": node, "health": health}
+    ).encode()
 
 
 def compacted(ends: list[Endpoint], at: int) -> None:
@@ -89,11 +91,15 @@
 def main() -> None:
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 125
     with ProcessPoolExecutor(max_workers=7) as pool:
-        got = list(pool.map(one, [(name, seed) for name in BREAKS for seed in range(1, seeds + 1)], chunksize=8))
+        got = list(
+            pool.map(one, [(name, seed) for name in BREAKS for seed in range(1, seeds + 1)], chunksize=8)
+        )
     for name in BREAKS:
         mine = sorted(spent for which, spent in got if which == name)
         late = sum(each > 2 for each in mine)
-        print(f"{name:22} {len(mine)} seeds: median {statistics.median(mine):.2f} s, p99 {mine[int(len(mine) * 0.99)]:.2f} s, longest {mine[-1]:.2f} s; {late} beyond 2 s")
+        print(
+            f"{name:22} {len(mine)} seeds: median {statistics.median(mine):.2f} s, p99 {mine[int(len(mine) * 0.99)]:.2f} s, longest {mine[-1]:.2f} s; {late} beyond 2 s"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -231,7 +231,8 @@
         )
         print(f"added latency in ms at {part:.2f} of saturation ({most * part:.0f} jobs/s): {shown}")
         told = ", ".join(
-            f"{q} {a - b:+.2f}" for q, a, b in zip(("p50", "p99", "p99.9"), medians["speaker"], medians["gateway"], strict=True)
+            f"{q} {a - b:+.2f}"
+            for q, a, b in zip(("p50", "p99", "p99.9"), medians["speaker"], medians["gateway"], strict=True)
         )
         print(f"what a speaker adds to the gateway's latency in ms there: {told}")
     process.terminate()
@@ -258,7 +259,9 @@
     yield wait(6.0)
     held = outside.memory_info().rss
     jobs = COUNT - len(answers)
-    print(f"memory: {(held - idle) / jobs / 1024:.1f} KiB a job that is held, on a connection each ({jobs} of them)")
+    print(
+        f"memory: {(held - idle) / jobs / 1024:.1f} KiB a job that is held, on a connection each ({jobs} of them)"
+    )
     process.kill()
     Node.mute = False
     for client in clients:
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -51,7 +51,9 @@
     tasks = [(gateways, seed, rolls) for seed in range(1, seeds + 1) for rolls in (False, True)]
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
         done = list(pool.map(one, tasks))
-    click.echo(f"{os.cpu_count()} cores, {workers} workers, {gateways} gateways, {seeds} seeds: median / largest")
+    click.echo(
+        f"{os.cpu_count()} cores, {workers} workers, {gateways} gateways, {seeds} seeds: median / largest"
+    )
     click.echo(f"{'':52} {'no roll':>18} {'rolled':>18}")
     for words, name in (*ROWS, *MORE):
         told = [[f[name] for _, on, f, _ in done if on is rolls and name in f] for rolls in (False, True)]
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -43,17 +43,22 @@
     servers = [("127.0.0.1", end.port) for end in ends]
     make = Naive if kind == "naive" else Registrar
     for i in range(GATEWAYS):
+
         def told(news: object, i: int = i) -> None:
             if len(gateways[i].view.lines) == NODES - 10:
                 right.setdefault(i, network.seconds())
 
-        gateways.append(make(f"g{i}", network, servers, PREFIX, told, None, seed * 1000 + i, age_clock(network, 0)))
+        gateways.append(
+            make(f"g{i}", network, servers, PREFIX, told, None, seed * 1000 + i, age_clock(network, 0))
+        )
     for gateway in gateways:
         gateway.start()
     network.advance(4)
     for end in ends:
         end.calls.clear()
-    away = {"registry restarts": 3.0, "gateways cut off for a minute": 60.0, "ten nodes leave at once": 0.0}[event]
+    away = {"registry restarts": 3.0, "gateways cut off for a minute": 60.0, "ten nodes leave at once": 0.0}[
+        event
+    ]
     if away:
         for end in ends:
             end.stop()
@@ -84,7 +89,9 @@
         for kind in ("ours", "naive"):
             mine = [each for each in got if each[:2] == (event, kind)]
             fullest, calls, spent = (statistics.median(each[i] for each in mine) for i in (2, 3, 4))
-            print(f"{event:30} {kind:6} fullest 100 ms: {fullest:.0f} calls; {calls / 10:.0f} calls a second over 10 s; p99 to a right list {spent:.2f} s")
+            print(
+                f"{event:30} {kind:6} fullest 100 ms: {fullest:.0f} calls; {calls / 10:.0f} calls a second over 10 s; p99 to a right list {spent:.2f} s"
+            )
 
 
 if __name__ == "__main__":
--- a/ochrecourse/audit/worse_timing.py
+++ b/ochrecourse/audit/worse_timing.py
@@ -8,9 +8,7 @@
 from ochrecourse.audit.judge import Finding
 
 
-def used_again(
-    records: Iterable[r.Record], moments: Mapping[str, int], products: Collection[str]
-) -> Finding:
+def used_again(records: Iterable[r.Record], moments: Mapping[str, int], products: Collection[str]) -> Finding:
     """Of the edges of each moment (by gateway, ns) some answered from copies before it, and some after it.
     Guards against a rule that is kept by never using a copy.
     """
--- a/ochrecourse/fleet/channel.py
+++ b/ochrecourse/fleet/channel.py
@@ -160,7 +160,6 @@
                 mark = entry.place
         return told, _write_cursor(mark, late)
 
-
     def _tardy(self, judge: Callable[[Entry], str], lates: set[Stream], views: int) -> list[Entry]:
         """The late ones, by stream. All are looked at only where what is late may have changed: readers ask
         at each beat."""
--- a/ochrecourse/fleet/frontier.py
+++ b/ochrecourse/fleet/frontier.py
@@ -144,9 +144,7 @@
         snapshot = self.log.snapshot(CHANNEL)
         if snapshot is not None and snapshot.upto > self._base.upto:
             self._base = View.of(json.loads(snapshot.value)[PART], snapshot.upto)
-            self._events = [
-                e for e in self._events if e.at > snapshot.upto or isinstance(body_of(e), GiveUp)
-            ]
+            self._events = [e for e in self._events if e.at > snapshot.upto or isinstance(body_of(e), GiveUp)]
             self._came = True
             self.log.retire(self._base.over)  # by the view before: it may know what was settled
         self.view = view_of(self._base, self._events)
--- a/ochrecourse/lab/figures.py
+++ b/ochrecourse/lab/figures.py
@@ -15,11 +15,15 @@
     `webdav`: the clients came to the WebDAV doors, where volumes are numbered by their paths.
     """
     rules = day.rules
-    limits = limits_by_path(day) if webdav else {
-        str(volume.number): limit_of(day, day.plans[volume.plan])
-        for volume in volumes(day)
-        if day.plans[volume.plan].limit
-    }
+    limits = (
+        limits_by_path(day)
+        if webdav
+        else {
+            str(volume.number): limit_of(day, day.plans[volume.plan])
+            for volume in volumes(day)
+            if day.plans[volume.plan].limit
+        }
+    )
     return Figures(
         products={
             each.name: ProductRule(
--- a/ochrecourse/lab/fleet_site.py
+++ b/ochrecourse/lab/fleet_site.py
@@ -143,9 +143,7 @@
                     text = f"{edge} fired {date} by edition {body['edition']}, not {number}"
                     seen.breach("purge by another edition", at, text)
 
-    def _held(
-        self, key: tuple[str, int, int], taken: Any, place: Place, body: dict[str, Any]
-    ) -> Held | None:
+    def _held(self, key: tuple[str, int, int], taken: Any, place: Place, body: dict[str, Any]) -> Held | None:
         stamps = sorted(taken[key].values())
         most = len(self.edges) // 2 + 1
         if len(stamps) < most:
@@ -182,4 +180,3 @@
                         f"close, with what was made {(at - each.made) / MS:.0f} ms before it",
                     )  # fmt: skip
         self.play.seen.from_copies = sum(count - 1 for count in made.values())
-
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -108,9 +108,7 @@
         "least_full_s": least_full_s(play),
         "cold_used": cold_used(play, fault),
         "tried": tried(play, fault, one_standing_s),
-        "payoff_cold": play.load.payoff_between(
-            fault.at_s + fault.len_s, fault.at_s + fault.len_s + warm
-        ),
+        "payoff_cold": play.load.payoff_between(fault.at_s + fault.len_s, fault.at_s + fault.len_s + warm),
         "loans": float(count),
         "loan_bytes": float(size),
     }
--- a/ochrecourse/lab/together_play.py
+++ b/ochrecourse/lab/together_play.py
@@ -225,9 +225,7 @@
         others = [self.places[index].name for index in rest]
         before = {name: getattr(self.breaker.way(some[0], others[-1]), name) for name in step.state}
         self.breaker.set(some, others, step.both, **step.state)
-        self.record(
-            r.Trouble(t=now_ns(self.reactor), kind="ways", what=f"{some} to {others}: {step.state}")
-        )
+        self.record(r.Trouble(t=now_ns(self.reactor), kind="ways", what=f"{some} to {others}: {step.state}"))
         if step.state.get("cut"):
             self._apart(some, others, False)
         self.reactor.callLater(step.len_s, self._mend, step, some, others, before)
--- a/ochrecourse/lab/virtual.py
+++ b/ochrecourse/lab/virtual.py
@@ -194,9 +194,7 @@
     def delay(self) -> float:
         return self.chance.uniform(self.least, self.most)
 
-    def _connect(
-        self, home: VirtualHost | None, host: str, port: int, factory: Any, timeout: float
-    ) -> None:
+    def _connect(self, home: VirtualHost | None, host: str, port: int, factory: Any, timeout: float) -> None:
         listening = self.ports.get(port)
         address = IPv4Address("TCP", host, port)
         there = listening.home if listening else None
--- a/ochrecourse/lab/worse_rolling.py
+++ b/ochrecourse/lab/worse_rolling.py
@@ -54,7 +54,9 @@
             roll(CLOSES + 0.8, TAKE, 5),
         ],
         fleet={
-            "zones": FIGURES, "copies": {"products": ["page-read"]}, "purges": {"notice": NOTICE},
+            "zones": FIGURES,
+            "copies": {"products": ["page-read"]},
+            "purges": {"notice": NOTICE},
         },
         zone="south",
         lost=lost,
--- a/ochrecourse/resp/closing.py
+++ b/ochrecourse/resp/closing.py
@@ -72,4 +72,3 @@
         stop(self._timer)
         patience = seconds if self.hurry is None else min(seconds, self.hurry)
         self._timer = self.clock.callLater(patience, self._end)
-
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,9 @@
 from ochrecourse.nodes.framed_connection import dialler
 from ochrecourse.wire import messages as m
 
-LOWER = 10  # steps of niceness for all other tests, so that one judged by real time has a core when it needs one
+LOWER = (
+    10  # steps of niceness for all other tests, so that one judged by real time has a core when it needs one
+)
 lowered = []  # by how much this worker is
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
@@ -55,7 +57,9 @@
     for item in items:
         if item.nodeid in told:
             item.add_marker(pytest.mark.xfail(reason=told[item.nodeid], raises=AssertionError, strict=False))
-    items.sort(key=lambda item: (not item.get_closest_marker("real_time"), not item.get_closest_marker("long")))
+    items.sort(
+        key=lambda item: (not item.get_closest_marker("real_time"), not item.get_closest_marker("long"))
+    )
 
 
 @pytest.fixture(autouse=True)
@@ -93,14 +97,20 @@
         self.scheduler.list_received(ListKind.CACHED, NODES, START)
         self.number = 0
 
-    def take(self, now=START, request_class=0, tenant=0, volume=1, key=0, units=2.0, shard=0, patience=2 * SECOND):
+    def take(
+        self, now=START, request_class=0, tenant=0, volume=1, key=0, units=2.0, shard=0, patience=2 * SECOND
+    ):
         self.number += 1
-        self.scheduler.request_received(Request(self.number, request_class, tenant, volume, key, units, shard, 2, now + patience), now)
+        self.scheduler.request_received(
+            Request(self.number, request_class, tenant, volume, key, units, shard, 2, now + patience), now
+        )
         return self.number
 
     def end(self, leg, now, ending=Ending.SERVED, took=30 * MS, used=-1.0):
         last = ending is Ending.SERVED
-        self.scheduler.attempt_ended(AttemptEnd(leg.request_id, leg.number, leg.node, ending, took, last, used, 0, {}), now)
+        self.scheduler.attempt_ended(
+            AttemptEnd(leg.request_id, leg.number, leg.node, ending, took, last, used, 0, {}), now
+        )
 
     def pull(self, now=START):
         said = []
@@ -214,7 +224,12 @@
     def __init__(self, *scripts, **changes):
         self.network = VirtualNetwork(5)
         names = {"Classes.0.Name": "read", "Classes.1.Name": "mark", "Classes.2.Name": "bind"}
-        plans = {"Policies.count": "3", "Policies.0.Name": "p0", "Policies.1.Name": "p1", "Policies.2.Name": "p2"}
+        plans = {
+            "Policies.count": "3",
+            "Policies.0.Name": "p0",
+            "Policies.1.Name": "p1",
+            "Policies.2.Name": "p2",
+        }
         values = {**VALUES, **names, **plans, "FamilyInfo.Writes": "false,true,true"}
         values.update({name.replace("__", "."): value for name, value in changes.items()})
         self.stories = []
--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -78,7 +78,9 @@
             self.log_kept.append(CHANNEL, wanted, self.wall(), must=True)
 
     def append(self):
-        held = [place for channel in self.log.channels() for place in (e.place for e in self.log.events(channel))]
+        held = [
+            place for channel in self.log.channels() for place in (e.place for e in self.log.events(channel))
+        ]
         entry = self.log_kept.append("x", self.world.count, self.wall())
         if held and entry.place <= max(held):
             raise Broken(f"{self.name} appended {entry.place} before {max(held)}, which it had seen")
@@ -199,7 +201,9 @@
             copies = self.older[one.name]
             one.journal.kept = list(copies[number % len(copies)]) if number % 4 == 2 and copies else []
             one.log = Log(one.name, 0, Bounds())
-            left = {(e.stream, e.seq) for g in self.gateways.values() if g is not one for e in g.log.all_entries()}
+            left = {
+                (e.stream, e.seq) for g in self.gateways.values() if g is not one for e in g.log.all_entries()
+            }
             for key in [k for k in self.answered if k not in left]:  # it alone held them
                 del self.answered[key]
 
@@ -248,7 +252,12 @@
         mark = given[-1].place if given else Place(Stamp(0, 0), "", 0, 0)
         had = {e.place for e in given}
         for entry in log.events("x"):
-            if entry.place <= mark and entry.at <= log.frontier() and log.judge(entry) == ORDINARY and entry.place not in had:
+            if (
+                entry.place <= mark
+                and entry.at <= log.frontier()
+                and log.judge(entry) == ORDINARY
+                and entry.place not in had
+            ):
                 raise Broken(f"{gateway.name} holds {entry}, ordinary, before what its reader had")
             if entry.place in had and log.judge(entry) == LATE:
                 raise Broken(f"{gateway.name} calls {entry} late, which its reader was given in order")
@@ -266,7 +275,10 @@
             for entry in other.log.events("x") if other is not gateway else ():
                 if entry.at > log.frontier():
                     break
-                if entry.seq > vector.get(entry.stream, 0) and other.log.judge(entry) == log.judge(entry) == ORDINARY:
+                if (
+                    entry.seq > vector.get(entry.stream, 0)
+                    and other.log.judge(entry) == log.judge(entry) == ORDINARY
+                ):
                     raise Broken(f"{gateway.name} is past {entry} of {other.name}, which it never held")
 
     def settle(self):
@@ -277,7 +289,9 @@
             if not gateway.up:
                 gateway.start()
         top = max(g.log.clock.ms for g in self.gateways.values())
-        for gateway in self.gateways.values():  # a clock that was ahead holds the order back until it is reached
+        for (
+            gateway
+        ) in self.gateways.values():  # a clock that was ahead holds the order back until it is reached
             gateway.shift = max(0, top - 10_000_000 - self.now // 1_000_000) + 1000
         for _ in range(14):
             self.round()
@@ -291,7 +305,9 @@
                 if first.log.dump(channel) != other.log.dump(channel):
                     raise Broken(f"{first.name} and {other.name} hold different entries of {channel}")
             if first.reader.given != other.reader.given:
-                raise Broken(f"{other.name} was given {len(other.reader.given)}, {first.name} {len(first.reader.given)}")
+                raise Broken(
+                    f"{other.name} was given {len(other.reader.given)}, {first.name} {len(first.reader.given)}"
+                )
         told = {e.place for e in first.reader.given} | {e.place for e in first.reader.late}
         for gateway in self.gateways.values():
             given, late = ({e.place for e in es} for es in (gateway.reader.given, gateway.reader.late))
@@ -304,7 +320,17 @@
                 raise Broken(f"{key} was answered and never told")
 
 
-KINDS = ["compact"] + ["append"] * 5 + ["beat"] * 3 + ["tell"] * 6 + ["round"] * 4 + ["cut"] * 2 + ["heal", "copy", "kill"] + ["start"] * 2 + ["clock", "wait"]
+KINDS = (
+    ["compact"]
+    + ["append"] * 5
+    + ["beat"] * 3
+    + ["tell"] * 6
+    + ["round"] * 4
+    + ["cut"] * 2
+    + ["heal", "copy", "kill"]
+    + ["start"] * 2
+    + ["clock", "wait"]
+)
 
 
 def play(seed, size=3, steps=60, kept=Kept, frontier=Frontier):
--- a/tests/forms/record.py
+++ b/tests/forms/record.py
@@ -59,7 +59,9 @@
     assert len(fleet.dumps("c")) == len(fleet.dumps("fleet")) == 1
     held = {name: fleet.parts["a"].dump(name).decode() for name in ("c", "fleet")}
     at = EPOCH + int(fleet.network.seconds() * 1000)
-    (folder / "held.json").write_text(json.dumps({"wall_ms": at, "from": link.holder.members.name, "dumps": held}, indent=1) + "\n")
+    (folder / "held.json").write_text(
+        json.dumps({"wall_ms": at, "from": link.holder.members.name, "dumps": held}, indent=1) + "\n"
+    )
     fleet.parts["a"].kill()
 
 
--- a/tests/relay_process.py
+++ b/tests/relay_process.py
@@ -51,7 +51,12 @@
 def _serve(handler, first=None):
     server = socketserver.ThreadingTCPServer(("127.0.0.1", 0), handler)
     server.daemon_threads, server.block_on_close = True, False
-    server.ended, server.speaks, server.asked, server.first = threading.Event(), threading.Event(), queue.Queue(), first
+    server.ended, server.speaks, server.asked, server.first = (
+        threading.Event(),
+        threading.Event(),
+        queue.Queue(),
+        first,
+    )
     server.speaks.set()
     threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     return server
@@ -77,7 +82,11 @@
         if points:
             env["PYTHONPATH"] = str(HOOK)
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "ochrecourse.relay"], env=env, stderr=subprocess.PIPE, text=True, preexec_fn=preexec
+            [sys.executable, "-m", "ochrecourse.relay"],
+            env=env,
+            stderr=subprocess.PIPE,
+            text=True,
+            preexec_fn=preexec,
         )
         self.lines = queue.Queue()
         self.seen = []
--- a/tests/signal_hook/sitecustomize.py
+++ b/tests/signal_hook/sitecustomize.py
@@ -52,7 +52,9 @@
 
 if POINTS:
     sys.meta_path.insert(0, _Imports)
-    sys.modules["signal_hook_late"] = _Late(POINTS.pop(("late", ""), ()))  # let go when modules are taken down
+    sys.modules["signal_hook_late"] = _Late(
+        POINTS.pop(("late", ""), ())
+    )  # let go when modules are taken down
     atexit.register(reach, "exit", "")
     if any(kind in ("call", "return") for kind, _ in POINTS):
         sys.setprofile(_profile)
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -28,7 +28,12 @@
     assert library_says == daemon_says and len(library_says) == len(scenario.jobs)
     endings = {story.closing.value for story in library_says}
     assert endings == {"fulfilled", "denied", "written off"}
-    assert {leg.ending.value for story in library_says for leg in story.legs} >= {"fulfilled", "timeout", "error", "full"}
+    assert {leg.ending.value for story in library_says for leg in story.legs} >= {
+        "fulfilled",
+        "timeout",
+        "error",
+        "full",
+    }
 
 
 def test_a_daemon_that_ends_one_job_otherwise_is_found(scenario, monkeypatch):
@@ -84,7 +89,11 @@
 
 
 def test_the_library_in_ten_lines_and_its_names():
-    done = subprocess.run([sys.executable, ROOT / "examples" / "embed.py"], capture_output=True, text=True, timeout=LONG)
+    done = subprocess.run(
+        [sys.executable, ROOT / "examples" / "embed.py"], capture_output=True, text=True, timeout=LONG
+    )
     assert done.returncode == 0 and done.stdout == "job a: fulfilled, legs 1\n", done.stderr
     text = (ROOT / "docs" / "library.md").read_text()
-    assert library.SURFACE == 1 and all(f"`{name}`" in text or f"library.{name}" in text for name in library.__all__)
+    assert library.SURFACE == 1 and all(
+        f"`{name}`" in text or f"library.{name}" in text for name in library.__all__
+    )
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -54,7 +54,9 @@
 
 def test_clients_that_go_by_the_table_reach_gateways_that_serve():
     day = struck("balancer_roll", size=0.5, extra=1.5)
-    day = msgspec.structs.replace(day, plans=[msgspec.structs.replace(plan, hosts=(2, 2)) for plan in day.plans])
+    day = msgspec.structs.replace(
+        day, plans=[msgspec.structs.replace(plan, hosts=(2, 2)) for plan in day.plans]
+    )
     keeping, going = VirtualPlay(day, announces=True).run(), VirtualPlay(day, steers=True).run()
     lost = [run.counts.get("clients: no gateway", 0) for run in (keeping, going)]
     assert lost[0] > 50 and lost[1] < lost[0] / 2
@@ -67,7 +69,12 @@
 
 def probes(hows, gateway="g0"):
     return [
-        r.Probed(t=(i + 1) * SECOND // 10, gateway=gateway, asked=i * SECOND // 10, how="fulfilled" if how == "+" else "no answer")
+        r.Probed(
+            t=(i + 1) * SECOND // 10,
+            gateway=gateway,
+            asked=i * SECOND // 10,
+            how="fulfilled" if how == "+" else "no answer",
+        )
         for i, how in enumerate(hows)
     ]
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -65,7 +65,11 @@
     """Takes no notice of drains."""
 
     def list_received(self, kind, entries, now):
-        kept = [NodeEntry(e.node, e.zone, e.shard, Health.READY, e.started) for e in entries if e.health is not Health.GONE]
+        kept = [
+            NodeEntry(e.node, e.zone, e.shard, Health.READY, e.started)
+            for e in entries
+            if e.health is not Health.GONE
+        ]
         super().list_received(ListKind.DELTA if kind is ListKind.DELTA else kind, kept, now)
 
 
@@ -84,11 +88,19 @@
     [
         (1, small("full"), Forgetful),
         (2, small("hang"), Repeating),
-        (3, small("preempt", troubles=[Trouble(kind="preempt", at_s=0.5, len_s=3, part=0.6, size=3.0)]), Deaf),
+        (
+            3,
+            small("preempt", troubles=[Trouble(kind="preempt", at_s=0.5, len_s=3, part=0.6, size=3.0)]),
+            Deaf,
+        ),
         (4, small("mass_restart", load=1.5, rules=RuleFigures(multiple=1.2, fall_ms=500)), textbook),
         (5, small(runs=9.0), textbook),
         (6, small("fast_errors"), textbook),
-        (7, small(load=1.2, plans=[msgspec.structs.replace(plan, limit=0.3) for plan in PLANS], most_units=2), textbook),
+        (
+            7,
+            small(load=1.2, plans=[msgspec.structs.replace(plan, limit=0.3) for plan in PLANS], most_units=2),
+            textbook,
+        ),
     ],
 )
 def test_each_rule_is_broken_by_its_own_broken_gateway(rule, day, decisions):
@@ -173,7 +185,9 @@
 def test_each_breach_is_told_with_its_evidence(rule, records, evidence):
     verdict = audit(FIGURES, [*records, END])
     finding = verdict.findings[rule - 1]
-    assert finding.rule == RULES[rule - 1] and any(evidence in text for text in finding.breaches), finding.breaches
+    assert finding.rule == RULES[rule - 1] and any(evidence in text for text in finding.breaches), (
+        finding.breaches
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -86,7 +86,9 @@
 
 
 def update(attributes, nlri=b"\x20\xc0\x00\x02\x0a", gone=b""):
-    return message(2, len(gone).to_bytes(2, "big") + gone + len(attributes).to_bytes(2, "big") + attributes + nlri)
+    return message(
+        2, len(gone).to_bytes(2, "big") + gone + len(attributes).to_bytes(2, "big") + attributes + nlri
+    )
 
 
 GOOD = bytes.fromhex("40010100 400200 400304c0000201")
@@ -159,11 +161,17 @@
     st.none() | st.integers(0, 2**32 - 1), st.none() | st.integers(0, 2**32 - 1),
     st.lists(st.tuples(st.integers(0, 65535), st.integers(0, 65535)), max_size=4).map(tuple),
 )  # fmt: skip
-networks = st.builds(lambda a, b: ipaddress.ip_network((a, b), strict=False), st.integers(0, 2**32 - 1), st.integers(0, 32))
+networks = st.builds(
+    lambda a, b: ipaddress.ip_network((a, b), strict=False), st.integers(0, 2**32 - 1), st.integers(0, 32)
+)
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(networks, min_size=1, max_size=6).map(tuple), attribute_sets, st.lists(st.integers(1, 30), min_size=1))
+@given(
+    st.lists(networks, min_size=1, max_size=6).map(tuple),
+    attribute_sets,
+    st.lists(st.integers(1, 30), min_size=1),
+)
 def test_updates_come_back_as_they_were_over_any_split(prefixes, attributes, cuts):
     data = encode(Update(prefixes, (), attributes)) + encode(codec.Keepalive())
     decoder, at, turn, got = Decoder(), 0, 0, []
@@ -259,7 +267,11 @@
         ([THEIRS], Update(), Notification(5, 2)),
         ([THEIRS, codec.Keepalive()], THEIRS, Notification(5, 3)),
         ([], codec.Open(64601, 30, 9), Notification(2, 2)),
-        ([], codec.Open(64600, 30, 9, (codec.multiprotocol(25),)), Notification(2, 7, b"\1\4\0\1\0\1\1\4\0\2\0\1")),
+        (
+            [],
+            codec.Open(64600, 30, 9, (codec.multiprotocol(25),)),
+            Notification(2, 7, b"\1\4\0\1\0\1\1\4\0\2\0\1"),
+        ),
         ([THEIRS, codec.Keepalive()], b"\0" * 19, Notification(1, 1)),
         ([THEIRS, codec.Keepalive()], message(1, b"", 20), Notification(1, 2, b"\0\x14")),
     ],
@@ -297,7 +309,9 @@
     assert table.pull() == []
     table.peer.want({V4: Attributes(as_path=(64512,), next_hop=HOP4, med=7)})
     table.peer.blocked(link, False)
-    assert [each for _, each in table.pull()] == [Update((V4,), (), Attributes(as_path=(64512,), next_hop=HOP4, med=7))]
+    assert [each for _, each in table.pull()] == [
+        Update((V4,), (), Attributes(as_path=(64512,), next_hop=HOP4, med=7))
+    ]
     table.peer.want({})
     assert [each for _, each in table.pull()] == [Update(withdrawn=(V4,))]
 
@@ -360,7 +374,9 @@
 
 # --- fitness ---
 
-FIT = FitnessFigures(500_000_000, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, 3 * SECOND, 24 * SECOND, 60 * SECOND)
+FIT = FitnessFigures(
+    500_000_000, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, 3 * SECOND, 24 * SECOND, 60 * SECOND
+)
 
 
 def grown(fitness, sight, start, seconds):
@@ -415,7 +431,11 @@
         books[Closing.DENIED] += 4
         books[Closing.WRITTEN_OFF] += i % 2
         told.append(watch.look(books, i * SECOND // 10))
-    assert (told[-1].lately, told[-1].fulfilled) == (45, 0) and told[-1].jobs == 131 and round(told[-1].written_off, 2) == 0.11
+    assert (
+        (told[-1].lately, told[-1].fulfilled) == (45, 0)
+        and told[-1].jobs == 131
+        and round(told[-1].written_off, 2) == 0.11
+    )
     books[Closing.FULFILLED] += 1
     assert watch.look(books, 3 * SECOND).fulfilled == 1
 
@@ -448,7 +468,10 @@
     drain = Drain(DrainFigures(2 * SECOND, SECOND, 5 * SECOND))
     assert drain.begin(0) and not drain.begin(1)
     assert drain.look(SECOND, True, 9) is Stage.LAST_CHOICE
-    assert drain.look(2 * SECOND, False, 9) is Stage.WITHDRAWN and drain.look(6 * SECOND, False, 9) is Stage.WITHDRAWN
+    assert (
+        drain.look(2 * SECOND, False, 9) is Stage.WITHDRAWN
+        and drain.look(6 * SECOND, False, 9) is Stage.WITHDRAWN
+    )
     assert drain.look(7 * SECOND, False, 9) is Stage.FINISHING and not drain.undo(8 * SECOND)
     assert drain.look(8 * SECOND, False, 0) is Stage.LEFT
 
@@ -496,13 +519,23 @@
                         self.table.get(step.link, set()).discard(network)
 
     def moves(self):
-        moves = [("fit", self.turn_fit), ("drain", self.begin_drain), ("drain goes on", self.drain_on), ("time", self.time)]
+        moves = [
+            ("fit", self.turn_fit),
+            ("drain", self.begin_drain),
+            ("drain goes on", self.drain_on),
+            ("time", self.time),
+        ]
         if self.dialling:
             moves += [("dial made", self.made), ("dial fails", self.dial_fails)]
         if not any(not link.outgoing for link in self.peer.links.values()):
             moves.append(("comes in", self.comes))
         for number in sorted(self.connections):
-            for name, said in (("open", THEIRS), ("keepalive", codec.Keepalive()), ("note", Notification(6, 4)), ("junk", b"\0" * 19)):
+            for name, said in (
+                ("open", THEIRS),
+                ("keepalive", codec.Keepalive()),
+                ("note", Notification(6, 4)),
+                ("junk", b"\0" * 19),
+            ):
                 moves.append((f"{name} on {number}", lambda n=number, s=said: self.hear(n, s)))
             moves.append((f"closed {number}", lambda n=number: self.lose(n)))
             moves.append((f"full {number}", lambda n=number: self.fill(n)))
--- a/tests/test_calendar_disks.py
+++ b/tests/test_calendar_disks.py
@@ -61,7 +61,9 @@
 
 
 def moves(make, state, loser):
-    held, lives, flight, count = state  # all that is written comes after the edition: more of time does not matter
+    held, lives, flight, count = (
+        state  # all that is written comes after the edition: more of time does not matter
+    )
 
     def holds(i, more):
         return tuple(each | more if j == i else each for j, each in enumerate(held))
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -54,7 +54,9 @@
 @pytest.mark.parametrize("mistake", [second_of_two, gap_as_read])
 def test_the_weeks_find_each_seeded_mistake(mistake, monkeypatch):
     monkeypatch.setattr(almanac, "instant_of", mistake)
-    told, expected = around("Europe/Berlin", dt.date(2026, 10, 25) if mistake is second_of_two else dt.date(2026, 3, 29))
+    told, expected = around(
+        "Europe/Berlin", dt.date(2026, 10, 25) if mistake is second_of_two else dt.date(2026, 3, 29)
+    )
     assert 0 < sum(told[each] != expected[each] for each in expected) <= 8
 
 
@@ -82,7 +84,9 @@
     for zone, at in (("Europe/Berlin", "02:30"), ("Europe/London", "01:30")):
         site = every_quarter(zone)
         site["rules"] = [{**site["rules"][0], "name": "close", "at": at}]
-        instants = {date: ms for _, date, ms in almanac.edition(site, 1, dt.date(2026, 10, 24), 3)["instants"]}
+        instants = {
+            date: ms for _, date, ms in almanac.edition(site, 1, dt.date(2026, 10, 24), 3)["instants"]
+        }
         assert instants["2026-10-25"] == first
         assert dt.datetime.fromtimestamp(first / 1000 + 3600, zoneinfo.ZoneInfo(zone)).strftime("%H:%M") == at
         assert instants["2026-10-26"] - first == 25 * 3_600_000
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -68,7 +68,9 @@
     def __init__(self, reply=good, sockets=256, **changes):
         self.network = self.loop = Loop()
         self.node, self.agent = RespNode(reply), ListAgent()
-        self.listening = [self.loop.listenTCP(0, each, interface="127.0.0.1") for each in (self.node, self.agent)]
+        self.listening = [
+            self.loop.listenTCP(0, each, interface="127.0.0.1") for each in (self.node, self.agent)
+        ]
         self.node_port, self.agent_port = (each.getHost().port for each in self.listening)
         self.log, self.over, self.sockets = [], [], []
         told = {
@@ -76,7 +78,13 @@
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
         self.service = Service(
-            parse(told), "none", self.loop, 10**18, self.log.append, lambda: self.over.append(1), self.loop.unread_since
+            parse(told),
+            "none",
+            self.loop,
+            10**18,
+            self.log.append,
+            lambda: self.over.append(1),
+            self.loop.unread_since,
         )
         self.front = self.service.front
         self.port = self.service.serve()[1]
@@ -332,7 +340,9 @@
         here.loop.turn()
     if side.up:
         assert len(side.slots) <= connection.COMMANDS + 1
-        assert len(side.transport.dataBuffer) + side.transport._tempDataLen <= 3 * READ + 7 * connection.COMMANDS
+        assert (
+            len(side.transport.dataBuffer) + side.transport._tempDataLen <= 3 * READ + 7 * connection.COMMANDS
+        )
 
 
 def test_a_flood_of_one_client_leaves_each_turn_to_the_others(shop):
@@ -787,7 +797,9 @@
     here.loop.now += 2 * LINGER
     here.loop.settle()
     assert len(here.front.fronts) <= most
-    assert here.front.counts["shut_unread"] + here.front.counts["too_many_connections"] == 200 - len(here.front.fronts)
+    assert here.front.counts["shut_unread"] + here.front.counts["too_many_connections"] == 200 - len(
+        here.front.fronts
+    )
 
 
 def test_connections_that_linger_are_bounded_and_make_room_first(shop):
--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -4,7 +4,14 @@
 import pytest
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule, run_state_machine_as_test
+from hypothesis.stateful import (
+    RuleBasedStateMachine,
+    initialize,
+    invariant,
+    precondition,
+    rule,
+    run_state_machine_as_test,
+)
 from test_service import PING, Shop, read, write
 from twisted.internet.error import ConnectionDone
 from twisted.internet.interfaces import IHalfCloseableProtocol
@@ -190,7 +197,11 @@
     def leaves(self, which, how):
         peer = self.one(which)
         if peer:
-            end = {"close": "loseConnection", "half-close": "loseWriteConnection", "reset": "abortConnection"}[how]
+            end = {
+                "close": "loseConnection",
+                "half-close": "loseWriteConnection",
+                "reset": "abortConnection",
+            }[how]
             getattr(peer.transport, end)()
             peer.left_at = self.network.now
 
@@ -261,7 +272,9 @@
 
     @invariant()
     def no_attempt_begins_after_its_client_left(self):
-        left = {name: peer.left_at for peer in getattr(self, "peers", ()) for name, _ in peer.sent if peer.left_at}
+        left = {
+            name: peer.left_at for peer in getattr(self, "peers", ()) for name, _ in peer.sent if peer.left_at
+        }
         for name, when in getattr(self, "attempts", ()):
             assert name not in left or when <= left[name] + BREAK, f"{when - left[name]:.3f} s after the end"
 
@@ -317,7 +330,9 @@
             assert name not in attempted, "sent on and not answered"
             assert peer.shut_at is not None and when + WAY >= peer.shut_at, "read and not answered"
         if peer.bad and not peer.closed and self.left_at is None:
-            assert peer.got and isinstance(peer.got[-1], codec.Error) and b"not_a_command" in peer.got[-1].text
+            assert (
+                peer.got and isinstance(peer.got[-1], codec.Error) and b"not_a_command" in peer.got[-1].text
+            )
         if peer.reason is not None and not peer.stubborn:
             assert peer.reason.check(ConnectionDone), "reset by the gateway"
 
@@ -378,7 +393,9 @@
 def leaves_only_what_was_sent_on(monkeypatch):
     whole = Gateway.leave_all
     monkeypatch.setattr(
-        Gateway, "leave_all", lambda self, jobs: whole(self, [job for job in jobs if self.tasks[job].attempt is not None])
+        Gateway,
+        "leave_all",
+        lambda self, jobs: whole(self, [job for job in jobs if self.tasks[job].attempt is not None]),
     )
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -76,13 +76,17 @@
             shares = [1.0 if size == 2 else 0.0 for size in SIZES]
         self.shares = shares
         self.usual = sum(size * share for size, share in zip(SIZES, shares, strict=True)) / sum(shares)
-        self.demand = draw.choice([0.3, 0.6, 0.9, 1.2])  # units a window and node, of what that can do when warm
+        self.demand = draw.choice(
+            [0.3, 0.6, 0.9, 1.2]
+        )  # units a window and node, of what that can do when warm
         self.length = min(self.cold, 8 * self.fall)
         self.demand *= harder
         self.__dict__.update(said)
         self.nodes = [ColdNode(self, number) for number in range(draw.randint(1, 3))]
         self.events, self.order = [], count()
-        self.lead = round(draw.uniform(2, 30) * SECOND)  # for which gateways have been up and asked, to no avail
+        self.lead = round(
+            draw.uniform(2, 30) * SECOND
+        )  # for which gateways have been up and asked, to no avail
         self.schedulers = [self.gateway(START - self.lead) for _ in range(gateways)]
         self.lives = [0] * gateways
         self.told = [{} for _ in range(gateways)]  # by node: the entry that a gateway has
@@ -111,7 +115,9 @@
         draw = self.draw
         for node in self.nodes:
             node.began = START + round(draw.uniform(0, self.fall))
-            node.started = 7 * SECOND if draw.random() < 0.2 else node.began  # a return may tell the start of before
+            node.started = (
+                7 * SECOND if draw.random() < 0.2 else node.began
+            )  # a return may tell the start of before
             for number in range(self.gateways):
                 self.tell(START - self.lead, number, node, Health.READY, 7 * SECOND)
                 self.tell(START - self.lead, number, node, Health.GONE, 7 * SECOND)
@@ -355,7 +361,9 @@
     assert passed(load) == pytest.approx(share, abs=0.08)
 
 
-@pytest.mark.parametrize(("age", "share"), [(30, LIKELY * BEARS * (1 + (1 / 0.26 - 1) / 4)), (59, 1.0), (60, 1.0)])
+@pytest.mark.parametrize(
+    ("age", "share"), [(30, LIKELY * BEARS * (1 + (1 / 0.26 - 1) / 4)), (59, 1.0), (60, 1.0)]
+)
 def test_more_is_let_go_as_the_node_warms(age, share):
     assert passed(HEAVY, TOLD + age * SECOND) == pytest.approx(share, abs=0.08)
 
@@ -377,7 +385,9 @@
 def test_what_all_nodes_are_asked_counts_not_what_one_is():
     """Guards against gateways that take few shards' requests for all there are, or all of them for one node's."""
     scheduler = begin(gateway())
-    scheduler.list_received(ListKind.DELTA, [NodeEntry(8 + i, 0, 1 + i, Health.READY, 0) for i in range(9)], TOLD)
+    scheduler.list_received(
+        ListKind.DELTA, [NodeEntry(8 + i, 0, 1 + i, Health.READY, 0) for i in range(9)], TOLD
+    )
     scheduler.load, scheduler.load_at = 0.0, TOLD
     ask(scheduler, 1, TOLD, shard=4)
     assert scheduler.load == pytest.approx(0.2)
--- a/tests/test_conflicts.py
+++ b/tests/test_conflicts.py
@@ -41,7 +41,9 @@
     assert not view.found()
     view.legs(70, Seen.REFUSED)
     assert view.found() == [(70, "listed as ready and refuses connections, 3 in a row")]
-    assert conflicts(view.entries, view.sightings, T + 2 * SECOND)[0].since == T + SECOND  # the first of the row
+    assert (
+        conflicts(view.entries, view.sightings, T + 2 * SECOND)[0].since == T + SECOND
+    )  # the first of the row
     view.legs(70, Seen.TIMEOUT, Seen.NO_ROOM)  # no word of the node: the row stands
     assert view.found()
     view.legs(70, Seen.FULL)
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -35,7 +35,11 @@
     started = []
 
     def start(*words):
-        process = subprocess.Popen([sys.executable, "-m", "ochrecourse", *map(str, words)], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "ochrecourse", *map(str, words)],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+        )
         started.append(process)
         return process
 
@@ -132,7 +136,11 @@
             self.socket = None
             return got
         body = fill(step.body).encode()
-        lines = [f"{step.method} {folder}{step.path} HTTP/1.1", f"Host: {known['host']}", f"Content-Length: {len(body)}"]
+        lines = [
+            f"{step.method} {folder}{step.path} HTTP/1.1",
+            f"Host: {known['host']}",
+            f"Content-Length: {len(body)}",
+        ]
         lines += [f"{name}: {fill(value)}" for name, value in step.headers.items()]
         self.send("\r\n".join([*lines, "", ""]).encode() + body)
         return self.answer(step.method)
@@ -142,7 +150,9 @@
     assert len(CHECKS) >= 250 and len({(section, text) for section, text, _ in CHECKS}) == len(CHECKS)
 
 
-@pytest.mark.parametrize("number", range(len(CHECKS)), ids=[f"{section} {text}"[:70] for section, text, _ in CHECKS])
+@pytest.mark.parametrize(
+    "number", range(len(CHECKS)), ids=[f"{section} {text}"[:70] for section, text, _ in CHECKS]
+)
 def test_conformance(door, number):
     _, _, steps = CHECKS[number]
     folder = f"/check-{number}/"
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -25,7 +25,9 @@
     python.chmod(0o755)
     told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     path = f"{folder / 'bin'}{os.pathsep}{os.environ['PATH']}"
-    code = subprocess.run(["/bin/sh", "-c", told], cwd=folder, env={"PATH": path}, check=False, timeout=60).returncode
+    code = subprocess.run(
+        ["/bin/sh", "-c", told], cwd=folder, env={"PATH": path}, check=False, timeout=60
+    ).returncode
     asked = folder / "asked.txt"
     return code, len(asked.read_text().split()) if asked.exists() else 0
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,7 +40,9 @@
 
 @pytest.mark.parametrize("said", [b"", PING], ids=["silent", "resting"])
 @pytest.mark.parametrize(("files", "sockets"), [(512, 512), (512, 4096), (1024, 128)])
-def test_idle_clients_that_fill_the_descriptors_shut_out_neither_nodes_nor_the_list(tmp_path, files, sockets, said):
+def test_idle_clients_that_fill_the_descriptors_shut_out_neither_nodes_nor_the_list(
+    tmp_path, files, sockets, said
+):
     """Guards against a process with no descriptor left for its nodes and its list when discovery comes back."""
     most = min(files, sockets)
     most -= shares(most)[1]  # what is kept for nodes stays free
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -75,9 +75,17 @@
         count = iter(range(10_000))
         volumes = [VolumeRule("", "p0", 1)]
         self.door = Door(
-            self.yard.gateway, self.yard.network, PRODUCTS, volumes, 65_536, 8, 0,
+            self.yard.gateway,
+            self.yard.network,
+            PRODUCTS,
+            volumes,
+            65_536,
+            8,
+            0,
             Kept(journal or InMemory(), lambda: f"urn:{next(count)}", 0, 1_700_000_000),
-            DoorFigures(**{**LIMITS, **figures}), Quota({"small": 10}), lambda **said: self.lines.append(said),
+            DoorFigures(**{**LIMITS, **figures}),
+            Quota({"small": 10}),
+            lambda **said: self.lines.append(said),
         )
         self.port = self.yard.network.listenTCP(0, self.door).getHost().port
 
@@ -207,7 +215,9 @@
     client.ask("MKCOL", "/c")
     client.ask("PUT", "/c/f", b"one")
     assert client.ask("COPY", "/c", Destination="/d")[0] == 201 and client.ask("GET", "/d/f")[2] == b"one"
-    assert client.ask("MOVE", "/d/f", Destination="http://h/g")[0] == 201 and client.ask("GET", "/d/f")[0] == 404
+    assert (
+        client.ask("MOVE", "/d/f", Destination="http://h/g")[0] == 201 and client.ask("GET", "/d/f")[0] == 404
+    )
     assert client.ask("MOVE", "/g", Destination="/c/f")[0] == 204 and client.ask("GET", "/c/f")[2] == b"one"
     assert client.ask("DELETE", "/c")[0] == 204 and client.ask("GET", "/c/f")[0] == 404
 
@@ -232,14 +242,18 @@
     assert body.count(b"<D:response>") == 1201 and body.rstrip().endswith(b"</D:multistatus>")
 
 
-SET = b'<propertyupdate xmlns="DAV:"><set><prop><x xmlns="urn:x">1 &amp; 2</x>%s</prop></set></propertyupdate>'
+SET = (
+    b'<propertyupdate xmlns="DAV:"><set><prop><x xmlns="urn:x">1 &amp; 2</x>%s</prop></set></propertyupdate>'
+)
 
 
 def test_properties_are_kept_and_live_ones_are_not_the_clients(client):
     client.ask("PUT", "/f", b"")
     assert b"200 OK" in client.ask("PROPPATCH", "/f", SET % b"")[2]
     assert b"1 &amp; 2" in client.ask("PROPFIND", "/f", Depth="0")[2]
-    assert b"403 Forbidden" in client.ask("PROPPATCH", "/f", SET.replace(b"1 &amp; 2", b"3") % b"<getetag/>")[2]
+    assert (
+        b"403 Forbidden" in client.ask("PROPPATCH", "/f", SET.replace(b"1 &amp; 2", b"3") % b"<getetag/>")[2]
+    )
     assert b"1 &amp; 2" in client.ask("PROPFIND", "/f", Depth="0")[2]
 
 
@@ -384,12 +398,23 @@
 def test_what_the_head_tells_is_refused_before_the_body_comes(house, client):
     client.ask("PUT", "/f", b"1")
     head = "PUT /f HTTP/1.1\r\nHost: h\r\nContent-Length: 999999\r\nExpect: 100-continue\r\n%s\r\n"
-    for more, status in (("If-Match: \"x\"\r\n", 412), ("Expect: pigs\r\n", 417), ("Content-Encoding: gzip\r\n", 415), ("Content-Range: bytes 0-1/2\r\n", 400)):
+    for more, status in (
+        ('If-Match: "x"\r\n', 412),
+        ("Expect: pigs\r\n", 417),
+        ("Content-Encoding: gzip\r\n", 415),
+        ("Content-Range: bytes 0-1/2\r\n", 400),
+    ):
         one = house.open()
         one.transport.write((head % more).encode())
         house.yard.run(0.1)
-        assert one.data.startswith(b"HTTP/1.1 %d " % status) and b"Connection: close" in one.data and not one.lost
-        one.transport.write(b"x" * 100_000)  # it is read and forgotten, so that the answer is not lost to a reset
+        assert (
+            one.data.startswith(b"HTTP/1.1 %d " % status)
+            and b"Connection: close" in one.data
+            and not one.lost
+        )
+        one.transport.write(
+            b"x" * 100_000
+        )  # it is read and forgotten, so that the answer is not lost to a reset
         house.yard.run(1.5)
         assert one.lost and one.data.count(b"HTTP/1.1") == 1
     assert client.ask("GET", "/f")[2] == b"1"
@@ -405,7 +430,13 @@
     assert client.next()[0] == 201
 
 
-@pytest.mark.parametrize(("length", "sent"), [("Content-Length: 9000000", b""), ("Transfer-Encoding: chunked", b"800000\r\n" + b"x" * (8 << 20) + b"\r\n2\r\nxx\r\n")])
+@pytest.mark.parametrize(
+    ("length", "sent"),
+    [
+        ("Content-Length: 9000000", b""),
+        ("Transfer-Encoding: chunked", b"800000\r\n" + b"x" * (8 << 20) + b"\r\n2\r\nxx\r\n"),
+    ],
+)
 def test_a_body_over_the_limit_is_refused_even_if_its_size_was_not_told(house, client, length, sent):
     client.transport.write(f"PUT /f HTTP/1.1\r\nHost: h\r\n{length}\r\n\r\n".encode() + sent)
     house.yard.run(2)
@@ -423,7 +454,14 @@
     assert client.ask("OPTIONS", "/")[0] == 200
 
 
-@pytest.mark.parametrize("raw", [b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 5000, b"GET / HTTP/1.1\r\nHost: h\r\n" + b"X: y\r\n" * 40, b"GET /" + b"x" * 9000])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 5000,
+        b"GET / HTTP/1.1\r\nHost: h\r\n" + b"X: y\r\n" * 40,
+        b"GET /" + b"x" * 9000,
+    ],
+)
 def test_heads_that_are_too_large_are_refused(house, client, raw):
     client.transport.write(raw + b"\r\n\r\n")
     house.yard.run(2)
@@ -453,7 +491,12 @@
     for _ in range(10):
         body.transport.write(b"x" * 50)
         house.yard.run(0.4)
-    assert heads.data.startswith(b"HTTP/1.1 408 ") and heads.lost and body.data.startswith(b"HTTP/1.1 408 ") and body.lost
+    assert (
+        heads.data.startswith(b"HTTP/1.1 408 ")
+        and heads.lost
+        and body.data.startswith(b"HTTP/1.1 408 ")
+        and body.lost
+    )
     assert steady.next()[0] == 201 and house.door.counts["ended for sending too slowly"] == 2
 
 
@@ -511,7 +554,10 @@
     boundary = headers["content-type"].partition("boundary=")[2]
     part = "\r\n--%s\r\nContent-Type: text/plain\r\nContent-Range: bytes %s/10\r\n\r\n%s"
     assert status == 206 and headers["content-type"].startswith("multipart/byteranges; ")
-    assert body.decode() == part % (boundary, "0-2", "012") + part % (boundary, "7-8", "78") + f"\r\n--{boundary}--\r\n"
+    assert (
+        body.decode()
+        == part % (boundary, "0-2", "012") + part % (boundary, "7-8", "78") + f"\r\n--{boundary}--\r\n"
+    )
     assert client.ask("GET", "/f")[2] == b"0123456789"
 
 
@@ -529,8 +575,14 @@
     assert client.ask("PUT", "/small/a", b"123456")[0] == 201
     status, _, body = client.ask("PUT", "/small/b", b"123456")
     assert status == 507 and b"quota-not-exceeded" in body
-    assert client.ask("PUT", "/small/a", b"1234567890")[0] == 204 and client.ask("PUT", "/other", b"x" * 20)[0] == 201
-    assert client.ask("COPY", "/other", Destination="/small/c")[0] == 507 and client.ask("MOVE", "/other", Destination="/small/c")[0] == 507
+    assert (
+        client.ask("PUT", "/small/a", b"1234567890")[0] == 204
+        and client.ask("PUT", "/other", b"x" * 20)[0] == 201
+    )
+    assert (
+        client.ask("COPY", "/other", Destination="/small/c")[0] == 507
+        and client.ask("MOVE", "/other", Destination="/small/c")[0] == 507
+    )
     find = b'<propfind xmlns="DAV:"><prop><quota-available-bytes/><quota-used-bytes/></prop></propfind>'
     told = client.ask("PROPFIND", "/small", find, Depth="0")[2]
     assert b"quota-available-bytes>0<" in told and b"quota-used-bytes>10<" in told
@@ -546,7 +598,11 @@
     status, _, body = client.ask("REPORT", path, (SYNC % (token, level, limit)).encode(), Depth="0")
     hrefs = re.findall(rb"<D:response><D:href>([^<]*)</D:href>(.*?)</D:response>", body)
     found = re.search(rb"<D:sync-token>([^<]*)<", body)
-    return status, {where.decode(): b"404 Not Found" not in inner for where, inner in hrefs}, found[1].decode() if found else body
+    return (
+        status,
+        {where.decode(): b"404 Not Found" not in inner for where, inner in hrefs},
+        found[1].decode() if found else body,
+    )
 
 
 def test_a_client_that_synchronizes_is_told_what_changed_since_its_token(client):
@@ -559,7 +615,12 @@
     client.ask("MKCOL", "/c/d")
     client.ask("PUT", "/c/d/e", b"1")
     assert synced(client, "/c", token)[1] == {"/c/b": True, "/c/a": False, "/c/d/": True}
-    assert synced(client, "/c", token, "infinite")[1] == {"/c/b": True, "/c/a": False, "/c/d/": True, "/c/d/e": True}
+    assert synced(client, "/c", token, "infinite")[1] == {
+        "/c/b": True,
+        "/c/a": False,
+        "/c/d/": True,
+        "/c/d/e": True,
+    }
     status, told, after = synced(client, "/c", token, limit="<limit><nresults>1</nresults></limit>")
     assert told == {"/c/b": True, "/c/": True}  # one change, and the response that says that there is more
     assert synced(client, "/c", after)[1] == {"/c/a": False, "/c/d/": True}
@@ -574,7 +635,10 @@
         assert status == 403 and b"valid-sync-token" in body
     status, _, body = client.ask("REPORT", "/c", b'<expand-property xmlns="DAV:"/>')
     assert status == 403 and b"supported-report" in body
-    assert client.ask("REPORT", "/c", (SYNC % ("", "2", "")).encode())[0] == 400 and synced(client, "/none")[0] == 404
+    assert (
+        client.ask("REPORT", "/c", (SYNC % ("", "2", "")).encode())[0] == 400
+        and synced(client, "/none")[0] == 404
+    )
     assert synced(client, "/c", limit="<limit><nresults>0</nresults></limit>")[0] == 400
 
 
@@ -610,7 +674,13 @@
 def test_reads_of_other_people_or_parts_do_not_wait(house, client):
     client.ask("PUT", "/f", b"abc")
     house.store.late = 0.2
-    kinds = [{"Authorization": "a"}, {"Authorization": "b"}, {"Authorization": "a", "Range": "bytes=0-0"}, {}, {}]
+    kinds = [
+        {"Authorization": "a"},
+        {"Authorization": "b"},
+        {"Authorization": "a", "Range": "bytes=0-0"},
+        {},
+        {},
+    ]
     for kind in kinds:
         house.open().send("GET", "/f", seconds=0.01, **kind)
     assert house.yard.gateway.ledger.open == 5 and not house.door.waiting
@@ -623,14 +693,18 @@
 def test_a_body_that_breaks_off_after_each_quarter_leaves_the_old_object(house, client, quarter):
     client.ask("PUT", "/f", b"old!")
     writer = house.open()
-    writer.transport.write(b"PUT /f HTTP/1.1\r\nHost: h\r\nContent-Length: 400001\r\n\r\n" + b"x" * (100_000 * quarter))
+    writer.transport.write(
+        b"PUT /f HTTP/1.1\r\nHost: h\r\nContent-Length: 400001\r\n\r\n" + b"x" * (100_000 * quarter)
+    )
     house.yard.run(0.2)
     writer.transport.abortConnection()
     house.yard.run(1)
     assert client.ask("GET", "/f")[2] == b"old!" and house.door.tree.used["f"] == 4
 
 
-def test_a_reset_after_the_last_byte_and_before_the_answer_keeps_the_save_and_its_resend_is_one_effect(house, client):
+def test_a_reset_after_the_last_byte_and_before_the_answer_keeps_the_save_and_its_resend_is_one_effect(
+    house, client
+):
     house.store.late = 0.2
     client.send("PUT", "/f", b"x" * 100_000, seconds=0.05, Idempotency_Key="k")
     client.transport.abortConnection()
@@ -644,8 +718,15 @@
     client.ask("PUT", "/a", b"A")
     client.ask("PUT", "/b", b"B")
     token = client.ask("LOCK", "/b", LOCK % b"exclusive")[1]["lock-token"]
-    assert client.ask("MOVE", "/a", Destination="/b")[0] == 423 and client.ask("GET", "/a")[2] == b"A" and client.ask("GET", "/b")[2] == b"B"
-    assert client.ask("MOVE", "/a", Destination="/b", If=f"</b> ({token})")[0] == 204 and client.ask("GET", "/b")[2] == b"A"
+    assert (
+        client.ask("MOVE", "/a", Destination="/b")[0] == 423
+        and client.ask("GET", "/a")[2] == b"A"
+        and client.ask("GET", "/b")[2] == b"B"
+    )
+    assert (
+        client.ask("MOVE", "/a", Destination="/b", If=f"</b> ({token})")[0] == 204
+        and client.ask("GET", "/b")[2] == b"A"
+    )
 
 
 def test_a_listing_of_many_members_is_never_whole_in_memory(house, client):
@@ -688,7 +769,9 @@
 def test_a_body_that_stalls_after_each_quarter_is_ended_and_leaves_the_old_object(house, client, quarter):
     client.ask("PUT", "/f", b"old!")
     writer = house.open()
-    writer.transport.write(b"PUT /f HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + b"x" * (1000 * quarter))
+    writer.transport.write(
+        b"PUT /f HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\n" + b"x" * (1000 * quarter)
+    )
     house.yard.run(8)
     assert writer.data.startswith(b"HTTP/1.1 408 ") and writer.lost and len(house.store.legs) == 1
     assert client.ask("GET", "/f")[2] == b"old!"
@@ -708,7 +791,12 @@
     client.ask("PUT", "/f", b"0123456789")
     house.door.products = [rule for rule in house.door.products if rule.method != "GET"]
     status, headers, body = client.ask("GET", "/f", Range="bytes=0-1", Authorization="me")
-    assert status == 403 and b"no product takes" in body and "etag" not in headers and "content-range" not in headers
+    assert (
+        status == 403
+        and b"no product takes" in body
+        and "etag" not in headers
+        and "content-range" not in headers
+    )
 
 
 def test_twenty_thousand_connections_at_one_door_are_served_and_one_more_is_turned_away(make_yard):
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -228,7 +228,9 @@
                 if any(seq > max(v.get(s, 0) for v in others) for s, seq in ends[which].log.vector().items()):
                     continue  # what nobody else has would be lost with the disk
                 journal = None
-            ends[which] = end_of(ends[which].members.name, lives, journal, kind, max(e.log.clock for e in ends))
+            ends[which] = end_of(
+                ends[which].members.name, lives, journal, kind, max(e.log.clock for e in ends)
+            )
             ends[which].log.note_floor(settled)
         elif what == "compact":
             upto = min(end.log.clock for end in ends)
@@ -318,7 +320,9 @@
     a.kept.compact("c", upto, "x" * 40_000)
     a.common.holes += 1
     b.common.most_snapshot = 30_000
-    with pytest.raises(BadPeer, match=r"a snapshot of more than 30000 bytes, which begins '\[\"snapshot\",\"c\""):
+    with pytest.raises(
+        BadPeer, match=r"a snapshot of more than 30000 bytes, which begins '\[\"snapshot\",\"c\""
+    ):
         live([(a.link("b"), b.link())], [a, b], 0, 10 * SECOND)
     assert b.log.snapshot("c") is None and not b.log.vector()
 
@@ -348,7 +352,12 @@
 # --- channels in blocks ---
 
 
-@settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.function_scoped_fixture])
+@settings(
+    max_examples=60,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=[HealthCheck.function_scoped_fixture],
+)
 @given(st.lists(st.tuples(st.integers(0, 60), st.booleans()), max_size=80))
 def test_blocks_keep_the_one_order_and_readers_their_places(monkeypatch, moves):
     monkeypatch.setattr(channel_module, "BLOCK", 4)
@@ -437,10 +446,15 @@
 
     first._renewal.anew.add = full
     first.work(100)
-    assert not first.busy and first.notes == ["journal of the fleet can't be written: [Errno 28] No space left on device"]
+    assert not first.busy and first.notes == [
+        "journal of the fleet can't be written: [Errno 28] No space left on device"
+    ]
     first.append("c", "goes on", WALL)
     assert not (tmp_path / "a.log.new").exists()
-    assert Kept(InFile(tmp_path / "a.log", "fleet", 1), "a", Bounds(), WALL, 2).log.vector() == first.log.vector()
+    assert (
+        Kept(InFile(tmp_path / "a.log", "fleet", 1), "a", Bounds(), WALL, 2).log.vector()
+        == first.log.vector()
+    )
 
 
 def test_what_was_merged_is_synced_once_before_it_is_claimed():
@@ -466,7 +480,10 @@
 
 def test_two_sites_that_were_long_apart_meet_at_the_pace_of_the_settings():
     """The one timer pulls; the frames of the backlog are spread, and a decision comes long before its end."""
-    fleet = Fleet("abcd", log={"entry": 65_536.0, "channel": 1 << 24, "channels": 1024, "flight": 256, "catch_up": 65_536.0})
+    fleet = Fleet(
+        "abcd",
+        log={"entry": 65_536.0, "channel": 1 << 24, "channels": 1024, "flight": 256, "catch_up": 65_536.0},
+    )
     fleet.run(3)
     fleet.cut("ab", "cd")
     fleet.run(3)
@@ -477,7 +494,9 @@
     fleet.run(3)
     fleet.cut("ab", "cd", None)
     told, now = [], fleet.network.seconds()
-    fleet.network.meter = lambda here, there, size: told.append((here, round(fleet.network.seconds() * 1000), size))
+    fleet.network.meter = lambda here, there, size: told.append(
+        (here, round(fleet.network.seconds() * 1000), size)
+    )
     decision = fleet.parts["a"].append(CHANNEL, {"what": "told"})
     heard = []
     fleet.parts["d"].common.ahead = lambda entry: heard.append((entry, fleet.network.seconds()))
@@ -560,7 +579,9 @@
         fleet.parts["a"].append("c", f"{i}" + "x" * 200)
     sent = []
     fleet.cut("a", "b", None)
-    fleet.network.meter = lambda here, there, size: sent.append((fleet.network.seconds(), size)) if size > SLICE // 2 else None
+    fleet.network.meter = lambda here, there, size: (
+        sent.append((fleet.network.seconds(), size)) if size > SLICE // 2 else None
+    )
     fleet.run(12)
     assert len(fleet.dumps()) == 1
     whole = sum(size for _, size in sent)
--- a/tests/test_fleet_allot.py
+++ b/tests/test_fleet_allot.py
@@ -9,7 +9,13 @@
 import pytest
 from hypothesis import settings
 from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
+from hypothesis.stateful import (
+    RuleBasedStateMachine,
+    invariant,
+    precondition,
+    rule,
+    run_state_machine_as_test,
+)
 from minicheck import Protocol, check_safety
 
 from ochrecourse.fleet.allot import LENDABLE, Allot, _of
@@ -104,8 +110,19 @@
 
 @pytest.mark.parametrize(
     "body",
-    [[], {}, {"what": "lend"}, loan(units=2), loan(units=-1), loan(until=-1),
-     whole(zone=-1), whole(to=7), loan(until=1 << 60), {**loan(), "zone": 1}, {**whole(), "to": {"b": "c"}}],
+    [
+        [],
+        {},
+        {"what": "lend"},
+        loan(units=2),
+        loan(units=-1),
+        loan(until=-1),
+        whole(zone=-1),
+        whole(to=7),
+        loan(until=1 << 60),
+        {**loan(), "zone": 1},
+        {**whole(), "to": {"b": "c"}},
+    ],
 )
 def test_an_entry_that_is_no_loan_is_counted_and_nothing_else(body):
     allot = started()
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -52,12 +52,22 @@
 @pytest.mark.parametrize(
     ("zone", "date", "at", "expected"),
     [
-        ("Europe/Berlin", "2026-03-29", "02:30", "2026-03-29T01:00:00"),  # does not exist: the first instant after
+        (
+            "Europe/Berlin",
+            "2026-03-29",
+            "02:30",
+            "2026-03-29T01:00:00",
+        ),  # does not exist: the first instant after
         ("Europe/Berlin", "2026-10-25", "02:30", "2026-10-25T00:30:00"),  # comes twice: the first
         ("Europe/Berlin", "2026-07-01", "18:00", "2026-07-01T16:00:00"),
         ("Australia/Lord_Howe", "2026-10-04", "02:10", "2026-10-03T15:30:00"),  # a gap of half an hour
         ("Pacific/Apia", "2011-12-30", "18:00", "2011-12-30T10:00:00"),  # a whole day that does not exist
-        ("Pacific/Kiritimati", "2026-01-01", "00:30", "2025-12-31T10:30:00"),  # the date line: a UTC date before
+        (
+            "Pacific/Kiritimati",
+            "2026-01-01",
+            "00:30",
+            "2025-12-31T10:30:00",
+        ),  # the date line: a UTC date before
         ("America/New_York", "2026-06-30", "23:30", "2026-07-01T03:30:00"),  # and after
         ("America/Santiago", "2026-09-06", "00:00", "2026-09-06T04:00:00"),  # midnight does not exist
     ],
@@ -89,17 +99,41 @@
     body["tzdata"] = "2019a"
     assert len(differences(body)) == 1 and "2026-01-02" in differences(body)[0]
     assert Edition(body, PLACE).by_moment["close", "2026-01-02"] == body["instants"][1][2]
-    for broken in ({"zone": "Mars/Olympus"}, {"as": {}}, {"from": "x"}, {"as": {**body["as"], "zone": "No/Where"}}):
+    for broken in (
+        {"zone": "Mars/Olympus"},
+        {"as": {}},
+        {"from": "x"},
+        {"as": {**body["as"], "zone": "No/Where"}},
+    ):
         assert differences({**body, **broken})
 
 
 said = st.fixed_dictionaries(
-    {name: st.none() | st.integers() | st.text(max_size=3) | st.lists(st.none() | st.integers() | st.text(max_size=3) | st.dictionaries(st.sampled_from(["name", "at", "all", "weekdays", "holidays", "exceptions"]), st.integers() | st.text(max_size=5) | st.lists(st.integers(), max_size=2)), max_size=2) for name in ("holidays", "rules", "country", "region")}
+    {
+        name: st.none()
+        | st.integers()
+        | st.text(max_size=3)
+        | st.lists(
+            st.none()
+            | st.integers()
+            | st.text(max_size=3)
+            | st.dictionaries(
+                st.sampled_from(["name", "at", "all", "weekdays", "holidays", "exceptions"]),
+                st.integers() | st.text(max_size=5) | st.lists(st.integers(), max_size=2),
+            ),
+            max_size=2,
+        )
+        for name in ("holidays", "rules", "country", "region")
+    }
 )
 
 
 @settings(max_examples=150, deadline=None)
-@given(said, st.sampled_from(["Europe/Berlin", 5, None, "x"]), st.sampled_from(["2026-01-02", "9999-12-31", "0001-01-01", "2026-02-30"]))
+@given(
+    said,
+    st.sampled_from(["Europe/Berlin", 5, None, "x"]),
+    st.sampled_from(["2026-01-02", "9999-12-31", "0001-01-01", "2026-02-30"]),
+)
 def test_whatever_another_says_its_rules_are_is_compared_or_named(more, zone, through):
     body = edition(site_of(), 1, YEAR, 2)
     told = differences({**body, "through": through, "as": {**body["as"], **more, "zone": zone}})
@@ -127,8 +161,15 @@
 
 
 json = st.recursive(
-    st.none() | st.booleans() | st.integers() | st.text(max_size=5) | st.sampled_from(["edition", "taken", "s", "a"]),
-    lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.sampled_from(["what", "of", "site", "rules", "instants", "number"]), inner),
+    st.none()
+    | st.booleans()
+    | st.integers()
+    | st.text(max_size=5)
+    | st.sampled_from(["edition", "taken", "s", "a"]),
+    lambda inner: (
+        st.lists(inner, max_size=4)
+        | st.dictionaries(st.sampled_from(["what", "of", "site", "rules", "instants", "number"]), inner)
+    ),
     max_leaves=10,
 )
 
@@ -154,7 +195,9 @@
 
 
 def taken(writer, seq, ms, of):
-    return entry(writer, seq, ms, {"what": "taken", "site": "s", "number": 1, "of": [of.writer, of.life, of.seq]})
+    return entry(
+        writer, seq, ms, {"what": "taken", "site": "s", "number": 1, "of": [of.writer, of.life, of.seq]}
+    )
 
 
 ONE = written(1, 100, [["close", "2026-01-01", 5000]])
@@ -175,14 +218,26 @@
     calendar.promised("a", 9000), calendar.promised("c", 9000)
     assert [(each.number, each.at) for each in calendar.due(0, 9000)] == [(1, 5000)]
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
-    for each in (TWO, ONE, taken("b", 1, 200, ONE), taken("c", 2, 2500, TWO), taken("a", 2, 150, ONE), taken("b", 2, 2100, TWO)):
+    for each in (
+        TWO,
+        ONE,
+        taken("b", 1, 200, ONE),
+        taken("c", 2, 2500, TWO),
+        taken("a", 2, 150, ONE),
+        taken("b", 2, 2100, TWO),
+    ):
         calendar.event(each)
     calendar.promised("a", 9000), calendar.promised("c", 9000)
     assert [(each.number, each.at) for each in calendar.due(0, 9000)] == [(2, 4000)]
 
 
 def test_the_order_of_arrival_changes_nothing():
-    events = [ONE, TWO, *(taken(w, 10 + i, 150 + i, ONE) for i, w in enumerate("abc")), *(taken(w, 20 + i, 2100 + i, TWO) for i, w in enumerate("abc"))]
+    events = [
+        ONE,
+        TWO,
+        *(taken(w, 10 + i, 150 + i, ONE) for i, w in enumerate("abc")),
+        *(taken(w, 20 + i, 2100 + i, TWO) for i, w in enumerate("abc")),
+    ]
     told = set()
     for seed in range(50):
         random.Random(seed).shuffle(events)
@@ -190,7 +245,9 @@
         for each in events * 2:
             calendar.event(each)
         assert not calendar.missing and not calendar.bad
-        told.add((tuple(calendar.due(0, 9000)), calendar.standing(9000).number, tuple(calendar.drops(0, 9000))))
+        told.add(
+            (tuple(calendar.due(0, 9000)), calendar.standing(9000).number, tuple(calendar.drops(0, 9000)))
+        )
     assert len(told) == 1
 
 
@@ -258,7 +315,9 @@
             at = given_rule["at"]
             if str(date) in special:
                 at = special[str(date)]
-            elif ["mon", "tue", "wed", "thu", "fri", "sat", "sun"][date.weekday()] not in given_rule["weekdays"]:
+            elif ["mon", "tue", "wed", "thu", "fri", "sat", "sun"][date.weekday()] not in given_rule[
+                "weekdays"
+            ]:
                 at = "none"
             elif str(date) in free and given_rule["holidays"] != "usual":
                 at = given_rule["holidays"]
@@ -271,6 +330,7 @@
 
 def drawn(chance, number):
     """A site, and how it changes in the course of the year: its rules, its zone, its holidays."""
+
     def at():
         return f"{chance.choice([0, 1, 2, 3, 12, 17, 18, 19, 20, 21, 22, 23]):02}:{chance.choice([0, 15, 30, 45]):02}"
 
@@ -306,7 +366,12 @@
         plan += [(each, site) for each in range(day, end, 45)]
     bodies = []
     for count, (day, site) in enumerate(plan, 1):
-        at = int(dt.datetime(2026, 1, 1, tzinfo=dt.UTC).timestamp() * 1000) + day * 86_400_000 + 777_000 + chance.randrange(80_000_000)
+        at = (
+            int(dt.datetime(2026, 1, 1, tzinfo=dt.UTC).timestamp() * 1000)
+            + day * 86_400_000
+            + 777_000
+            + chance.randrange(80_000_000)
+        )
         bodies.append((at, site, count))
     fired, expected = {}, {}
     for at, site, count in bodies:
@@ -318,7 +383,9 @@
         for edge, delay in (("a", 10), ("b", 700), ("c", 1500)):
             seq += 1
             told = {"what": "taken", "site": name, "number": count, "of": ["a", 1, brought.seq]}
-            calendar.event(Entry(f"calendar/{name}", edge, 1, seq, Stamp(at + delay, 0), (), msgspec.json.encode(told)))
+            calendar.event(
+                Entry(f"calendar/{name}", edge, 1, seq, Stamp(at + delay, 0), (), msgspec.json.encode(told))
+            )
             calendar.promised(edge, at + 2000)
         when[count] = (at + 700 + notice, reference(site, walks, first, 60))
     end = bodies[-1][0] + 20 * 86_400_000
@@ -365,7 +432,9 @@
     zone = zone_of(site["zone"])
     times = {each["name"]: each for each in site["rules"]}
     for instant in body["instants"]:
-        local = dt.datetime.combine(dt.date.fromisoformat(instant[1]), almanac.time_of(times[instant[0]]["at"]), tzinfo=zone)
+        local = dt.datetime.combine(
+            dt.date.fromisoformat(instant[1]), almanac.time_of(times[instant[0]]["at"]), tzinfo=zone
+        )
         if instant[2] == almanac._ms(local):
             instant[2] = almanac._ms(local.replace(fold=1))
     return body
@@ -401,7 +470,11 @@
     body = edition(record["sites"][0], 1, dt.date(2026, 12, 21), 12)
     assert [each["scope"] for each in body["rules"]] == [["all", ""], ["volume", "7"]]
     close = [date for given_rule, date, _ in body["instants"] if given_rule == "close"]
-    assert close == ["2026-12-21", "2026-12-24", "2026-12-28"]  # Christmas Day is a Friday and no day of closing
+    assert close == [
+        "2026-12-21",
+        "2026-12-24",
+        "2026-12-28",
+    ]  # Christmas Day is a Friday and no day of closing
     assert record["fleet"]["purges"] == {"notice": 10_000.0, "days": 60}
 
 
@@ -445,7 +518,10 @@
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.text(max_size=12) | st.sampled_from(["Europe", "Europe/", "UTC", "Etc/GMT+5", "posixrules", "tzdata.zi", "zone.tab"]))
+@given(
+    st.text(max_size=12)
+    | st.sampled_from(["Europe", "Europe/", "UTC", "Etc/GMT+5", "posixrules", "tzdata.zi", "zone.tab"])
+)
 def test_any_name_of_a_zone_is_one_or_is_refused(name):
     try:
         assert zone_of(name).utcoffset(dt.datetime(2026, 1, 1)) is not None
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -135,7 +135,9 @@
         assert 0 < more["cold_used"] <= 1.2 and more["least_full_s"] in (2.0, 8.0)
 
 
-@pytest.mark.parametrize("layout", [LAYOUT[:-1], (*LAYOUT[:-1], LAYOUT[0]), (*LAYOUT[:-1], (11, 3)), (*LAYOUT[:-1], (99, 2))])
+@pytest.mark.parametrize(
+    "layout", [LAYOUT[:-1], (*LAYOUT[:-1], LAYOUT[0]), (*LAYOUT[:-1], (11, 3)), (*LAYOUT[:-1], (99, 2))]
+)
 def test_a_layout_that_is_none_is_refused(layout):
     day = day_of(World(gateways=12, nodes=18, layout=layout))
     with pytest.raises(BadDay, match="layout"):
@@ -159,10 +161,20 @@
     )  # fmt: skip
 
 
-UPS = [r.NodeUp(t=0, node=n, shard=n % 10, zone=n // 10, capacity=1e9) for n in (10, 11, 1, 21)]  # shard 0: zone 1 alone
+UPS = [
+    r.NodeUp(t=0, node=n, shard=n % 10, zone=n // 10, capacity=1e9) for n in (10, 11, 1, 21)
+]  # shard 0: zone 1 alone
 
 
-@pytest.mark.parametrize("told_at, how, most, broken", [(2.01, "denied", 0, False), (2.2, "denied", 0, True), (2.2, "denied", 1, False), (2.01, "written_off", 0, True)])
+@pytest.mark.parametrize(
+    "told_at, how, most, broken",
+    [
+        (2.01, "denied", 0, False),
+        (2.2, "denied", 0, True),
+        (2.2, "denied", 1, False),
+        (2.01, "written_off", 0, True),
+    ],
+)
 def test_what_waits_for_a_lost_zone_is_found(told_at, how, most, broken):
     records = [*UPS, asked(2), told(told_at, how=how), asked(2, 2, shard=1)]
     finding = seen.denied_at_once(records, 1, S, 3 * S, most)
@@ -179,9 +191,14 @@
 
 def test_who_came_back_as_told_and_was_served_is_counted():
     records = []
-    for number, (again, how) in enumerate(((1.5, "fulfilled"), (1.6, "denied"), (1.2, "fulfilled"), (3, "fulfilled"))):
+    for number, (again, how) in enumerate(
+        ((1.5, "fulfilled"), (1.6, "denied"), (1.2, "fulfilled"), (3, "fulfilled"))
+    ):
         records += [asked(1, number), told(1, number, come_back=0.5)]
         records += [asked(again, number, retry=1), told(again + 0.1, number, how, retry=1)]
     found = seen.advice(records, 0, 9 * S)
     assert (found.told, found.came, found.served) == (4, 2, 1)
-    assert seen.by_plan([*records, asked(1, 9, plan="open"), told(1, 9)], 0, 9 * S) == {"gold": 0.75, "open": 0.0}
+    assert seen.by_plan([*records, asked(1, 9, plan="open"), told(1, 9)], 0, 9 * S) == {
+        "gold": 0.75,
+        "open": 0.0,
+    }
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -78,7 +78,9 @@
 
 def meet(*ends, now=0):
     """All ends linked with each other; returns the pairs of links."""
-    pairs = [(a.link(b.members.name, now), b.link("", now)) for i, a in enumerate(ends) for b in ends[i + 1 :]]
+    pairs = [
+        (a.link(b.members.name, now), b.link("", now)) for i, a in enumerate(ends) for b in ends[i + 1 :]
+    ]
     talk(pairs, now)
     return pairs
 
@@ -416,7 +418,10 @@
                 hand(other, data, now)
         for end in ends:
             for other in ends:
-                own, known = other.members.rows[other.members.name], end.members.rows.get(other.members.name, EMPTY)
+                own, known = (
+                    other.members.rows[other.members.name],
+                    end.members.rows.get(other.members.name, EMPTY),
+                )
                 if known.beat > own.beat or known.promise > own.promise:
                     return False
     pairs = list(links.values())
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -54,7 +54,19 @@
     """All that one gateway told another over one link: rows, entries, snapshots, whom it needs no more."""
     kept = Kept(InMemory(), "b", BIG, HELD["wall_ms"], 9)
     members = Members("b", kept.log.life, 0, QUIET, 600 * SECOND, "ac")
-    common = Common("f", kept, members, SECOND // 4, QUIET, 256, 3_600_000, lambda h: "", lambda r: None, lambda p: None, 1 << 22)
+    common = Common(
+        "f",
+        kept,
+        members,
+        SECOND // 4,
+        QUIET,
+        256,
+        3_600_000,
+        lambda h: "",
+        lambda r: None,
+        lambda p: None,
+        1 << 22,
+    )
     link, data, seen = Exchange(common, HELD["from"], 0), (RECORDED / "frames-1").read_bytes(), set()
     while data:
         line, _, data = data.partition(b"\r\n")
@@ -64,7 +76,9 @@
         seen.add(json.loads(line)["m"])
     assert seen >= {"hello", "have", "rows", "entries", "piece"}
     assert link.speaks == Span(1, 1) and link.form == 1 and link.hello.name == HELD["from"]
-    (snapshot, entries), (also, held) = (json.loads(text) for text in (kept.log.dump("c"), HELD["dumps"]["c"]))
+    (snapshot, entries), (also, held) = (
+        json.loads(text) for text in (kept.log.dump("c"), HELD["dumps"]["c"])
+    )
     # What b wrote last itself, and what it got from the other first, did not come this way.
     assert snapshot == also and entries == [e for e in held if e in entries] and len(entries) > len(held) // 2
 
@@ -84,7 +98,9 @@
         end.common.forms.in_force = 2  # the event comes to one after the other
         end.append("y")
         sent = talk(pairs)
-        assert {json.loads(d.partition(b"\r\n")[0]).get("form") for link, d in sent if link is pairs[0][0]} <= {2}
+        assert {
+            json.loads(d.partition(b"\r\n")[0]).get("form") for link, d in sent if link is pairs[0][0]
+        } <= {2}
         assert not any(b'"form"' in d for link, d in sent if link in pairs[1])  # it could not read it
         assert end.log.vector() == c.log.vector()
     assert a.log.vector() == b.log.vector() == c.log.vector() and a.log.dump("c") == c.log.dump("c")
@@ -143,7 +159,15 @@
     assert told.value.code == "form"
 
 
-@pytest.mark.parametrize("span", [{"version": 0}, {"version": -1}, {"version": 1, "oldest": 5, "newest": 2}, {"version": 1, "newest": 1 << 40}])
+@pytest.mark.parametrize(
+    "span",
+    [
+        {"version": 0},
+        {"version": -1},
+        {"version": 1, "oldest": 5, "newest": 2},
+        {"version": 1, "newest": 1 << 40},
+    ],
+)
 def test_a_span_that_is_none_is_a_mistake(span):
     with pytest.raises(BadPeer) as told:
         hand(End("a").link(), frame(Hello(**{**HELLO, **span})))
@@ -156,7 +180,10 @@
     link = end.link()
     hand(link, frame(Hello(**HELLO)))
     with pytest.raises(BadPeer) as told:
-        hand(link, frame(Entries(form=2), msgspec.msgpack.encode([Entry("c", "b", 5, 1, Stamp(WALL, 0), (), b"1")])))
+        hand(
+            link,
+            frame(Entries(form=2), msgspec.msgpack.encode([Entry("c", "b", 5, 1, Stamp(WALL, 0), (), b"1")])),
+        )
     assert told.value.code == "form" and not end.log.events("c")
 
 
@@ -207,7 +234,9 @@
     fleet.run(3)
     entry = fleet.parts["a"]._append(CHANNEL, {"what": "moon", "full": True}, False)
     for number in range(12):  # what nobody needs any more gives way
-        fleet.parts["b"]._append(CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True)
+        fleet.parts["b"]._append(
+            CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
+        )
     fleet.run(150)
     snapshots = {part.log.snapshot(CHANNEL).value for part in fleet.parts.values()}
     assert len(snapshots) == 1 and len(fleet.dumps(CHANNEL)) == 1
@@ -260,13 +289,27 @@
 @pytest.mark.parametrize("body", [{"form": 1}, {"form": 0}, {"form": -2}, {"form": 5000}, {"form": "2"}, {}])
 def test_what_raises_no_form(body):
     of = Forms()
-    of.event(Entry(CHANNEL, "a", 1, 1, Stamp(1, 0), (), json.dumps({"what": "form", **body}, separators=(",", ":")).encode()), 0)
+    of.event(
+        Entry(
+            CHANNEL,
+            "a",
+            1,
+            1,
+            Stamp(1, 0),
+            (),
+            json.dumps({"what": "form", **body}, separators=(",", ":")).encode(),
+        ),
+        0,
+    )
     assert of.in_force == 1
 
 
 @given(st.lists(st.integers(2, 6), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_the_form_in_force_is_the_same_in_any_order_and_kept_by_one_event(raised, chance):
-    events = [Entry(CHANNEL, f"g{i}", 1, 1, Stamp(i, 0), (), b'{"form":%d,"what":"form"}' % f) for i, f in enumerate(raised)]
+    events = [
+        Entry(CHANNEL, f"g{i}", 1, 1, Stamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
+        for i, f in enumerate(raised)
+    ]
     of, also = Forms(), Forms()
     for each in events:
         of.event(each, 0)
@@ -331,7 +374,11 @@
     fleet.journals["b"] = InMemory()
     fleet.start("b", **OLD)
     fleet.run(6)
-    assert fleet.reached("a") == "ac" and fleet.parts["a"].mistakes["form"] > 1 and len(fleet.parts["a"].named) == 1
+    assert (
+        fleet.reached("a") == "ac"
+        and fleet.parts["a"].mistakes["form"] > 1
+        and len(fleet.parts["a"].named) == 1
+    )
     assert fleet.said_of("fleet link refused", peer="b")
     fleet.parts["b"].kill()
     assert (tmp_path / "b.log").read_bytes() == before
@@ -436,9 +483,9 @@
     else:
 
         def check():
-            assert play([("raise", "a"), ("append", "b"), ("wait", "")], (2, 2, 2, 2 if "journal" in which else 1)) == (
-                "journal" in which
-            )
+            assert play(
+                [("raise", "a"), ("append", "b"), ("wait", "")], (2, 2, 2, 2 if "journal" in which else 1)
+            ) == ("journal" in which)
 
     check()
     monkeypatch.setattr(where, name, wrong)
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -28,7 +28,12 @@
         for _ in range(rounds):
             self.world.round()
 
-    @rule(what=st.sampled_from(sorted(set(KINDS))), g=st.integers(0, 4), h=st.integers(0, 4), number=st.integers(0, 59))
+    @rule(
+        what=st.sampled_from(sorted(set(KINDS))),
+        g=st.integers(0, 4),
+        h=st.integers(0, 4),
+        number=st.integers(0, 59),
+    )
     def step(self, what, g, h, number):
         self.world.step(what, g, h, number)
 
@@ -45,7 +50,11 @@
 
 TestFleets = Fleets.TestCase
 TestFleets.settings = settings(
-    max_examples=30, stateful_step_count=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+    max_examples=30,
+    stateful_step_count=40,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
 )
 
 
@@ -101,7 +110,12 @@
 
     def _close(self, reached):
         for stream in sorted(self._doubted):
-            return {"what": "close", "name": stream[0], "life": stream[1], "through": self.log.vector().get(stream, 0)}
+            return {
+                "what": "close",
+                "name": stream[0],
+                "life": stream[1],
+                "through": self.log.vector().get(stream, 0),
+            }
         return None
 
 
@@ -137,12 +151,23 @@
 
 
 MISTAKES = {
-    "frontier": [PastTheSilent, PromiseUnheld, LateByArrival, AloneLetsGoAtOnce, NewLifeFromTheStart, NewLifeUnasked],
+    "frontier": [
+        PastTheSilent,
+        PromiseUnheld,
+        LateByArrival,
+        AloneLetsGoAtOnce,
+        NewLifeFromTheStart,
+        NewLifeUnasked,
+    ],
     "kept": [LifeReused],
 }
 
 
-@pytest.mark.parametrize("where, mistake", [(w, m) for w, ms in MISTAKES.items() for m in ms], ids=lambda p: getattr(p, "__name__", p))
+@pytest.mark.parametrize(
+    "where, mistake",
+    [(w, m) for w, ms in MISTAKES.items() for m in ms],
+    ids=lambda p: getattr(p, "__name__", p),
+)
 def test_a_mistake_is_caught(where, mistake):
     assert first_broken(range(400), size=3, **{where: mistake}) is not None
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -192,7 +192,9 @@
     assert not one.strangers()
 
 
-@pytest.mark.parametrize("told", [b"", b"[]", b"{}", b'{"zones":1,"size":1}', b'{"zones":[],"size":0}', b"\xff"])
+@pytest.mark.parametrize(
+    "told", [b"", b"[]", b"{}", b'{"zones":1,"size":1}', b'{"zones":[],"size":0}', b"\xff"]
+)
 def test_terms_that_are_none_are_turned_away(told):
     with pytest.raises(ValueError):
         terms().heard("x", 0, told, 0)
@@ -313,7 +315,9 @@
     """Gateways by name, each with the zones that it names; lines of their logs."""
     network, lines, made = VirtualNetwork(1), [], {}
     for i, (name, zones) in enumerate(zones_of.items()):
-        peers = [{"name": n, "address": f"127.0.0.1:{20_000 + j}"} for j, n in enumerate(zones_of) if n != name]
+        peers = [
+            {"name": n, "address": f"127.0.0.1:{20_000 + j}"} for j, n in enumerate(zones_of) if n != name
+        ]
         made[name] = Part(
             {**SAID, "peers": peers, **changes}, Beside(name), network.host(name), InMemory(), i,
             lambda: EPOCH + int(network.seconds() * 1000), lambda event, by=name, **more: lines.append((by, event, more)),
@@ -391,7 +395,8 @@
 
 def test_a_late_loop_and_one_grey_node_in_each_zone_accuse_no_zone():
     play, _ = world(
-        Fault(kind="late", at_s=3, len_s=8, who=(1,), size=0.5), Fault(kind="grey_each", at_s=6, len_s=10, size=1)
+        Fault(kind="late", at_s=3, len_s=8, who=(1,), size=0.5),
+        Fault(kind="grey_each", at_s=6, len_s=10, size=1),
     )
     assert not [each for each in play.seen.changes if each[3] == "LEFT"]
 
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -74,7 +74,9 @@
         return self.bytes_of(wire, number)
 
     def bytes_of(self, wire, number):
-        return b"".join(body for message, body in wire.got if isinstance(message, m.Part) and message.id == number)
+        return b"".join(
+            body for message, body in wire.got if isinstance(message, m.Part) and message.id == number
+        )
 
 
 @pytest.fixture
@@ -91,7 +93,9 @@
     assert yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
     # It counts as other jobs do, and its story is told once.
     assert yard.gateway.ledger.closings[Closing.FULFILLED] == 2 and not yard.gateway.tasks
-    assert [(each.closing, len(each.legs)) for each in yard.yard.stories] == [(Closing.FULFILLED, n) for n in (1, 0)]
+    assert [(each.closing, len(each.legs)) for each in yard.yard.stories] == [
+        (Closing.FULFILLED, n) for n in (1, 0)
+    ]
     assert yard.gateway.ledger.open == 0 and not yard.gateway.ledger.jobs
 
 
@@ -394,7 +398,9 @@
 def test_the_webdav_door_answers_from_copies_whole_and_in_ranges_and_reads_what_was_put(make_yard):
     house = House(make_yard)
     gateway, legs = house.yard.gateway, house.store.legs
-    copies = Copies(gateway, ["read"], 1 << 20, 400_000, lambda volume, plan: True, lambda: now_ns(house.yard.network))
+    copies = Copies(
+        gateway, ["read"], 1 << 20, 400_000, lambda volume, plan: True, lambda: now_ns(house.yard.network)
+    )
     gateway.copies = copies
     client, whole = house.open(), bytes(range(256)) * 600  # longer than two frames
     client.send("PUT", "/song", whole)
@@ -475,7 +481,9 @@
     def __init__(self):
         super().__init__()
         self.desk = Desk()
-        self.copies = self.copies_class(self.desk, ["read"], 40_000, 4_000, lambda v, p: self.may, lambda: self.now)
+        self.copies = self.copies_class(
+            self.desk, ["read"], 40_000, 4_000, lambda v, p: self.may, lambda: self.now
+        )
         self.may, self.now, self.number = True, 0, 0
         self.out = {}  # legs out: job -> (asker, when it began)
         self.asked, self.purged, self.written = {}, {}, {}
@@ -585,7 +593,10 @@
     def books_agree(self):
         copies = self.copies
         assert sorted(key for keys in copies.places.values() for key in keys) == sorted(
-            key for key in copies.held if not any(key in each for each in copies.doomed) or key in copies.places.get((key.plan, key.volume), {})
+            key
+            for key in copies.held
+            if not any(key in each for each in copies.doomed)
+            or key in copies.places.get((key.plan, key.volume), {})
         )
         assert set(copies.waits) == {
             job for fetch in copies.fetching.values() for job in (*fetch.waiting, *fetch.behind)
@@ -600,7 +611,9 @@
     """The mistake of a join that knows nothing of the purge between."""
 
     def came(self, job, request, write, due, asker):
-        fetch = self.fetches.get(Key(request.product, request.plan, request.volume, request.key, request.shard, request.units))
+        fetch = self.fetches.get(
+            Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
+        )
         if fetch is not None and self._joins(fetch, _Waiting(job, request, due, asker, 0)):
             return None
         return super().came(job, request, write, due, asker)
@@ -635,4 +648,14 @@
         copies_class = mistake
 
     with pytest.raises(AssertionError, match="dropped at"):
-        run_state_machine_as_test(Broken, settings=settings(max_examples=300, stateful_step_count=50, deadline=None, database=None, derandomize=True, phases=[Phase.generate]))
+        run_state_machine_as_test(
+            Broken,
+            settings=settings(
+                max_examples=300,
+                stateful_step_count=50,
+                deadline=None,
+                database=None,
+                derandomize=True,
+                phases=[Phase.generate],
+            ),
+        )
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -32,7 +32,9 @@
                 fresh = Reader()  # one who begins now gets the same, from a snapshot or by entries
                 fresh.read(gateway.log)
                 if fresh.given != self.order[: len(fresh.given)]:
-                    raise Broken(f"{gateway.name} gives a new reader {fresh.given}, where another was given {self.order}")
+                    raise Broken(
+                        f"{gateway.name} gives a new reader {fresh.given}, where another was given {self.order}"
+                    )
                 for stream in gateway.log.chains:
                     if gateway.log.gone(stream):
                         raise Broken(f"{gateway.name} holds {stream}, which it forgot")
@@ -66,7 +68,10 @@
                 self.round()
                 self.check()
             self.compact_all()
-        overs = {g.name: (g.frontier.view.value().get("over"), sorted(g.log.vector().items())) for g in self.gateways.values()}
+        overs = {
+            g.name: (g.frontier.view.value().get("over"), sorted(g.log.vector().items()))
+            for g in self.gateways.values()
+        }
         first = next(iter(overs.values()))
         if any(over != first for over in overs.values()):
             raise Broken(f"not alike in what is over: {overs}")
@@ -109,8 +114,27 @@
         self.world.check()
         self.world.compact_all()
 
-    @rule(what=st.sampled_from(["append", "append", "round", "cut", "heal", "copy", "kill", "start", "start", "compact", "tell", "wait"]),
-          g=st.integers(0, 3), h=st.integers(0, 3), number=st.integers(0, 59))
+    @rule(
+        what=st.sampled_from(
+            [
+                "append",
+                "append",
+                "round",
+                "cut",
+                "heal",
+                "copy",
+                "kill",
+                "start",
+                "start",
+                "compact",
+                "tell",
+                "wait",
+            ]
+        ),
+        g=st.integers(0, 3),
+        h=st.integers(0, 3),
+        number=st.integers(0, 59),
+    )
     def step(self, what, g, h, number):
         self.world.step(what, g, h, number)
 
@@ -121,7 +145,11 @@
 
 TestLives = Lives.TestCase
 TestLives.settings = settings(
-    max_examples=15, stateful_step_count=20, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+    max_examples=15,
+    stateful_step_count=20,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
 )
 
 
@@ -176,7 +204,9 @@
     world.restart("a", disk=[])  # an empty disk gets the snapshots through the one life that stays
     for gateway in world.gateways.values():
         assert len(lives_of(gateway, "b")) <= 2
-        assert [e.body for e in gateway.reader.given] == [e.body for e in world.order] and len(world.order) == 5
+        assert [e.body for e in gateway.reader.given] == [e.body for e in world.order] and len(
+            world.order
+        ) == 5
     assert world.gateways["b"].log.life == before
     world.settle()
 
@@ -349,7 +379,9 @@
     assert a.log.life > old and a.frontier.view.counting == b.frontier.view.counting
 
 
-@pytest.mark.parametrize("name, why", [("a", "itself"), ("z", "no gateway"), ("b", "reached"), ("d", "already")])
+@pytest.mark.parametrize(
+    "name, why", [("a", "itself"), ("z", "no gateway"), ("b", "reached"), ("d", "already")]
+)
 def test_a_name_is_not_given_up_where_that_cant_be_right(name, why):
     world = all_begun_anew()
     a = world.gateways["a"]
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -68,7 +68,9 @@
     for channel in "xy":
         assert len({one.dump(channel) for one in logs}) == 1
     assert len({tuple(sorted(one.vector().items())) for one in logs}) == 1
-    assert len({tuple(chain.head(chain.last) for _, chain in sorted(one.chains.items())) for one in logs}) == 1
+    assert (
+        len({tuple(chain.head(chain.last) for _, chain in sorted(one.chains.items())) for one in logs}) == 1
+    )
 
 
 def test_what_stands_behind_a_gap_is_left_out_and_comes_again():
@@ -298,7 +300,10 @@
 
 
 def told_values(told):
-    return [msgspec.json.decode(t.entry.body) if t.entry else ("snapshot", msgspec.json.decode(t.snapshot.value)) for t in told]
+    return [
+        msgspec.json.decode(t.entry.body) if t.entry else ("snapshot", msgspec.json.decode(t.snapshot.value))
+        for t in told
+    ]
 
 
 def test_a_reader_gets_what_is_stable_in_order_and_goes_on_from_its_cursor():
@@ -563,5 +568,3 @@
     log_kept.append("x", 1, 0)
     assert synced == [journal.size]
     journal.close()
-
-
--- a/tests/test_fleet_needs.py
+++ b/tests/test_fleet_needs.py
@@ -79,7 +79,9 @@
     came = zones.since[1].came
     assert zones.bounds(came + 5900 * MS) == dict.fromkeys((100, 101, 102), 0.0)
     assert all(zones._limit(1, node, came + 6100 * MS) == 2 for node in (100, 101, 102))
-    entries = {node: (zone, node % 100 + 3 * (node == 101), *rest) for node, (zone, _, *rest) in entries.items()}
+    entries = {
+        node: (zone, node % 100 + 3 * (node == 101), *rest) for node, (zone, _, *rest) in entries.items()
+    }
     zones.nodes_are(entries, world.now)
     assert [zones._limit(1, node, came + 5900 * MS) for node in (100, 101, 102)] == [0, 2, 0]
 
@@ -88,7 +90,18 @@
     zones = Zones({}, 2, "g0", 0, 3)
     nodes = {100 * zone + i: (zone, i, True, 0) for zone in (0, 1) for i in range(12)}
     zones.nodes_are(nodes, S)
-    zones.event(Entry("fleet", "g1", 1, 1, Stamp(1, 0), (), msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False})), S)
+    zones.event(
+        Entry(
+            "fleet",
+            "g1",
+            1,
+            1,
+            Stamp(1, 0),
+            (),
+            msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False}),
+        ),
+        S,
+    )
     tried = []
     for wall in (20_000, 29_999, 30_000):
         zones.time_is(S + wall * MS, wall)
@@ -121,7 +134,9 @@
 def test_in_a_large_fleet_each_gateway_has_its_turn_to_try_a_left_zone_however_long_that_takes():
     names = [f"g{i}" for i in range(120)]
     nodes = {100 * zone + i: (zone, i, True, 0) for zone in (0, 1) for i in range(8)}
-    left = Entry("fleet", "g1", 1, 1, Stamp(1, 0), (), msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False}))
+    left = Entry(
+        "fleet", "g1", 1, 1, Stamp(1, 0), (), msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False})
+    )
     first = []
     for name in names:
         zones = Zones({}, 2, name, 0, len(names))
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -157,7 +157,9 @@
     assert {len(part.named) for part in fleet.parts.values()} == {2}
 
 
-@pytest.mark.parametrize("way", [Way(lose=0.1), Way(repeat=0.2), Way(lose=0.05, repeat=0.05, late=(0.0, 0.3))])
+@pytest.mark.parametrize(
+    "way", [Way(lose=0.1), Way(repeat=0.2), Way(lose=0.05, repeat=0.05, late=(0.0, 0.3))]
+)
 def test_ways_that_lose_repeat_and_delay_spoil_nothing(make_fleet, way):
     fleet = make_fleet("abc", seed=3)
     fleet.cut("abc", "abc", way)
@@ -551,7 +553,12 @@
     def ask(**asked):
         return answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps({"do": "zone", **asked}).encode())
 
-    for asked in ({"zone": 0}, {"zone": 1, "standing": "left"}, {"zone": 0, "standing": "in doubt"}, {"zone": True}):
+    for asked in (
+        {"zone": 0},
+        {"zone": 1, "standing": "left"},
+        {"zone": 0, "standing": "in doubt"},
+        {"zone": True},
+    ):
         assert "a number of a zone" in ask(**asked)["error"]
     for word in ("left", "in"):
         assert ask(zone=0, standing=word)["done"]
@@ -560,7 +567,10 @@
         assert {each["standing"] for each in stands} == {word} and all(each["hand"] for each in stands)
     for name in "abc":
         said = [more for who, event, more in fleet.lines if (who, event) == (name, "zone standing")]
-        assert [(each["zone"], each["standing"], each["by"]) for each in said] == [(0, "left", "a"), (0, "in", "a")]
+        assert [(each["zone"], each["standing"], each["by"]) for each in said] == [
+            (0, "left", "a"),
+            (0, "in", "a"),
+        ]
     assert ask(zone=0, standing="left")["done"] and ask(zone=0, standing="returning")["done"]
     fleet.run(1)
     stands = [part.zones.standings.of(0) for part in fleet.parts.values()]
@@ -611,7 +621,9 @@
         for name, part in fleet.parts.items()
     ]
     for part in fleet.parts.values():
-        part.entered([b"not json", b"[]", b'{"name": "b", "fleet": 7}', b'{"name": "zz", "fleet": "h:1"}', *entries])
+        part.entered(
+            [b"not json", b"[]", b'{"name": "b", "fleet": 7}', b'{"name": "zz", "fleet": "h:1"}', *entries]
+        )
         assert len(part.addresses) == 1
     fleet.run(3)
     assert fleet.reached("a") == fleet.reached("b") == "ab"
@@ -683,7 +695,9 @@
     # Guards against defaults that drift apart: schema.cue has them for people, the module for its own tests.
     # What a cold node bears is no default: the rules say it, as the next test has it.
     elsewhere = ("clock_bound", "cold")
-    assert record["fleet"]["zones"] == {name: value for name, value in DEFAULTS.items() if name not in elsewhere}
+    assert record["fleet"]["zones"] == {
+        name: value for name, value in DEFAULTS.items() if name not in elsewhere
+    }
     assert not in_the_way(record)  # its journal goes with its sockets
 
 
@@ -697,7 +711,9 @@
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
     modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.relay.service, ochrecourse.relay.start"
-    text = f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
+    text = (
+        f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
+    )
     assert subprocess.run([sys.executable, "-c", text]).returncode == 0
 
 
@@ -765,7 +781,9 @@
                 running["b"].process.wait()
                 running["b"] = Process(tmp_path, "b", ports)
         until(lambda: len({each.ask(do="dump", channel="c")["dump"] for each in running.values()}) == 1)
-        until(lambda: all(len(each.ask(do="read", channel="c")["entries"]) == 30 for each in running.values()))
+        until(
+            lambda: all(len(each.ask(do="read", channel="c")["entries"]) == 30 for each in running.values())
+        )
         read = [each.ask(do="read", channel="c")["entries"] for each in running.values()]
         assert read[0] == read[1] == read[2]
         assert sorted(answered) == sorted((e["writer"], e["life"], e["seq"]) for e in read[0])
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -119,7 +119,9 @@
             self.purges.own = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
         self.purger = Purger(self.purges, None, 60, self, self.wall, lambda: self.rows, self.holds, self.say)
         self.desk = Desk()
-        self.copies = kinds["copies"](self.desk, ["read"], 100_000, 1000, self.purger.may, lambda: self.world.true * MS)
+        self.copies = kinds["copies"](
+            self.desk, ["read"], 100_000, 1000, self.purger.may, lambda: self.world.true * MS
+        )
         self.purger.copies = self.copies
         self.out = {}
         for entry in sorted(self.entries.values(), key=lambda each: each.place):
@@ -162,7 +164,10 @@
         for row, entries, told in self.inbox:
             for entry in entries:
                 self.hold(entry)
-            if row.name not in self.rows or (row.life, row.beat) > (self.rows[row.name].life, self.rows[row.name].beat):
+            if row.name not in self.rows or (row.life, row.beat) > (
+                self.rows[row.name].life,
+                self.rows[row.name].beat,
+            ):
                 self.rows[row.name] = row
                 self.purger.heard(row.name, 0, told, 0)
         self.inbox.clear()
@@ -330,7 +335,9 @@
                     self.to_settle += 1
                     self.settlements += len(told) > 0
                     # What a disk that is gone may have known can leave a record open, or have it written again.
-                    assert len(told) == 1 or self.lost, f"settled {len(told)} times: {rule_} of {date} at {name}"
+                    assert len(told) == 1 or self.lost, (
+                        f"settled {len(told)} times: {rule_} of {date} at {name}"
+                    )
                 for body in told:
                     if body["date"] == date:
                         assert body["edition"] == number, f"by another edition: {rule_} of {date} at {name}"
@@ -444,9 +451,15 @@
     before = len(world.drops)
     world.edges["c"].start()
     world.run(5000)
-    told = [m for m in (msgspec.json.decode(e.body) for e in world.written) if m["what"] == "fired" and m["edge"] == "c"]
+    told = [
+        m
+        for m in (msgspec.json.decode(e.body) for e in world.written)
+        if m["what"] == "fired" and m["edge"] == "c"
+    ]
     world.judge_settlement()
-    assert [(each.get("since"), each["date"]) for each in told] == [(day(1), day(5)), (None, day(6))], "once a day"
+    assert [(each.get("since"), each["date"]) for each in told] == [(day(1), day(5)), (None, day(6))], (
+        "once a day"
+    )
     assert len([each for each in world.drops[before:] if each[0] == "c"]) <= 2
 
 
@@ -591,7 +604,11 @@
     world.edges["b"].append("calendar/s", body)
     one.append("calendar/s", {**body, "number": -1})
     world.run(1000)
-    named = [(event, more.get("by"), more.get("differences")) for event, more in lines if event.startswith("calendar")]
+    named = [
+        (event, more.get("by"), more.get("differences"))
+        for event, more in lines
+        if event.startswith("calendar")
+    ]
     assert named == [("calendar refused", "a", None), ("calendar differs", "b", 1)]
     (held,) = one.purges.own.held.values()
     assert held.edition.by_moment["close", "2026-01-01"] == body["instants"][0][2]
@@ -656,7 +673,12 @@
     world.edition("a", [["close", day(1), 10_000]])
     world.run(5000)
     one = world.edges["a"]
-    for body in ({"what": "fired"}, {"what": "fired", "edge": "b", "rule": "close", "date": day(1)}, [], {"what": "x"}):
+    for body in (
+        {"what": "fired"},
+        {"what": "fired", "edge": "b", "rule": "close", "date": day(1)},
+        [],
+        {"what": "x"},
+    ):
         one.append("purges/s", body) if isinstance(body, dict) else None
         one.purges.event(Entry("purges/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
         one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
@@ -732,8 +754,12 @@
         return
     # Closes that are over by the last edition stay; those to come are placed anew.
     known = [msgspec.json.decode(each.body) for each in edge.entries.values()]
-    known = max((each for each in known if each["what"] == "edition"), key=lambda each: each["number"], default=None)
-    past = [] if known is None else [each for each in known["instants"] if each[2] < EPOCH + world.true - 4000]
+    known = max(
+        (each for each in known if each["what"] == "edition"), key=lambda each: each["number"], default=None
+    )
+    past = (
+        [] if known is None else [each for each in known["instants"] if each[2] < EPOCH + world.true - 4000]
+    )
     past = [[rule_, date, at - EPOCH] for rule_, date, at in past]
     next_day = len({date for _, date, _ in past}) + 1
     told = list(past)
@@ -891,7 +917,9 @@
         return [] if any(of == own for _, of in self.saw) else super().begins(own, fresh, new, ms)
 
 
-@pytest.mark.parametrize("mistake", [{"purges": TrustsNew}, {"calendar": BeginsAlone}], ids=["trusts", "begins"])
+@pytest.mark.parametrize(
+    "mistake", [{"purges": TrustsNew}, {"calendar": BeginsAlone}], ids=["trusts", "begins"]
+)
 def test_a_new_disk_that_is_trusted_too_soon_is_found(mistake):
     with pytest.raises(AssertionError, match="older than a moment"):
         knows_too_little(**mistake)
@@ -926,7 +954,13 @@
 
     def unsettled(self):
         told = super().unsettled()
-        if not told and self.own is not None and self._drops and not getattr(self, "again", False) and self.sure():
+        if (
+            not told
+            and self.own is not None
+            and self._drops
+            and not getattr(self, "again", False)
+            and self.sure()
+        ):
             self.again = True
             return self.own.due(self.wall - 20_000, self.wall)[-1:]
         return told
@@ -955,7 +989,11 @@
     def came(self, job, request, write, due, asker):
         key = Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
         fetch = self.fetches.get(key)
-        if fetch is not None and self.may(request.volume, request.plan) and self._joins(fetch, _Waiting(job, request, due, asker, 0)):
+        if (
+            fetch is not None
+            and self.may(request.volume, request.plan)
+            and self._joins(fetch, _Waiting(job, request, due, asker, 0))
+        ):
             return None
         return super().came(job, request, write, due, asker)
 
@@ -987,8 +1025,6 @@
             play(seed, **mistake)
 
 
-
-
 # --- the shipped daemon, three of them on the virtual network ---
 
 CLOSE = dt.datetime(2026, 3, 6, 18, 0, tzinfo=ZoneInfo("Pacific/Kiritimati"))
@@ -1057,7 +1093,9 @@
 
     def start(self, name):
         number = int(name[1])
-        peers = ", ".join(f'{{name: "g{n}", address: "127.0.0.1:{20_000 + n}"}}' for n in range(4) if n != number)
+        peers = ", ".join(
+            f'{{name: "g{n}", address: "127.0.0.1:{20_000 + n}"}}' for n in range(4) if n != number
+        )
         text = SAID % (name, 21_000 + number, 20_000 + number, peers, self.shifts[name], self.edition)
         daemon = Daemon(
             resolve(text, "g.cue"), self.network.host(name), [], lambda text: None, lambda: None,
@@ -1066,7 +1104,9 @@
             epoch_ms=lambda: round(CLOSE.timestamp() * 1000) - 1000 * BEFORE_CLOSE + self.ms(),
         )  # fmt: skip
         daemon.start()
-        daemon.gateway.list_came(ListKind.FULL, [NodeEntry(70, 0, 0, Health.READY, 0)], {70: ("127.0.0.1", self.node.port)})
+        daemon.gateway.list_came(
+            ListKind.FULL, [NodeEntry(70, 0, 0, Health.READY, 0)], {70: ("127.0.0.1", self.node.port)}
+        )
         self.daemons[name] = daemon
 
     def stop(self, name):
@@ -1094,7 +1134,9 @@
 
 
 @pytest.mark.parametrize("damage", ["lost", "broken off", "none"])
-def test_a_daemon_whose_disk_is_lost_or_breaks_off_is_no_voice_until_the_others_told_it(make_node, make_wire, damage):
+def test_a_daemon_whose_disk_is_lost_or_breaks_off_is_no_voice_until_the_others_told_it(
+    make_node, make_wire, damage
+):
     building = Building(make_node, make_wire)
     building.until(8000)
     building.stop("g1")
@@ -1146,7 +1188,9 @@
 # wait for who else is here that is `notice` later, with one it is twice that.
 @pytest.mark.parametrize(("disk", "gap"), [("kept", 2000), ("kept", 4000), ("lost", 2000), ("lost", 4000)])
 @pytest.mark.parametrize("ways", CROSSINGS.values(), ids=CROSSINGS)
-def test_two_edges_that_start_again_with_new_settings_write_one_edition(make_node, make_wire, ways, disk, gap):
+def test_two_edges_that_start_again_with_new_settings_write_one_edition(
+    make_node, make_wire, ways, disk, gap
+):
     building = Building(make_node, make_wire)
     building.until(8000)
     building.stop("g0")
--- a/tests/test_fleet_rolling.py
+++ b/tests/test_fleet_rolling.py
@@ -39,7 +39,9 @@
         return each
 
     def fails(self, *words):
-        done = subprocess.run(ochrecourse("serve", self.path, *words), capture_output=True, text=True, timeout=LONG)
+        done = subprocess.run(
+            ochrecourse("serve", self.path, *words), capture_output=True, text=True, timeout=LONG
+        )
         assert done.returncode == 2 and not done.stdout and "Traceback" not in done.stderr
         return done.stderr
 
@@ -146,7 +148,13 @@
     assert host.append(1)["done"]
     taker, file = host.talk()
     with taker, file:
-        for word, answer in (("accepts", "error"), ("release", "error"), ("hand over", "sockets"), ("accepts", "error"), ("release", "released")):
+        for word, answer in (
+            ("accepts", "error"),
+            ("release", "error"),
+            ("hand over", "sockets"),
+            ("accepts", "error"),
+            ("release", "released"),
+        ):
             taker.sendall(json.dumps({"do": word}).encode() + b"\n")
             told = json.loads(file.readline())
             assert answer in told, (word, told)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -60,7 +60,15 @@
 )  # fmt: skip
 def test_each_ending_has_its_count(ending, counts):
     (told,) = sight([(0, ending)], troubled=[0]).zones
-    assert (told.begun, told.fulfilled, told.busy, told.refused, told.reset, told.silent, told.errors) == counts
+    assert (
+        told.begun,
+        told.fulfilled,
+        told.busy,
+        told.refused,
+        told.reset,
+        told.silent,
+        told.errors,
+    ) == counts
     assert told.alive == (ending in (GOOD, Ending.FULL)) and told.failing == 1 - told.alive
 
 
@@ -82,7 +90,9 @@
     assert read(msgspec.json.encode(told)) == told
     zone_of = dict.fromkeys(range(1000), 0)
     one, other = (
-        own([(node, SILENT) for node in zone_of if node % 10 != left]).sight(zone_of, set(), set(), (), SECOND)
+        own([(node, SILENT) for node in zone_of if node % 10 != left]).sight(
+            zone_of, set(), set(), (), SECOND
+        )
         for left in (3, 7)
     )
     assert len(one.nodes) == 64 and one.zones[0].failing == 900
@@ -123,7 +133,9 @@
 
 
 def test_one_bad_node_is_no_lost_zone():
-    assert not weighed((0, FINE + [(100, SILENT)] * 9 + [(101, GOOD)]), (1, FINE + [(100, SILENT)] * 9)).suspect
+    assert not weighed(
+        (0, FINE + [(100, SILENT)] * 9 + [(101, GOOD)]), (1, FINE + [(100, SILENT)] * 9)
+    ).suspect
 
 
 # --- standing ---
@@ -193,7 +205,9 @@
     return [word for _, word in world.changes(zone)]
 
 
-@pytest.mark.parametrize("ending, most", [(SILENT, 4.5), (REFUSED, 3), (Ending.RESET, 3), (Ending.ERROR, 4.5)])
+@pytest.mark.parametrize(
+    "ending, most", [(SILENT, 4.5), (REFUSED, 3), (Ending.RESET, 3), (Ending.ERROR, 4.5)]
+)
 def test_a_lost_zone_is_left_by_all_in_seconds_and_regained_at_a_growing_pace(ending, most):
     world = World(1).run(3)
     world.lose(1, ending)
@@ -215,7 +229,9 @@
 
 def said_at(world, standing, part):
     """When a decision was first said, in s; 0 if it was not."""
-    told = (at for at, _, body, _ in world.said if (body.get("standing"), body.get("part")) == (standing, part))
+    told = (
+        at for at, _, body, _ in world.said if (body.get("standing"), body.get("part")) == (standing, part)
+    )
     return next(told, 0) / SECOND
 
 
@@ -493,7 +509,9 @@
         for zone in range(3):
             self.world.regain(zone)
         self.world.run(8)
-        first, *others = [[gate.zones.standing(zone) for zone in range(3)] for gate in self.world.gates.values()]
+        first, *others = [
+            [gate.zones.standing(zone) for zone in range(3)] for gate in self.world.gates.values()
+        ]
         assert all(each == first for each in others)
 
 
@@ -639,7 +657,10 @@
                     continue
                 entry = decided(zone, becomes, was.number + 1, 1 + i % 2, "abc"[i], len(said) + 1)
                 mine = (*arrived[i], len(said))
-                yield f"{i} says {zone} {becomes.name}", ((*said, entry), (*arrived[:i], mine, *arrived[i + 1 :]))
+                yield (
+                    f"{i} says {zone} {becomes.name}",
+                    ((*said, entry), (*arrived[:i], mine, *arrived[i + 1 :])),
+                )
             for at in range(len(said)):
                 if at not in arrived[i]:
                     mine = (*arrived[i], at)
@@ -662,7 +683,10 @@
 
     def rises(fields):
         for arrived in fields["arrived"]:
-            numbers = [[holds(arrived[:n], fields["said"]).of(zone).number for n in range(len(arrived) + 1)] for zone in (0, 1)]
+            numbers = [
+                [holds(arrived[:n], fields["said"]).of(zone).number for n in range(len(arrived) + 1)]
+                for zone in (0, 1)
+            ]
             if any(each != sorted(each) for each in numbers):
                 return False
         return True
@@ -681,4 +705,3 @@
 
 def test_the_interleavings_find_a_tie_that_goes_by_arrival():
     assert explored(Arrival)["equal"] is False
-
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -124,7 +124,9 @@
     yard = make_yard(stop_reading, answer)
     client = yard.client()
     size = 4 << 20
-    client.say(m.JobAsked(id=1, product="bind", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size))
+    client.say(
+        m.JobAsked(id=1, product="bind", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size)
+    )
     for _ in range(size // m.MAX_BODY):
         client.say(m.Part(id=1), bytes(m.MAX_BODY))
     yard.ask(client, 2, shard=1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -82,7 +82,9 @@
 
 
 def members(path):
-    done = subprocess.run(ochrecourse("members", "show", path, "--json"), capture_output=True, text=True, timeout=LONG)
+    done = subprocess.run(
+        ochrecourse("members", "show", path, "--json"), capture_output=True, text=True, timeout=LONG
+    )
     return json.loads(done.stdout)
 
 
@@ -127,7 +129,9 @@
     try:
         end = time.monotonic() + LONG
         while not path.exists():
-            assert second.poll() is None and time.monotonic() < end, "no control socket while the first line waits"
+            assert second.poll() is None and time.monotonic() < end, (
+                "no control socket while the first line waits"
+            )
             time.sleep(0.02)
         with open(reads, "rb") as told:
             assert told.read(full) == b"\n" * full
@@ -145,13 +149,17 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         at = f"127.0.0.1:{other.getsockname()[1]}"
     gateway.path.write_text(gateway.path.read_text().replace('listen: "127.0.0.1:0"', f'listen: "{at}"'))
-    done = subprocess.run(ochrecourse("serve", gateway.path, "--take-over"), capture_output=True, text=True, timeout=LONG)
+    done = subprocess.run(
+        ochrecourse("serve", gateway.path, "--take-over"), capture_output=True, text=True, timeout=LONG
+    )
     assert done.returncode == 2 and "a move needs a restart" in done.stderr and "Traceback" not in done.stderr
     Client(first.address).serve_one()
     assert first.end(signal.SIGTERM)[0] == 0
 
 
-def test_process_that_holds_the_sockets_serves_though_the_first_one_died_meanwhile(gateway, running, tmp_path):  # noqa: F811
+def test_process_that_holds_the_sockets_serves_though_the_first_one_died_meanwhile(
+    gateway, running, tmp_path
+):  # noqa: F811
     # Guards against nobody at all: the sockets are here, so the end of who gave them is no reason to end too.
     path = tmp_path / "control"
     first = gateway(control=str(path))  # for its settings and the list that it keeps
@@ -179,7 +187,9 @@
     assert second.end()[0] == 0 and os.path.exists(path) is False
 
 
-@pytest.mark.parametrize(("gives", "why"), [(False, "no answer came from the running gateway"), (True, "no list of nodes came")])
+@pytest.mark.parametrize(
+    ("gives", "why"), [(False, "no answer came from the running gateway"), (True, "no list of nodes came")]
+)
 def test_process_that_waits_in_vain_ends_in_one_sentence(gateway, tmp_path, gives, why):  # noqa: F811
     path = tmp_path / "control"
     first = gateway(control=str(path))  # for its settings
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -25,10 +25,22 @@
 def seen(kept, shift=0):
     """All that a client could see, with times on a common clock."""
     tree = [
-        (at, each.tag, each.created + shift, each.modified + shift, each.content, each.properties, each.empty, each.is_collection())
+        (
+            at,
+            each.tag,
+            each.created + shift,
+            each.modified + shift,
+            each.content,
+            each.properties,
+            each.empty,
+            each.is_collection(),
+        )
         for at, each in kept.tree.walk((), -1)
     ]
-    locks = sorted((lock.token, lock.root, lock.exclusive, lock.infinite, lock.principal, lock.expires + shift) for lock in kept.locks.by_token.values())
+    locks = sorted(
+        (lock.token, lock.root, lock.exclusive, lock.infinite, lock.principal, lock.expires + shift)
+        for lock in kept.locks.by_token.values()
+    )
     return tree, locks, kept.tree.version, kept.tree.size, +kept.tree.used
 
 
@@ -108,7 +120,11 @@
         raise OSError(errno.ENOSPC, "no space")
 
     monkeypatch.setattr(os, "write", full)
-    for change in (lambda: put(kept, ("b",), 2), lambda: kept.delete(("a",)), lambda: kept.take(("a",), True, True, "", "me", SECOND, 2)):
+    for change in (
+        lambda: put(kept, ("b",), 2),
+        lambda: kept.delete(("a",)),
+        lambda: kept.take(("a",), True, True, "", "me", SECOND, 2),
+    ):
         with pytest.raises(OSError, match="no space"):
             change()
         assert seen(kept) == before
@@ -181,7 +197,9 @@
         path.with_name("t.damaged").unlink()
 
 
-@pytest.mark.parametrize("head", [b"", b"\xff" * 300, b"ochrecourse webdav-tree 2\n", b"ochrecourse nodes 1 5 00000000\nx"])
+@pytest.mark.parametrize(
+    "head", [b"", b"\xff" * 300, b"ochrecourse webdav-tree 2\n", b"ochrecourse nodes 1 5 00000000\nx"]
+)
 def test_another_file_is_not_touched(tmp_path, head):
     path = tmp_path / "t"
     path.write_bytes(head)
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -179,7 +179,9 @@
         self.network = VirtualNetwork(seed)
         self.history = [{"s-0": (READY, 1), "s-1": (READY, 2)}]
         self.homes = [self.network.host("first"), self.network.host("second")]
-        self.agents = [Agent(home, self.history, base) for home, base in zip(self.homes, (1000, other_base), strict=True)]
+        self.agents = [
+            Agent(home, self.history, base) for home, base in zip(self.homes, (1000, other_base), strict=True)
+        ]
         self.here = 0
         self.log, self.news = [], []
         self.book = Book(["a"], 0)
@@ -219,7 +221,9 @@
 
     def held(self):
         names = {Health.READY: READY, Health.DRAINING: DRAINING}
-        return {name: (names[each.health], each.started // 1_000_000) for name, each in self.book.listed.items()}
+        return {
+            name: (names[each.health], each.started // 1_000_000) for name, each in self.book.listed.items()
+        }
 
     def held_index(self):
         return self.history.index(self.held())
@@ -416,7 +420,13 @@
     assert older.take(json.loads(line(43, entry("s-1"), reset=True)), False).kind is ListKind.FULL
     assert newer.take(json.loads(line(7, entry("s-2"), reset=True)), True).kind is ListKind.FULL
     assert book.version == 7 and list(book.listed) == ["s-2"]
-    for bad in ({"instances": []}, {"generation": True, "instances": []}, {"generation": 9}, [], {"generation": 3, "instances": [1]}):
+    for bad in (
+        {"instances": []},
+        {"generation": True, "instances": []},
+        {"generation": 9},
+        [],
+        {"generation": 3, "instances": [1]},
+    ):
         with pytest.raises(BadNews):
             newer.take(bad, True)
 
@@ -429,8 +439,14 @@
     older.take(json.loads(line(42, entry("s-2"), entry("s-1", DRAINING))), True)
     news = newer.take(json.loads(line(43, entry("s-3"))), True)
     assert news.kind is ListKind.FULL and book.version == 43
-    assert {name: each.health for name, each in book.listed.items()} == {"s-1": Health.READY, "s-3": Health.READY}
-    assert newer.take(json.loads(line(44, {"instanceId": "s-1", "lifecycle": "Gone"})), True).kind is ListKind.DELTA
+    assert {name: each.health for name, each in book.listed.items()} == {
+        "s-1": Health.READY,
+        "s-3": Health.READY,
+    }
+    assert (
+        newer.take(json.loads(line(44, {"instanceId": "s-1", "lifecycle": "Gone"})), True).kind
+        is ListKind.DELTA
+    )
     assert list(book.listed) == ["s-3"]
 
 
@@ -496,7 +512,10 @@
         data = agent.whole()
         asked.transport.write(HEAD)
         for i in range(0, len(data), piece):
-            agent.later(pause * i / piece, lambda i=i: asked.closed or asked.transport.write(chunk(data[i : i + piece])))
+            agent.later(
+                pause * i / piece,
+                lambda i=i: asked.closed or asked.transport.write(chunk(data[i : i + piece])),
+            )
 
     agent.index = 1
     agent.answers = {**ANSWERS, "slow": lambda agent: b""}
@@ -659,7 +678,9 @@
             made(self, data)
             size = pieces or len(said)
             for i in range(0, len(said), size):
-                agent.later(0.0006 * i / size, lambda i=i: self.closed or self.transport.write(said[i : i + size]))
+                agent.later(
+                    0.0006 * i / size, lambda i=i: self.closed or self.transport.write(said[i : i + size])
+                )
 
     agent.buildProtocol = lambda addr: Formed(agent)
     agent.reset_all()
@@ -766,7 +787,9 @@
 
 def test_a_watch_that_finds_no_descriptor_is_tried_again():
     """Guards against a watch that is lost, or a loop that spins, while all descriptors are taken."""
-    done = subprocess.run([sys.executable, "-c", STARVED], capture_output=True, text=True, timeout=120, env=dict(os.environ))
+    done = subprocess.run(
+        [sys.executable, "-c", STARVED], capture_output=True, text=True, timeout=120, env=dict(os.environ)
+    )
     assert done.stdout == "failed 4\ntold 7\n" and "Traceback" not in done.stderr, done.stderr
 
 
@@ -813,7 +836,9 @@
 
 
 def test_a_hanging_dial_holds_up_neither_the_next_nor_a_move_and_leaves_no_descriptor():
-    done = subprocess.run([sys.executable, "-c", HUNG], capture_output=True, text=True, timeout=120, env=dict(os.environ))
+    done = subprocess.run(
+        [sys.executable, "-c", HUNG], capture_output=True, text=True, timeout=120, env=dict(os.environ)
+    )
     want = "dials 1 False\ndials 2 False\ndials 1 True\ntold 7 3 2\n"
     assert done.stdout == want and "Traceback" not in done.stderr, done.stderr
 
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -28,14 +28,18 @@
     def __init__(self, reply=good, sockets=256):
         self.reactor = make_reactor(SteadyPort)
         self.node, self.agent = RespNode(reply), ListAgent()
-        self.ports = [self.reactor.listenTCP(0, each, interface="127.0.0.1") for each in (self.node, self.agent)]
+        self.ports = [
+            self.reactor.listenTCP(0, each, interface="127.0.0.1") for each in (self.node, self.agent)
+        ]
         node, agent = (port.getHost().port for port in self.ports)
         self.log, self.over = [], []
         told = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{agent}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": FLAT, "known": listed(node),
         }  # fmt: skip
-        self.service = Service(parse(told), "none", self.reactor, 10**18, self.log.append, lambda: self.over.append(1))
+        self.service = Service(
+            parse(told), "none", self.reactor, 10**18, self.log.append, lambda: self.over.append(1)
+        )
         self.port = self.service.serve()[1]
         self.front = self.service.front
         self.until(lambda: self.agent.watches)
@@ -81,7 +85,9 @@
         waiting = loop.clients(count, lambda number: PING + read(number))
         loop.reactor.callLater(0, loop.service._close_door)
         loop.until(lambda: loop.over)
-        assert [all_of(client) for client in waiting] == [b"+PONG\r\n" + value(number) for number in range(count)]
+        assert [all_of(client) for client in waiting] == [
+            b"+PONG\r\n" + value(number) for number in range(count)
+        ]
 
 
 def test_nobody_can_connect_once_the_port_has_closed_and_it_closes_in_the_turn_that_says_so():
@@ -105,7 +111,9 @@
         (front,) = loop.front.fronts
         assert front.transport._tempDataLen or front.transport.dataBuffer, "the kernel could not take it all"
         stands, seconds = loop.reactor.seconds(), loop.reactor.seconds
-        loop.reactor.seconds = lambda: stands  # however long the client takes to read on this machine, nothing is overdue
+        loop.reactor.seconds = lambda: (
+            stands
+        )  # however long the client takes to read on this machine, nothing is overdue
         loop.service._close_door()
         for _ in range(20):
             loop.reactor.iterate(0)
@@ -135,8 +143,16 @@
             crowds += loop.clients(200, PING)
             for _ in range(100):
                 loop.reactor.iterate(0.01)
-                servers = [each for each in loop.reactor.getReaders() + loop.reactor.getWriters() if isinstance(each, tcp.Server)]
-                most = max(most, len({each for each in servers if each.protocol.__class__.__name__ == "RespFront"}), len(loop.front.fronts))
+                servers = [
+                    each
+                    for each in loop.reactor.getReaders() + loop.reactor.getWriters()
+                    if isinstance(each, tcp.Server)
+                ]
+                most = max(
+                    most,
+                    len({each for each in servers if each.protocol.__class__.__name__ == "RespFront"}),
+                    len(loop.front.fronts),
+                )
         assert clients // 2 < most <= clients + BEYOND
         assert most + nodes <= sockets - (RESERVE - BEYOND)
         for client in crowds:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -132,7 +132,9 @@
 
 
 def test_late_totals_move_a_volume_s_share_here(desk):
-    volume = desk.scheduler.volumes.get(1) or desk.scheduler.volumes.setdefault(1, desk.scheduler.requests[desk.take()].volume)
+    volume = desk.scheduler.volumes.get(1) or desk.scheduler.volumes.setdefault(
+        1, desk.scheduler.requests[desk.take()].volume
+    )
     for _ in range(40):
         volume.served(0.0, 1.0, START)
     assert volume.share < 0.05
--- a/tests/test_no_site_names.py
+++ b/tests/test_no_site_names.py
@@ -63,7 +63,9 @@
     assert names_of(site) == {"harbour", "berth-lookup", "quick-drawer", "north-quay"}
 
 
-@pytest.mark.skipif(not KIT.is_dir(), reason="the kit with the deployments' site files is not beside the repository")
+@pytest.mark.skipif(
+    not KIT.is_dir(), reason="the kit with the deployments' site files is not beside the repository"
+)
 def test_no_name_of_a_deployment_stands_in_the_package_or_the_deploy_file():
     files = site_files()
     names = set().union(*(names_of(tomllib.loads(file.read_text())) for file in files))
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -87,7 +87,9 @@
     world = ShortWindow()
     started = world.now()
     world.first_attempt_breaks()
-    world.network.advance((started + WINDOW - world.now()) / SECOND - 0.006)  # less what decisions keep back, and a ms
+    world.network.advance(
+        (started + WINDOW - world.now()) / SECOND - 0.006
+    )  # less what decisions keep back, and a ms
     assert len(world.connect().sent) == 1
 
 
@@ -151,7 +153,9 @@
     street = Street()
     now = round(street.network.seconds() * SECOND)
     attempt = street.send(1)
-    other = street.dispatcher.send(2, 7, attempt.message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS)
+    other = street.dispatcher.send(
+        2, 7, attempt.message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS
+    )
     for line in list(street.dialled):
         street.came(line)
     street.network.advance(0.2)
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -859,12 +859,16 @@
 
 def writes_what_its_client_has_left(monkeypatch):
     whole = Dispatcher.cancel
-    monkeypatch.setattr(Dispatcher, "cancel", lambda self, attempt: whole(self, attempt) if attempt.id >= 0 else None)
+    monkeypatch.setattr(
+        Dispatcher, "cancel", lambda self, attempt: whole(self, attempt) if attempt.id >= 0 else None
+    )
 
 
 def takes_a_connection_that_it_has_given_up(monkeypatch):
     def build(dial, address):
-        connection = dial.client.connections[dial.pooled.number] = RespNodeConnection(dial.client, dial.pooled)
+        connection = dial.client.connections[dial.pooled.number] = RespNodeConnection(
+            dial.client, dial.pooled
+        )
         return connection
 
     monkeypatch.setattr(node_connection._Dial, "buildProtocol", build)
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -112,8 +112,20 @@
         "import atexit, gc, sys; from ochrecourse.cli.main import main;"
         "atexit.register(lambda: print('collects by itself:', gc.isenabled(), file=sys.stderr)); main()"
     )
-    words = ["load", "webdav", tmp_path / "short.json", door, "--people", "40", "--json", "--records", tmp_path / "clients.jsonl"]
-    done = subprocess.run([sys.executable, "-c", looks, *map(str, words)], capture_output=True, text=True, timeout=LONG)
+    words = [
+        "load",
+        "webdav",
+        tmp_path / "short.json",
+        door,
+        "--people",
+        "40",
+        "--json",
+        "--records",
+        tmp_path / "clients.jsonl",
+    ]
+    done = subprocess.run(
+        [sys.executable, "-c", looks, *map(str, words)], capture_output=True, text=True, timeout=LONG
+    )
     assert done.returncode == 0 and done.stderr == "everybody comes\ncollects by itself: False\n"
     told = json.loads(done.stdout)
     assert told["counts"]["PUT 201"] > 10 and told["counts"]["MKCOL 201"] >= 2
@@ -125,7 +137,9 @@
     assert judged.returncode == 0 and "requests with two legs out at once: 0" in judged.stdout, judged.stdout
     # The same with a leg that came a second time while the first was out: found, and the exit code says so.
     lines = kept[1].read_bytes().splitlines(keepends=True)
-    at, came = next((i, json.loads(line)) for i, line in enumerate(lines) if b'"r":"leg_came"' in line and b'"p' in line)
+    at, came = next(
+        (i, json.loads(line)) for i, line in enumerate(lines) if b'"r":"leg_came"' in line and b'"p' in line
+    )
     beside = {**came, "id": came["id"] + 10**6, "mark": "another job's", "t": came["t"] + 1}
     kept[1].write_bytes(b"".join([*lines[: at + 1], json.dumps(beside).encode() + b"\n", *lines[at + 1 :]]))
     judged = subprocess.run(audit, capture_output=True, text=True, timeout=LONG)
@@ -160,7 +174,9 @@
     first = gateway(control=str(control))
     old = Client(first.address)
     old.serve_one()
-    gateway.nodes.process.stdin.write(b"hang 0.5 0 0 2\n")  # one of two nodes: some job is held across the restart
+    gateway.nodes.process.stdin.write(
+        b"hang 0.5 0 0 2\n"
+    )  # one of two nodes: some job is held across the restart
     gateway.nodes.process.stdin.flush()
     for number in range(2001, 2021):
         old.ask(number, timeout_ms=5000, shard=number % 2)
@@ -179,7 +195,9 @@
 
     coming = threading.Thread(target=come)
     coming.start()
-    gateway.path.write_text(gateway.path.read_text().replace('listen: "127.0.0.1:0"', f'listen: "{first.address}"'))
+    gateway.path.write_text(
+        gateway.path.read_text().replace('listen: "127.0.0.1:0"', f'listen: "{first.address}"')
+    )
     second = running("serve", gateway.path, "--take-over")
     assert second.address == first.address
     held = [old.answer() for _ in range(20)]
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -91,7 +91,9 @@
 
 def answer(draw):
     """What a storage node says to a command, drawn: mostly a value, at times busy, failed, spoilt or nothing."""
-    return lambda words: draw.choice([good(words)] * 12 + [b"-BUSY\r\n", b"-ERR failed\r\n", b"nonsense\r\n", None])
+    return lambda words: draw.choice(
+        [good(words)] * 12 + [b"-BUSY\r\n", b"-ERR failed\r\n", b"nonsense\r\n", None]
+    )
 
 
 def wire_of_platform(monkeypatch):
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -30,7 +30,9 @@
 
 
 def value(node, health="ready", **more):
-    return json.dumps({"node": node, "address": f"10.0.0.{node}:7000", "shard": node, "health": health, **more}).encode()
+    return json.dumps(
+        {"node": node, "address": f"10.0.0.{node}:7000", "shard": node, "health": health, **more}
+    ).encode()
 
 
 class Town:
@@ -51,7 +53,17 @@
         heard = self.lists[number] = []
         servers = [("127.0.0.1", end.port) for end in self.ends]
         clock = age_clock(self.network, 1_790_000_000)
-        made = Registrar("g0", self.network, servers, PREFIX, lambda news: heard.append((now_ns(self.network), news)), path, self.seed * 1000 + number, clock, self.warnings.append)
+        made = Registrar(
+            "g0",
+            self.network,
+            servers,
+            PREFIX,
+            lambda news: heard.append((now_ns(self.network), news)),
+            path,
+            self.seed * 1000 + number,
+            clock,
+            self.warnings.append,
+        )
         made.start()
         return made
 
@@ -67,7 +79,10 @@
 
     def right(self):
         held = self.store.at(self.store.revision)
-        return {json.loads(each[1])["node"]: Health[json.loads(each[1])["health"].upper()] for each in held.values()}
+        return {
+            json.loads(each[1])["node"]: Health[json.loads(each[1])["health"].upper()]
+            for each in held.values()
+        }
 
 
 def test_a_list_is_read_in_pages_and_changes_follow():
@@ -88,7 +103,11 @@
     "a server is silent": lambda town: setattr(town.ends[town.gateways[0].choice.at], "silent", True),
     "streams are held back": lambda town: setattr(town.ends[town.gateways[0].choice.at], "held_back", True),
     "a server lies behind": lambda town: town.ends[town.gateways[0].choice.at].freeze(),
-    "compaction in a break": lambda town: ([end.cut() for end in town.ends], town.store.put(b"/other", b"x"), town.store.compact()),
+    "compaction in a break": lambda town: (
+        [end.cut() for end in town.ends],
+        town.store.put(b"/other", b"x"),
+        town.store.compact(),
+    ),
 }
 
 
@@ -107,7 +126,11 @@
         if not before:
             BREAKS[trouble](town)
         town.run(4)
-        heard = [at for at, news in town.lists[0] if any(e.node == 2 and e.health is Health.DRAINING for e in news.entries)]
+        heard = [
+            at
+            for at, news in town.lists[0]
+            if any(e.node == 2 and e.health is Health.DRAINING for e in news.entries)
+        ]
         assert heard, (seed, town.gateways[0].counts)
         limit = 0.3 if trouble == "nothing" else 2.0
         assert heard[0] - told < limit * SECOND, (seed, (heard[0] - told) / SECOND, town.gateways[0].counts)
@@ -155,7 +178,9 @@
     town.run(6)
     assert all(town.seen(i) == town.right() and town.gateways[i].line is not None for i in range(190))
     calls = sorted(at for end in town.ends for at, _ in end.calls)
-    fullest = max(sum(at <= other < at + SECOND // 10 for other in calls[i : i + 400]) for i, at in enumerate(calls))
+    fullest = max(
+        sum(at <= other < at + SECOND // 10 for other in calls[i : i + 400]) for i, at in enumerate(calls)
+    )
     assert fullest <= 190  # of three or more calls each; at once they would be two hundred dials in a few ms
 
 
@@ -179,9 +204,15 @@
 def test_answers_that_are_not_understood_are_told_and_another_server_is_asked(monkeypatch):
     town = Town(servers=2)
     whole = Endpoint.header
-    monkeypatch.setattr(Endpoint, "header", lambda self: {"revision": "x"} if self.member == town.gateways[0].choice.at else whole(self))
+    monkeypatch.setattr(
+        Endpoint,
+        "header",
+        lambda self: {"revision": "x"} if self.member == town.gateways[0].choice.at else whole(self),
+    )
     bad = town.gateways[0].choice.at
-    monkeypatch.setattr(Endpoint, "header", lambda self: {"revision": "x"} if self.member == bad else whole(self))
+    monkeypatch.setattr(
+        Endpoint, "header", lambda self: {"revision": "x"} if self.member == bad else whole(self)
+    )
     town.run(4)
     assert town.seen() == town.right() and any("not understood" in text for text in town.warnings)
 
@@ -197,8 +228,15 @@
 
 
 def test_bodies_are_of_the_published_form():
-    assert json.loads(etcd.range_body(b"/n/", RangeAsked(b"/n/5\0", 7), 50)) == {"key": "L24vNQA=", "range_end": "L24w", "limit": "50", "revision": "7"}
-    assert json.loads(etcd.watch_body(b"/n/", 8)) == {"create_request": {"key": "L24v", "range_end": "L24w", "start_revision": "8", "progress_notify": True}}
+    assert json.loads(etcd.range_body(b"/n/", RangeAsked(b"/n/5\0", 7), 50)) == {
+        "key": "L24vNQA=",
+        "range_end": "L24w",
+        "limit": "50",
+        "revision": "7",
+    }
+    assert json.loads(etcd.watch_body(b"/n/", 8)) == {
+        "create_request": {"key": "L24v", "range_end": "L24w", "start_revision": "8", "progress_notify": True}
+    }
     assert json.loads(etcd.put_body(b"k", b"v", 5)) == {"key": "aw==", "value": "dg==", "lease": "5"}
     assert etcd.end_of(b"a\xff") == b"b" and etcd.end_of(b"\xff\xff") == b"\0"
 
@@ -206,8 +244,16 @@
 def test_answers_with_numbers_as_text_and_fields_left_out_are_read():
     body = b'{"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L24vNQ==","mod_revision":"8"}],"count":"1"}'
     header, records, more = etcd.range_answer(200, body)
-    assert (header.cluster_id, header.revision, records, more) == (14841639068965178418, 9, [Record(b"/n/5", b"", 8)], False)
-    assert etcd.granted(200, b'{"ID":"7","TTL":"10"}').TTL == 10 and etcd.granted(200, b'{"result":{"ID":"7"}}\n', True).TTL == 0
+    assert (header.cluster_id, header.revision, records, more) == (
+        14841639068965178418,
+        9,
+        [Record(b"/n/5", b"", 8)],
+        False,
+    )
+    assert (
+        etcd.granted(200, b'{"ID":"7","TTL":"10"}').TTL == 10
+        and etcd.granted(200, b'{"result":{"ID":"7"}}\n', True).TTL == 0
+    )
 
 
 @pytest.mark.parametrize(("status", "body", "wrong"), [
@@ -252,8 +298,12 @@
     told = {"started_ms_ago": 1000.0, "written_ms": 5_000.0}
     right = {b"1": record(1, 3, **told)}
     assert roster.lines(right, now, 9_000)[0].started_ms_ago == 5000.0
-    assert roster.lines(right, now + SECOND, 1)[0].started_ms_ago == 6000.0  # a clock that stepped moves nothing
-    assert Roster().lines({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago == 0.0  # written in the future
+    assert (
+        roster.lines(right, now + SECOND, 1)[0].started_ms_ago == 6000.0
+    )  # a clock that stepped moves nothing
+    assert (
+        Roster().lines({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago == 0.0
+    )  # written in the future
     assert Roster().lines({b"1": record(1, 3, **told)}, now, 10**12)[0].started_ms_ago == 0.0
     assert Roster().lines({b"1": record(1, 3)}, now, 9_000)[0].started_ms_ago == -1.0
 
@@ -359,7 +409,11 @@
     lease.granted(5, 1 * SECOND)
     assert lease.wants(2 * SECOND) is Wants.PUT and not lease.held(2 * SECOND)
     lease.was_put(2 * SECOND)
-    assert lease.held(2 * SECOND) and lease.wants(4 * SECOND) is Wants.NOTHING and lease.wants(5 * SECOND) is Wants.KEEP
+    assert (
+        lease.held(2 * SECOND)
+        and lease.wants(4 * SECOND) is Wants.NOTHING
+        and lease.wants(5 * SECOND) is Wants.KEEP
+    )
     lease.kept(9, 5 * SECOND)
     assert lease.held(14 * SECOND - 1) and not lease.held(14 * SECOND)
     assert lease.wants(14 * SECOND) is Wants.GRANT and lease.lost == 1
@@ -385,8 +439,13 @@
     _, daemon = served
     told = asks(daemon, "members")
     lines = control.member_lines(told)
-    assert told["from"] == "registry" and told["connected"] and len(told["nodes"]) == 3 and told["lease"] is True
-    assert any("from a registry, connected" in line for line in lines) and sum(line.startswith("node ") for line in lines) == 3
+    assert (
+        told["from"] == "registry" and told["connected"] and len(told["nodes"]) == 3 and told["lease"] is True
+    )
+    assert (
+        any("from a registry, connected" in line for line in lines)
+        and sum(line.startswith("node ") for line in lines) == 3
+    )
     assert daemon.figures()["registry_lease_held"] == 1.0
 
 
@@ -398,7 +457,11 @@
         end.cut()
     play.network.advance(15)
     told = asks(daemon, "members")
-    assert "cluster" in told["not_believed"] and len(told["nodes"]) == 3 and any("not believed" in line for line in control.member_lines(told))
+    assert (
+        "cluster" in told["not_believed"]
+        and len(told["nodes"]) == 3
+        and any("not believed" in line for line in control.member_lines(told))
+    )
     assert asks(daemon, "accept")["done"]
     play.network.advance(3)
     assert asks(daemon, "members")["connected"] and not asks(daemon, "members")["not_believed"]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -95,7 +95,9 @@
     def right(self, store):
         """What is held is what the store held at the revision that is known."""
         held = {key: (each.value, each.changed) for key, each in store.at(self.feed.known).items()}
-        return self.copy == held == {key: (each.value, each.changed) for key, each in self.feed.records.items()}
+        return (
+            self.copy == held == {key: (each.value, each.changed) for key, each in self.feed.records.items()}
+        )
 
 
 class Followed(RuleBasedStateMachine):
@@ -148,7 +150,9 @@
     def it_catches_up_once_the_connection_holds(self):
         for _ in range(len(self.store.log) + 12):
             self.reader.go(self.store)
-        assert {key: value for key, (value, _) in self.reader.copy.items()} == {key: each.value for key, each in self.store.at(self.store.revision).items()}
+        assert {key: value for key, (value, _) in self.reader.copy.items()} == {
+            key: each.value for key, each in self.store.at(self.store.revision).items()
+        }
 
 
 Followed.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
@@ -166,9 +170,17 @@
         def put(key, value):
             self.store.put(key, value)
 
-        moves = [("server", lambda: self.reader.go(self.store)), ("lose", self.reader.lose), ("behind", lambda: (self.reader.lose(), self.reader.go(self.behind), self.reader.lose()))]
+        moves = [
+            ("server", lambda: self.reader.go(self.store)),
+            ("lose", self.reader.lose),
+            ("behind", lambda: (self.reader.lose(), self.reader.go(self.behind), self.reader.lose())),
+        ]
         if self.store.revision < 5:
-            moves += [(f"put {key} {value}", lambda k=key, v=value: put(k, v)) for key in KEYS[:2] for value in (b"1", None)]
+            moves += [
+                (f"put {key} {value}", lambda k=key, v=value: put(k, v))
+                for key in KEYS[:2]
+                for value in (b"1", None)
+            ]
         if self.store.compacted < self.store.revision:
             moves.append(("compact", lambda: setattr(self.store, "compacted", self.store.revision)))
         return moves
@@ -238,8 +250,13 @@
     assert feed.asks() == RangeAsked(b"n/", 0)
     assert feed.page_came(CLUSTER, 5, [Record(b"n/a", b"1", 2)], True) is None
     assert feed.asks() == RangeAsked(b"n/a\0", 5)
-    assert feed.page_came(CLUSTER, 9, [Record(b"n/b", b"1", 4)], False) == [Change(b"n/a", b"1", 2), Change(b"n/b", b"1", 4)]
-    assert feed.asks() == WatchAsked(6)  # after the first page's revision, whatever the second one's server had
+    assert feed.page_came(CLUSTER, 9, [Record(b"n/b", b"1", 4)], False) == [
+        Change(b"n/a", b"1", 2),
+        Change(b"n/b", b"1", 4),
+    ]
+    assert feed.asks() == WatchAsked(
+        6
+    )  # after the first page's revision, whatever the second one's server had
 
 
 def test_a_break_between_pages_begins_the_range_anew():
@@ -271,7 +288,9 @@
     feed, _ = reading([Record(b"n/a", b"1", 2)])
     assert feed.changes_came(CLUSTER, [Change(b"n/a", None, 6)]) == [Change(b"n/a", None, 6)]
     assert feed.changes_came(CLUSTER, [Change(b"n/a", b"1", 2), Change(b"n/a", None, 6)]) == []
-    assert feed.changes_came(CLUSTER, [Change(b"n/a", b"3", 7)]) == [Change(b"n/a", b"3", 7)] and feed.known == 7
+    assert (
+        feed.changes_came(CLUSTER, [Change(b"n/a", b"3", 7)]) == [Change(b"n/a", b"3", 7)] and feed.known == 7
+    )
     assert feed.counts["repeats"] == 2
 
 
@@ -291,5 +310,8 @@
     assert set(feed.records) == {b"n/a", b"n/b"}
     feed.accept()
     assert feed.asks() == RangeAsked(b"n/", 0) and set(feed.records) == {b"n/a", b"n/b"}
-    assert feed.page_came(9, 2, [Record(b"n/a", b"1", 2)], False) == [Change(b"n/b", None, 2), Change(b"n/a", b"1", 2)]
+    assert feed.page_came(9, 2, [Record(b"n/a", b"1", 2)], False) == [
+        Change(b"n/b", None, 2),
+        Change(b"n/a", b"1", 2),
+    ]
     assert feed.cluster == 9 and feed.asks() == WatchAsked(3)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -45,7 +45,14 @@
     ],
 )
 def test_broken_start_file_is_told_in_one_sentence(change, text, tmp_path):
-    good = {"name": "n", "listen": "h:1", "discovery": "h:2", "seed": "ff", "settings": {"Period": 2}, **change}
+    good = {
+        "name": "n",
+        "listen": "h:1",
+        "discovery": "h:2",
+        "seed": "ff",
+        "settings": {"Period": 2},
+        **change,
+    }
     with pytest.raises(BadStart, match=text):
         parse({name: each for name, each in good.items() if each is not ...})
     for data, why in ((b"{", "not JSON"), (b"[" * 100_000, "not JSON")):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -35,7 +35,13 @@
         self.shop.service.path = str(self.path)
         self.other = ListAgent(listed(self.shop.node_port, version=9))
         port = self.shop.network.listenTCP(0, self.other).getHost().port
-        told = {"name": "n0", "listen": "h:1", "discovery": f"127.0.0.1:{port}", "seed": "1", "settings": {"Period": 2}}
+        told = {
+            "name": "n0",
+            "listen": "h:1",
+            "discovery": f"127.0.0.1:{port}",
+            "seed": "1",
+            "settings": {"Period": 2},
+        }
         self.text = json.dumps(told)
 
 
@@ -53,7 +59,10 @@
     moved.path.write_text(moved.text)
     shop.run(4.0 - late)
     assert moved.other.asked and shop.service.book.version == 9
-    assert [("not taken over" in line, "read again" in line) for line in shop.log] == [(True, False), (False, True)]
+    assert [("not taken over" in line, "read again" in line) for line in shop.log] == [
+        (True, False),
+        (False, True),
+    ]
 
 
 def test_a_file_written_in_pieces_is_followed_once_it_is_whole(tmp_path):
@@ -73,7 +82,9 @@
     moved.path.write_text("{")
     shop.service.reload()
     shop.run(60.0)
-    assert len(shop.log) == 2 and "given up" in shop.log[1] and shop.service.watch.address[1] == shop.agent_port
+    assert (
+        len(shop.log) == 2 and "given up" in shop.log[1] and shop.service.watch.address[1] == shop.agent_port
+    )
     moved.path.write_text(moved.text)
     shop.run(60.0)
     assert not moved.other.asked and len(shop.log) == 2, "it is given up: nothing is read any more"
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -12,8 +12,20 @@
 
 FIELDS = b"c=read,t=p0,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
 READ = [b"BLK.READ", b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", FIELDS]
-WRITE = [b"BLK.WRITE", *READ[1:3], FIELDS.replace(b"c=read", b"c=mark").replace(b",vol", b",k=5c0f6e1a2b3d4c59,vol"), b"x\r\ny"]
-KINDS = Kinds({"Classes.count": "2", "Classes.0.Name": "read", "Classes.1.Name": "mark", "FamilyInfo.Writes": "false,true"})
+WRITE = [
+    b"BLK.WRITE",
+    *READ[1:3],
+    FIELDS.replace(b"c=read", b"c=mark").replace(b",vol", b",k=5c0f6e1a2b3d4c59,vol"),
+    b"x\r\ny",
+]
+KINDS = Kinds(
+    {
+        "Classes.count": "2",
+        "Classes.0.Name": "read",
+        "Classes.1.Name": "mark",
+        "FamilyInfo.Writes": "false,true",
+    }
+)
 
 
 def pulled(reader, pieces):
@@ -25,7 +37,9 @@
     return got
 
 
-@given(st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=codec.MAX_WORDS), max_size=4), st.data())
+@given(
+    st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=codec.MAX_WORDS), max_size=4), st.data()
+)
 def test_commands_are_the_same_however_they_are_split(commands, data):
     whole = b"".join(codec.command(words) for words in commands)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=12)))
@@ -90,7 +104,10 @@
 
 def test_reader_that_rests_holds_no_bytes():
     # Guards against connections that rest and keep their last long value.
-    for reader, data in ((Replies(), codec.bulk(b"x" * 300_000)), (Commands(), codec.command([b"x" * 60_000]))):
+    for reader, data in (
+        (Replies(), codec.bulk(b"x" * 300_000)),
+        (Commands(), codec.command([b"x" * 60_000])),
+    ):
         assert len(pulled(reader, [data])) == 1 and not reader._buffer and not reader.partial()
 
 
@@ -145,7 +162,8 @@
 
 
 @pytest.mark.parametrize(
-    "reply", [None, 7, b"v", Status(b"OK"), [None, None, None], [b"a"] * 4, Error(b"BUSY \xff"), Error(b"SYNTAX")]
+    "reply",
+    [None, 7, b"v", Status(b"OK"), [None, None, None], [b"a"] * 4, Error(b"BUSY \xff"), Error(b"SYNTAX")],
 )
 def test_anything_else_from_a_node_is_a_breach(reply):
     # A line that only begins like busy proves nothing: taken for it, a leg that ran would be sent again.
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,17 @@
 from conftest import NODES, START, VALUES
 
 from ochrecourse.decide import MS, SECOND, Scheduler
-from ochrecourse.interface import Outcome, Ending, Health, Request, Attempt, ListKind, MissingValue, NodeEntry, Reply
+from ochrecourse.interface import (
+    Outcome,
+    Ending,
+    Health,
+    Request,
+    Attempt,
+    ListKind,
+    MissingValue,
+    NodeEntry,
+    Reply,
+)
 
 
 def test_held_job_is_denied_when_its_promised_time_is_lost(desk):
@@ -78,7 +88,9 @@
 
 
 def test_return_with_a_new_start_makes_a_node_cold(desk):
-    desk.scheduler.list_received(ListKind.FULL, [NODES[0], NodeEntry(71, 0, 1, Health.READY, START - SECOND)], START)
+    desk.scheduler.list_received(
+        ListKind.FULL, [NODES[0], NodeEntry(71, 0, 1, Health.READY, START - SECOND)], START
+    )
     assert desk.scheduler.nodes[71].cold_until == START + 15 * SECOND
     assert desk.scheduler.nodes[71].window == 1.0
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -89,7 +89,9 @@
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.agent_port}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
-        self.service = Service(parse(told), "none", self.network, 10**18, self.log.append, lambda: self.over.append(1))
+        self.service = Service(
+            parse(told), "none", self.network, 10**18, self.log.append, lambda: self.over.append(1)
+        )
         self.port = self.service.serve()[1]
         self.network.advance(0.05)
 
@@ -163,7 +165,9 @@
         got.append(one[0])
     values = [each for each in got if isinstance(each, bytes)]
     assert len(got) == 600 and got[::2] == [codec.Status(b"PONG")] * 300
-    assert values == [VALUE + b"%016x" % i for i in range(1, 301) if VALUE + b"%016x" % i in values] and values
+    assert (
+        values == [VALUE + b"%016x" % i for i in range(1, 301) if VALUE + b"%016x" % i in values] and values
+    )
 
 
 @pytest.mark.parametrize(
@@ -336,7 +340,9 @@
 def test_list_is_followed_from_the_known_version_and_survives_what_can_not_be_read():
     shop = Shop()
     assert shop.agent.asked == ["/discovery/hosts?follow=1&since=5"]
-    shop.agent.watches[0].say(json.dumps(listed(shop.node_port, version=6, state="Terminating")).encode() + b"\n")
+    shop.agent.watches[0].say(
+        json.dumps(listed(shop.node_port, version=6, state="Terminating")).encode() + b"\n"
+    )
     shop.run(0.1)
     assert shop.service.gateway.entries[1].health.name == "DRAINING"
     shop.agent.watches[0].say(b"{nonsense\n")
@@ -367,7 +373,13 @@
     assert shop.service.watch.address[1] == shop.agent_port and len(shop.log) == 1
     other = ListAgent(listed(shop.node_port, version=9))
     port = shop.network.listenTCP(0, other).getHost().port
-    told = {"name": "n0", "listen": "h:1", "discovery": f"127.0.0.1:{port}", "seed": "1", "settings": {"Period": 2}}
+    told = {
+        "name": "n0",
+        "listen": "h:1",
+        "discovery": f"127.0.0.1:{port}",
+        "seed": "1",
+        "settings": {"Period": 2},
+    }
     path.write_text(json.dumps(told))
     shop.service.reload()
     shop.run(0.5)
@@ -459,8 +471,12 @@
 
 def test_start_without_its_file_ends_in_one_sentence():
     env = {name: each for name, each in os.environ.items() if name != "RELAY_CONFIG"}
-    done = subprocess.run([sys.executable, "-m", "ochrecourse.relay"], env=env, capture_output=True, text=True, timeout=120)
-    assert done.returncode == 2 and "RELAY_CONFIG is not set" in done.stderr and "Traceback" not in done.stderr
+    done = subprocess.run(
+        [sys.executable, "-m", "ochrecourse.relay"], env=env, capture_output=True, text=True, timeout=120
+    )
+    assert (
+        done.returncode == 2 and "RELAY_CONFIG is not set" in done.stderr and "Traceback" not in done.stderr
+    )
 
 
 def test_descriptors_are_shared_out_within_the_limit():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -126,7 +126,22 @@
 
 
 tokens = st.sampled_from(
-    [*list("{}[]:,|&*()\n"), "gateway", "name", "#Usual", '"x"', "5ms", "3/s", "1.5", "-2", ">=", "true", "...", "&", "//"]
+    [
+        *list("{}[]:,|&*()\n"),
+        "gateway",
+        "name",
+        "#Usual",
+        '"x"',
+        "5ms",
+        "3/s",
+        "1.5",
+        "-2",
+        ">=",
+        "true",
+        "...",
+        "&",
+        "//",
+    ]
 )
 
 
@@ -140,7 +155,11 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.integers(0, len(GOOD) - 1), st.integers(0, 12), st.sampled_from(["", "{", "}", '"', "[", ":", " 3 ", "null"]))
+@given(
+    st.integers(0, len(GOOD) - 1),
+    st.integers(0, 12),
+    st.sampled_from(["", "{", "}", '"', "[", ":", " 3 ", "null"]),
+)
 def test_any_damage_to_a_good_file_resolves_or_is_refused(at, length, put):
     try:
         resolve(GOOD[:at] + put + GOOD[at + length :], "g.cue")
@@ -148,13 +167,16 @@
         assert all(line.startswith("g.cue:") for line in str(refused).split("\n") if line[:1] == "g")
 
 
-SPEAKER = GOOD + """
+SPEAKER = (
+    GOOD
+    + """
 bgp: {
 	identifier: "10.0.0.5"
 	peers: [{name: "p", address: "127.0.0.1:179", local_as: 64512, remote_as: 64600}]
 	addresses: [{network: "192.0.2.10/32", next_hop: "192.0.2.1", communities: ["64512:7"]}]
 }
 """
+)
 
 
 def test_a_speakers_settings_resolve_with_defaults_and_are_written_the_same():
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -20,7 +20,9 @@
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer, good
 
 HEARTBEAT = 2.0  # s between empty lines of a watch
-BETWEEN = 0.001  # s by which two moments seen at the far ends may be nearer than they were sent; twice the way
+BETWEEN = (
+    0.001  # s by which two moments seen at the far ends may be nearer than they were sent; twice the way
+)
 LAST_REQUEST = 800  # ms after the start in which the last client may ask
 GRANTED = 0.15  # s of a limit's rate by which the protocol page lets its store go lower
 GONE = 0.1  # s after a client's close in which an attempt on its way may still begin
@@ -94,7 +96,9 @@
     zones = [f"zone-{i}" for i in range(draw(st.integers(0, 12)))]
     values = {"Classes.count": len(kinds), "Policies.count": count, **draw(site)}
     for i, kind in enumerate(kinds):
-        values |= {f"Classes.{i}.Name": f"class-{i}"} | {f"Classes.{i}.{name}": told for name, told in kind.items()}
+        values |= {f"Classes.{i}.Name": f"class-{i}"} | {
+            f"Classes.{i}.{name}": told for name, told in kind.items()
+        }
     for i in range(count):
         usual, limit = tenants[i % len(tenants)]
         values |= {f"Policies.{i}.Name": f"plan-{i}"}
@@ -174,8 +178,14 @@
         writes = self.effect != "safe"
         fields = f"c=class-{told['class']},t=plan-{told['plan']},d={self.waits}"
         fields += ",k=5c0f6e1a2b3d4c59" if self.effect == "keyed" else ""
-        fields += f",volume={self.volume():016x},units={told['units']},shard={told['cell']},hosts={told['hosts']}"
-        words = [b"BLK.WRITE" if writes else b"BLK.READ", b"%016x" % (self.number + 7), b"%016x" % self.number]
+        fields += (
+            f",volume={self.volume():016x},units={told['units']},shard={told['cell']},hosts={told['hosts']}"
+        )
+        words = [
+            b"BLK.WRITE" if writes else b"BLK.READ",
+            b"%016x" % (self.number + 7),
+            b"%016x" % self.number,
+        ]
         self.transport.write(codec.command([*words, fields.encode(), *([b"body"] if writes else [])]))
         self.sent_at = self.world.network.seconds()
         if told["leaves"] is not None:
@@ -291,8 +301,13 @@
     # --- the judge ---
 
     def fault(self, client, text):
-        seen = [(round(each.at - client.sent_at, 4), each.kind, each.node.cell, each.node.zone) for each in client.attempts]
-        self.faults.append(f"request {client.number} ({client.effect}, {client.scope}): {text}; attempts before: {seen}")
+        seen = [
+            (round(each.at - client.sent_at, 4), each.kind, each.node.cell, each.node.zone)
+            for each in client.attempts
+        ]
+        self.faults.append(
+            f"request {client.number} ({client.effect}, {client.scope}): {text}; attempts before: {seen}"
+        )
 
     def judge_attempt(self, client, attempt):
         """An attempt against those before it, at the moment when its last byte comes to its node."""
@@ -316,7 +331,10 @@
         if client.scope != "all" and getattr(ran.node, client.scope) != getattr(node, client.scope):
             self.fault(client, f"a further attempt left its {client.scope}")
         if attempt.at - ran.at > client.window:
-            self.fault(client, f"a further attempt {attempt.at - ran.at:.4f} s after the first, window {client.window} s")
+            self.fault(
+                client,
+                f"a further attempt {attempt.at - ran.at:.4f} s after the first, window {client.window} s",
+            )
 
     def judge_answer(self, client):
         """Exactly one final answer, in time and of a kind that what passed before it allows."""
@@ -382,14 +400,19 @@
     day = draw(days())
     long_waits(day)
     for i in range(day["values"]["Classes.count"]):
-        scope, window = draw(st.sampled_from(["cell", "zone", "all"])), draw(st.sampled_from([300.0, 700.0, 120.0, 50.0]))
+        scope, window = (
+            draw(st.sampled_from(["cell", "zone", "all"])),
+            draw(st.sampled_from([300.0, 700.0, 120.0, 50.0])),
+        )
         day["values"] |= {f"Classes.{i}.KeyScope": scope, f"Classes.{i}.Window": window}
     zones = [f"zone-{i}" for i in range(draw(st.integers(2, 4)))]
     day["values"] |= {"Zones": zones, "Limits.MaxAttempts": draw(st.integers(3, 6))}
     day["nodes"] = [(i % 3, zones[i % len(zones)]) for i in range(draw(st.integers(3, 8)))]
     for request in day["requests"]:
         request["cell"] = -1
-    failures = st.tuples(st.sampled_from(["error", "busy", "reset", "error", "hang"]), st.sampled_from([1, 10, 55]))
+    failures = st.tuples(
+        st.sampled_from(["error", "busy", "reset", "error", "hang"]), st.sampled_from([1, 10, 55])
+    )
     day["behaviours"] = draw(st.lists(failures, min_size=1, max_size=12))
     return day
 
@@ -426,7 +449,10 @@
 
 
 @FEW
-@given(day=days_of_repeats(), late=st.lists(st.sampled_from([0.0, 0.02, 0.1, 0.3, 1.0, 1.5]), min_size=1, max_size=6))
+@given(
+    day=days_of_repeats(),
+    late=st.lists(st.sampled_from([0.0, 0.02, 0.1, 0.3, 1.0, 1.5]), min_size=1, max_size=6),
+)
 def test_rules_hold_when_connections_to_nodes_come_up_late(day, late):
     """Guards against an attempt decided in time and written once its connection is up, when it is too late."""
     assert not World(day, late).run().judged()
@@ -482,7 +508,13 @@
 def start_file(changes):
     """A start file's object with some settings changed; `...` takes one out. It goes through JSON as a file does."""
     changed = {name: told for name, told in {**FLAT, **changes}.items() if told is not ...}
-    told = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "0f", "settings": changed}
+    told = {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "0f",
+        "settings": changed,
+    }
     return json.loads(json.dumps(told))
 
 
@@ -519,7 +551,9 @@
     begin({"Classes.0.Novelty": -7, "Limits.NewOne": float("nan"), "Later": "x", "Classes.0.Name": "nan"})
 
 
-@pytest.mark.parametrize("changes", [{"Classes.1.Aim": ...}, {"Period": float("nan")}, {"Policies.0.Rate": -1}])
+@pytest.mark.parametrize(
+    "changes", [{"Classes.1.Aim": ...}, {"Period": float("nan")}, {"Policies.0.Rate": -1}]
+)
 def test_process_ends_with_one_sentence_and_code_2(changes, tmp_path):
     path = tmp_path / "start.json"
     path.write_text(json.dumps(start_file(changes)))
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -66,7 +66,9 @@
 
 @pytest.mark.parametrize("signals", [("TERM", "INT"), ("HUP", "HUP"), ("HUP", "TERM", "HUP")])
 @pytest.mark.parametrize("where", LEAVING)
-def test_signals_while_the_process_leaves_change_neither_its_order_nor_its_exit_code(tmp_path, where, signals):
+def test_signals_while_the_process_leaves_change_neither_its_order_nor_its_exit_code(
+    tmp_path, where, signals
+):
     with Relay(tmp_path, point(where, *signals)) as relay:
         with relay.connect(relay.port()) as client:
             assert ask(client, PING, b"+PONG\r\n") == b"+PONG\r\n"
@@ -92,4 +94,6 @@
         with relay.connect(port) as client:
             assert ask(client, read(1), value(1)) == value(1)
         assert ended_in_order(relay)
-        assert any(f"read again; the list is told at 127.0.0.1:{relay.other_port}" in line for line in relay.seen)
+        assert any(
+            f"read again; the list is told at 127.0.0.1:{relay.other_port}" in line for line in relay.seen
+        )
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -172,7 +172,10 @@
     client.serve_one()
     assert page("healthz") == (200, "ok\n") and page("readyz") == (200, "ready\n") and page("other")[0] == 404
     metrics = page("metrics")[1]
-    assert 'ochrecourse_jobs_total{ending="fulfilled"} 1.0' in metrics and "ochrecourse_nodes_listed 2.0" in metrics
+    assert (
+        'ochrecourse_jobs_total{ending="fulfilled"} 1.0' in metrics
+        and "ochrecourse_nodes_listed 2.0" in metrics
+    )
 
 
 def test_a_thousand_clients_within_a_moment_are_all_served(gateway):
@@ -292,7 +295,9 @@
     shown = subprocess.run(ochrecourse("bgp", "show", control), capture_output=True, text=True, timeout=LONG)
     assert "192.0.2.10/32: announced" in shown.stdout and "p: established" in shown.stdout
     assert oct(control.stat().st_mode)[-3:] == "600"
-    drained = subprocess.run(ochrecourse("bgp", "drain", control), capture_output=True, text=True, timeout=LONG)
+    drained = subprocess.run(
+        ochrecourse("bgp", "drain", control), capture_output=True, text=True, timeout=LONG
+    )
     assert drained.returncode == 0 and drained.stdout == "done: last_choice\n"
     while bytes.fromhex("ffff0000") not in (told := peer.until(2)):  # graceful shutdown
         assert told.endswith(NLRI)  # on a busy machine it begins less preferred and is announced once more
@@ -303,7 +308,9 @@
 
 def test_ttl_security_takes_only_what_passed_no_router_and_sends_so_itself(announced, running):
     peer, gateway, _ = announced
-    gateway.path.write_text(gateway.path.read_text().replace("hold_time: 90s", "hold_time: 90s, ttl_security: true"))
+    gateway.path.write_text(
+        gateway.path.read_text().replace("hold_time: 90s", "hold_time: 90s, ttl_security: true")
+    )
     peer.door.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 255)
     running("serve", gateway.path)
     peer.end, _ = peer.door.accept()
@@ -367,5 +374,10 @@
     gateway.path.write_text(gateway.path.read_text() + "webdav: {products: [], volumes: []}\n")
     (tmp_path / "g0.tree").write_bytes(b"something else\n")
     done = subprocess.run(ochrecourse("serve", gateway.path), capture_output=True, text=True, timeout=LONG)
-    assert done.returncode == 2 and "is not to be had" in done.stderr and "g0.tree" in done.stderr and "Traceback" not in done.stderr
+    assert (
+        done.returncode == 2
+        and "is not to be had" in done.stderr
+        and "g0.tree" in done.stderr
+        and "Traceback" not in done.stderr
+    )
     assert (tmp_path / "g0.tree").read_bytes() == b"something else\n"
--- a/tests/test_speaker.py
+++ b/tests/test_speaker.py
@@ -60,7 +60,9 @@
     stage.run(0.9)
     assert not stage.table
     stage.run(1)
-    assert stage.table == {A4} and stage.said()["as_path"] == [64512] and stage.said()["next_hop"] == "192.0.2.1"
+    assert (
+        stage.table == {A4} and stage.said()["as_path"] == [64512] and stage.said()["next_hop"] == "192.0.2.1"
+    )
     stage.sight.listening = False
     before = stage.network.seconds()
     stage.run(1)
@@ -70,7 +72,11 @@
 def test_two_addresses_stand_each_for_itself_and_ipv6_goes_too():
     stage = Stage(setups=[address(A4), address(B4, list_needed=False), address(A6, med=7)])
     stage.run(3)
-    assert stage.table == {A4, B4, A6} and stage.said(A6) == {"as_path": [64512], "next_hop": "2001:db8::1", "med": 7}
+    assert stage.table == {A4, B4, A6} and stage.said(A6) == {
+        "as_path": [64512],
+        "next_hop": "2001:db8::1",
+        "med": 7,
+    }
     stage.sight.list_age = 100 * SECOND
     stage.run(4)
     assert stage.said(A4)["med"] == 1000 and "65535:0" in stage.said(A4)["communities"]
@@ -235,7 +241,9 @@
     network = VirtualNetwork(4)
     peer = StandInPeer(network, identifier="10.0.0.9")
     figures = PeerFigures("p0", 64512, 64600, 0x0A000005, 9, 5 * SECOND, SECOND)
-    setup = SpeakerSetup([PeerSetup(figures, "127.0.0.1", peer.port)], [address(A4)], FIT, DRAIN, ("127.0.0.1", 0))
+    setup = SpeakerSetup(
+        [PeerSetup(figures, "127.0.0.1", peer.port)], [address(A4)], FIT, DRAIN, ("127.0.0.1", 0)
+    )
     speaker = Speaker(network, setup, Sight, lambda: None, lambda: 0, lambda event, **more: None, 3)
     speaker.start()
     peer.dial("127.0.0.1", speaker.listening.getHost().port)
@@ -265,5 +273,8 @@
     stage.sight.has_list = False
     stage.run(0.5)
     told = stage.speaker.report()
-    assert told["addresses"][0]["reasons"] == ["no list of nodes"] and told["addresses"][0]["standing"] == "withdrawn"
+    assert (
+        told["addresses"][0]["reasons"] == ["no list of nodes"]
+        and told["addresses"][0]["standing"] == "withdrawn"
+    )
     assert told["peers"][0]["state"] == "established" and told["peers"][0]["told"] == []
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -63,7 +63,9 @@
         self.network = VirtualNetwork(1)
         self.dialled, self.given_up, self.ends, self.wires = [], [], [], {}
         limits = PoolLimits(attempts=1, connections=9, dials=dials, idle=10 * SECOND)
-        self.dispatcher = Dispatcher("n0", self.network, limits, 0.25, lambda node: ("h", node), self.open, 0.03)
+        self.dispatcher = Dispatcher(
+            "n0", self.network, limits, 0.25, lambda node: ("h", node), self.open, 0.03
+        )
 
     def open(self, dispatcher, line, address):
         self.dialled.append(line)
@@ -137,7 +139,9 @@
     for job in range(20):
         street.send(job, wait=600 * MS)
         street.network.advance(0.1)
-        assert len(street.dispatcher.dials) <= 8  # six attempts wait at once; one dial is to spare, one not yet old
+        assert (
+            len(street.dispatcher.dials) <= 8
+        )  # six attempts wait at once; one dial is to spare, one not yet old
     street.send(99, node=8)
     assert street.dialled[-1].node == 8
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -100,10 +100,18 @@
     """Guards against short answers that wait behind the bytes of long ones."""
     pool = Pool(PoolLimits(attempts=2, connections=4, dials=9, idle=SECOND))
     pool.answered("export", True)
-    connections = [pool.place(7, i, product).connection for i, product in enumerate(["read", "export", "read", "export", "export"])]
-    assert [connection.long for connection in connections] == [False, True, False, True, True] and len({connection.number for connection in connections}) == 3
+    connections = [
+        pool.place(7, i, product).connection
+        for i, product in enumerate(["read", "export", "read", "export", "export"])
+    ]
+    assert [connection.long for connection in connections] == [False, True, False, True, True] and len(
+        {connection.number for connection in connections}
+    ) == 3
     assert pool.place(7, 5, "save", long=True).connection is connections[4]
-    assert pool.place(7, 6, "export").connection is None and pool.place(7, 7, "read").connection not in (None, *connections)
+    assert pool.place(7, 6, "export").connection is None and pool.place(7, 7, "read").connection not in (
+        None,
+        *connections,
+    )
     pool.answered("export", False)
     assert pool.place(7, 8, "export").connection.long is False
 
@@ -242,8 +250,14 @@
     news = view.list_came("delta", 6, [listed(71, "draining")], SECOND)
     assert news.kind is ListKind.DELTA and news.entries[0].health is Health.DRAINING
     assert view.list_came("delta", 6, [listed(71)], SECOND) is None and view.repeats == 1
-    assert view.list_came("delta", 8, [listed(70, "gone")], SECOND) is None and view.gaps == 1 and view.epoch == 0
-    assert view.list_came("delta", 9, [listed(70, "gone")], SECOND) is None  # still none until the whole list came
+    assert (
+        view.list_came("delta", 8, [listed(70, "gone")], SECOND) is None
+        and view.gaps == 1
+        and view.epoch == 0
+    )
+    assert (
+        view.list_came("delta", 9, [listed(70, "gone")], SECOND) is None
+    )  # still none until the whole list came
     assert view.list_came("full", 9, [listed(71)], SECOND).kind is ListKind.FULL and set(view.lines) == {71}
 
 
@@ -272,7 +286,10 @@
     same = View().read_back(copy, 61 * SECOND)
     assert [entry.started for entry in same.entries] == [0, 50 * SECOND - 100 * MS]
     other = View().read_back(copy, 5 * SECOND)
-    assert [entry.started for entry in other.entries] == [5 * SECOND, 5 * SECOND] and other.kind is ListKind.CACHED
+    assert [entry.started for entry in other.entries] == [
+        5 * SECOND,
+        5 * SECOND,
+    ] and other.kind is ListKind.CACHED
 
 
 def test_a_kept_list_survives_and_a_damaged_one_is_told(tmp_path):
@@ -281,7 +298,13 @@
     kept.save(path, Copy(4, 7, [listed(70)]))
     assert kept.load(path) == Copy(4, 7, [listed(70)])
     whole = path.read_bytes()
-    for broken in (whole[:-1], whole[:10], b"", whole.replace(b"127", b"128"), b"ochrecourse nodes 9 0 00000000\n"):
+    for broken in (
+        whole[:-1],
+        whole[:10],
+        b"",
+        whole.replace(b"127", b"128"),
+        b"ochrecourse nodes 9 0 00000000\n",
+    ):
         path.write_bytes(broken)
         with pytest.raises(sealed.Damaged):
             kept.load(path)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -149,12 +149,18 @@
     mend()
     assert all(node.machine.cold_for and not node.machine.silent for node in lost)
     fleet.strike("zone_apart", 0, 0, 0, 6, "south")
-    deaf = {(node.shard.zone, name) for node in fleet.nodes.values() for name in ("g0", "g1", "g4") if node.machine.deaf_to(name)}
+    deaf = {
+        (node.shard.zone, name)
+        for node in fleet.nodes.values()
+        for name in ("g0", "g1", "g4")
+        if node.machine.deaf_to(name)
+    }
     assert deaf == {(0, "g1"), (0, "g4"), (2, "g1"), (2, "g4")}
 
 
 @pytest.mark.parametrize(
-    "changes", [{"copies": 4}, {"nodes": 8}, {"troubles": [Trouble(kind="zone_lost", at_s=1, len_s=1, which="east")]}]
+    "changes",
+    [{"copies": 4}, {"nodes": 8}, {"troubles": [Trouble(kind="zone_lost", at_s=1, len_s=1, which="east")]}],
 )
 def test_days_that_cannot_be(changes):
     with pytest.raises(BadDay):
@@ -227,7 +233,12 @@
 
 def test_sums_at_a_cold_node_are_over_all_gateways_and_end_with_the_cold():
     up = r.NodeUp(t=0, node=100, shard=0, zone=0, capacity=1e9, cold_from=0.5, cold_for=4 * S)
-    legs = [leg(1, 100, 10, 1, "g0"), leg(1.2, 100, 10, 2, "g1"), leg(3, 100, 10, 3, "g2"), leg(5, 100, 50, 4)]
+    legs = [
+        leg(1, 100, 10, 1, "g0"),
+        leg(1.2, 100, 10, 2, "g1"),
+        leg(3, 100, 10, 3, "g2"),
+        leg(5, 100, 50, 4),
+    ]
     sums = seen.cold_sums([up, *legs], 3 * S // 2)
     assert (sums.units, sums.legs) == (20, 3) and 0.05 < sums.times < 0.15
     assert seen.cold_kept([up, *legs], 3 * S // 2, 19).breaches
@@ -236,7 +247,20 @@
 
 def test_a_denial_counts_where_a_node_elsewhere_was_idle():
     ups = [r.NodeUp(t=0, node=n, shard=0, zone=n - 100, capacity=1e9) for n in (100, 101)]
-    asked = r.Asked(t=S, gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S, shard=0)
+    asked = r.Asked(
+        t=S,
+        gateway="g0",
+        conn=1,
+        id=1,
+        trace="1.0",
+        product="p",
+        plan="",
+        volume=1,
+        key=7,
+        units=1,
+        timeout=S,
+        shard=0,
+    )
     told = r.Told(t=2 * S, gateway="g0", conn=1, id=1, trace="1.0", how="denied")
     assert seen.denied_elsewhere([*ups, asked, told], {100}, 0, 9 * S) == 1
     busy = [leg(1.5, 101, number=n) for n in (1, 2)]
@@ -373,5 +397,7 @@
         records = list(r.read([tmp_path / "shared" / "clients.jsonl"]))
         begun = next(each.t for each in records if isinstance(each, r.Trouble) and each.kind == BEGINS)
         for late, broken in ((0, False), (4, True)):
-            moments = dict.fromkeys(("g0", "g1", "g4", "g5"), begun + round((together(name).close_s + late) * S))
+            moments = dict.fromkeys(
+                ("g0", "g1", "g4", "g5"), begun + round((together(name).close_s + late) * S)
+            )
             assert bool(seen.old_answers(records, moments, S // 4, {"page-read"}).breaches) is broken
--- a/tests/test_together_worse.py
+++ b/tests/test_together_worse.py
@@ -50,7 +50,11 @@
         ([kept("a")], [read("b", "a")], 1),  # in its turn
         ([kept("a")], [read("a!"), read("a", gateway="g1")], 1),
         ([kept("a")], [read("b")], 1),  # to nobody
-        ([kept("a", t=1), kept("b", t=11), kept("c", gateway="g0"), kept("d", how="lost")], [read("a", "b", "c", "d")], 0),
+        (
+            [kept("a", t=1), kept("b", t=11), kept("c", gateway="g0"), kept("d", how="lost")],
+            [read("a", "b", "c", "d")],
+            0,
+        ),
     ],
 )
 def test_what_was_written_while_let_go_and_is_not_told_as_late_is_found(appended, reads, broken):
@@ -83,8 +87,28 @@
 
 
 def given(t, made, gateway="g0", number=0):
-    asked = r.Asked(t=round(t * S), gateway=gateway, conn=1, id=number, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S)
-    return asked, r.Told(t=round(t * S) + 1, gateway=gateway, conn=1, id=number, trace="1.0", how="fulfilled", made=round(made * S))
+    asked = r.Asked(
+        t=round(t * S),
+        gateway=gateway,
+        conn=1,
+        id=number,
+        trace="1.0",
+        product="p",
+        plan="",
+        volume=1,
+        key=7,
+        units=1,
+        timeout=S,
+    )
+    return asked, r.Told(
+        t=round(t * S) + 1,
+        gateway=gateway,
+        conn=1,
+        id=number,
+        trace="1.0",
+        how="fulfilled",
+        made=round(made * S),
+    )
 
 
 @pytest.mark.parametrize(
