--- a/tests/test_webdav.py
+++ b/tests/test_webdav.py
@@ -50,7 +50,9 @@
         assert paths.destination(value, "host").path == result
 
 
-segments = st.text(st.characters(exclude_categories=["Cs", "Cc"], exclude_characters="/\\"), min_size=1, max_size=12)
+segments = st.text(
+    st.characters(exclude_categories=["Cs", "Cc"], exclude_characters="/\\"), min_size=1, max_size=12
+)
 
 
 @settings(max_examples=200, deadline=None)
@@ -74,7 +76,11 @@
 # --- conditions ---
 
 HERE, NOTHING = c.Resource('"5"', 1_000_000_000), c.Resource(None)
-OLD, SAME, NEW = "Sat, 08 Sep 2001 01:46:40 GMT", "Sun, 09 Sep 2001 01:46:40 GMT", "Mon, 10 Sep 2001 01:46:40 GMT"
+OLD, SAME, NEW = (
+    "Sat, 08 Sep 2001 01:46:40 GMT",
+    "Sun, 09 Sep 2001 01:46:40 GMT",
+    "Mon, 10 Sep 2001 01:46:40 GMT",
+)
 
 
 @pytest.mark.parametrize(
@@ -120,7 +126,8 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "applies"), [(None, True), ('"5"', True), ('"4"', False), ('W/"5"', False), (SAME, True), (OLD, False)]
+    ("value", "applies"),
+    [(None, True), ('"5"', True), ('"4"', False), ('W/"5"', False), (SAME, True), (OLD, False)],
 )
 def test_a_range_of_a_version_that_is_gone_is_not_followed(value, applies):
     headers = {"range": "bytes=0-1", **({"if-range": value} if value else {})}
@@ -156,7 +163,11 @@
 @settings(max_examples=300, deadline=None)
 @given(st.text(alphabet='()<>[]"Not urn:1W/ ,*', max_size=40))
 def test_any_condition_is_read_or_told(text):
-    for read in (lambda: c.parse_if(text, "h"), lambda: c.tags_of(text), lambda: c.ranges_of("bytes=" + text, 10)):
+    for read in (
+        lambda: c.parse_if(text, "h"),
+        lambda: c.tags_of(text),
+        lambda: c.ranges_of("bytes=" + text, 10),
+    ):
         try:
             read()
         except c.BadCondition as told:
@@ -225,7 +236,10 @@
     held = lock(locks, A, timeout=10 * SECOND)
     assert locks.refresh(held.token, AB, 20 * SECOND, 5 * SECOND).expires == 25 * SECOND
     assert locks.refresh(held.token, X, SECOND, 5 * SECOND) is None
-    assert locks.release(held.token, A, "ben", 6 * SECOND) is False and locks.release("urn:9", A, "ann", 6 * SECOND) is None
+    assert (
+        locks.release(held.token, A, "ben", 6 * SECOND) is False
+        and locks.release("urn:9", A, "ann", 6 * SECOND) is None
+    )
     locks.check_write(A, [], "ben", 25 * SECOND)
     assert not locks.by_token and not locks.by_root
     for i in range(4):
@@ -341,7 +355,9 @@
 
     @invariant()
     def is_as_the_model_says(self):
-        seen = {path: (entry.content.key if entry.content else None) for path, entry in self.tree.walk((), -1)}
+        seen = {
+            path: (entry.content.key if entry.content else None) for path, entry in self.tree.walk((), -1)
+        }
         assert seen == self.plain and self.tree.size == len(self.plain)
         assert self.tree.used.total() == 10 * sum(what is not None for what in self.plain.values())
         tags = [entry.tag for _, entry in self.tree.walk((), -1)]
@@ -369,7 +385,9 @@
     assert tree.find(A).properties == {}
     tree.patch(A, {"x": "1", "y": "2"}, [])
     tree.patch(A, {}, ["x", "none"])
-    assert tree.find(A).properties == {"y": "2"} and tree.changed_since(tree.version + 1, (), True, 99) is None
+    assert (
+        tree.find(A).properties == {"y": "2"} and tree.changed_since(tree.version + 1, (), True, 99) is None
+    )
     tree.forgotten = 3
     assert tree.changed_since(2, (), True, 99) is None
 
@@ -391,7 +409,9 @@
         ("PUT", ("x",), 10**9, {"prefer": "wait=60"}, "save", "open", 8, 3.0),
     ],
 )  # fmt: skip
-def test_a_request_becomes_a_job_by_the_tables_alone(method, path, size, headers, product, plan, units, timeout):
+def test_a_request_becomes_a_job_by_the_tables_alone(
+    method, path, size, headers, product, plan, units, timeout
+):
     asked = mapping.job_of(method, path, size, headers, PRODUCTS, VOLUMES, 65_536, 8)
     assert (asked.product, asked.plan, asked.units, asked.timeout) == (product, plan, units, timeout)
     assert asked.volume == mapping.volume_of((path[0], "other"))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -52,7 +52,9 @@
 def test_any_split_of_the_stream_gives_the_same_messages(jobs, cuts):
     said = [m.encode(HELLO)]
     for number, (trace, body) in enumerate(jobs):
-        asked = m.JobAsked(id=number, product="p", plan="q", volume=1, timeout_ms=5, size=len(body), trace=trace)
+        asked = m.JobAsked(
+            id=number, product="p", plan="q", volume=1, timeout_ms=5, size=len(body), trace=trace
+        )
         said.append(m.encode(asked, body))
     data, end, at, turn = b"".join(said), ear(), 0, 0
     while at < len(data):
@@ -120,7 +122,12 @@
         ([], ANSWER, m.Denied(id=1), "never_opened"),
         ([(ASK, asked(1)), (ANSWER, m.Denied(id=1))], ANSWER, m.WrittenOff(id=1), "over"),
         ([(ASK, asked(1)), (ANSWER, m.Fulfilled(id=1))], ANSWER, m.Fulfilled(id=1), "over"),
-        ([(ASK, asked(1)), (ANSWER, m.Fulfilled(id=1, size=3))], ANSWER, m.Part(id=1, body=4), "body_too_long"),
+        (
+            [(ASK, asked(1)), (ANSWER, m.Fulfilled(id=1, size=3))],
+            ANSWER,
+            m.Part(id=1, body=4),
+            "body_too_long",
+        ),
         ([(ASK, asked(1, size=3))], ASK, m.Part(id=1, body=4), "body_too_long"),
         ([(ASK, asked(1))], ASK, m.Part(id=1, body=4), "illegal"),
         ([(ASK, asked(1))], ASK, m.Bye(), None),
--- a/tests/transcripts/test_absence.py
+++ b/tests/transcripts/test_absence.py
@@ -1,6 +1,5 @@
 """The exchange after a long absence as approved text. `make transcripts` shows what differs."""
 
-
 from test_fleet_part import SAID
 from test_transcripts import fleet_of, tap  # noqa: F401 - the fixture
 from transcript import Approved
--- a/tests/transcripts/test_grey.py
+++ b/tests/transcripts/test_grey.py
@@ -18,12 +18,18 @@
     network, made, lines = parts({"a": ("north", "south"), "b": ("south", "north")})
     for by, event, more in lines:
         if event == "fleet settings differ":
-            tap.note(network, f"{by} logs: {event}, peer {more['peer']}, {more['what']}: here {more['here']}, there {more['there']}")
+            tap.note(
+                network,
+                f"{by} logs: {event}, peer {more['peer']}, {more['what']}: here {more['here']}, there {more['there']}",
+            )
     channel, body = made["b"].watch.by_hand(1, "left")
     made["b"].append(channel, body)
     network.advance(1)
     for name, part in made.items():
         told = part.zones.report()["zones"]
-        tap.note(network, f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.reached)}")
+        tap.note(
+            network,
+            f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.reached)}",
+        )
     text = tap.text(test_two_gateways_name_their_zones_in_another_order.__doc__)
     assert text == snapshot(extension_class=Approved)
--- a/tests/transcripts/test_lives.py
+++ b/tests/transcripts/test_lives.py
@@ -41,6 +41,6 @@
         tap.note(fleet.network, f"a is asked {json.dumps(asked)}: {said}")
     fleet.run(4)
     tap.note(fleet.network, f"a's readers have {len(bodies(fleet.parts['a'], 'notes'))} notes")
-    assert tap.text(" ".join(test_fleet_begins_anew_without_a_name_that_is_given_up.__doc__.split())) == snapshot(
-        extension_class=Approved
-    )
+    assert tap.text(
+        " ".join(test_fleet_begins_anew_without_a_name_that_is_given_up.__doc__.split())
+    ) == snapshot(extension_class=Approved)
--- a/tests/transcripts/test_rolling.py
+++ b/tests/transcripts/test_rolling.py
@@ -30,7 +30,9 @@
 
     def ask(name, **asked):
         told = answer(SimpleNamespace(part=fleet.parts[name]), json.dumps({"do": "form", **asked}).encode())
-        said = told.get("error") or " ".join(f"{k}={v}" for k, v in told.items() if k not in ("writer", "seq"))
+        said = told.get("error") or " ".join(
+            f"{k}={v}" for k, v in told.items() if k not in ("writer", "seq")
+        )
         tap.note(fleet.network, f"{name} is asked {json.dumps(asked)}: {said}")
 
     def replace(name, newest, kept=True):
@@ -38,7 +40,10 @@
         if not kept:
             fleet.journals[name] = InMemory()
         fleet.run(0.2)
-        tap.note(fleet.network, f"{name} starts again and speaks forms 1 to {newest}{'' if kept else ', with an empty folder'}")
+        tap.note(
+            fleet.network,
+            f"{name} starts again and speaks forms 1 to {newest}{'' if kept else ', with an empty folder'}",
+        )
         fleet.start(name, newest_form=newest)
         fleet.run(1.5)
 
@@ -57,6 +62,9 @@
     replace("b", 1, kept=False)
     fleet.run(1.5)
     for name, part in fleet.parts.items():
-        tap.note(fleet.network, f"{name} reaches {fleet.reached(name)} and holds {len(part.log.events('notes'))} notes")
+        tap.note(
+            fleet.network,
+            f"{name} reaches {fleet.reached(name)} and holds {len(part.log.events('notes'))} notes",
+        )
     story = "Gateways a and b are replaced by a newer program one by one; the form is raised once both speak it; then an older program comes."
     assert tap.text(story) == snapshot(extension_class=Approved)
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -29,6 +29,7 @@
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
+
 @pytest.fixture
 def tap(monkeypatch):
     return Tap(monkeypatch)
@@ -76,7 +77,9 @@
 
     yard = yard_of(tap, make_yard, keeps)
     client = yard.client()
-    client.say(m.JobAsked(id=1, product="mark", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000))
+    client.say(
+        m.JobAsked(id=1, product="mark", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000)
+    )
     for size in (m.MAX_BODY, m.MAX_BODY, 150_000 - 2 * m.MAX_BODY):
         yard.run(0.01)
         client.say(m.Part(id=1), bytes(size))
@@ -278,7 +281,6 @@
     yard.run()
 
 
-
 # --- list server ---
 
 
@@ -416,10 +418,15 @@
     shop = Shop()
     tap.place(shop.agent_port, "list agent", "gateway", Text)
     watch = shop.agent.watches[0]
-    for told in (json.dumps(listed(shop.node_port, version=6, state="Terminating")).encode() + b"\n", b"not JSON\n"):
+    for told in (
+        json.dumps(listed(shop.node_port, version=6, state="Terminating")).encode() + b"\n",
+        b"not JSON\n",
+    ):
         watch.say(told)
         shop.run(0.2)
-    nodes = ", ".join(f"{entry.node} {entry.health.name.lower()}" for entry in shop.service.gateway.entries.values())
+    nodes = ", ".join(
+        f"{entry.node} {entry.health.name.lower()}" for entry in shop.service.gateway.entries.values()
+    )
     tap.note(shop.network, f"the gateway's list: {nodes}")
 
 
@@ -659,10 +666,15 @@
         part.zones.nodes_are({70: (0, 0, True, 0), 71: (1, 1, True, 0)}, 0)
     fleet.run(20)  # until no loan of an earlier life can be out
     for word in ("left", "returning"):
-        control_answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps({"do": "zone", "zone": 0, "standing": word}).encode())
+        control_answer(
+            SimpleNamespace(part=fleet.parts["a"]),
+            json.dumps({"do": "zone", "zone": 0, "standing": word}).encode(),
+        )
         fleet.run(1)
     for _ in range(40):
-        fleet.parts["b"].zones.leg_over(70, Ending.SERVED, 30 * MS, 0.0, round(fleet.network.seconds() * SECOND), 8.0)
+        fleet.parts["b"].zones.leg_over(
+            70, Ending.SERVED, 30 * MS, 0.0, round(fleet.network.seconds() * SECOND), 8.0
+        )
         fleet.run(0.1)
     for name, part in fleet.parts.items():
         rate = part.zones.bounds(round(fleet.network.seconds() * SECOND))[70]
@@ -673,7 +685,12 @@
 def fleet_purge_then_the_next_read_asks_a_node(tap, make_yard):
     """Edge g0 answers reads from its copy until the building closes; then the first read goes to the node."""
     building = building_of(tap)
-    for ms, what in ((8000, "before the close"), (29_000, "a second before the close"), (30_300, "after the close"), (31_000, "and again")):
+    for ms, what in (
+        (8000, "before the close"),
+        (29_000, "a second before the close"),
+        (30_300, "after the close"),
+        (31_000, "and again"),
+    ):
         building.until(ms)
         tap.note(building.network, what)
         building.read("g0")
@@ -706,5 +723,7 @@
     approved = Path(__file__).parent / "__snapshots__" / "test_transcripts" / "test_native_gateway_drains.txt"
     monkeypatch.setattr(FrontFactory, "say_bye", lambda self: None)
     native_gateway_drains(tap, make_yard)
-    lines, others = ([line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text("")))
+    lines, others = (
+        [line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text(""))
+    )
     assert [line for line in lines[2:] if line not in others] == ["  gateway -> client  bye reason=draining"]
--- a/tests/transcripts/transcript.py
+++ b/tests/transcripts/transcript.py
@@ -75,7 +75,10 @@
         header.pop("n", None)
         if header["m"] == "rows":
             whole = [(name, more) for name, *_, more in json.loads(body) if more and more.get("life")]
-            rows = (f"{name} life={more['life']} zone={more['zone']} seq={more['seq']} tells={','.join(more.get('told', ()))}" for name, more in whole)
+            rows = (
+                f"{name} life={more['life']} zone={more['zone']} seq={more['seq']} tells={','.join(more.get('told', ()))}"
+                for name, more in whole
+            )
             return "rows | " + "; ".join(rows) if whole else ""
         fields = " ".join(f"{k}={plain(v)}" for k, v in header.items() if k not in ("m", "body"))
         return f"{header['m']} {fields}".rstrip() + (f" | {unpacked(body)}" if body else "")
@@ -138,7 +141,9 @@
         lines = []
         for part in parts:
             text = unpacked(part) if part[:1] == b"{" else part.decode("utf-8", "backslashreplace")
-            whole = text if len(text) <= LONGEST_LINE and text.replace("\n", "").isprintable() else short(part)
+            whole = (
+                text if len(text) <= LONGEST_LINE and text.replace("\n", "").isprintable() else short(part)
+            )
             lines += whole.split("\n")
         yield "\n".join(line for line in lines if line)
 
@@ -190,7 +195,15 @@
             ways = sum(each.port == port for each in tap.connections)
             tap.dialled = connection = Connection(port, ways + 1)
             tap.connections.append(connection)
-            tap.events.append((network, network.now, connection, True, "connects" if port in network.ports else "is refused"))
+            tap.events.append(
+                (
+                    network,
+                    network.now,
+                    connection,
+                    True,
+                    "connects" if port in network.ports else "is refused",
+                )
+            )
             tap.sides = [True, False]
             connect(network, home, host, port, *more)
 
@@ -205,12 +218,16 @@
 
         def closing(transport):
             if not transport.lost:
-                tap.events.append((transport.network, transport.network.now, *transport.tapped, "ends the connection"))
+                tap.events.append(
+                    (transport.network, transport.network.now, *transport.tapped, "ends the connection")
+                )
             close(transport)
 
         def shutting(transport):
             if not (transport.lost or transport.disconnecting or transport.shut):
-                tap.events.append((transport.network, transport.network.now, *transport.tapped, "ends its sending side"))
+                tap.events.append(
+                    (transport.network, transport.network.now, *transport.tapped, "ends its sending side")
+                )
             shut(transport)
 
         monkeypatch.setattr(VirtualNetwork, "_connect", connecting)
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -18,7 +18,14 @@
 QUIET = 2 * SECOND
 AGREE = 3 * SECOND  # those that reached each other for so long hold the same standings
 BOUND = 500  # ms that wall clocks are wrong at the most
-FIGURES = {"cold": 5, "rest": 3000, "longest_rest": 48_000, "ease": 20_000, "lend": 4000, "clock_bound": BOUND}
+FIGURES = {
+    "cold": 5,
+    "rest": 3000,
+    "longest_rest": 48_000,
+    "ease": 20_000,
+    "lend": 4000,
+    "clock_bound": BOUND,
+}
 
 
 class Broken(AssertionError):
@@ -72,7 +79,18 @@
 
 
 class World:
-    def __init__(self, seed, zones=3, nodes=3, places=(0, 0, 1, 1, 2, 2), legs=2, make=Zones, loss=0.05, figures=None, step=125 * MS):
+    def __init__(
+        self,
+        seed,
+        zones=3,
+        nodes=3,
+        places=(0, 0, 1, 1, 2, 2),
+        legs=2,
+        make=Zones,
+        loss=0.05,
+        figures=None,
+        step=125 * MS,
+    ):
         self.chance = random.Random(seed)
         self.zones, self.places, self.legs, self.make, self.loss = zones, places, legs, make, loss
         self.figures = {**FIGURES, **(figures or {})}
