--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	wait $$checks || { cat $$told; tests=1; }; rm $$told; exit $$tests
 
 checks: $(STAMP)
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
--- a/ochrecourse/audit/judge.py
+++ b/ochrecourse/audit/judge.py
@@ -97,7 +97,9 @@
 
 @dataclass
 class _Leg:
-    """A leg as its node saw it. `end`: when it was known to be over there; `sure`: nothing of it can run on."""
+    """A leg as its node saw it. `end`: when it was known to be over there; `sure`: nothing of it can run
+    on.
+    """
 
     came: r.LegCame
     order: int
@@ -302,7 +304,9 @@
         return ("zone", up.zone) if rule.group == "zone" else ("cell", up.shard)
 
     def _node_down(self, leg: _Leg, by: int) -> bool:
-        """A node whose process ended between a leg and the next: its connections broke, and it wrote no more."""
+        """A node whose process ended between a leg and the next: its connections broke, and it wrote no
+        more.
+        """
         return any(leg.came.t <= down.t <= by for down in self.downs[leg.came.node])
 
     # --- 3 ---
--- a/ochrecourse/audit/records.py
+++ b/ochrecourse/audit/records.py
@@ -164,7 +164,9 @@
 
 
 class Announced(Record, tag="announced"):
-    """A BGP peer was told of a gateway's address, or that it is gone (`up` false). `med` as told, 0 without."""
+    """A BGP peer was told of a gateway's address, or that it is gone (`up` false). `med` as told, 0
+    without.
+    """
 
     gateway: str
     up: bool
--- a/ochrecourse/bgp/fitness.py
+++ b/ochrecourse/bgp/fitness.py
@@ -44,7 +44,9 @@
 
 @dataclass(slots=True)
 class Sight:
-    """What the gateway sees of itself now. Shares are over a recent while; `jobs` is how many they rest on."""
+    """What the gateway sees of itself now. Shares are over a recent while; `jobs` is how many they rest
+    on.
+    """
 
     listening: bool = True
     draining: bool = False
--- a/ochrecourse/bgp/session.py
+++ b/ochrecourse/bgp/session.py
@@ -377,7 +377,9 @@
             self._fail(now)
 
     def _fail(self, now: int) -> None:
-        """Waits before the next try, longer each time (DampPeerOscillations, RFC 4271 8.1.1); never for ever."""
+        """Waits before the next try, longer each time (DampPeerOscillations, RFC 4271 8.1.1); never for
+        ever.
+        """
         self.failures += 1
         factor = min(LONGEST_IDLE, 2 ** (self.failures - 1))
         self.wait_until = now + max(1, round(self.figures.idle_wait * factor * self.jitter()))
--- a/ochrecourse/fleet/mesh.py
+++ b/ochrecourse/fleet/mesh.py
@@ -42,7 +42,9 @@
 
 
 class Mesh:
-    """The links of one gateway. `chance` gives numbers from 0 to 1; `quiet` is the silence that ends a link."""
+    """The links of one gateway. `chance` gives numbers from 0 to 1; `quiet` is the silence that ends a
+    link.
+    """
 
     def __init__(self, own: str, quiet: int, chance: Callable[[], float]) -> None:
         self.own = own
@@ -77,7 +79,9 @@
             at.up, at.dialling, at.ours, at.since, at.wait = True, False, ours, now, FIRST_WAIT
 
     def lost(self, name: str, now: int, mistake: bool = False) -> None:
-        """A link ended or a dial failed; `mistake`: the other side broke a rule, or says that this side did."""
+        """A link ended or a dial failed; `mistake`: the other side broke a rule, or says that this side
+        did.
+        """
         at = self.others.get(name)
         if at is None:
             return
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -179,7 +179,9 @@
         say: Callable[..., None],
         log: Journal | None,
     ) -> Any:
-        """What this gateway shares with others; nothing of that room is loaded where the settings name none."""
+        """What this gateway shares with others; nothing of that room is loaded where the settings name
+        none.
+        """
         from ochrecourse.fleet.awake import Awake
         from ochrecourse.fleet.part import Part
 
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -140,7 +140,9 @@
 
 
 class Gateway:
-    """One host. `values` is the plain map that the decisions read; connection figures come from the same map."""
+    """One host. `values` is the plain map that the decisions read; connection figures come from the same
+    map.
+    """
 
     def __init__(
         self,
@@ -228,7 +230,9 @@
         self._pull()
 
     def take(self, request: Request, asker: Asker) -> int:
-        """Takes a job, whose number is returned; its asker hears of it later or at once. Raises BadRequest."""
+        """Takes a job, whose number is returned; its asker hears of it later or at once. Raises
+        BadRequest.
+        """
         product = self.kinds.products.get(request.product)
         plan = self.kinds.plans.get(request.plan)
         if product is None:
@@ -297,7 +301,9 @@
             self.nodes.cancel(task.attempt)
 
     def leave_all(self, jobs: Sequence[int]) -> None:
-        """The client of several jobs no longer waits: none of them takes the place of another that it left."""
+        """The client of several jobs no longer waits: none of them takes the place of another that it
+        left.
+        """
         pulling, self._pulling = self._pulling, True
         try:
             for job in jobs:
--- a/ochrecourse/gateway/ledger.py
+++ b/ochrecourse/gateway/ledger.py
@@ -134,7 +134,9 @@
         return None if late else story
 
     def broke_off(self, story: JobStory) -> None:
-        """An answer that had begun was not finished: the job counts as written off, whatever was sent of it."""
+        """An answer that had begun was not finished: the job counts as written off, whatever was sent of
+        it.
+        """
         if story.closing is Closing.FULFILLED:
             self.closings[Closing.FULFILLED] -= 1
             self.closings[Closing.WRITTEN_OFF] += 1
--- a/ochrecourse/nodes/dispatcher.py
+++ b/ochrecourse/nodes/dispatcher.py
@@ -393,7 +393,9 @@
             self._abandon(attempt, Seen.LEFT_BEFORE)
 
     def _relieve(self, pooled: PooledConnection) -> None:
-        """Attempts that wait for another connection to the same node go on this one, as far as it has room."""
+        """Attempts that wait for another connection to the same node go on this one, as far as it has
+        room.
+        """
         self._relieve_after(pooled, self.turns_behind())
 
     def _relieve_after(self, pooled: PooledConnection, turns: int) -> None:
--- a/ochrecourse/nodes/framed_connection.py
+++ b/ochrecourse/nodes/framed_connection.py
@@ -89,7 +89,9 @@
         self.blocked = True
 
     def drop(self, attempt: OutgoingAttempt) -> None:
-        """The gateway no longer waits for this attempt: the node hears of it, and has a while to confirm it."""
+        """The gateway no longer waits for this attempt: the node hears of it, and has a while to confirm
+        it.
+        """
         self.attempts.pop(attempt.id, None)
         if attempt in self.sending:
             self.sending.remove(attempt)
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -142,7 +142,9 @@
 
 
 def dialler(network: Network) -> OpenConnection:
-    """What opens connections to nodes that speak RESP2; the dispatcher bounds the time, this only tidies up."""
+    """What opens connections to nodes that speak RESP2; the dispatcher bounds the time, this only tidies
+    up.
+    """
 
     def open_connection(
         dispatcher: Dispatcher, pooled: PooledConnection, address: tuple[str, int]
--- a/ochrecourse/standins/fleet.py
+++ b/ochrecourse/standins/fleet.py
@@ -169,7 +169,9 @@
     def strike(
         self, kind: str, part: float, size: float, extra: float, span: float, which: str
     ) -> Callable[[], None]:
-        """Breaks something now; returns what mends it. Kinds that strike clients or gateways do nothing here."""
+        """Breaks something now; returns what mends it. Kinds that strike clients or gateways do nothing
+        here.
+        """
         living = self.living()
         count = max(1, round(part * len(living))) if part else 0
         if kind.startswith("zone_"):
--- a/ochrecourse/standins/machine.py
+++ b/ochrecourse/standins/machine.py
@@ -61,7 +61,9 @@
 
 @dataclass(eq=False)
 class Work:
-    """One leg at a node. `reply` is called once with how it ended, unless it is lost or the node goes silent."""
+    """One leg at a node. `reply` is called once with how it ended, unless it is lost or the node goes
+    silent.
+    """
 
     mark: str
     trace: str
@@ -404,7 +406,9 @@
             work.reply(work, how)
 
     def content(self, work: Work) -> list[bytes]:
-        """What a fulfilled leg's answer holds: what was stored, else some bytes in step with the job's size."""
+        """What a fulfilled leg's answer holds: what was stored, else some bytes in step with the job's
+        size.
+        """
         if work.write:
             return []
         if self.dated:
--- a/ochrecourse/wire/messages.py
+++ b/ochrecourse/wire/messages.py
@@ -114,7 +114,9 @@
 
 
 class LegSent(Message, tag="leg"):
-    """Work for a node. `mark` names the job for ever; `patience_ms`: when the gateway stops waiting, 0 never."""
+    """Work for a node. `mark` names the job for ever; `patience_ms`: when the gateway stops waiting, 0
+    never.
+    """
 
     id: int
     mark: str
@@ -192,7 +194,9 @@
 
 
 class Listed(msgspec.Struct, omit_defaults=True, kw_only=True):
-    """One line of the list of nodes. `health`: ready, draining or gone; `started_ms_ago` below 0: long ago."""
+    """One line of the list of nodes. `health`: ready, draining or gone; `started_ms_ago` below 0: long
+    ago.
+    """
 
     node: int
     address: str = ""
@@ -203,7 +207,9 @@
 
 
 class NodeList(Message, tag="nodes"):
-    """A list of nodes, as a JSON array of `Listed` in the body. `kind`: full, or delta against `epoch` - 1."""
+    """A list of nodes, as a JSON array of `Listed` in the body. `kind`: full, or delta against `epoch` -
+    1.
+    """
 
     kind: str
     epoch: int
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -158,8 +158,10 @@
 
 
 def test_process_that_holds_the_sockets_serves_though_the_first_one_died_meanwhile(
-    gateway, running, tmp_path
-):  # noqa: F811
+    gateway,  # noqa: F811
+    running,  # noqa: F811
+    tmp_path,
+):
     # Guards against nobody at all: the sockets are here, so the end of who gave them is no reason to end too.
     path = tmp_path / "control"
     first = gateway(control=str(path))  # for its settings and the list that it keeps
