--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -20,14 +20,14 @@
 
 import click
 
-from ochrecourse.durable.journal import InFile, InMemory
+from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet import kept as kept_module
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.kept import Held, Kept, Life
 from ochrecourse.fleet.link import Link
 from ochrecourse.fleet.log import Bounds, Log
 from ochrecourse.fleet.part import JOURNAL, Part
-from ochrecourse.gateway.ledger import Ledger
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.lab.virtual import VirtualNetwork
 
 WALL = 1_700_000_000_000  # ms since 1970 at the virtual clock's zero
@@ -66,11 +66,11 @@
 def recovery(count: int, channels: int) -> str:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.log"
-        first = InFile(path, *JOURNAL)
+        first = FileJournal(path, *JOURNAL)
         first.restart(kept_module._encode(Held(each)) for each in entries("b", count, channels))
         first.close()
         size, began = path.stat().st_size, time.process_time()
-        again = InFile(path, *JOURNAL)
+        again = FileJournal(path, *JOURNAL)
         kept = Kept(again, "a0", BOUNDS, WALL, 1)
         took = time.process_time() - began
         assert sum(kept.log.vector().values()) == count
@@ -102,7 +102,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.ledger = Ledger()
+        self.ledger = RequestLog()
         self.legs_over: list[Any] = []
 
     def bounds_came(self, bounds: Any) -> None:
@@ -115,7 +115,7 @@
     spans: list[float] = []
     parts: dict[str, Part] = {}
     for index, name in enumerate("ab"):
-        journal = InMemory()
+        journal = MemoryJournal()
         journal.kept = [kept_module._encode(Life(7))]
         journal.kept += [kept_module._encode(Held(e)) for e in entries(name, count // 2, channels)]
         other, port = ("b", 20_001) if name == "a" else ("a", 20_000)
--- a/benchmarks/announcements.py
+++ b/benchmarks/announcements.py
@@ -25,7 +25,7 @@
 from ochrecourse.lab import play
 from ochrecourse.lab.play import VirtualPlay
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.bgppeer import StandInPeer
 
 FAULTS = {
--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -26,7 +26,7 @@
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.purger import Purger
 from ochrecourse.fleet.purges import DAY, Purges
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 MOST_WANTS = 16  # events of a beat, as the part has them
 BOUND, NOTICE, DAYS = 500, 10_000, 60  # ms, ms, days: as the settings have them where nothing is said
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -13,9 +13,9 @@
 import time
 from typing import Any
 
-from ochrecourse.steady import steady_reactor
+from ochrecourse.common.monotonic_reactor import install_monotonic_reactor
 
-reactor = steady_reactor()
+reactor = install_monotonic_reactor()
 
 from twisted.internet.protocol import ClientFactory, Factory  # noqa: E402
 
@@ -23,8 +23,8 @@
 from ochrecourse.bgp.session import SECOND, PeerFigures  # noqa: E402
 from ochrecourse.bgp.setup import AddressSetup, PeerSetup, SpeakerSetup  # noqa: E402
 from ochrecourse.bgp.speaker import Speaker  # noqa: E402
-from ochrecourse.decide import Scheduler  # noqa: E402
-from ochrecourse.gateway.front import FrontFactory  # noqa: E402
+from ochrecourse.scheduler.scheduler import Scheduler  # noqa: E402
+from ochrecourse.gateway.client_connection import ClientConnectionFactory  # noqa: E402
 from ochrecourse.gateway.gateway import Gateway  # noqa: E402
 from ochrecourse.interface import Ending, Health, Request, Attempt, AttemptEnd, ListKind, NodeEntry  # noqa: E402
 from ochrecourse.nodes.framed_connection import dialler  # noqa: E402
@@ -32,8 +32,8 @@
 from ochrecourse.settings.plain import plain_map  # noqa: E402
 from ochrecourse.standins.bgppeer import StandInPeer  # noqa: E402
 from ochrecourse.wire import messages as m  # noqa: E402
-from ochrecourse.wire.framed import Framed  # noqa: E402
-from ochrecourse.wire.moves import Side, job_moves, leg_moves  # noqa: E402
+from ochrecourse.wire.framed_protocol import FramedProtocol  # noqa: E402
+from ochrecourse.wire.state import Role, client_connection_state, node_connection_state  # noqa: E402
 
 JOBS = 6000  # a run
 RUNS = 7  # of each kind
@@ -49,25 +49,25 @@
 """
 
 
-class Node(Framed):
+class Node(FramedProtocol):
     """Answers at once."""
 
     def __init__(self) -> None:
-        super().__init__(reactor, Side.ANSWERING, leg_moves())
+        super().__init__(reactor, Role.ANSWERING, node_connection_state())
 
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="node"))
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.LegSent):
-            self.say(m.Done(id=message.id, size=len(BODY), shard=message.shard), BODY)
+        if isinstance(message, m.SendAttempt):
+            self.say(m.AttemptServed(id=message.id, size=len(BODY), shard=message.shard), BODY)
 
 
-class RelayOut(Framed):
+class RelayOut(FramedProtocol):
     """The relay's side towards the node."""
 
     def __init__(self, relay: Relay) -> None:
-        super().__init__(reactor, Side.ASKING, leg_moves())
+        super().__init__(reactor, Role.ASKING, node_connection_state())
         self.relay = relay
 
     def ready(self) -> None:
@@ -75,17 +75,17 @@
         self.relay.outs.append(self)
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.Done):
-            self.relay.say(m.Fulfilled(id=message.id, size=message.size, shard=message.shard))
+        if isinstance(message, m.AttemptServed):
+            self.relay.say(m.RequestServed(id=message.id, size=message.size, shard=message.shard))
             if body:
-                self.relay.say(m.Part(id=message.id), body)
+                self.relay.say(m.BodyChunk(id=message.id), body)
 
 
-class Relay(Framed):
+class Relay(FramedProtocol):
     """The same framing and bytes as the gateway, and no decisions: each job goes on to the node of its shard."""
 
     def __init__(self, ports: list[int]) -> None:
-        super().__init__(reactor, Side.ANSWERING, job_moves())
+        super().__init__(reactor, Role.ANSWERING, client_connection_state())
         self.ports = ports
         self.outs: list[RelayOut] = []
 
@@ -98,19 +98,19 @@
             reactor.connectTCP("127.0.0.1", port, factory)
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.JobAsked):
-            leg = m.LegSent(
+        if isinstance(message, m.SubmitRequest):
+            leg = m.SendAttempt(
                 id=message.id, mark=str(message.id), product=message.product, volume=message.volume, key=message.key,
                 units=message.units, shard=message.shard, patience_ms=message.timeout_ms,
             )  # fmt: skip
             self.outs[message.shard % len(self.outs)].say(leg)
 
 
-class Asker(Framed):
+class Asker(FramedProtocol):
     """A client that keeps `OUT` jobs outstanding; `done` is called with the CPU time that they took."""
 
     def __init__(self, done: Any) -> None:
-        super().__init__(reactor, Side.ASKING, job_moves())
+        super().__init__(reactor, Role.ASKING, client_connection_state())
         self.done = done
         self.sent = self.answered = 0
         self.began = 0.0
@@ -130,7 +130,7 @@
         if self.answered == self.warm:
             self.began = time.process_time()
         self.say(
-            m.JobAsked(
+            m.SubmitRequest(
                 id=self.sent,
                 product="read",
                 plan="plan",
@@ -143,10 +143,10 @@
         )
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.Hello) or (isinstance(message, m.Fulfilled) and message.size):
+        if isinstance(message, m.Hello) or (isinstance(message, m.RequestServed) and message.size):
             return
         self.answered += 1
-        self.denied += isinstance(message, m.Denied)
+        self.denied += isinstance(message, m.RequestRejected)
         if self.answered == self.warm + JOBS:
             spent = (time.process_time() - self.began) / JOBS * 1e6
             self.transport.loseConnection()
@@ -178,7 +178,7 @@
     entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(ports))]
     where = {70 + i: ("127.0.0.1", port) for i, port in enumerate(ports)}
     gateway.list_came(ListKind.FULL, entries, where)
-    return reactor.listenTCP(0, FrontFactory(gateway, reactor, 100), interface="127.0.0.1")
+    return reactor.listenTCP(0, ClientConnectionFactory(gateway, reactor, 100), interface="127.0.0.1")
 
 
 def decisions_alone() -> float:
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,7 +22,7 @@
 
 from benchmarks.processes import connect, reactor, wait  # first: it installs the reactor
 
-from ochrecourse.steady import raise_files
+from ochrecourse.common.monotonic_reactor import raise_open_file_limit
 
 from hdrh.histogram import HdrHistogram
 from twisted.internet.defer import Deferred, inlineCallbacks
@@ -35,7 +35,7 @@
 from ochrecourse.lab.figures import figures_of
 from ochrecourse.lab.people import door_record
 from ochrecourse.lab.play import VirtualPlay
-from ochrecourse.wire.talk import Answer, Talk
+from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
 from ochrecourse.settings.load import write
 from ochrecourse.wire import messages as m
 
@@ -114,17 +114,19 @@
             process.wait()
 
 
-def talk(port: int) -> Deferred[Talk]:
-    done: Deferred[Talk] = Deferred()
+def talk(port: int) -> Deferred[HttpClientProtocol]:
+    done: Deferred[HttpClientProtocol] = Deferred()
     factory = ClientFactory()
     factory.noisy = False
-    factory.buildProtocol = lambda address: Talk(done.callback, lambda talk: None)  # type: ignore[method-assign, assignment]
+    factory.buildProtocol = lambda address: HttpClientProtocol(done.callback, lambda talk: None)  # type: ignore[method-assign, assignment]
     reactor.connectTCP("127.0.0.1", port, factory)
     return done
 
 
-def ask(line: Talk, method: str, path: str, body: bytes = b"", **headers: str) -> Deferred[Answer]:
-    done: Deferred[Answer] = Deferred()
+def ask(
+    line: HttpClientProtocol, method: str, path: str, body: bytes = b"", **headers: str
+) -> Deferred[HttpResponse]:
+    done: Deferred[HttpResponse] = Deferred()
     line.ask(method, path, headers, body, done.callback)  # type: ignore[arg-type]
     return done
 
@@ -145,7 +147,7 @@
     bad = [0]
 
     @inlineCallbacks
-    def one(line: Talk, number: int) -> Any:
+    def one(line: HttpClientProtocol, number: int) -> Any:
         for _ in range(JOBS // OUT):
             began = reactor.seconds()
             answer = yield ask(line, method, f"/v1/{method}-{number}", body)
@@ -182,7 +184,7 @@
         state["sent"] += 1
         due[state["sent"]] = reactor.seconds()
         client.say(
-            m.JobAsked(
+            m.SubmitRequest(
                 id=state["sent"],
                 product=product,
                 plan="open",
@@ -197,7 +199,7 @@
 
     def answered(message: Any) -> None:
         state["answered"] += 1
-        state["bad"] += not isinstance(message, m.Fulfilled)
+        state["bad"] += not isinstance(message, m.RequestServed)
         told.record_value(max(1, round((reactor.seconds() - due.pop(message.id)) * 1e6)))
         if state["sent"] < JOBS:
             send()
@@ -268,11 +270,13 @@
         alone.append((yield http_run(process, door, "GET")))
         stop, moved, lines = [False], [0], []
 
-        def so_far(moved: list[int] = moved, lines: list[Talk] = lines) -> int:
+        def so_far(moved: list[int] = moved, lines: list[HttpClientProtocol] = lines) -> int:
             return moved[0] + sum(each.answer.size for each in lines if each.answer is not None)
 
         @inlineCallbacks
-        def download(stop: list[bool] = stop, moved: list[int] = moved, lines: list[Talk] = lines) -> Any:
+        def download(
+            stop: list[bool] = stop, moved: list[int] = moved, lines: list[HttpClientProtocol] = lines
+        ) -> Any:
             mine = yield talk(door)
             lines.append(mine)
             while not stop[0]:
@@ -350,7 +354,7 @@
         return int(next(row for row in status.splitlines() if row.startswith("VmHWM")).split()[1])
 
     before, began = peak(), reactor.seconds()
-    done: Deferred[Answer] = Deferred()
+    done: Deferred[HttpResponse] = Deferred()
     size, piece = 1 << 30, bytes(1 << 20)
     line.method, line.then = "PUT", done.callback  # type: ignore[assignment]
     line.transport.write(f"PUT /v1/giant HTTP/1.1\r\nHost: h\r\nContent-Length: {size}\r\n\r\n".encode())
@@ -412,7 +416,7 @@
 
 def main() -> None:
     if "evening" not in sys.argv:
-        raise_files()
+        raise_open_file_limit()
         failed: list[Any] = []
         reactor.callWhenRunning(lambda: measure().addErrback(failed.append))
         reactor.run()
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -21,12 +21,14 @@
 
 import click
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.part import Part
-from ochrecourse.gateway.ledger import JobStory, Ledger, LegStory
+from ochrecourse.common.request_records import RequestRecord, AttemptRecord
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.outside import MS, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS
 
 EPOCH = 1_790_000_000_000  # ms since 1970 at the virtual clock's zero; any time will do
 FIRST_PORT = 20_000
@@ -48,8 +50,8 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.ledger = Ledger()
-        self.legs_over: list[Callable[[JobStory, LegStory], None]] = []
+        self.ledger = RequestLog()
+        self.legs_over: list[Callable[[RequestRecord, AttemptRecord], None]] = []
 
     def bounds_came(self, bounds: Any) -> None:
         pass
@@ -67,7 +69,7 @@
         self.peers = [
             {"name": name, "address": f"127.0.0.1:{FIRST_PORT + i}"} for i, name in enumerate(self.names)
         ]
-        self.disks = [InMemory() for _ in self.names]
+        self.disks = [MemoryJournal() for _ in self.names]
         self.parts: dict[int, Part] = {}
         self.lives = 0
         self.bytes: Counter[tuple[int, str]] = Counter()  # by bin and who sent them
--- a/benchmarks/http_relay.py
+++ b/benchmarks/http_relay.py
@@ -5,25 +5,25 @@
 import sys
 from typing import Any
 
-from ochrecourse.steady import raise_files, steady_reactor
+from ochrecourse.common.monotonic_reactor import raise_open_file_limit, install_monotonic_reactor
 
-reactor = steady_reactor()
+reactor = install_monotonic_reactor()
 
 from twisted.internet.protocol import ClientFactory  # noqa: E402
 from twisted.web.http import HTTPChannel, HTTPFactory, Request  # noqa: E402
 
 from ochrecourse.wire import messages as m  # noqa: E402
-from ochrecourse.wire.framed import Framed  # noqa: E402
-from ochrecourse.wire.moves import Side, leg_moves  # noqa: E402
+from ochrecourse.wire.framed_protocol import FramedProtocol  # noqa: E402
+from ochrecourse.wire.state import Role, node_connection_state  # noqa: E402
 
 OUTS: list[Out] = []
 
 
-class Out(Framed):
+class Out(FramedProtocol):
     """A connection to the node."""
 
     def __init__(self) -> None:
-        super().__init__(reactor, Side.ASKING, leg_moves())
+        super().__init__(reactor, Role.ASKING, node_connection_state())
         self.waiting: dict[int, Passed] = {}
         self.count = 0
 
@@ -32,7 +32,7 @@
         OUTS.append(self)
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.Done):
+        if isinstance(message, m.AttemptServed):
             request = self.waiting.pop(message.id)
             request.setHeader("Content-Length", str(message.size))
             request.write(body)
@@ -49,7 +49,7 @@
         write = self.method == b"PUT"
         product = "note-save" if write else "page-read"
         out.say(
-            m.LegSent(
+            m.SendAttempt(
                 id=out.count,
                 mark=str(out.count),
                 product=product,
@@ -69,7 +69,7 @@
 
 
 def main() -> None:
-    raise_files()
+    raise_open_file_limit()
     factory = HTTPFactory(reactor=reactor)  # type: ignore[arg-type]
     factory.protocol = Channel  # type: ignore[assignment]
     factory.log = lambda request: None  # type: ignore[method-assign]
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -16,7 +16,7 @@
 
 import click
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.exchange import Exchange
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
@@ -25,7 +25,7 @@
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.shared import Common
 from ochrecourse.fleet.views import Admit, Admitted
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 NAMES = ("a", "b", "c")
 WALL = 1_790_000_000_000  # ms since 1970 at the beginning; any time will do
@@ -37,9 +37,9 @@
 class Seat:
     """One gateway without sockets."""
 
-    def __init__(self, name: str, wall_ms: int, journal: InMemory | None = None) -> None:
+    def __init__(self, name: str, wall_ms: int, journal: MemoryJournal | None = None) -> None:
         self.name = name
-        self.journal = journal or InMemory()
+        self.journal = journal or MemoryJournal()
         self.kept = Kept(self.journal, name, Bounds(), wall_ms, 1)
         self.log = self.kept.log
         self.members = Members(name, self.log.life, 0, QUIET, LET_GO, NAMES, wall_ms * MS)
--- a/benchmarks/notices.py
+++ b/benchmarks/notices.py
@@ -16,9 +16,10 @@
 
 from ochrecourse.interface import Health
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.registrar import Registrar, age_clock
-from ochrecourse.membership.view import News
-from ochrecourse.outside import SECOND, now_ns
+from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.endpoint_list import EndpointListUpdate
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
 
 PREFIX = b"/n/"
@@ -70,12 +71,12 @@
     ends = [Endpoint(network, store, i) for i in range(3)]
     heard: list[float] = []
 
-    def told(news: News) -> None:
+    def told(news: EndpointListUpdate) -> None:
         if any(each.node == 2 and each.health is Health.DRAINING for each in news.entries):
             heard.append(network.seconds())
 
     servers = [("127.0.0.1", end.port) for end in ends]
-    gateway = Registrar("g0", network, servers, PREFIX, told, None, seed, age_clock(network, 0))
+    gateway = RegistryWatcher("g0", network, servers, PREFIX, told, None, seed, age_clock(network, 0))
     gateway.start()
     network.advance(3 + chance.random())
     noticed = network.seconds() + 0.5
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -19,9 +19,9 @@
 
 import psutil
 
-from ochrecourse.steady import raise_files, steady_reactor
+from ochrecourse.common.monotonic_reactor import raise_open_file_limit, install_monotonic_reactor
 
-reactor = steady_reactor()
+reactor = install_monotonic_reactor()
 
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from twisted.internet.defer import Deferred, inlineCallbacks  # noqa: E402
@@ -30,8 +30,8 @@
 from ochrecourse.standins.bgppeer import StandInPeer  # noqa: E402
 from ochrecourse.standins.listserver import ListServer  # noqa: E402
 from ochrecourse.wire import messages as m  # noqa: E402
-from ochrecourse.wire.framed import Framed  # noqa: E402
-from ochrecourse.wire.moves import Side, job_moves, leg_moves  # noqa: E402
+from ochrecourse.wire.framed_protocol import FramedProtocol  # noqa: E402
+from ochrecourse.wire.state import Role, client_connection_state, node_connection_state  # noqa: E402
 
 COUNT = 10_000
 NODES = 4
@@ -56,29 +56,29 @@
 """
 
 
-class Node(Framed):
+class Node(FramedProtocol):
     """Answers at once, or never (`mute`)."""
 
     mute = False
 
     def __init__(self) -> None:
-        super().__init__(reactor, Side.ANSWERING, leg_moves())
+        super().__init__(reactor, Role.ANSWERING, node_connection_state())
 
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="node"))
 
     def took(self, message: Any, body: bytes, after: Any) -> None:
-        if isinstance(message, m.LegSent) and not Node.mute:
-            self.say(m.Done(id=message.id, shard=message.shard))
-        elif isinstance(message, m.Cancel):
-            self.say(m.Cancelled(id=message.id))
+        if isinstance(message, m.SendAttempt) and not Node.mute:
+            self.say(m.AttemptServed(id=message.id, shard=message.shard))
+        elif isinstance(message, m.CancelAttempt):
+            self.say(m.AttemptCancelled(id=message.id))
 
 
-class Client(Framed):
+class Client(FramedProtocol):
     """One connection; `answered` is called with each answered id."""
 
     def __init__(self, answered: Any, ready: Any) -> None:
-        super().__init__(reactor, Side.ASKING, job_moves())
+        super().__init__(reactor, Role.ASKING, client_connection_state())
         self.answered = answered
         self.when_ready = ready
         self.count = 0
@@ -89,13 +89,13 @@
     def took(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.Hello):
             self.when_ready(self)
-        elif isinstance(message, m.Fulfilled | m.Denied | m.WrittenOff):
+        elif isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed):
             self.answered(message)
 
     def ask(self) -> int:
         self.count += 1
         self.say(
-            m.JobAsked(
+            m.SubmitRequest(
                 id=self.count,
                 product="read",
                 plan="plan",
@@ -137,7 +137,9 @@
         ]
         self.list = ListServer(reactor, 1, 0.01, lambda record: None)
         for i, port in enumerate(self.ports):
-            self.list.put(m.Listed(node=70 + i, address=f"127.0.0.1:{port.getHost().port}", shard=i), 0)
+            self.list.put(
+                m.EndpointEntry(node=70 + i, address=f"127.0.0.1:{port.getHost().port}", shard=i), 0
+            )
         self.list_port = reactor.listenTCP(0, self.list, interface="127.0.0.1").getHost().port
 
     def gateway(self, dials: int = 16, peer: int = 0) -> tuple[subprocess.Popen[bytes], int]:
@@ -160,7 +162,7 @@
     client: list[Any] = []
 
     def answered(message: Any) -> None:
-        count[0] += isinstance(message, m.Fulfilled)
+        count[0] += isinstance(message, m.RequestServed)
         client[0].ask()
 
     client.append((yield connect(port, answered)))
@@ -203,7 +205,7 @@
 
 @inlineCallbacks
 def main() -> Any:
-    raise_files()
+    raise_open_file_limit()
     yard = Yard()
     process, port = yard.gateway()
     from benchmarks.relay import start_relay
--- a/benchmarks/rush.py
+++ b/benchmarks/rush.py
@@ -25,7 +25,8 @@
 from ochrecourse.lab.fleet_instance import FleetSeat
 from ochrecourse.lab.fleet_play import FLEET_PORT, FleetPlay
 from ochrecourse.lab.fleet_world import World, day_of
-from ochrecourse.outside import MS, SECOND, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS, SECOND
 
 CLOSE = 12.0  # s; copies are warm by then
 LENGTH = 24.0
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -12,15 +12,15 @@
 
 from benchmarks.notices import PREFIX, value
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.registrar import Registrar, age_clock
-from ochrecourse.outside import SECOND
+from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
 
 GATEWAYS = 190
 NODES = 40
 
 
-class Naive(Registrar):
+class Naive(RegistryWatcher):
     """Comes back at once, always to the first server, and reads the whole range anew."""
 
     def _broke(self, why: str) -> None:
@@ -41,7 +41,7 @@
     right: dict[int, float] = {}
     gateways = []
     servers = [("127.0.0.1", end.port) for end in ends]
-    make = Naive if kind == "naive" else Registrar
+    make = Naive if kind == "naive" else RegistryWatcher
     for i in range(GATEWAYS):
 
         def told(news: object, i: int = i) -> None:
--- a/ochrecourse/bgp/fitness.py
+++ b/ochrecourse/bgp/fitness.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 from collections import deque
 from dataclasses import dataclass
--- a/ochrecourse/bgp/session.py
+++ b/ochrecourse/bgp/session.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 from collections import Counter, deque
 from collections.abc import Callable
--- a/ochrecourse/bgp/setup.py
+++ b/ochrecourse/bgp/setup.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 import ipaddress
 from collections.abc import Callable, Mapping
--- a/ochrecourse/bgp/speaker.py
+++ b/ochrecourse/bgp/speaker.py
@@ -23,8 +23,9 @@
 from ochrecourse.bgp.fitness import Drain, Fitness, Sight, Stage, Standing
 from ochrecourse.bgp.session import Dial, Drop, Peer, PeerFigures, Say
 from ochrecourse.bgp.setup import AddressSetup, PeerSetup, SpeakerSetup
-from ochrecourse.gateway.lateness import Lateness
-from ochrecourse.outside import SECOND, Network, Timer, now_ns, stop
+from ochrecourse.common.event_loop_lag import EventLoopLag
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import SECOND
 
 LOOK = (
     0.1  # s between looks at the gateway; a tenth of the second in which a loss of service is to be withdrawn
@@ -175,7 +176,7 @@
         self.told = told
         self.setup = setup
         self.drain = Drain(setup.drain)
-        self.lateness = Lateness()
+        self.lateness = EventLoopLag()
         self.peers = [HeldPeer(self, each) for each in setup.peers]
         self.addresses: list[ServiceAddress] = []
         for address in setup.addresses:
--- a/ochrecourse/bgp/watch.py
+++ b/ochrecourse/bgp/watch.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ochrecourse.gateway.ledger import Closing
+from ochrecourse.common.request_records import RequestOutcome
 
 SPAN = 5_000_000_000  # ns that count as recent; some hundreds of jobs on a working gateway
 SHORT = 1_000_000_000  # ns in which a gateway that serves fulfils at least one of many jobs
@@ -32,11 +32,11 @@
     def __init__(self) -> None:
         self.looks: deque[tuple[int, int, int, int]] = deque()  # when, answered, bad, fulfilled
 
-    def look(self, closings: Mapping[Closing, int], now: int) -> Recent:
+    def look(self, closings: Mapping[RequestOutcome, int], now: int) -> Recent:
         """Takes the counters as they are now."""
-        bad = closings.get(Closing.WRITTEN_OFF, 0) + closings.get(Closing.TOO_LATE, 0)
-        good = closings.get(Closing.FULFILLED, 0)
-        whole = bad + good + closings.get(Closing.DENIED, 0)
+        bad = closings.get(RequestOutcome.WRITTEN_OFF, 0) + closings.get(RequestOutcome.TOO_LATE, 0)
+        good = closings.get(RequestOutcome.FULFILLED, 0)
+        whole = bad + good + closings.get(RequestOutcome.DENIED, 0)
         self.looks.append((now, whole, bad, good))
         while self.looks[0][0] < now - SPAN:
             self.looks.popleft()
--- a/ochrecourse/cli/alike.py
+++ b/ochrecourse/cli/alike.py
@@ -52,10 +52,10 @@
 def _on_sockets(scenario: Any, expected: Any) -> list[str]:
     """The library on sockets, then the daemon as a process; what differs from what is expected."""
     from ochrecourse.lab import alike as a
-    from ochrecourse.steady import raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import raise_open_file_limit, install_monotonic_reactor
 
-    reactor = steady_reactor()
-    raise_files()
+    reactor = install_monotonic_reactor()
+    raise_open_file_limit()
     found: list[str] = []
     names = {False: "library on sockets", True: "daemon as a process"}
 
--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -18,7 +18,7 @@
 import click
 
 from ochrecourse.cli.handover import Sockets
-from ochrecourse.gateway.handover import Handover, Step
+from ochrecourse.gateway.socket_handover import Handover, HandoverStep
 
 LONGEST_LINE = 1 << 18  # bytes; holds an append of the longest entry
 TAKE_BACK = 0.5  # s between tries to take a place in the fleet back from a process that ended
@@ -51,7 +51,7 @@
 
         def connectionLost(self, reason: Any = None) -> None:
             if handover.lost(self):
-                take_back(reactor, daemon, sockets, lambda: handover.step is Step.NONE)
+                take_back(reactor, daemon, sockets, lambda: handover.step is HandoverStep.NONE)
 
         def _hand_over(self) -> None:
             why = handover.ask(self, daemon.gateway.leaving.takes())
@@ -97,13 +97,13 @@
     no other has asked for it meanwhile (`alone`) and this one does not leave."""
     from twisted.internet.error import CannotListenError
 
-    from ochrecourse.durable.journal import BadJournal
+    from ochrecourse.storage.journal import JournalError
 
     if not alone() or not daemon.gateway.leaving.takes():
         return
     try:
         daemon.rejoin(sockets.listen)
-    except (BadJournal, OSError, CannotListenError) as trouble:
+    except (JournalError, OSError, CannotListenError) as trouble:
         # The other process may still be ending: its lock goes with it.
         daemon.say("fleet not joined again", why=str(trouble))
         reactor.callLater(TAKE_BACK, take_back, reactor, daemon, sockets, alone)
--- a/ochrecourse/cli/day.py
+++ b/ochrecourse/cli/day.py
@@ -174,16 +174,20 @@
 
 
 def _play_real(this: Day, folder: Path, people: int) -> Any:
-    from ochrecourse.steady import Collector, raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import (
+        CycleCollector,
+        raise_open_file_limit,
+        install_monotonic_reactor,
+    )
 
-    reactor = steady_reactor()
+    reactor = install_monotonic_reactor()
     from ochrecourse.lab.real import RealPlay
 
-    raise_files()
+    raise_open_file_limit()
     real = RealPlay(this, reactor, folder, reactor.stop, people)
     real.start()
     clients = real.people or real.load
-    Collector(reactor, lambda: False, lambda: clients.conns)  # clients that stand still see late answers
+    CycleCollector(reactor, lambda: False, lambda: clients.conns)  # clients that stand still see late answers
     reactor.run()
     return real
 
--- a/ochrecourse/cli/load.py
+++ b/ochrecourse/cli/load.py
@@ -90,7 +90,11 @@
     """Runs what `start` makes until it stops the reactor, and prints its outcomes."""
     import msgspec
 
-    from ochrecourse.steady import Collector, raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import (
+        CycleCollector,
+        raise_open_file_limit,
+        install_monotonic_reactor,
+    )
     from ochrecourse.settings.load import address
 
     places = [address(each) for each in gateways]
@@ -99,16 +103,16 @@
             click.echo(f"{each!r} is no address; an address is HOST:PORT", err=True)
             sys.exit(2)
     this = msgspec.structs.replace(day_or_exit(day, seed), gateways=len(gateways))
-    reactor = steady_reactor()
+    reactor = install_monotonic_reactor()
 
     from ochrecourse.audit.records import ToFile, nowhere
     from ochrecourse.lab.report import outcome_lines, outcome_map
 
-    raise_files()
+    raise_open_file_limit()
     to_file = ToFile(records) if records else None
     sending = start(reactor, this, {i: lambda i=i: places[i] for i in range(len(places))}, to_file or nowhere)
     # Guards against clients that stand still for some 80 ms and take that for a late answer.
-    Collector(reactor, lambda: False, lambda: sending.conns)
+    CycleCollector(reactor, lambda: False, lambda: sending.conns)
     reactor.run()
     if to_file:
         to_file.close()
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -12,9 +12,10 @@
 import structlog
 
 from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.gateway.ledger import Closing, JobStory
-from ochrecourse.gateway.sampling import Sampling
-from ochrecourse.outside import MS, Clock, now_ns
+from ochrecourse.common.request_records import RequestOutcome, RequestRecord
+from ochrecourse.gateway.log_sampling import LogSampler
+from ochrecourse.common.runtime import Clock, now_ns
+from ochrecourse.common.time_units import MS
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING}
 
@@ -78,12 +79,12 @@
     flooded.
     """
 
-    def __init__(self, log: Any, sampling: Sampling) -> None:
+    def __init__(self, log: Any, sampling: LogSampler) -> None:
         self.log = log
         self.sampling = sampling
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
-        well = story.closing is Closing.FULFILLED and len(story.legs) <= 1  # without one: from a copy
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+        well = story.closing is RequestOutcome.FULFILLED and len(story.legs) <= 1  # without one: from a copy
         if not self.sampling.writes(well, now_ns(gateway.clock)):
             return
         kinds = gateway.kinds
@@ -117,7 +118,7 @@
 class AccessLog:
     """Writes one line a WebDAV request, sampled as the jobs' lines are: what did not go well comes first."""
 
-    def __init__(self, log: Any, sampling: Sampling, clock: Clock) -> None:
+    def __init__(self, log: Any, sampling: LogSampler, clock: Clock) -> None:
         self.log = log
         self.sampling = sampling
         self.clock = clock
--- a/ochrecourse/cli/nodes.py
+++ b/ochrecourse/cli/nodes.py
@@ -49,16 +49,16 @@
 
 
 def _run(day: Any, records: Path | None, wait: bool) -> None:
-    from ochrecourse.steady import raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import raise_open_file_limit, install_monotonic_reactor
 
-    reactor = steady_reactor()
+    reactor = install_monotonic_reactor()
     from twisted.internet.stdio import StandardIO
     from twisted.protocols.basic import LineReceiver
 
     from ochrecourse.audit.records import ToFile, nowhere
     from ochrecourse.lab.play import make_fleet, play_troubles
 
-    raise_files()
+    raise_open_file_limit()
     to_file = ToFile(records) if records else None
     fleet = make_fleet(day, reactor, to_file or nowhere)
 
--- a/ochrecourse/cli/serve.py
+++ b/ochrecourse/cli/serve.py
@@ -32,9 +32,13 @@
     over what may change.
     """
     record = read_or_exit(file)
-    from ochrecourse.steady import Collector, raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import (
+        CycleCollector,
+        raise_open_file_limit,
+        install_monotonic_reactor,
+    )
 
-    reactor = steady_reactor()
+    reactor = install_monotonic_reactor()
 
     from twisted.internet.error import CannotListenError
 
@@ -42,10 +46,10 @@
     from ochrecourse.cli.control import serve_control
     from ochrecourse.cli.handover import LOCK_TIME, LOOK, START_TIME, Sockets, ask_for, where
     from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
-    from ochrecourse.durable.journal import BadJournal
+    from ochrecourse.storage.journal import JournalError
     from ochrecourse.gateway.daemon import Daemon
-    from ochrecourse.gateway.handover import in_the_way, moved_from
-    from ochrecourse.gateway.sampling import Sampling
+    from ochrecourse.gateway.socket_handover import in_the_way, moved_from
+    from ochrecourse.gateway.log_sampling import LogSampler
     from ochrecourse.settings.load import Refused, address, load
     from ochrecourse.webdav.kept import Unreadable
 
@@ -54,11 +58,11 @@
     log = set_up(settings["log"]["form"], settings["log"]["level"], aside).bind(
         gateway=settings["gateway"]["name"]
     )
-    sampling = Sampling(settings["log"]["sample"])
+    sampling = LogSampler(settings["log"]["sample"])
     if take_over and "webdav" in settings:  # before its state is touched, which the running process has
         click.echo(f"ochrecourse: nothing was taken over: {in_the_way(settings)}", err=True)
         sys.exit(2)
-    files = raise_files()
+    files = raise_open_file_limit()
     epoch = int(time.time() - time.monotonic())
     access = AccessLog(log, sampling, reactor)
     jobs = [JobLog(log, sampling)]
@@ -67,7 +71,7 @@
             settings, reactor, jobs, log.warning, reactor.stop, log.info, epoch=epoch, access=access,
             epoch_ms=lambda: time.time_ns() // 1_000_000, later=take_over
         )  # fmt: skip
-    except (BadJournal, Unreadable, OSError) as trouble:
+    except (JournalError, Unreadable, OSError) as trouble:
         click.echo(f"ochrecourse: what the state folder keeps is not to be had: {trouble}", err=True)
         sys.exit(2)
 
@@ -154,7 +158,7 @@
             return
         try:
             daemon.join()
-        except (BadJournal, OSError) as trouble:
+        except (JournalError, OSError) as trouble:
             if waited >= LOCK_TIME:
                 not_taken(f"what the state folder keeps is not to be had: {trouble}")
             else:
@@ -201,7 +205,7 @@
             click.echo(f"ochrecourse: cannot listen: {trouble.socketError}", err=True)
             sys.exit(2)
     door = daemon.door
-    Collector(
+    CycleCollector(
         reactor,
         lambda: not daemon.gateway.ledger.open,
         lambda: daemon.front.closed + (door.closed if door is not None else 0),
--- a/ochrecourse/cli/together.py
+++ b/ochrecourse/cli/together.py
@@ -50,13 +50,17 @@
 
 
 def _play(this: Any, folder: Path, forms: list[bool]) -> list[Any]:
-    from ochrecourse.steady import Collector, raise_files, steady_reactor
+    from ochrecourse.common.monotonic_reactor import (
+        CycleCollector,
+        raise_open_file_limit,
+        install_monotonic_reactor,
+    )
 
-    reactor = steady_reactor()
+    reactor = install_monotonic_reactor()
     from ochrecourse.lab.rolling_play import RollingPlay
 
     player = RollingPlay if this.newest else this.player()
-    raise_files()
+    raise_open_file_limit()
     plays: list[Any] = []
 
     def next_one() -> None:
@@ -70,7 +74,7 @@
         plays[-1].start()
 
     reactor.callWhenRunning(next_one)
-    Collector(reactor, lambda: False, lambda: sum(play.load.conns for play in plays))
+    CycleCollector(reactor, lambda: False, lambda: sum(play.load.conns for play in plays))
     reactor.run()
     return plays
 
@@ -82,7 +86,7 @@
     from ochrecourse.lab.figures import figures_of
     from ochrecourse.lab.report import outcome_map
     from ochrecourse.lab.together import TRAVEL, came
-    from ochrecourse.outside import MS
+    from ochrecourse.common.time_units import MS
 
     told: dict[str, Any] = {"day": this.day.name, "seed": this.day.seed, "alone": alone, "kept": False}
     told |= {"troubles": run.troubles, "rules": [], "figures": {}}
--- a/ochrecourse/gateway/turns.py
+++ b/ochrecourse/common/event_loop.py
@@ -4,13 +4,13 @@
 
 from collections import deque
 
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 WAITED = 1 * MS  # a poll that took longer waited: it found nothing ready when it began
 POLLS = 3  # one tells of bytes, the next of the end behind them, which is read somewhere in its turn
 
 
-class Turns:
+class PollHistory:
     """The last polls of one loop."""
 
     def __init__(self) -> None:
--- a/ochrecourse/gateway/lateness.py
+++ b/ochrecourse/common/event_loop_lag.py
@@ -15,7 +15,7 @@
 KEPT = 64  # the last so many late timers are remembered, for what is shown to operators
 
 
-class Lateness:
+class EventLoopLag:
     """The lateness of one loop."""
 
     def __init__(self) -> None:
--- a/ochrecourse/steady.py
+++ b/ochrecourse/common/monotonic_reactor.py
@@ -13,13 +13,13 @@
 from twisted.internet.main import CONNECTION_DONE, installReactor
 from twisted.python.failure import Failure
 
-from ochrecourse.gateway.turns import Turns
-from ochrecourse.outside import now_ns
+from ochrecourse.common.event_loop import PollHistory
+from ochrecourse.common.runtime import now_ns
 
 FULL = 0.02  # s in which a port that can accept nothing is not asked again; its clients wait in the kernel
 
 
-class SteadyPort(tcp.Port):
+class BoundedAcceptPort(tcp.Port):
     """A listening port that accepts no more than there is room for, and leaves nobody behind when it closes.
 
     `room`: how many more connections may be open now; by default there is no such bound.
@@ -72,10 +72,10 @@
             self._pause = None
 
 
-class TimedPoller:
+class RecordingPoller:
     """A reactor's poller, whose polls are told to `turns`."""
 
-    def __init__(self, poller: Any, reactor: Any, turns: Turns) -> None:
+    def __init__(self, poller: Any, reactor: Any, turns: PollHistory) -> None:
         self.poller = poller
         self.reactor = reactor
         self.turns = turns
@@ -98,14 +98,14 @@
     poller = getattr(reactor, "_poller", None)  # Twisted has no public place from which a poll can be seen
     if poller is None:
         return None
-    turns = Turns()
-    reactor._poller = TimedPoller(poller, reactor, turns)
+    turns = PollHistory()
+    reactor._poller = RecordingPoller(poller, reactor, turns)
     return turns.unread_since
 
 
 def make_reactor(port_type: type[tcp.Port] = tcp.Port) -> Any:
-    """A reactor that is not the process's; `steady_reactor` makes and installs that. `port_type`: what it
-    listens with.
+    """A reactor that is not the process's; `install_monotonic_reactor` makes and installs that.
+    `port_type`: what it listens with.
     """
     if sys.platform == "linux":
         from twisted.internet.epollreactor import EPollReactor as Base
@@ -123,7 +123,7 @@
     return Steady()  # type: ignore[no-untyped-call]
 
 
-def steady_reactor(port_type: type[tcp.Port] = tcp.Port) -> Any:
+def install_monotonic_reactor(port_type: type[tcp.Port] = tcp.Port) -> Any:
     """Installs and returns the process's reactor. Call it once, before anything imports the global one."""
     reactor = make_reactor(port_type)
     installReactor(reactor)  # type: ignore[no-untyped-call]
@@ -134,7 +134,7 @@
 MANY = 5_000  # connections closed since the last collection; each leaves a few KiB in cycles
 
 
-class Collector:
+class CycleCollector:
     """Collects cycles when it costs no job its time, or when closed connections have left many.
 
     Guards against pauses of tens of ms: jobs keep entries until their promised time, and the interpreter's
@@ -160,7 +160,7 @@
         self.reactor.callLater(TIDY, self.look)
 
 
-def raise_files() -> int:
+def raise_open_file_limit() -> int:
     """Raises the soft limit of open files to the hard one; returns it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and soft < hard:
--- a/ochrecourse/outside.py
+++ b/ochrecourse/common/runtime.py
@@ -9,8 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-SECOND = 1_000_000_000  # ns in a second
-MS = 1_000_000  # ns in a millisecond
+from ochrecourse.common.time_units import SECOND
 
 
 class Timer(Protocol):
--- /dev/null
+++ b/ochrecourse/common/time_units.py
@@ -0,0 +1,6 @@
+"""Units of time. All times inside are whole nanoseconds."""
+
+from __future__ import annotations
+
+MS = 1_000_000  # ns in a millisecond
+SECOND = 1_000 * MS  # ns in a second
--- a/ochrecourse/fleet/allot.py
+++ b/ochrecourse/fleet/allot.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 SETTLE = 2000  # ms that what a bound let begin still weighs on a node, more than a rule's window and a beat
 LENDABLE = 0.5  # of its own part that a gateway may lend; the other half is safe to use after a lost disk
--- a/ochrecourse/fleet/awake.py
+++ b/ochrecourse/fleet/awake.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ochrecourse.outside import Clock
+from ochrecourse.common.runtime import Clock
 
 
 class Woken(Protocol):
--- a/ochrecourse/fleet/clocks.py
+++ b/ochrecourse/fleet/clocks.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 PEERS = 16  # other clocks that are compared; each costs some 50 bytes of what is told to all
 TELLS = 4  # times the bound: answers that leave more open than that say nothing of a clock
--- a/ochrecourse/fleet/evidence.py
+++ b/ochrecourse/fleet/evidence.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ochrecourse.interface import Ending
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 MOST = 1024  # zones, and nodes, that one sight tells of; the largest fleet that is planned for
 SAMPLE = 64  # nodes of one zone that a sight tells of; far more than tell a lost zone from a bad rack
--- a/ochrecourse/fleet/exchange.py
+++ b/ochrecourse/fleet/exchange.py
@@ -46,7 +46,7 @@
     tag_of,
 )
 from ochrecourse.fleet.shared import Common
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 FRAMES = 1000  # frames a second that a peer may send; a sender of ours keeps to half of it
 BURST = 2000  # and so many at once
--- a/ochrecourse/fleet/held.py
+++ b/ochrecourse/fleet/held.py
@@ -23,7 +23,7 @@
 from cachetools import LRUCache
 
 from ochrecourse.fleet.calendar import Scope
-from ochrecourse.gateway.gateway import Asker, Request
+from ochrecourse.gateway.gateway import ResponseHandler, Request
 
 OVERHEAD = 512  # bytes that a copy costs beside its pieces, as measured on 64-bit CPython
 READERS = 256  # answers on their way to clients that take them slowly; one more read goes to the nodes
@@ -58,7 +58,7 @@
     def fulfil(self, job: int) -> bool:
         """Books the one answer of a job without a leg; False if nobody waits for it any more."""
 
-    def send_on(self, job: int, asker: Asker) -> None:
+    def send_on(self, job: int, asker: ResponseHandler) -> None:
         """The job goes to the nodes after all; this asker hears of it."""
 
     def finish(self, job: int, whole: bool) -> None:
@@ -88,7 +88,7 @@
 
     __slots__ = ("asker", "busy", "copy", "fetch", "job", "key", "next", "owed")
 
-    def __init__(self, job: int, asker: Asker, copy: _Copy, key: Key, fetch: Fetch | None) -> None:
+    def __init__(self, job: int, asker: ResponseHandler, copy: _Copy, key: Key, fetch: Fetch | None) -> None:
         self.job = job
         self.asker = asker
         self.copy = copy
@@ -103,7 +103,7 @@
     job: int
     request: Request
     due: int
-    asker: Asker
+    asker: ResponseHandler
     turn: int  # which read it was, of all that came
 
 
@@ -111,7 +111,7 @@
     """One fetch from the nodes that may become a copy. It stands between its own asker and the gateway."""
 
     def __init__(
-        self, copies: Copies, job: int, due: int, key: Key, mark: Mark, asker: Asker, turn: int
+        self, copies: Copies, job: int, due: int, key: Key, mark: Mark, asker: ResponseHandler, turn: int
     ) -> None:
         self.copies = copies
         self.job = job
@@ -214,7 +214,9 @@
 
     # --- what the gateway tells (gateway.Copies) ---
 
-    def came(self, job: int, request: Request, write: bool, due: int, asker: Asker) -> Asker | None:
+    def came(
+        self, job: int, request: Request, write: bool, due: int, asker: ResponseHandler
+    ) -> ResponseHandler | None:
         """A job that was taken: who hears of it from the nodes, or None if it needs no leg for now."""
         if write:
             self._write(job, (request.volume, request.key))
@@ -224,7 +226,7 @@
         self.turn += 1
         return self._came(_Waiting(job, request, due, asker, self.turn))
 
-    def _came(self, read: _Waiting) -> Asker | None:
+    def _came(self, read: _Waiting) -> ResponseHandler | None:
         job, request, due, asker, _ = read
         key = Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
         if not self.may(request.volume, request.plan):
@@ -248,7 +250,7 @@
         self.fetches[key] = self.fetching[job] = own
         return own
 
-    def _apart(self, key: Key, read: _Waiting) -> Asker | None:
+    def _apart(self, key: Key, read: _Waiting) -> ResponseHandler | None:
         """A read while no copy may be used: it shares a fetch only if that began after it came."""
         fetch = self.unshared.get(key)
         if fetch is None:
--- a/ochrecourse/fleet/link.py
+++ b/ochrecourse/fleet/link.py
@@ -18,7 +18,7 @@
 from ochrecourse.fleet.entries import Entry
 from ochrecourse.fleet.exchange import Exchange
 from ochrecourse.fleet.messages import LONGEST_HEADER, SLOW, BadPeer
-from ochrecourse.outside import Clock, Timer, now_ns, stop
+from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 
 MESSAGE_TIME = 5.0  # s in which a begun frame must be whole; a slow sender holds nothing up
 LAST_WORDS = 1.0  # s for a peer to read why a link ends, then it is cut
--- a/ochrecourse/fleet/mesh.py
+++ b/ochrecourse/fleet/mesh.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 ALL = 16  # gateways up to which everybody is linked to everybody; more would cost more than they tell
 FIRST_WAIT = 100 * MS  # before a dial that failed is tried again; doubled each time
--- a/ochrecourse/fleet/needs.py
+++ b/ochrecourse/fleet/needs.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 HALF = 10 * SECOND  # ns in which a seen need halves; some jobs of a shard, at a job every few seconds
 USUAL = 1 / 32  # weight of the newest job in the mean of units; single large jobs hardly move it
--- a/ochrecourse/fleet/part.py
+++ b/ochrecourse/fleet/part.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ochrecourse.durable.journal import Journal
+from ochrecourse.storage.journal import Journal
 from ochrecourse.fleet.channel import ORDINARY, Told
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.exchange import Exchange
@@ -31,9 +31,11 @@
 from ochrecourse.fleet.terms import Terms
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
-from ochrecourse.gateway.ledger import JobStory, Ledger, LegStory
+from ochrecourse.common.request_records import RequestRecord, AttemptRecord
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import NodeEntry
-from ochrecourse.outside import MS, SECOND, Network, Timer, now_ns, stop
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.settings.load import address
 
 COMPACTED = 0.25  # of a channel's bytes, above which channel `fleet` gives way to a snapshot
@@ -83,8 +85,8 @@
     """What is needed of a gateway."""
 
     name: str
-    ledger: Ledger
-    legs_over: list[Callable[[JobStory, LegStory], None]]
+    ledger: RequestLog
+    legs_over: list[Callable[[RequestRecord, AttemptRecord], None]]
 
     def bounds_came(self, bounds: Mapping[int, float]) -> None: ...
 
@@ -679,7 +681,7 @@
             for entry in (*kept_in(snapshot, tenant.name), *kept_in(snapshot, OTHERS)):
                 tenant.event(entry, now)
 
-    def _leg_over(self, story: JobStory, leg: LegStory) -> None:
+    def _leg_over(self, story: RequestRecord, leg: AttemptRecord) -> None:
         if self.watch is not None:
             self.watch.leg_over(story, leg, now_ns(self.network))
 
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -19,7 +19,7 @@
 from ochrecourse.fleet.part import Part
 from ochrecourse.fleet.purges import DAY, Purges
 from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.outside import Clock, now_ns
+from ochrecourse.common.runtime import Clock, now_ns
 
 MATES = 3  # gateways before and behind it whose clocks one asks for, of its site if there are more
 BETWEEN = 0.001  # s between two steps of a drop, in which the loop serves others
--- a/ochrecourse/fleet/purges.py
+++ b/ochrecourse/fleet/purges.py
@@ -28,7 +28,7 @@
 from ochrecourse.fleet.calendar import FAR, LONG_AGO, Due, Edition, Instant, Moment, Scope, SiteCalendar
 from ochrecourse.fleet.clocks import Told, WallClock
 from ochrecourse.fleet.entries import Entry, Place
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 DAY = 86_400_000  # ms
 CATCH_UP = 40 * DAY  # moments longer ago are no longer settled: longer than any holiday, shorter than a log
--- a/ochrecourse/fleet/shared.py
+++ b/ochrecourse/fleet/shared.py
@@ -17,7 +17,7 @@
 from ochrecourse.fleet.log import Holes, Log, Snapshot
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.messages import Hello
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 SLICE = 8192  # bytes of entries or of a snapshot in a frame: some 60 short ones, merged in 2 ms
 EAGER = 2 * SLICE  # bytes of the log that may go at once, over all links, after a time in which none went
--- a/ochrecourse/fleet/zones.py
+++ b/ochrecourse/fleet/zones.py
@@ -21,7 +21,7 @@
 from ochrecourse.fleet.needs import Needs, borrower, named
 from ochrecourse.fleet.standing import CHANNEL, UNSAID, WORDS, Decision, Standing, Standings
 from ochrecourse.interface import Ending
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 DEFAULTS: Mapping[str, float] = {
     "window": 2000,  # ms over which legs are counted; some tens of legs a node, and soon over
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -13,9 +13,9 @@
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.standing import CHANNEL, WORDS, Standing, Standings, name_of
 from ochrecourse.fleet.zones import Zones, order
-from ochrecourse.gateway.ledger import JobStory, LegStory
+from ochrecourse.common.request_records import RequestRecord, AttemptRecord
 from ochrecourse.interface import Ending, Health, NodeEntry
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 OVER_MS = 600_000  # ms after its end in which nobody uses a loan any more, whatever the clocks say
 SMOOTH = 1 / 32  # weight of the newest leg in its product's usual time; single slow legs hardly move it
@@ -27,7 +27,7 @@
 class Books(Protocol):
     """Where the jobs are that are not over (gateway.ledger.Ledger)."""
 
-    jobs: dict[int, JobStory]
+    jobs: dict[int, RequestRecord]
 
 
 class ZoneWatch:
@@ -66,7 +66,7 @@
             now,
         )
 
-    def leg_over(self, story: JobStory, leg: LegStory, now: int) -> None:
+    def leg_over(self, story: RequestRecord, leg: AttemptRecord, now: int) -> None:
         """A leg came to its end."""
         if leg.ending is None:
             return
--- a/ochrecourse/gateway/front.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -14,12 +14,13 @@
 from twisted.internet.protocol import Factory
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import BadRequest, Gateway, Request
-from ochrecourse.gateway.spool import Spool
-from ochrecourse.outside import MS, Clock, Timer, now_ns, stop
+from ochrecourse.gateway.gateway import BadRequestError, Gateway, Request
+from ochrecourse.gateway.request_body import RequestBody
+from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import HEADER_TIME, Framed
-from ochrecourse.wire.moves import Open, Side, job_moves
+from ochrecourse.wire.framed_protocol import HEADER_TIME, FramedProtocol
+from ochrecourse.wire.state import StreamState, Role, client_connection_state
 
 TRACE = 64  # characters of a client's own name for a job that are kept; it stands in every leg's header
 LARGEST_BODY = 1 << 32  # bytes; what a temporary file is asked to hold at most
@@ -28,7 +29,7 @@
 class _Upload:
     """A job whose body is still coming; `timer` ends it when its client would have given up."""
 
-    def __init__(self, asked: m.JobAsked, read_at: int, spool: Spool) -> None:
+    def __init__(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
         self.asked = asked
         self.read_at = read_at
         self.spool = spool
@@ -36,11 +37,11 @@
 
 
 @implementer(IPushProducer)
-class Front(Framed):
+class ClientConnection(FramedProtocol):
     """One client's connection. It is the asker of all jobs that came on it."""
 
-    def __init__(self, factory: FrontFactory) -> None:
-        super().__init__(factory.clock, Side.ANSWERING, job_moves())
+    def __init__(self, factory: ClientConnectionFactory) -> None:
+        super().__init__(factory.clock, Role.ANSWERING, client_connection_state())
         self.factory = factory
         self.gateway = factory.gateway
         self.uploads: dict[int, _Upload] = {}
@@ -61,22 +62,22 @@
         self.transport.registerProducer(self, True)
         self.say(m.Hello(version=m.VERSION, role="gateway", name=self.gateway.name))
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             stop(self.greeting)
-        elif isinstance(message, m.JobAsked):
+        elif isinstance(message, m.SubmitRequest):
             self._asked(message, body)
-        elif isinstance(message, m.Part):
+        elif isinstance(message, m.BodyChunk):
             self._part(message.id, body)
-        elif isinstance(message, m.Leave):
+        elif isinstance(message, m.CancelRequest):
             self._leave(message.id, after)
 
-    def _asked(self, asked: m.JobAsked, body: bytes) -> None:
+    def _asked(self, asked: m.SubmitRequest, body: bytes) -> None:
         now = now_ns(self.clock)
         if asked.size > LARGEST_BODY:
             self._refuse(asked.id, "body_limit", f"a body of {asked.size} bytes; at most {LARGEST_BODY}")
             return
-        spool = Spool(asked.size)
+        spool = RequestBody(asked.size)
         spool.write(body)
         if spool.whole():
             self._take(asked, now, spool)
@@ -100,7 +101,7 @@
         upload.spool.close()
         self._refuse(number, "late_body", "the body was not whole before the client's own timeout")
 
-    def _take(self, asked: m.JobAsked, read_at: int, spool: Spool) -> None:
+    def _take(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
         timeout = asked.timeout_ms * MS
         request = Request(
             product=asked.product,
@@ -119,16 +120,16 @@
         self.jobs[job], self.numbers[asked.id] = asked.id, job
         try:
             self.gateway.take(request, self)
-        except BadRequest as trouble:
+        except BadRequestError as trouble:
             spool.close()
             self._forget(job)
             self._refuse(asked.id, trouble.code, str(trouble))
 
     def _refuse(self, number: int, code: str, text: str) -> None:
         self.factory.counts[f"refused: {code}"] += 1
-        self.say(m.Fault(id=number, code=code, text=text))
+        self.say(m.ErrorNotice(id=number, code=code, text=text))
 
-    def _leave(self, number: int, after: Open | None) -> None:
+    def _leave(self, number: int, after: StreamState | None) -> None:
         upload = self.uploads.pop(number, None)
         if upload is not None:
             upload.spool.close()
@@ -137,8 +138,8 @@
         if job is not None:
             self._forget(job)
             self.gateway.leave(job)
-        if after not in (Open.CLOSED, None):
-            self.say(m.Left(id=number))
+        if after not in (StreamState.CLOSED, None):
+            self.say(m.RequestCancelled(id=number))
 
     def _forget(self, job: int) -> int | None:
         number = self.jobs.pop(job, None)
@@ -149,7 +150,7 @@
     # --- the answer (gateway.Asker) ---
 
     def fulfilled(self, job: int, size: int, shard: int) -> None:
-        self.say(m.Fulfilled(id=self.jobs[job], size=size, shard=shard))
+        self.say(m.RequestServed(id=self.jobs[job], size=size, shard=shard))
         if not size:
             self._forget(job)
 
@@ -158,7 +159,7 @@
         if number is None:
             self.gateway.room(job, len(data))
             return
-        self.say(m.Part(id=number), data)
+        self.say(m.BodyChunk(id=number), data)
         if number not in self.moves.standing:
             self._forget(job)
         elif self.blocked:
@@ -168,15 +169,15 @@
 
     def broke_off(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.WrittenOff(id=number))
+            self.say(m.RequestFailed(id=number))
 
     def denied(self, job: int, come_back: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.Denied(id=number, come_back_ms=come_back / MS))
+            self.say(m.RequestRejected(id=number, come_back_ms=come_back / MS))
 
     def written_off(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.WrittenOff(id=number))
+            self.say(m.RequestFailed(id=number))
 
     # --- back-pressure from the client (IPushProducer) ---
 
@@ -207,8 +208,10 @@
             self.gateway.leave(job)
 
 
-class FrontFactory(Factory):
-    """Makes a `Front` for each client. `most`: connections at once; one more is told so and closed."""
+class ClientConnectionFactory(Factory):
+    """Makes a `ClientConnection` for each client. `most`: connections at once; one more is told so and
+    closed.
+    """
 
     noisy = False
 
@@ -216,17 +219,17 @@
         self.gateway = gateway
         self.clock = clock
         self.most = most
-        self.fronts: dict[Front, None] = {}
+        self.fronts: dict[ClientConnection, None] = {}
         self.counts: Counter[str] = Counter()
         self.closed = 0  # connections so far
 
-    def buildProtocol(self, addr: Any) -> Front:
-        return Front(self)
+    def buildProtocol(self, addr: Any) -> ClientConnection:
+        return ClientConnection(self)
 
     def say_bye(self) -> None:
         """Tells every client that no new jobs are taken."""
         for front in self.fronts:
-            front.say(m.Bye(reason="draining"))
+            front.say(m.GoAway(reason="draining"))
 
     def close(self) -> None:
         """Closes all connections once what was written to them has gone out."""
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -17,21 +17,22 @@
 from ochrecourse.bgp.setup import setup_of
 from ochrecourse.bgp.speaker import Speaker
 from ochrecourse.bgp.watch import Watch
-from ochrecourse.decide import Scheduler
-from ochrecourse.durable.journal import InFile, InMemory, Journal
-from ochrecourse.durable.sole import Sole
-from ochrecourse.gateway.front import FrontFactory
-from ochrecourse.gateway.gateway import Gateway, Observer
-from ochrecourse.gateway.ledger import JobStory
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.storage.journal import FileJournal, MemoryJournal, Journal
+from ochrecourse.storage.process_lock import ProcessLock
+from ochrecourse.gateway.client_connection import ClientConnectionFactory
+from ochrecourse.gateway.gateway import Gateway, RequestObserver
+from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.interface import Decisions, Health, ListKind
-from ochrecourse.membership.conflicts import Sightings, conflicts
-from ochrecourse.membership.enrolled import Enrolled
-from ochrecourse.membership.follower import Follower
-from ochrecourse.membership.registrar import Registrar, age_clock
-from ochrecourse.membership.view import Copy, News
+from ochrecourse.membership.conflicts import NodeObservations, conflicts
+from ochrecourse.membership.registration import Registration
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.endpoint_list import EndpointListSnapshot, EndpointListUpdate
 from ochrecourse.nodes.framed_connection import dialler
-from ochrecourse.nodes.proof import Seen
-from ochrecourse.outside import MS, SECOND, Network, now_ns
+from ochrecourse.nodes.outcome import AttemptEvent
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.settings.load import address
 from ochrecourse.settings.plain import plain_map
 from ochrecourse.webdav.door import Door
@@ -55,7 +56,7 @@
         self,
         record: Mapping[str, Any],
         network: Network,
-        observers: Sequence[Observer],
+        observers: Sequence[RequestObserver],
         warn: Callable[[str], None],
         gone: Callable[[], None],
         told: Callable[..., None] | None = None,
@@ -78,7 +79,7 @@
         self.gone = gone
         own = record["gateway"]
         seed = own["seed"] or random.SystemRandom().getrandbits(63)
-        self.sightings = Sightings()
+        self.sightings = NodeObservations()
         self.gateway = Gateway(
             plain_map(record),
             seed,
@@ -89,22 +90,24 @@
             [self, *observers],
             decisions,
         )
-        self.front = FrontFactory(self.gateway, network, record["clients"]["connections"])
+        self.front = ClientConnectionFactory(self.gateway, network, record["clients"]["connections"])
         kept = Path(own["state"]) / f"{own['name']}.nodes" if own["state"] else None
         self.follower = self._follower(record, kept, seed ^ 0x5DEECE66D, warn, epoch)
         self.enrolled = self._enrolled(record, seed)
         self.listening: Any = None
         self.door: Door | None = None
-        self.sole = Sole(Path(own["state"]) / f"{own['name']}.lock") if own["state"] else None
+        self.sole = ProcessLock(Path(own["state"]) / f"{own['name']}.lock") if own["state"] else None
         if "webdav" in record:
             if self.sole is not None:
                 self.sole.take()
             if tree is None:
                 tree = (
-                    InFile(Path(own["state"]) / f"{own['name']}.tree", *TREE) if own["state"] else InMemory()
+                    FileJournal(Path(own["state"]) / f"{own['name']}.tree", *TREE)
+                    if own["state"]
+                    else MemoryJournal()
                 )
             names = Kept(tree, lambda: uuid.uuid4().urn, now_ns(network), epoch)
-            for note in tree.notes if isinstance(tree, InFile) else ():
+            for note in tree.notes if isinstance(tree, FileJournal) else ():
                 warn(note)
             self.door = door_of(record, self.gateway, network, names, access)
         self.door_listening: Any = None
@@ -129,7 +132,7 @@
 
     def _follower(
         self, record: Mapping[str, Any], kept: Path | None, seed: int, warn: Callable[[str], None], epoch: int
-    ) -> Follower | Registrar:
+    ) -> ListServerWatcher | RegistryWatcher:
         """Who tells of nodes: a list server or a registry."""
         if "registry" in record:
             said = record["registry"]
@@ -137,12 +140,14 @@
             since_1970 = age_clock(self.network, epoch)
             prefix = said["prefix"].encode()
             name = record["gateway"]["name"]
-            return Registrar(name, self.network, servers, prefix, self._news, kept, seed, since_1970, warn)
+            return RegistryWatcher(
+                name, self.network, servers, prefix, self._news, kept, seed, since_1970, warn
+            )
         where = address(record["list"]["address"])
         assert where is not None  # checked when the settings were read
-        return Follower(record["gateway"]["name"], self.network, where, self._news, kept, seed, warn)
+        return ListServerWatcher(record["gateway"]["name"], self.network, where, self._news, kept, seed, warn)
 
-    def _enrolled(self, record: Mapping[str, Any], seed: int) -> Enrolled | None:
+    def _enrolled(self, record: Mapping[str, Any], seed: int) -> Registration | None:
         """This gateway's own entry in the registry, if it is to have one."""
         if "registry" not in record or not record["registry"]["own"]:
             return None
@@ -161,15 +166,17 @@
 
         key, prefix = (said["own"] + own["name"]).encode(), said["own"].encode()
         hears = others if "fleet" in record else None
-        return Enrolled(self.network, servers, key, value, round(said["lease"] / 1000), seed, prefix, hears)
+        return Registration(
+            self.network, servers, key, value, round(said["lease"] / 1000), seed, prefix, hears
+        )
 
-    def _log_file(self) -> InFile:
+    def _log_file(self) -> FileJournal:
         """What the fleet shares, as it is kept in the folder `gateway.state`."""
         from ochrecourse.fleet.part import JOURNAL
 
         own, (name, oldest, newest) = self.record["gateway"], JOURNAL
         path = Path(own["state"]) / f"{own['name']}.log"
-        return InFile(path, name, oldest, min(newest, self.record["fleet"]["newest_form"]))
+        return FileJournal(path, name, oldest, min(newest, self.record["fleet"]["newest_form"]))
 
     def _fleet(
         self,
@@ -189,7 +196,7 @@
         if self.sole is not None:
             self.sole.take()
         if log is None:
-            log = self._log_file() if own["state"] else InMemory()
+            log = self._log_file() if own["state"] else MemoryJournal()
         said, rules = dict(record["fleet"]), record["rules"]
         if "zones" in said and rules["cold_fall"]:  # what a cold node bears is a rule already
             said["zones"] = {"cold": rules["cold_units"] * 1000 / rules["cold_fall"], **said["zones"]}
@@ -197,7 +204,7 @@
         part = Part(said, self.gateway, self.network, log, seed ^ 0x2545F491, epoch_ms, say,
                     own["zone"], len(zones), round(rules["cold_time"] * MS), zones)  # fmt: skip
         self.gateway.clock = Awake(self.network, part)
-        for note in log.notes if isinstance(log, InFile) else ():
+        for note in log.notes if isinstance(log, FileJournal) else ():
             say("fleet journal", note=note)
         if {"copies", "purges"} & record["fleet"].keys():
             from ochrecourse.fleet.purger import lodge
@@ -260,7 +267,7 @@
         if self.part is not None:
             self.part.start(listen, self.record["fleet"]["listen"])
 
-    def take_kept(self, copy: Copy) -> None:
+    def take_kept(self, copy: EndpointListSnapshot) -> None:
         """A kept list, where it does not come from the folder `gateway.state`."""
         self._news(self.follower.view.read_back(copy, now_ns(self.network)))
 
@@ -347,7 +354,7 @@
         follower, now = self.follower, now_ns(self.network)
         age = follower.view.age(now)
         told: dict[str, Any] = {
-            "from": "registry" if isinstance(follower, Registrar) else "list server",
+            "from": "registry" if isinstance(follower, RegistryWatcher) else "list server",
             "connected": follower.line is not None,
             "epoch": follower.view.epoch,
             "age_s": None if age is None else round(age / SECOND, 3),
@@ -363,14 +370,14 @@
             "counts": dict(follower.counts),
             "lease": None if self.enrolled is None else self.enrolled.held(),
         }
-        if isinstance(follower, Registrar):
+        if isinstance(follower, RegistryWatcher):
             told["not_believed"] = follower.feed.restored
             told["notes"] = dict(follower.roster.notes)
         return told
 
     def accept_members(self) -> bool:
         """An operator says that a registry that went back is right; False if there is nothing to accept."""
-        if not isinstance(self.follower, Registrar) or not self.follower.feed.restored:
+        if not isinstance(self.follower, RegistryWatcher) or not self.follower.feed.restored:
             return False
         self.follower.accept()
         return True
@@ -446,13 +453,13 @@
                 told[f'events_total{{what="{what}"}}'] = count
         return told
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
         """What a job's legs said of their nodes."""
         for leg in story.legs:
             if leg.why:
-                self.sightings.leg_over(leg.node, Seen(leg.why), leg.sent + leg.took)
+                self.sightings.leg_over(leg.node, AttemptEvent(leg.why), leg.sent + leg.took)
 
-    def _news(self, news: News) -> None:
+    def _news(self, news: EndpointListUpdate) -> None:
         self.sightings.listed(news.entries, news.kind is not ListKind.DELTA, now_ns(self.network))
         self.gateway.list_came(news.kind, news.entries, news.addresses)
         if self.part is not None:
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -17,18 +17,20 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ochrecourse.decide import Scheduler
-from ochrecourse.gateway.lateness import TRIFLE, Lateness
-from ochrecourse.gateway.leaving import Leaving, Stage
-from ochrecourse.gateway.ledger import Closing, JobStory, Ledger, LegStory
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.common.event_loop_lag import TRIFLE, EventLoopLag
+from ochrecourse.gateway.graceful_shutdown import GracefulShutdown, ShutdownStage
+from ochrecourse.common.request_records import RequestOutcome, RequestRecord, AttemptRecord
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse import interface
 from ochrecourse.interface import Attempt, AttemptEnd, Decisions, Health, ListCall, ListKind, NodeEntry
 from ochrecourse.interface import Outcome, Reply
 from ochrecourse.nodes.dispatcher import Body, Dispatcher, OutgoingAttempt, OpenConnection
 from ochrecourse.nodes.pool import PoolLimits
-from ochrecourse.nodes.proof import PROVES, Seen, Written
-from ochrecourse.nodes.reach import Reach
-from ochrecourse.outside import MS, SECOND, Clock, Timer, now_ns, stop
+from ochrecourse.nodes.outcome import VERDICTS, AttemptEvent, WriteProgress
+from ochrecourse.nodes.health import NodeHealth
+from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.wire import messages as m
 
 TURNS_BEHIND = 2  # of the loop: one reads a connection's bytes, the next the end that stands behind them
@@ -53,7 +55,7 @@
     body: Body | None = None
 
 
-class Asker(Protocol):
+class ResponseHandler(Protocol):
     """Who waits for a job's answer: exactly one of `fulfilled`, `denied`, `written_off` is called, if any
     client is left.
 
@@ -71,16 +73,18 @@
     def written_off(self, job: int) -> None: ...
 
 
-class Observer(Protocol):
+class RequestObserver(Protocol):
     """Who looks on: a job's whole story once it is over."""
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None: ...
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None: ...
 
 
-class Copies(Protocol):
+class ObjectCache(Protocol):
     """Who holds copies of objects that were read, where there are any (`Gateway.copies`)."""
 
-    def came(self, job: int, request: Request, write: bool, due: int, asker: Asker) -> Asker | None:
+    def came(
+        self, job: int, request: Request, write: bool, due: int, asker: ResponseHandler
+    ) -> ResponseHandler | None:
         """Who hears of a job from the nodes; None if no attempt is to be sent for it now."""
 
     def left(self, job: int) -> bool:
@@ -96,7 +100,7 @@
         """A job is over, and no attempt of it is out; `certain`: it took effect, or surely did not."""
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """A job that can't be taken: `code` for counters, the text for the client."""
 
     def __init__(self, code: str, text: str) -> None:
@@ -104,7 +108,7 @@
         self.code = code
 
 
-class _Kinds:
+class SettingsIndex:
     """The products and plans by name, and what a node must be told of a product."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -125,12 +129,12 @@
     return float(values.get(name, default))
 
 
-class _Task:
+class InFlightRequest:
     """A job between its request and its end: what the gateway needs to carry it out."""
 
     __slots__ = ("answer_left", "asker", "attempt", "began", "request", "story")
 
-    def __init__(self, request: Request, asker: Asker, story: JobStory) -> None:
+    def __init__(self, request: Request, asker: ResponseHandler, story: RequestRecord) -> None:
         self.request = request
         self.asker = asker
         self.story = story
@@ -152,7 +156,7 @@
         open_connection: OpenConnection,
         name: str,
         travel: int = 0,
-        observers: Sequence[Observer] = (),
+        observers: Sequence[RequestObserver] = (),
         decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler,
         limits: PoolLimits | None = None,
         unread_since: Callable[[], int] | None = None,
@@ -167,7 +171,7 @@
         )
         self.travel = travel
         self.observers = observers
-        self.kinds = _Kinds(values)
+        self.kinds = SettingsIndex(values)
         self.max_open = int(_number(values, "Limits.MaxOpen", 20_000))
         limits = limits or PoolLimits(
             attempts=int(_number(values, "Limits.Multiplex", 32)),
@@ -182,18 +186,20 @@
             name, clock, limits, dial_time, self.addresses.get, open_connection, slow_dial, self._turns_behind
         )
         self.scheduler = decisions(values, seed, now_ns(clock))
-        self.ledger = Ledger()
-        self.leaving = Leaving()
-        self.lateness = Lateness()
-        self.tasks: dict[int, _Task] = {}
+        self.ledger = RequestLog()
+        self.leaving = GracefulShutdown()
+        self.lateness = EventLoopLag()
+        self.tasks: dict[int, InFlightRequest] = {}
         self.followed = False  # the decisions asked for the list of nodes
         self.follow: Callable[[], None] | None = None
         self.left: list[Callable[[], None]] = []  # called when the gateway has left
-        self.legs_over: list[Callable[[JobStory, LegStory], None]] = []  # called with each attempt that ended
+        self.legs_over: list[
+            Callable[[RequestRecord, AttemptRecord], None]
+        ] = []  # called with each attempt that ended
         self.entries: dict[int, NodeEntry] = {}
         self.holders: Counter[int] = Counter()  # by shard: nodes that take jobs
-        self.reach = Reach()
-        self.copies: Copies | None = None
+        self.reach = NodeHealth()
+        self.copies: ObjectCache | None = None
         self.denied_at_door = 0
         self.last = 0  # ns; every job taken from now on must have its answer by then; 0: no such time
         self._count = 0
@@ -229,24 +235,24 @@
         self.scheduler.bounds_received(bounds, now_ns(self.clock))
         self._pull()
 
-    def take(self, request: Request, asker: Asker) -> int:
+    def take(self, request: Request, asker: ResponseHandler) -> int:
         """Takes a job, whose number is returned; its asker hears of it later or at once. Raises
-        BadRequest.
+        BadRequestError.
         """
         product = self.kinds.products.get(request.product)
         plan = self.kinds.plans.get(request.plan)
         if product is None:
-            raise BadRequest("unknown_product", f"there is no product {request.product!r}")
+            raise BadRequestError("unknown_product", f"there is no product {request.product!r}")
         if plan is None:
-            raise BadRequest("unknown_plan", f"there is no plan {request.plan!r}")
+            raise BadRequestError("unknown_plan", f"there is no plan {request.plan!r}")
         if not 0 < request.units < 1e9 or not 0 < request.timeout < 1e15 or not 1 <= request.gateways < 1e6:
-            raise BadRequest("bad_figure", "units, timeout and gateways must be above 0")
+            raise BadRequestError("bad_figure", "units, timeout and gateways must be above 0")
         now = now_ns(self.clock)
         due = self.lateness.sent_at(request.read_at) + request.timeout - self.travel
         if self.last:
             due = min(due, self.last)
         if due <= now:
-            raise BadRequest("late_body", "its client's time was over before it was whole here")
+            raise BadRequestError("late_body", "its client's time was over before it was whole here")
         job = self.next_number()
         self._count += 1
         if not self.leaving.takes() or self.ledger.open >= self.max_open:
@@ -255,11 +261,11 @@
                 request.body.close()
             asker.denied(job, 0)
             return job
-        story = JobStory(
+        story = RequestRecord(
             job, product, plan, request.volume, request.units, now, due, due + self.travel // 2, request.trace
         )
         self.ledger.take(story)
-        self.tasks[job] = _Task(request, asker, story)
+        self.tasks[job] = InFlightRequest(request, asker, story)
         if self.copies is not None:
             through = self.copies.came(job, request, self.kinds.writes[product], due, asker)
             if through is None:
@@ -268,7 +274,7 @@
         self._to_scheduler(story, request, now)
         return job
 
-    def _to_scheduler(self, story: JobStory, request: Request, now: int) -> None:
+    def _to_scheduler(self, story: RequestRecord, request: Request, now: int) -> None:
         scheduled = interface.Request(
             story.number, story.product, story.plan, request.volume, request.key, request.units,
             request.shard, request.gateways, story.due
@@ -283,11 +289,11 @@
     def leave(self, job: int) -> None:
         """The client of a job no longer waits."""
         unsent = self.copies is not None and self.copies.left(job)
-        if self.ledger.answer(job, Closing.CLIENT_GONE, now_ns(self.clock)) is not None:
+        if self.ledger.answer(job, RequestOutcome.CLIENT_GONE, now_ns(self.clock)) is not None:
             if not unsent:
                 self.scheduler.request_cancelled(job)
             gone = self.tasks[job]
-            if gone.attempt is not None and gone.attempt.handed() is not Written.WHOLE:
+            if gone.attempt is not None and gone.attempt.handed() is not WriteProgress.WHOLE:
                 self.nodes.cancel(gone.attempt)  # nothing of it runs, and nobody waits for it
             self._over(gone)
             self._pull()
@@ -332,7 +338,7 @@
 
     def stop(self) -> None:
         """Ends everything at once, as a kill does, but tidily."""
-        self.leaving.stage = Stage.LEFT
+        self.leaving.stage = ShutdownStage.LEFT
         stop(self._timer)
         self._timer = None
         self.nodes.close()
@@ -341,9 +347,9 @@
 
     def fulfil(self, job: int) -> bool:
         """Books the answer of a job that needs no attempt; False if it is too late for one."""
-        return self.ledger.answer(job, Closing.FULFILLED, now_ns(self.clock)) is not None
+        return self.ledger.answer(job, RequestOutcome.FULFILLED, now_ns(self.clock)) is not None
 
-    def send_on(self, job: int, asker: Asker) -> None:
+    def send_on(self, job: int, asker: ResponseHandler) -> None:
         """A job that waited for another's answer goes to the nodes, and its answer to this asker."""
         task = self.tasks[job]
         task.asker = asker
@@ -361,28 +367,28 @@
     def written(self, attempt: OutgoingAttempt) -> None:
         self.scheduler.attempt_written(attempt.request_id, now_ns(self.clock))
 
-    def began(self, attempt: OutgoingAttempt, answer: m.Done) -> None:
+    def began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None:
         task = self.tasks[attempt.request_id]
         if answer.size > answer.body:
             task.story.streaming = True
             task.began = now_ns(self.clock)
             self.scheduler.stream_began(task.story.number)
-        if self.ledger.answer(task.story.number, Closing.FULFILLED, now_ns(self.clock)) is not None:
+        if self.ledger.answer(task.story.number, RequestOutcome.FULFILLED, now_ns(self.clock)) is not None:
             task.answer_left = answer.size
             task.asker.fulfilled(task.story.number, answer.size, answer.shard)
 
     def piece(self, attempt: OutgoingAttempt, data: bytes) -> None:
         task = self.tasks[attempt.request_id]
-        if task.story.closing is Closing.FULFILLED:
+        if task.story.closing is RequestOutcome.FULFILLED:
             task.answer_left -= len(data)
             task.asker.piece(task.story.number, data)
         else:
             self.nodes.grant(attempt, len(data))  # nobody waits: let the node finish
 
-    def ended(self, attempt: OutgoingAttempt, seen: Seen, answer: m.Any | None) -> None:
+    def ended(self, attempt: OutgoingAttempt, seen: AttemptEvent, answer: m.AnyMessage | None) -> None:
         job = attempt.request_id
         task = self.tasks[job]
-        proof = PROVES[seen]
+        proof = VERDICTS[seen]
         now = now_ns(self.clock)
         story, over = self.ledger.ended(job, attempt.message.number, proof.ending, seen.value, now)
         for call in self.legs_over:
@@ -390,11 +396,11 @@
         self.reach.ended(attempt.node, proof.ending)
         task.attempt = None
         began, task.began = task.began, 0
-        if task.answer_left and seen is not Seen.DONE:
+        if task.answer_left and seen is not AttemptEvent.DONE:
             task.answer_left = 0
             self.ledger.broke_off(story)
             task.asker.broke_off(job)
-        told = answer if isinstance(answer, m.NodeAnswer) else None
+        told = answer if isinstance(answer, m.NodeReply) else None
         end = AttemptEnd(
             request_id=job,
             number=attempt.message.number,
@@ -424,7 +430,7 @@
         self._decide()
 
     def _decide(self) -> None:
-        if self._overdue() or self.leaving.stage is Stage.LEFT:
+        if self._overdue() or self.leaving.stage is ShutdownStage.LEFT:
             return
         self._pulling = True
         try:
@@ -493,7 +499,7 @@
         self.reach.sent(said.node, now)
         left = story.due - now
         time_out = min(said.time_out, left) if said.time_out else left
-        message = m.LegSent(
+        message = m.SendAttempt(
             id=0,
             mark=f"{self.mark}/{said.request_id}",
             product=request.product,
@@ -520,7 +526,9 @@
 
     def _answer(self, said: Reply, now: int) -> None:
         denied = said.outcome is Outcome.REJECTED
-        story = self.ledger.answer(said.request_id, Closing.DENIED if denied else Closing.WRITTEN_OFF, now)
+        story = self.ledger.answer(
+            said.request_id, RequestOutcome.DENIED if denied else RequestOutcome.WRITTEN_OFF, now
+        )
         task = self.tasks.get(said.request_id)
         if task is None:
             return
@@ -530,13 +538,13 @@
             task.asker.written_off(said.request_id)
         self._over(task)
 
-    def _over(self, task: _Task) -> None:
+    def _over(self, task: InFlightRequest) -> None:
         if self.ledger.forget(task.story):
             del self.tasks[task.story.number]
             if task.request.body is not None:
                 task.request.body.close()
             if self.copies is not None:
-                certain = task.story.closing in (Closing.FULFILLED, Closing.DENIED)
+                certain = task.story.closing in (RequestOutcome.FULFILLED, RequestOutcome.DENIED)
                 self.copies.over(task.story.number, certain)
             for observer in self.observers:
                 observer.job_over(self, task.story)
--- a/ochrecourse/gateway/sampling.py
+++ b/ochrecourse/gateway/log_sampling.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 
-class Sampling:
+class LogSampler:
     """One log's store of lines. `rate`: lines a second."""
 
     def __init__(self, rate: float) -> None:
--- a/ochrecourse/gateway/spool.py
+++ b/ochrecourse/gateway/request_body.py
@@ -12,7 +12,7 @@
 KEPT_IN_MEMORY = 65_536  # bytes; one message's worth, so most jobs never touch a file
 
 
-class Spool:
+class RequestBody:
     """One body of a stated size, written once in order and read any number of times."""
 
     def __init__(self, size: int) -> None:
--- a/ochrecourse/gateway/ledger.py
+++ b/ochrecourse/gateway/request_log.py
@@ -10,89 +10,35 @@
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import dataclass, field
-from enum import Enum
 
+from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
 from ochrecourse.interface import Ending
 
 
-class Closing(Enum):
-    """How a job ended for its client."""
-
-    FULFILLED = "fulfilled"
-    DENIED = "denied"
-    WRITTEN_OFF = "written off"
-    CLIENT_GONE = "client gone"
-    TOO_LATE = "too late"  # the answer was ready when the client had already given up; it was not sent
-
-
-@dataclass(slots=True)
-class LegStory:
-    """One leg as the gateway saw it; times in ns."""
-
-    number: int
-    node: int
-    sent: int
-    took: int = -1  # -1: still out
-    ending: Ending | None = None
-    why: str = ""
-
-
-@dataclass(slots=True)
-class JobStory:
-    """One job as the gateway saw it; times in ns.
-
-    `due` is what the decisions were told as the client timeout: the client's own, less what an answer takes
-    to it. An answer that leaves by `latest`, a little later, is still in time; a leg's time-out at `due` is
-    answered then.
-    """
-
-    number: int
-    product: int
-    plan: int
-    volume: int
-    units: float
-    taken: int
-    due: int
-    latest: int
-    trace: str = ""
-    legs: list[LegStory] = field(default_factory=list)
-    closing: Closing | None = None
-    streaming: bool = False
-    answered: int = -1
-    out: int = 0
-
-    def why(self) -> str:
-        """In one phrase, what led to the end: the last leg's, or that none was ever sent."""
-        if self.closing is Closing.FULFILLED:
-            return "answered"
-        return self.legs[-1].why if self.legs else "no leg was sent"
-
-
-class Unbooked(Exception):
+class UnknownRequestError(Exception):
     """The decisions named a job or leg that is not in the books: a mistake of the program, never of input."""
 
 
-class Ledger:
+class RequestLog:
     """All jobs that are not over, or still have a leg out."""
 
     def __init__(self) -> None:
-        self.jobs: dict[int, JobStory] = {}
-        self.closings: Counter[Closing] = Counter()
+        self.jobs: dict[int, RequestRecord] = {}
+        self.closings: Counter[RequestOutcome] = Counter()
         self.endings: Counter[Ending] = Counter()
         self.taken = 0
         self.legs = 0
         self.further = 0
         self.open = 0  # jobs without their closing
 
-    def take(self, story: JobStory) -> None:
+    def take(self, story: RequestRecord) -> None:
         if story.number in self.jobs:
-            raise Unbooked(f"job {story.number} was taken twice")
+            raise UnknownRequestError(f"job {story.number} was taken twice")
         self.jobs[story.number] = story
         self.taken += 1
         self.open += 1
 
-    def send(self, job: int, number: int, node: int, now: int) -> JobStory | None:
+    def send(self, job: int, number: int, node: int, now: int) -> RequestRecord | None:
         """Books a leg; None if the job is over, in which case nothing may be sent.
 
         Legs are counted without a gap, so one that the decisions named twice is told at once.
@@ -101,48 +47,50 @@
         if story is None or story.closing is not None:
             return None
         if number != len(story.legs):
-            raise Unbooked(f"leg {number} of job {job} after {len(story.legs)} legs")
-        story.legs.append(LegStory(number, node, now))
+            raise UnknownRequestError(f"leg {number} of job {job} after {len(story.legs)} legs")
+        story.legs.append(AttemptRecord(number, node, now))
         story.out += 1
         self.legs += 1
         self.further += number > 0
         return story
 
-    def ended(self, job: int, number: int, ending: Ending, why: str, now: int) -> tuple[JobStory, LegStory]:
+    def ended(
+        self, job: int, number: int, ending: Ending, why: str, now: int
+    ) -> tuple[RequestRecord, AttemptRecord]:
         """Books the end of a leg, which comes once."""
         story = self.jobs.get(job)
         leg = story.legs[number] if story and number < len(story.legs) else None
         if story is None or leg is None or leg.ending is not None:
-            raise Unbooked(f"leg {number} of job {job} ended, but is not out")
+            raise UnknownRequestError(f"leg {number} of job {job} ended, but is not out")
         leg.took, leg.ending, leg.why = now - leg.sent, ending, why
         story.out -= 1
         self.endings[ending] += 1
         return story, leg
 
-    def answer(self, job: int, closing: Closing, now: int) -> JobStory | None:
+    def answer(self, job: int, closing: RequestOutcome, now: int) -> RequestRecord | None:
         """The job's one answer: the story if it may go out now, None if the job is over or its client has
         given up.
         """
         story = self.jobs.get(job)
         if story is None or story.closing is not None:
             return None
-        late = closing is not Closing.CLIENT_GONE and now > story.latest
-        story.closing = Closing.TOO_LATE if late else closing
+        late = closing is not RequestOutcome.CLIENT_GONE and now > story.latest
+        story.closing = RequestOutcome.TOO_LATE if late else closing
         story.answered = now
         self.closings[story.closing] += 1
         self.open -= 1
         return None if late else story
 
-    def broke_off(self, story: JobStory) -> None:
+    def broke_off(self, story: RequestRecord) -> None:
         """An answer that had begun was not finished: the job counts as written off, whatever was sent of
         it.
         """
-        if story.closing is Closing.FULFILLED:
-            self.closings[Closing.FULFILLED] -= 1
-            self.closings[Closing.WRITTEN_OFF] += 1
-            story.closing = Closing.WRITTEN_OFF
+        if story.closing is RequestOutcome.FULFILLED:
+            self.closings[RequestOutcome.FULFILLED] -= 1
+            self.closings[RequestOutcome.WRITTEN_OFF] += 1
+            story.closing = RequestOutcome.WRITTEN_OFF
 
-    def forget(self, story: JobStory) -> bool:
+    def forget(self, story: RequestRecord) -> bool:
         """Drops a job from the books once it is over and none of its legs is out; True the one time that this
         happens.
         """
--- a/ochrecourse/gateway/handover.py
+++ b/ochrecourse/gateway/socket_handover.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 
-class Step(Enum):
+class HandoverStep(Enum):
     """How far a handover has come, on the side that gives."""
 
     NONE = "nobody asked"
@@ -60,7 +60,7 @@
 
     def __init__(self, record: Mapping[str, Any]) -> None:
         self.record = record
-        self.step = Step.NONE
+        self.step = HandoverStep.NONE
         self.taker: object = None
 
     def ask(self, taker: object, takes_jobs: bool) -> str:
@@ -68,27 +68,27 @@
         why = in_the_way(self.record)
         if why:
             return why
-        if not takes_jobs or self.step is Step.GIVEN:
+        if not takes_jobs or self.step is HandoverStep.GIVEN:
             return "it is leaving"
-        if self.step is not Step.NONE and taker is not self.taker:
+        if self.step is not HandoverStep.NONE and taker is not self.taker:
             return "another process has asked for them and is not ready yet"
-        if self.step is Step.NONE:
-            self.step, self.taker = Step.OFFERED, taker
+        if self.step is HandoverStep.NONE:
+            self.step, self.taker = HandoverStep.OFFERED, taker
         return ""
 
     def released(self, taker: object) -> bool:
         """The taker has a list of nodes and wants the journal of the fleet; True if it is to be given up."""
-        if self.step is not Step.OFFERED or taker is not self.taker:
+        if self.step is not HandoverStep.OFFERED or taker is not self.taker:
             return False
-        self.step = Step.RELEASED
+        self.step = HandoverStep.RELEASED
         return True
 
     def accepted(self, taker: object) -> bool:
         """The taker says that it serves; True if this gateway is to leave now."""
-        before = Step.RELEASED if "fleet" in self.record else Step.OFFERED
+        before = HandoverStep.RELEASED if "fleet" in self.record else HandoverStep.OFFERED
         if self.step is not before or taker is not self.taker:
             return False
-        self.step = Step.GIVEN
+        self.step = HandoverStep.GIVEN
         return True
 
     def lost(self, taker: object) -> bool:
@@ -97,7 +97,7 @@
         if taker is not self.taker:
             return False
         self.taker = None
-        back = self.step is Step.RELEASED
-        if self.step is not Step.GIVEN:
-            self.step = Step.NONE
+        back = self.step is HandoverStep.RELEASED
+        if self.step is not HandoverStep.GIVEN:
+            self.step = HandoverStep.NONE
         return back
--- a/ochrecourse/interface.py
+++ b/ochrecourse/interface.py
@@ -117,7 +117,7 @@
     retry_after: int  # advice on how long the client should stay away; 0 means none
 
 
-class MissingValue(Exception):
+class MissingSettingError(Exception):
     """The start settings lack a value that the decisions need."""
 
 
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -1,10 +1,10 @@
 """One scenario through the library and through the daemon: the same jobs must end in the same way.
 
-A scenario is a day of one gateway with its jobs written out. In the library, `Gateway` and `Follower` stand
-in this process and a job is handed to `take`; through the daemon it comes from a client's connection. On the
-virtual clock both records must be equal to the nanosecond, for nothing but the clients' side differs; on real
-sockets, with nodes in a process of their own, each job must get the same answer. The seven rules are judged
-in all of them, from what crossed the sockets.
+A scenario is a day of one gateway with its jobs written out. In the library, `Gateway` and
+`ListServerWatcher` stand in this process and a job is handed to `take`; through the daemon it comes from a
+client's connection. On the virtual clock both records must be equal to the nanosecond, for nothing but the
+clients' side differs; on real sockets, with nodes in a process of their own, each job must get the same
+answer. The seven rules are judged in all of them, from what crossed the sockets.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 from ochrecourse.audit.judge import audit
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.gateway import Gateway, Request
-from ochrecourse.gateway.ledger import JobStory
-from ochrecourse.gateway.spool import Spool
+from ochrecourse.common.request_records import RequestRecord
+from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.lab.day import BadDay, Day, Volume, check, gateway_record
 from ochrecourse.lab.figures import figures_of
 from ochrecourse.lab.load import Call, Load
 from ochrecourse.lab.play import TAIL, WARM_UP, make_fleet, play_troubles
 from ochrecourse.lab.real import Child
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.follower import Follower
-from ochrecourse.membership.view import News
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.membership.endpoint_list import EndpointListUpdate
 from ochrecourse.nodes.framed_connection import dialler
-from ochrecourse.outside import MS, Network, now_ns
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.common.time_units import MS
 from ochrecourse.settings.load import address, resolve, write
 from ochrecourse.settings.plain import plain_map
 
@@ -140,7 +141,7 @@
     ) -> None:
         self.day, self.network, self.way, self.record = scenario.day, network, way, record_to
         self.calls = calls(scenario)
-        self.stories: list[JobStory] = []
+        self.stories: list[RequestRecord] = []
         record = record_of(scenario.day, list_address)
         own = record["gateway"]
         travel = round(own["travel"] * MS)
@@ -150,13 +151,13 @@
         self.client = Client(self.gateway, record_to, {})
         where = address(list_address)
         assert where is not None
-        self.follower = Follower(NAME, network, where, self._news, None, own["seed"] ^ 0x5DEECE66D)
+        self.follower = ListServerWatcher(NAME, network, where, self._news, None, own["seed"] ^ 0x5DEECE66D)
         self.follower.start()
 
-    def _news(self, news: News) -> None:
+    def _news(self, news: EndpointListUpdate) -> None:
         self.gateway.list_came(news.kind, news.entries, news.addresses)
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
         self.stories.append(story)
 
     def begin(self) -> None:
@@ -165,7 +166,7 @@
 
     def _take(self, call: Call) -> None:
         product = self.day.products[call.product]
-        body = Spool(round(call.units * product.unit_bytes) if product.writes else 0)
+        body = RequestBody(round(call.units * product.unit_bytes) if product.writes else 0)
         body.write(bytes(body.size))
         request = Request(
             product=product.name,
@@ -199,13 +200,13 @@
     """Looks on at a daemon's gateway."""
 
     def __init__(self) -> None:
-        self.stories: list[JobStory] = []
+        self.stories: list[RequestRecord] = []
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
         self.stories.append(story)
 
 
-def on_virtual_clock(scenario: Scenario, through_daemon: bool) -> tuple[list[JobStory], list[str]]:
+def on_virtual_clock(scenario: Scenario, through_daemon: bool) -> tuple[list[RequestRecord], list[str]]:
     """What became of each job, in the order in which they were over, and breaches of rules in words."""
     day = scenario.day
     way = day.net_ms[0] / 1000
@@ -239,7 +240,7 @@
     return [f"{each.rule}: {text}" for each in verdict.findings for text in each.breaches]
 
 
-def told_by(stories: Sequence[JobStory]) -> dict[str, Told]:
+def told_by(stories: Sequence[RequestRecord]) -> dict[str, Told]:
     """How each job ended, by its trace."""
     told = {}
     for story in stories:
--- a/ochrecourse/lab/baselines.py
+++ b/ochrecourse/lab/baselines.py
@@ -11,7 +11,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
 
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.interface import (
     Outcome,
     Decisions,
--- a/ochrecourse/lab/figures.py
+++ b/ochrecourse/lab/figures.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ochrecourse.audit.judge import Figures, ProductRule
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 from ochrecourse.settings.plain import EFFECTS
 from ochrecourse.lab.day import Day, limit_of, volumes
 from ochrecourse.lab.people import limits_by_path
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -13,7 +13,8 @@
 from ochrecourse.lab.fleet_notes import NOTES
 from ochrecourse.lab.fleet_site import CHANNELS
 from ochrecourse.lab.fleet_world import NODE_TROUBLES, ZONE_FAULTS
-from ochrecourse.outside import SECOND, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import SECOND
 
 if TYPE_CHECKING:
     from ochrecourse.lab.fleet_play import FleetPlay
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -17,7 +17,7 @@
 from ochrecourse.lab.fleet_instance import ANEW, FleetSeat
 from ochrecourse.lab.fleet_world import Fault
 from ochrecourse.lab.virtual import Way
-from ochrecourse.outside import now_ns
+from ochrecourse.common.runtime import now_ns
 
 if TYPE_CHECKING:
     from ochrecourse.lab.fleet_play import FleetPlay
--- a/ochrecourse/lab/fleet_judge.py
+++ b/ochrecourse/lab/fleet_judge.py
@@ -13,7 +13,7 @@
 from ochrecourse.lab.figures import figures_of
 from ochrecourse.lab.fleet_checks import BIN
 from ochrecourse.lab.fleet_world import ZONE_FAULTS, Fault
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 if TYPE_CHECKING:
     from ochrecourse.lab.fleet_play import FleetPlay
--- a/ochrecourse/lab/fleet_play.py
+++ b/ochrecourse/lab/fleet_play.py
@@ -12,9 +12,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.gateway.ledger import JobStory
+from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.lab.day import capacity, unit_cost
 from ochrecourse.lab.fleet_checks import BIN, SAMPLE, Checks, Seen
 from ochrecourse.lab.fleet_faults import Faults
@@ -25,7 +25,7 @@
 from ochrecourse.lab.fleet_world import World, day_of
 from ochrecourse.lab.load import Load, Try, schedule
 from ochrecourse.lab.play import DecisionsFor, Played, VirtualPlay
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.fleet import Fleet, Node
 
 FLEET_PORT = 20_000  # of gateway 0 for the others; ports that nothing else here takes
@@ -129,7 +129,7 @@
             self.seen.by_bin[at] += size
             self.seen.writes_by_bin[at] += 1
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
         """When legs were sent where; those that never came to their node are known here alone."""
         for leg in story.legs:
             at = int((leg.sent / SECOND - self.began) / BIN)
--- a/ochrecourse/lab/fleet_site.py
+++ b/ochrecourse/lab/fleet_site.py
@@ -15,7 +15,7 @@
 from ochrecourse.fleet.almanac import edition, today
 from ochrecourse.fleet.entries import Place
 from ochrecourse.fleet.log import Refused
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 if TYPE_CHECKING:
     from ochrecourse.lab.fleet_instance import FleetSeat
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -16,7 +16,7 @@
 from ochrecourse.lab.fleet_faults import Faults
 from ochrecourse.lab.fleet_play import FleetPlay
 from ochrecourse.lab.fleet_world import Fault
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 LOSSES = ("zone_lost", "zone_nodes")
 MOMENT = 0.001  # s after a fault's own call, so that whoever starts with it is told too
--- a/ochrecourse/lab/load.py
+++ b/ochrecourse/lab/load.py
@@ -18,10 +18,11 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.lab.day import Day, Plan, Volume, base_rate, capacity, unit_cost, volumes
-from ochrecourse.outside import MS, SECOND, Network, Timer, now_ns, stop
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import IllegalMove, Open, Side, job_moves
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import ProtocolViolationError, StreamState, Role, client_connection_state
 
 SHIFT = 9.0  # s for which a volume leads with one of its gateways
 SURGE = (3.0, 8.0)  # s a surge lasts
@@ -192,11 +193,11 @@
         return f"{self.call.number}.{self.number}"
 
 
-class Line(Framed):
+class Line(FramedProtocol):
     """One connection of clients to a gateway."""
 
     def __init__(self, factory: Lines) -> None:
-        super().__init__(factory.load.network, Side.ASKING, job_moves())
+        super().__init__(factory.load.network, Role.ASKING, client_connection_state())
         self.factory = factory
         self.load = factory.load
         self.load.conns += 1
@@ -210,21 +211,21 @@
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="client"))
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.met = True
             self.factory.met(self)
             return
-        if isinstance(message, m.Bye):
+        if isinstance(message, m.GoAway):
             self.leaving = True
             self.factory.leaving(self)
             return
-        if isinstance(message, m.Fault) and message.id < 0:
+        if isinstance(message, m.ErrorNotice) and message.id < 0:
             self.load.counts[f"fault: {message.code}"] += 1
             return
         number: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
         this = self.tries.get(number)
-        if after is Open.CLOSED:
+        if after is StreamState.CLOSED:
             self.tries.pop(number, None)
         if this is not None:
             self.load.heard(this, message, body, after)
@@ -237,7 +238,7 @@
         self.tries[this.id] = this
         key, shard = self.load.place_of(call)
         size = round(call.units * product.unit_bytes) if product.writes else 0
-        message = m.JobAsked(
+        message = m.SubmitRequest(
             id=this.id,
             product=product.name,
             plan=day.plans[call.volume.plan].name,
@@ -269,7 +270,7 @@
         )
         self.say(message, bytes(size) if size <= m.MAX_BODY else b"")
         for at in range(0, size if size > m.MAX_BODY else 0, m.MAX_BODY):
-            self.say(m.Part(id=this.id), bytes(min(m.MAX_BODY, size - at)))
+            self.say(m.BodyChunk(id=this.id), bytes(min(m.MAX_BODY, size - at)))
 
     def leave(self, this: Try) -> None:
         self.load.record(
@@ -282,8 +283,8 @@
             )
         )
         try:
-            self.say(m.Leave(id=this.id))
-        except IllegalMove:
+            self.say(m.CancelRequest(id=this.id))
+        except ProtocolViolationError:
             return  # its answer is coming in just now
 
     def closed(self, half: bool) -> None:
@@ -492,18 +493,18 @@
         product = self.day.products[this.call.product]
         self._failed(this, "left early" if left_early else "no answer", 0.0, product.effect == "retriable")
 
-    def heard(self, this: Try, message: m.Any, body: bytes, after: Open | None) -> None:
+    def heard(self, this: Try, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         how = {
-            m.Fulfilled: "fulfilled",
-            m.Denied: "denied",
-            m.WrittenOff: "written_off",
-            m.Fault: "refused",
+            m.RequestServed: "fulfilled",
+            m.RequestRejected: "denied",
+            m.RequestFailed: "written_off",
+            m.ErrorNotice: "refused",
         }.get(type(message))
         now = now_ns(self.network)
         told = how
-        if self.day.dated and isinstance(message, m.Fulfilled) and message.size > len(body):
+        if self.day.dated and isinstance(message, m.RequestServed) and message.size > len(body):
             told = None  # it is recorded with its body, which says when it was made
-        elif self.day.dated and isinstance(message, m.Part):
+        elif self.day.dated and isinstance(message, m.BodyChunk):
             told = "fulfilled"
         if told is not None:
             assert this.line is not None
@@ -516,7 +517,9 @@
                     trace=this.trace(),
                     how=told,
                     made=int.from_bytes(body, "big") if self.day.dated and len(body) == 8 else 0,
-                    come_back=round(message.come_back_ms * MS) if isinstance(message, m.Denied) else 0,
+                    come_back=round(message.come_back_ms * MS)
+                    if isinstance(message, m.RequestRejected)
+                    else 0,
                 )
             )
         if this.over:
@@ -524,13 +527,13 @@
                 self.counts["answers after the client had stopped waiting"] += 1
             return
         if how == "fulfilled":
-            if isinstance(message, m.Fulfilled) and self.day.products[this.call.product].fresh:
+            if isinstance(message, m.RequestServed) and self.day.products[this.call.product].fresh:
                 fresh = self.written.setdefault(this.call.volume.number, [])
                 fresh.append((this.call.key, message.shard))
                 del fresh[:-32]
-            if after is not Open.CLOSED:
+            if after is not StreamState.CLOSED:
                 return  # its body is still coming
-        if how is None and after is not Open.CLOSED:
+        if how is None and after is not StreamState.CLOSED:
             return
         this.over = True
         stop(this.timer)
@@ -539,7 +542,7 @@
         if how in ("fulfilled", None):
             self._fulfilled(this, now)
         else:
-            wait = message.come_back_ms / 1000 if isinstance(message, m.Denied) else 0.0
+            wait = message.come_back_ms / 1000 if isinstance(message, m.RequestRejected) else 0.0
             product = self.day.products[this.call.product]
             may = how == "denied" or (how == "written_off" and product.effect == "retriable")
             self._failed(this, how, wait, may)
--- a/ochrecourse/lab/people.py
+++ b/ochrecourse/lab/people.py
@@ -20,8 +20,9 @@
 from ochrecourse.audit import records as r
 from ochrecourse.lab.day import Day, Product, Volume, limit_of, volumes
 from ochrecourse.lab.load import Outcomes
-from ochrecourse.wire.talk import Answer, Talk
-from ochrecourse.outside import MS, SECOND, Network, Timer, now_ns, stop
+from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.webdav.mapping import units_of, volume_of
 
 UNIT = 65_536  # bytes for which a job counts one unit
@@ -41,7 +42,7 @@
 
 EMPTY = hashlib.sha256().hexdigest()  # what a lock on nothing makes
 
-Then = Callable[[Answer | None], None]
+Then = Callable[[HttpResponse | None], None]
 
 
 def small_read(day: Day) -> Product:
@@ -93,10 +94,10 @@
     def __init__(self, people: People, gateway: int) -> None:
         self.people = people
         self.gateway = gateway
-        self.talk: Talk | None = None
-        self.wanted: Callable[[Talk | None], None] | None = None
+        self.talk: HttpClientProtocol | None = None
+        self.wanted: Callable[[HttpClientProtocol | None], None] | None = None
 
-    def get(self, wanted: Callable[[Talk | None], None]) -> None:
+    def get(self, wanted: Callable[[HttpClientProtocol | None], None]) -> None:
         if self.talk is not None and not self.talk.lost and not self.talk.closing:
             wanted(self.talk)
             return
@@ -107,25 +108,25 @@
         self.wanted = wanted
         self.people.network.connectTCP(where[0], where[1], self, timeout=2)
 
-    def buildProtocol(self, addr: Any) -> Talk:
-        return Talk(self._up, self._over)
+    def buildProtocol(self, addr: Any) -> HttpClientProtocol:
+        return HttpClientProtocol(self._up, self._over)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self._tell(None)
 
-    def _up(self, talk: Talk) -> None:
+    def _up(self, talk: HttpClientProtocol) -> None:
         self.talk = talk
         self.people.conns += 1
         talk.conn = self.people.conns
         self._tell(talk)
 
-    def _over(self, talk: Talk) -> None:
+    def _over(self, talk: HttpClientProtocol) -> None:
         people = self.people
         people.record(r.ConnLost(t=now_ns(people.network), gateway=f"g{self.gateway}", conn=talk.conn))
         if talk is self.talk:
             self.talk = None
 
-    def _tell(self, talk: Talk | None) -> None:
+    def _tell(self, talk: HttpClientProtocol | None) -> None:
         wanted, self.wanted = self.wanted, None
         if wanted is not None:
             wanted(talk)
@@ -143,7 +144,7 @@
         self.product = product
         self.trace = trace
         self.then = then
-        self.talk: Talk | None = None
+        self.talk: HttpClientProtocol | None = None
         self.sent = 0
         self.id = 0
         self.conn = 0
@@ -205,7 +206,7 @@
         ranged = self.chance.random() < 0.2
         headers = {"Range": "bytes=0-1023"} if ranged else {}
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: HttpResponse | None) -> None:
             if answer is not None and answer.whole:
                 if answer.status == 200 and (answer.digest, answer.size) != (digest, size):
                     self._fault(f"{path} was read with other bytes")
@@ -231,14 +232,14 @@
         digest = hashlib.sha256(body).hexdigest()
         self.maybe.add(digest)
 
-        def heard(answer: Answer | None) -> None:
+        def heard(answer: HttpResponse | None) -> None:
             self.heard_of_save(digest, size, answer)
             then(answer)
 
         self.ask("PUT", self.own, heard, headers, body, line, size)
         return digest
 
-    def heard_of_save(self, digest: str, size: int, answer: Answer | None) -> None:
+    def heard_of_save(self, digest: str, size: int, answer: HttpResponse | None) -> None:
         status = answer.status if answer is not None else 0
         if status in (201, 204):
             self.known, self.size, self.maybe = digest, size, set()
@@ -248,7 +249,7 @@
             self._fault(f"PUT of {self.own} was answered {status}")
 
     def _read_back(self, then: Callable[[], None]) -> None:
-        def heard(answer: Answer | None) -> None:
+        def heard(answer: HttpResponse | None) -> None:
             if answer is not None and answer.whole:
                 if answer.status == 404 and self.known:
                     self._fault(f"{self.own} was saved and is gone")
@@ -266,7 +267,7 @@
     def _browse(self) -> None:
         path = f"/v{self.volume.number}/"
 
-        def then(answer: Answer | None) -> None:
+        def then(answer: HttpResponse | None) -> None:
             if answer is not None and answer.whole and answer.status == 207:
                 where = self.gateway, self.volume.number
                 names = {shared.encode() for shared, _, _ in self.people.shared[where]}
@@ -281,7 +282,7 @@
     def _lock(self) -> None:
         """Locks its file, is kept off without the token, saves with it, unlocks."""
 
-        def locked(answer: Answer | None) -> None:
+        def locked(answer: HttpResponse | None) -> None:
             if answer is None or not answer.whole or answer.status not in (200, 201):
                 if answer is not None and answer.whole and answer.status not in (423, 429, 503):
                     self._fault(f"LOCK of {self.own} was answered {answer.status}")
@@ -290,12 +291,12 @@
             self.token = answer.headers["lock-token"]
             self.save(self.lines[0], {}, kept_off)
 
-        def kept_off(answer: Answer | None) -> None:
+        def kept_off(answer: HttpResponse | None) -> None:
             if answer is not None and answer.whole and answer.status in (201, 204):
                 self._fault(f"{self.own} was saved past its lock")
             self.save(self.lines[0], {"If": f"({self.token})"}, saved)
 
-        def saved(answer: Answer | None) -> None:
+        def saved(answer: HttpResponse | None) -> None:
             if answer is not None and answer.whole and answer.status in (412, 423):
                 self._fault(f"the holder of the lock of {self.own} was answered {answer.status}")
             self._unlock(20)
@@ -303,7 +304,7 @@
         self.ask("LOCK", self.own, locked, {"Timeout": "Second-5"}, LOCK)
 
     def _unlock(self, tries: int) -> None:
-        def then(answer: Answer | None) -> None:
+        def then(answer: HttpResponse | None) -> None:
             if answer is None or answer.status in (429, 503):
                 if tries:
                     self.people.network.callLater(AGAIN, self._unlock, tries - 1)
@@ -317,13 +318,13 @@
     def _resend(self) -> None:
         """The same save twice, 10 ms apart on two connections, under one mark: one effect, one answer."""
         mark = f"{self.number}-{self.count}"
-        got: list[Answer | None] = []
+        got: list[HttpResponse | None] = []
         body = self.chance.randbytes(20_000)
         digest = hashlib.sha256(body).hexdigest()
         self.count += 1
         self.maybe.add(digest)
 
-        def heard(answer: Answer | None) -> None:
+        def heard(answer: HttpResponse | None) -> None:
             got.append(answer)
             if len(got) < 2:
                 return
@@ -382,7 +383,7 @@
         this = Ask(line or self.lines[0], method, path, product, trace or people.next_trace(), then)
         people.send(this, self.volume, headers or {}, body, size)
 
-    def _wait(self, answer: Answer | None) -> float:
+    def _wait(self, answer: HttpResponse | None) -> float:
         if answer is None:
             return AGAIN
         if answer.status in (503, 429):
@@ -485,7 +486,7 @@
     ) -> None:
         then = this.then
 
-        def up(talk: Talk | None) -> None:
+        def up(talk: HttpClientProtocol | None) -> None:
             if talk is None or talk.then is not None:
                 self.counts["no connection"] += 1
                 self.network.callLater(AGAIN, then, None)
@@ -497,7 +498,7 @@
             told = {"X-Request-Id": this.trace, **headers}
             talk.ask(this.method, this.path, told, body, heard)
 
-        def heard(answer: Answer | None) -> None:
+        def heard(answer: HttpResponse | None) -> None:
             if not this.over:
                 self._heard(this, volume, size, answer)
                 then(answer if answer is not None and answer.whole else None)
@@ -516,7 +517,7 @@
 
         this.line.get(up)
 
-    def _asked(self, this: Ask, talk: Talk, volume: Volume, size: int) -> None:
+    def _asked(self, this: Ask, talk: HttpClientProtocol, volume: Volume, size: int) -> None:
         line = this.line
         talk.count += 1
         this.sent, this.id, this.conn = now_ns(self.network), talk.count, talk.conn
@@ -549,7 +550,7 @@
         units = units_of(size, UNIT, self.day.most_units)
         return this.product.payoff * self.day.plans[volume.plan].worth * units / self.day.mean_units
 
-    def _heard(self, this: Ask, volume: Volume, size: int, answer: Answer | None) -> None:
+    def _heard(self, this: Ask, volume: Volume, size: int, answer: HttpResponse | None) -> None:
         this.over = True
         stop(this.timer)
         self.out.pop(this.line, None)
@@ -623,11 +624,11 @@
         else:
             self.people.seeded()
 
-    def _made(self, answer: Answer | None) -> None:
+    def _made(self, answer: HttpResponse | None) -> None:
         self.made = answer is not None and answer.status in (201, 405)
         self._go_on(self.made)
 
-    def _put(self, answer: Answer | None) -> None:
+    def _put(self, answer: HttpResponse | None) -> None:
         well = answer is not None and answer.status in (201, 204)
         if well:
             path, body = self.waiting.pop()
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from ochrecourse.audit import records as r
-from ochrecourse.decide import Scheduler
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.interface import Decisions
 from ochrecourse.lab.day import Day, Trouble, gateway_record, node_kind, push_over, volumes, works
@@ -21,8 +21,9 @@
 from ochrecourse.lab.people import People, door_record
 from ochrecourse.lab.prober import Prober
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.view import Copy
-from ochrecourse.outside import MS, Network, now_ns
+from ochrecourse.membership.endpoint_list import EndpointListSnapshot
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.common.time_units import MS
 from ochrecourse.settings.load import resolve, write
 from ochrecourse.standins.bgppeer import StandInPeer
 from ochrecourse.standins.fleet import Fleet
@@ -111,7 +112,7 @@
         play.fleet.list.mirrors.append(self.change)
         play.fleet.list.followers.append(self.go)
 
-    def change(self, line: m.Listed) -> None:
+    def change(self, line: m.EndpointEntry) -> None:
         now = now_ns(self.play.network)
         started = 0 if line.started_ms_ago < 0 else now - round(line.started_ms_ago * MS)
         for seat in self.play.seats:
@@ -126,7 +127,7 @@
             else:
                 end.start()
 
-    def _put(self, line: m.Listed) -> None:
+    def _put(self, line: m.EndpointEntry) -> None:
         key = PREFIX + str(line.node).encode()
         if line.health == "gone":
             self.store.put(key, None)
@@ -143,8 +144,8 @@
         self.index = index
         self.name = f"g{index}"
         self.lives = 0
-        self.copy: Copy | None = None
-        self.tree = InMemory()
+        self.copy: EndpointListSnapshot | None = None
+        self.tree = MemoryJournal()
         self.network: Network = play.network
         self.daemon: Daemon | None = None
         self.port = 0
--- a/ochrecourse/lab/prober.py
+++ b/ochrecourse/lab/prober.py
@@ -13,21 +13,21 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.lab.day import Day
-from ochrecourse.outside import Network, now_ns
+from ochrecourse.common.runtime import Network, now_ns
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import Open, Side, job_moves
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import StreamState, Role, client_connection_state
 
 PACE = 0.1  # s between probes
 PATIENCE = 1000.0  # ms that a probe waits
 VOLUME = 999_999  # no volume of the day
 
 
-class _ProbeLine(Framed):
+class _ProbeLine(FramedProtocol):
     """One connection of probes; `out` holds those that wait, with the time at which each was asked."""
 
     def __init__(self, prober: Prober) -> None:
-        super().__init__(prober.network, Side.ASKING, job_moves())
+        super().__init__(prober.network, Role.ASKING, client_connection_state())
         self.prober = prober
         self.out: dict[int, int] = {}
         self.count = 0
@@ -36,10 +36,13 @@
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="client"))
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         self.met = True
-        if isinstance(message, m.Fulfilled | m.Denied | m.WrittenOff | m.Fault) and message.id in self.out:
-            how = "fulfilled" if isinstance(message, m.Fulfilled) else "not served"
+        if (
+            isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed | m.ErrorNotice)
+            and message.id in self.out
+        ):
+            how = "fulfilled" if isinstance(message, m.RequestServed) else "not served"
             self.prober.tell(self.out.pop(message.id), how)
 
     def ask(self) -> None:
@@ -47,7 +50,7 @@
         self.count += 1
         self.out[self.count] = now_ns(self.clock)
         self.say(
-            m.JobAsked(
+            m.SubmitRequest(
                 id=self.count,
                 product=day.products[0].name,
                 plan=max(day.plans, key=lambda plan: plan.worth).name,
--- a/ochrecourse/lab/real.py
+++ b/ochrecourse/lab/real.py
@@ -15,7 +15,7 @@
 from ochrecourse.lab.load import Load, schedule
 from ochrecourse.lab.people import People, door_record
 from ochrecourse.lab.play import TAIL, WARM_UP, rolls
-from ochrecourse.outside import now_ns
+from ochrecourse.common.runtime import now_ns
 from ochrecourse.settings.load import write
 
 START_TIME = 20.0  # s in which a process must say that it serves; a slow machine takes a few
--- a/ochrecourse/lab/rolling_play.py
+++ b/ochrecourse/lab/rolling_play.py
@@ -20,7 +20,7 @@
 from ochrecourse.lab.together import Step, Together
 from ochrecourse.lab.together_play import Gate, TogetherPlay
 from ochrecourse.lab.worse_rolling import NEWER
-from ochrecourse.outside import now_ns
+from ochrecourse.common.runtime import now_ns
 from ochrecourse.settings.load import write
 
 DIAL = 0.02  # s between two connections of the stranger; a handover takes longer
--- a/ochrecourse/lab/together.py
+++ b/ochrecourse/lab/together.py
@@ -19,7 +19,7 @@
 from ochrecourse.audit import worse_lives as lives
 from ochrecourse.audit.judge import Finding
 from ochrecourse.lab.day import BadDay, Day, Habits, Plan, Product, RuleFigures, Trouble, cold_units
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.standins.machine import NodeKind
 
 ZONES = ("north", "south", "west")
--- a/ochrecourse/lab/together_play.py
+++ b/ochrecourse/lab/together_play.py
@@ -30,7 +30,7 @@
 from ochrecourse.lab.together import (
     BEGINS, CHANNELS, RULE, SETTLE, SITE, TIME_ZONE, ZONES, Step, Together,
 )  # fmt: skip
-from ochrecourse.outside import now_ns
+from ochrecourse.common.runtime import now_ns
 from ochrecourse.standins.breaker import Breaker
 
 LOOK = 0.25  # s between questions what stands; a beat
--- a/ochrecourse/lab/worse_absence.py
+++ b/ochrecourse/lab/worse_absence.py
@@ -14,7 +14,7 @@
 from ochrecourse.audit import together as seen
 from ochrecourse.audit import worse_absence as absence
 from ochrecourse.lab.together import BEGINS, CHANNELS, GATEWAYS, Came, Step, Together, _day
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 CUT = (2.0, 10.5)  # s, from and to
 CATCH_UP = 10.0  # s after it in which jobs are looked at
--- a/ochrecourse/lab/worse_capacity.py
+++ b/ochrecourse/lab/worse_capacity.py
@@ -14,7 +14,7 @@
 from ochrecourse.audit.judge import Finding
 from ochrecourse.audit.together import cold_kept, cold_sums
 from ochrecourse.lab.day import Day, Trouble, cold_units
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 SOLE, SHARED = 3, 3  # shards that south alone holds, and that north and west both hold
 LAYOUT = (
--- a/ochrecourse/lab/worse_capacity_play.py
+++ b/ochrecourse/lab/worse_capacity_play.py
@@ -20,7 +20,8 @@
 from ochrecourse.lab.fleet_play import FleetPlay
 from ochrecourse.lab.fleet_world import Fault, World
 from ochrecourse.lab.together import BEGINS, FIGURES, GATEWAYS, TRAVEL, came, together
-from ochrecourse.outside import MS, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS
 
 NAME = "capacity"
 LOSS = "zone_lost"  # the day's trouble that strikes nodes; its burst is in the schedule of the clients
--- a/ochrecourse/lab/worse_timing.py
+++ b/ochrecourse/lab/worse_timing.py
@@ -16,7 +16,7 @@
 from ochrecourse.audit import together as seen
 from ochrecourse.audit import worse_timing as judged
 from ochrecourse.lab.together import NOTICE, TRAVEL, Came, Step, Together, _day
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 NIGHT = dt.datetime(2026, 10, 25, 0, 30, tzinfo=dt.UTC)  # in the first of hill's two hours from 02:00 on
 CLOSES = "closes"  # the kind of the record that tells when a site's close is, by its last edition
--- a/ochrecourse/lab/worse_timing_play.py
+++ b/ochrecourse/lab/worse_timing_play.py
@@ -15,7 +15,8 @@
 from ochrecourse.lab.play import TAIL
 from ochrecourse.lab.together_play import Gate, TogetherPlay
 from ochrecourse.lab.worse_timing import CLOSES, NIGHT, Closes, Site, SiteStep
-from ochrecourse.outside import MS, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS
 
 AFTER = 4.0  # s of reads behind the day's own, once all edges use copies again; some 20 of each object
 WAIT = 0.25  # s between looks whether they do
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -10,13 +10,23 @@
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused as AppendRefused
 from ochrecourse.fleet.part import Part, Tenant
-from ochrecourse.gateway.gateway import Asker, BadRequest, Gateway, Observer, Request
-from ochrecourse.gateway.ledger import Closing, JobStory, LegStory
-from ochrecourse.gateway.spool import Spool
+from ochrecourse.gateway.gateway import (
+    ResponseHandler as Asker,
+    BadRequestError as BadRequest,
+    Gateway,
+    RequestObserver as Observer,
+    Request,
+)
+from ochrecourse.common.request_records import (
+    RequestOutcome as Closing,
+    RequestRecord as JobStory,
+    AttemptRecord as LegStory,
+)
+from ochrecourse.gateway.request_body import RequestBody as Spool
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.follower import Follower
-from ochrecourse.membership.view import News
+from ochrecourse.membership.list_server_watcher import ListServerWatcher as Follower
+from ochrecourse.membership.endpoint_list import EndpointListUpdate as News
 from ochrecourse.nodes.framed_connection import dialler
 from ochrecourse.settings.load import Refused, load, resolve
 from ochrecourse.settings.plain import plain_map
--- a/ochrecourse/membership/conflicts.py
+++ b/ochrecourse/membership/conflicts.py
@@ -22,15 +22,23 @@
 from typing import NamedTuple
 
 from ochrecourse.interface import Health, NodeEntry
-from ochrecourse.nodes.proof import Seen
-from ochrecourse.outside import SECOND
+from ochrecourse.nodes.outcome import AttemptEvent
+from ochrecourse.common.time_units import SECOND
 
 IN_A_ROW = 3  # refusals; one or two are a node that is just starting, or full for a moment
 RECENT = 60 * SECOND  # ns in which changes count as to and fro, and for which a word of a node is news
 CHANGES = 4  # of a node's health in that time: a drain, its end and one return are two
 
-REFUSALS = frozenset((Seen.REFUSED, Seen.DIAL_TIMEOUT))
-SILENCES = frozenset((Seen.UNLISTED, Seen.NO_ROOM, Seen.TIMEOUT, Seen.TIMEOUT_BEFORE, Seen.CANCEL_UNANSWERED))
+REFUSALS = frozenset((AttemptEvent.REFUSED, AttemptEvent.DIAL_TIMEOUT))
+SILENCES = frozenset(
+    (
+        AttemptEvent.UNLISTED,
+        AttemptEvent.NO_ROOM,
+        AttemptEvent.TIMEOUT,
+        AttemptEvent.TIMEOUT_BEFORE,
+        AttemptEvent.CANCEL_UNANSWERED,
+    )
+)
 
 
 class Conflict(NamedTuple):
@@ -42,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class _Sight:
+class _NodeObservation:
     """What was seen of one node."""
 
     refusals: int = 0  # in a row, with no word in between
@@ -54,11 +62,11 @@
     changes: deque[int] = field(default_factory=lambda: deque(maxlen=CHANGES))
 
 
-class Sightings:
+class NodeObservations:
     """What the list and the legs said of each node."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, _Sight] = {}
+        self.nodes: dict[int, _NodeObservation] = {}
 
     def listed(self, entries: Iterable[NodeEntry], whole: bool, now: int) -> None:
         """A list came; `whole`: nodes that are not in it are gone."""
@@ -69,7 +77,7 @@
             sight = self.nodes.get(node)
             if sight is None:
                 if health is not Health.GONE:
-                    self.nodes[node] = _Sight(health=health, since=now)
+                    self.nodes[node] = _NodeObservation(health=health, since=now)
             elif sight.health is not health:
                 sight.health, sight.since = health, now
                 sight.changes.append(now)
@@ -77,7 +85,7 @@
         for node in [each for each, sight in self.nodes.items() if self._forgotten(sight, now)]:
             del self.nodes[node]
 
-    def leg_over(self, node: int, seen: Seen, at: int) -> None:
+    def leg_over(self, node: int, seen: AttemptEvent, at: int) -> None:
         """A leg at a node ended so."""
         sight = self.nodes.get(node)
         if sight is None or seen in SILENCES:
@@ -88,18 +96,18 @@
                 sight.refused_since = at
             return
         sight.refusals = 0
-        if seen is Seen.NOT_STORED:
+        if seen is AttemptEvent.NOT_STORED:
             sight.not_held = at
-        elif seen is Seen.DONE:
+        elif seen is AttemptEvent.DONE:
             sight.not_held = -1
-        if seen in (Seen.DONE, Seen.FAILED, Seen.FULL, Seen.NOT_STORED):
+        if seen in (AttemptEvent.DONE, AttemptEvent.FAILED, AttemptEvent.FULL, AttemptEvent.NOT_STORED):
             sight.spoke = at
 
-    def _forgotten(self, sight: _Sight, now: int) -> bool:
+    def _forgotten(self, sight: _NodeObservation, now: int) -> bool:
         return sight.health is Health.GONE and now - max(sight.since, sight.spoke) > RECENT
 
 
-def conflicts(entries: Mapping[int, NodeEntry], sightings: Sightings, now: int) -> list[Conflict]:
+def conflicts(entries: Mapping[int, NodeEntry], sightings: NodeObservations, now: int) -> list[Conflict]:
     """What does not agree now, by node. `entries`: the list as the gateway holds it."""
     found = []
     holders: dict[int, list[int]] = {}
--- a/ochrecourse/membership/view.py
+++ b/ochrecourse/membership/endpoint_list.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -17,17 +17,17 @@
 import msgspec
 
 from ochrecourse.interface import Health, ListKind, NodeEntry
-from ochrecourse.wire.messages import Listed
+from ochrecourse.wire.messages import EndpointEntry
 
 HEALTH = {"ready": Health.READY, "draining": Health.DRAINING, "gone": Health.GONE}
 
 
-class BadList(Exception):
+class BadEndpointListError(Exception):
     """A list that can't be taken; the text says which line of it and why."""
 
 
 @dataclass(slots=True)
-class News:
+class EndpointListUpdate:
     """What to tell the gateway."""
 
     kind: ListKind
@@ -36,31 +36,33 @@
 
 
 @dataclass(slots=True)
-class Copy:
+class EndpointListSnapshot:
     """What is kept on disk: the list, its version, the clock's time when it was written, and whose it is."""
 
     epoch: int
     written: int
-    lines: list[Listed]
+    lines: list[EndpointEntry]
     gateway: str = ""
     cluster: int = 0  # of the registry that told it; 0: a list server did
 
 
-class View:
+class EndpointList:
     """The list as this gateway holds it."""
 
     def __init__(self) -> None:
         self.epoch = 0  # 0: none yet, or a gap; then the whole list is asked for
-        self.lines: dict[int, Listed] = {}
+        self.lines: dict[int, EndpointEntry] = {}
         self.started: dict[int, int] = {}  # ns on this host's clock, 0 if long ago
         self.heard = -1  # when the last good list came
         self.gaps = 0
         self.repeats = 0
 
-    def list_came(self, kind: str, epoch: int, lines: Sequence[Listed], now: int) -> News | None:
+    def list_came(
+        self, kind: str, epoch: int, lines: Sequence[EndpointEntry], now: int
+    ) -> EndpointListUpdate | None:
         """Takes a list; None if it tells nothing new. After a gap `epoch` is 0: ask for the whole list.
 
-        Raises BadList; nothing of such a list is taken.
+        Raises BadEndpointListError; nothing of such a list is taken.
         """
         addresses = {line.node: address_of(line) for line in lines if line.health != "gone"}
         entries = [self._entry(line, now) for line in lines]
@@ -68,7 +70,7 @@
             self.lines.clear()
             self.started.clear()
         elif kind != "delta":
-            raise BadList(f"a list of unknown kind {kind!r}")
+            raise BadEndpointListError(f"a list of unknown kind {kind!r}")
         elif self.epoch and epoch <= self.epoch:
             self.repeats += 1
             return None
@@ -84,20 +86,20 @@
                 self.lines[line.node] = line
                 self.started[line.node] = entry.started
         self.epoch, self.heard = epoch, now
-        return News(ListKind.FULL if kind == "full" else ListKind.DELTA, entries, addresses)
+        return EndpointListUpdate(ListKind.FULL if kind == "full" else ListKind.DELTA, entries, addresses)
 
-    def copy(self, now: int) -> Copy:
+    def copy(self, now: int) -> EndpointListSnapshot:
         """The list as it is to be kept; ages are those at `now`."""
         kept = []
         for node, line in sorted(self.lines.items()):
             started = self.started[node]
             age = (now - started) / MS if started else -1.0
             kept.append(msgspec.structs.replace(line, started_ms_ago=age))
-        return Copy(self.epoch, now, kept)
+        return EndpointListSnapshot(self.epoch, now, kept)
 
-    def read_back(self, copy: Copy, now: int) -> News:
+    def read_back(self, copy: EndpointListSnapshot, now: int) -> EndpointListUpdate:
         """A kept list after a start. Its version is not followed on: the whole list is asked for. Raises
-        BadList.
+        BadEndpointListError.
         """
         same_clock = 0 <= copy.written <= now
         entries, addresses = [], {}
@@ -109,18 +111,18 @@
             addresses[line.node] = address_of(line)
             self.lines[line.node] = line
             self.started[line.node] = entry.started
-        return News(ListKind.CACHED, entries, addresses)
+        return EndpointListUpdate(ListKind.CACHED, entries, addresses)
 
     def age(self, now: int) -> int | None:
         """ns since the last good list; None if none came in this life."""
         return None if self.heard < 0 else now - self.heard
 
-    def _entry(self, line: Listed, now: int) -> NodeEntry:
+    def _entry(self, line: EndpointEntry, now: int) -> NodeEntry:
         health = HEALTH.get(line.health)
         if health is None:
-            raise BadList(f"node {line.node} has unknown health {line.health!r}")
+            raise BadEndpointListError(f"node {line.node} has unknown health {line.health!r}")
         if not 0 <= line.node < 2**32 or not 0 <= line.zone < 2**16 or not -1 <= line.shard < 2**16:
-            raise BadList(f"node {line.node} has a figure out of range")
+            raise BadEndpointListError(f"node {line.node} has a figure out of range")
         started = 0
         if line.started_ms_ago >= 0:
             # Guards against a start that looks new at each list: the first time told for this start is kept.
@@ -131,9 +133,9 @@
         return NodeEntry(line.node, line.zone, line.shard, health, started)
 
 
-def address_of(line: Listed) -> tuple[str, int]:
-    """Host and port of a line. Raises BadList."""
+def address_of(line: EndpointEntry) -> tuple[str, int]:
+    """Host and port of a line. Raises BadEndpointListError."""
     host, _, port = line.address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadList(f"node {line.node} has no address of the form host:port: {line.address!r}")
+        raise BadEndpointListError(f"node {line.node} has no address of the form host:port: {line.address!r}")
     return host.strip("[]"), int(port)
--- a/ochrecourse/membership/etcd.py
+++ b/ochrecourse/membership/etcd.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ochrecourse.membership.registry import Change, RangeAsked, Record
+from ochrecourse.membership.registry_state import Change, RangeAsked, Record
 
 RANGE, WATCH, PUT = "/v3/kv/range", "/v3/watch", "/v3/kv/put"
 GRANT, KEEP_ALIVE, REVOKE = "/v3/lease/grant", "/v3/lease/keepalive", "/v3/lease/revoke"
--- a/ochrecourse/membership/lease.py
+++ b/ochrecourse/membership/lease.py
@@ -9,10 +9,10 @@
 
 from enum import Enum
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 
-class Wants(Enum):
+class LeaseAction(Enum):
     """What is to be asked of the registry next."""
 
     NOTHING = "nothing yet"
@@ -32,15 +32,15 @@
         self.next = 0  # when to ask again
         self.lost = 0  # times that it ran out or was forgotten
 
-    def wants(self, now: int) -> Wants:
+    def wants(self, now: int) -> LeaseAction:
         """What to ask now; the host asks, and tells what came."""
         if self.id and now >= self.until:
             self._forget()
         if now < self.next:
-            return Wants.NOTHING
+            return LeaseAction.NOTHING
         if not self.id:
-            return Wants.GRANT
-        return Wants.KEEP if self.put else Wants.PUT
+            return LeaseAction.GRANT
+        return LeaseAction.KEEP if self.put else LeaseAction.PUT
 
     def granted(self, number: int, asked_at: int) -> None:
         """A lease was given; its time runs from when it was asked for."""
--- a/ochrecourse/membership/follower.py
+++ b/ochrecourse/membership/list_server_watcher.py
@@ -1,5 +1,5 @@
-"""Follows a list server: connects, asks for what is new, comes back after breaks; `Holder` hands lists on and
-keeps the last one.
+"""Follows a list server: connects, asks for what is new, comes back after breaks; `EndpointListStore` hands
+lists on and keeps the last one.
 """
 
 from __future__ import annotations
@@ -12,45 +12,50 @@
 
 from twisted.internet.protocol import ClientFactory
 
-from ochrecourse.durable.sealed import Damaged
-from ochrecourse.membership import kept
-from ochrecourse.membership.view import BadList, Copy, News, View
-from ochrecourse.outside import Network, Timer, now_ns, stop
+from ochrecourse.storage.atomic_file import DamagedFileError
+from ochrecourse.membership import endpoint_cache
+from ochrecourse.membership.endpoint_list import (
+    BadEndpointListError,
+    EndpointListSnapshot,
+    EndpointListUpdate,
+    EndpointList,
+)
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import IllegalMove, ListMoves, Open, Side
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import ProtocolViolationError, ListConnectionState, StreamState, Role
 
 FIRST_WAIT = 0.1  # s before the first try to come back; a restarted server is there again soon
 LONGEST_WAIT = 2.0  # s; an operator's drain grace is of this size, so a break costs no more than one of it
 
 
-class _Line(Framed):
+class _ListServerConnection(FramedProtocol):
     """One connection to the list server."""
 
     max_body: ClassVar[int] = m.MAX_LIST_BODY
 
-    def __init__(self, follower: Follower) -> None:
-        super().__init__(follower.network, Side.ASKING, ListMoves())
+    def __init__(self, follower: ListServerWatcher) -> None:
+        super().__init__(follower.network, Role.ASKING, ListConnectionState())
         self.follower = follower
 
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="gateway", name=self.follower.name))
-        self.say(m.Follow(epoch=self.follower.view.epoch))
+        self.say(m.WatchEndpoints(epoch=self.follower.view.epoch))
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
-        if isinstance(message, m.NodeList):
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+        if isinstance(message, m.EndpointListMessage):
             try:
                 self.follower.list_came(message.kind, message.epoch, m.decode_list(body))
-            except (BadList, m.BadMessage) as trouble:
-                raise IllegalMove("bad_list", str(trouble)) from None
+            except (BadEndpointListError, m.MalformedMessageError) as trouble:
+                raise ProtocolViolationError("bad_list", str(trouble)) from None
             if not self.follower.view.epoch:
-                self.say(m.Follow(epoch=0))
+                self.say(m.WatchEndpoints(epoch=0))
 
     def closed(self, half: bool) -> None:
         self.follower.lost(self)
 
 
-class Holder:
+class EndpointListStore:
     """The list as this gateway holds it, whoever tells it.
 
     `told` gets each piece of news; `path` is where the last list is kept.
@@ -60,7 +65,7 @@
         self,
         name: str,
         network: Network,
-        told: Callable[[News], None],
+        told: Callable[[EndpointListUpdate], None],
         path: Path | None,
         warn: Callable[[str], None],
     ) -> None:
@@ -69,28 +74,30 @@
         self.told = told
         self.path = path
         self.warn = warn
-        self.view = View()
+        self.view = EndpointList()
         self.counts: Counter[str] = Counter()
         self.cluster = 0  # of the registry that tells the list
 
-    def hand_on_kept(self) -> Copy | None:
+    def hand_on_kept(self) -> EndpointListSnapshot | None:
         """The kept list, if a good one is there."""
         if self.path is None:
             return None
         try:
-            copy = kept.load(self.path)
+            copy = endpoint_cache.load(self.path)
             if copy is not None and copy.gateway not in ("", self.name):
-                raise Damaged(f"{self.path}: it is of gateway {copy.gateway!r}, not of {self.name!r}")
+                raise DamagedFileError(
+                    f"{self.path}: it is of gateway {copy.gateway!r}, not of {self.name!r}"
+                )
             if copy is not None:
                 self.told(self.view.read_back(copy, now_ns(self.network)))
             return copy
-        except (Damaged, OSError, BadList) as trouble:
+        except (DamagedFileError, OSError, BadEndpointListError) as trouble:
             self.counts["kept lists not read"] += 1
             self.warn(f"the kept list of nodes is ignored: {trouble}")
             return None
 
-    def take(self, kind: str, epoch: int, lines: list[m.Listed]) -> bool:
-        """A list or a change of it; True if it told something new. Raises BadList."""
+    def take(self, kind: str, epoch: int, lines: list[m.EndpointEntry]) -> bool:
+        """A list or a change of it; True if it told something new. Raises BadEndpointListError."""
         now = now_ns(self.network)
         news = self.view.list_came(kind, epoch, lines, now)
         if news is None:
@@ -101,14 +108,14 @@
             try:
                 copy = self.view.copy(now)
                 copy.gateway, copy.cluster = self.name, self.cluster
-                kept.save(self.path, copy)
+                endpoint_cache.save(self.path, copy)
             except OSError as trouble:
                 self.counts["lists not kept"] += 1
                 self.warn(f"the list of nodes could not be kept: {trouble}")
         return True
 
 
-class Follower(Holder, ClientFactory):
+class ListServerWatcher(EndpointListStore, ClientFactory):
     """The gateway's side of the list server."""
 
     noisy = False
@@ -118,7 +125,7 @@
         name: str,
         network: Network,
         address: tuple[str, int],
-        told: Callable[[News], None],
+        told: Callable[[EndpointListUpdate], None],
         path: Path | None,
         seed: int,
         warn: Callable[[str], None] = lambda text: None,
@@ -126,7 +133,7 @@
         super().__init__(name, network, told, path, warn)
         self.address = address
         self.chance = random.Random(seed)
-        self.line: _Line | None = None
+        self.line: _ListServerConnection | None = None
         self.wait = FIRST_WAIT
         self.stopped = False
         self._timer: Timer | None = None
@@ -142,18 +149,18 @@
         if self.line is not None:
             self.line.abort()
 
-    def list_came(self, kind: str, epoch: int, lines: list[m.Listed]) -> None:
+    def list_came(self, kind: str, epoch: int, lines: list[m.EndpointEntry]) -> None:
         if self.take(kind, epoch, lines):
             self.wait = FIRST_WAIT
 
-    def buildProtocol(self, addr: Any) -> _Line:
-        self.line = _Line(self)
+    def buildProtocol(self, addr: Any) -> _ListServerConnection:
+        self.line = _ListServerConnection(self)
         return self.line
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self._again()
 
-    def lost(self, line: _Line) -> None:
+    def lost(self, line: _ListServerConnection) -> None:
         if self.line is line:
             self.line = None
             self.counts["breaks"] += 1
--- a/ochrecourse/membership/enrolled.py
+++ b/ochrecourse/membership/registration.py
@@ -10,10 +10,11 @@
 from twisted.internet.protocol import ClientFactory
 
 from ochrecourse.membership import etcd
-from ochrecourse.membership.lease import Lease, Wants
-from ochrecourse.membership.registry import RangeAsked
-from ochrecourse.outside import SECOND, Network, Timer, now_ns, stop
-from ochrecourse.wire.talk import Answer, Talk
+from ochrecourse.membership.lease import Lease, LeaseAction
+from ochrecourse.membership.registry_state import RangeAsked
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import SECOND
+from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
 
 PATIENCE = 0.8  # s for an answer
 LOOK = 0.5  # s between looks at what the lease wants; well inside a third of the shortest lease
@@ -23,7 +24,7 @@
 JSON = {"Content-Type": "application/json"}
 
 
-class Enrolled(ClientFactory):
+class Registration(ClientFactory):
     """This gateway's entry. `value` gives what it holds now; `others`, if there, hears now and then of all
     entries under the same prefix, by key.
     """
@@ -51,7 +52,7 @@
         self.chance = random.Random(seed)
         self.at = self.chance.randrange(len(self.servers))
         self.counts: Counter[str] = Counter()
-        self.talk: Talk | None = None
+        self.talk: HttpClientProtocol | None = None
         self.dialling = False
         self._look: Timer | None = None
         self._late: Timer | None = None
@@ -88,9 +89,9 @@
         self._look = self.network.callLater(LOOK, self._turn)
         now = now_ns(self.network)
         wants = self.lease.wants(now)
-        looks = self.others is not None and wants is Wants.NOTHING and now >= self._others_at
+        looks = self.others is not None and wants is LeaseAction.NOTHING and now >= self._others_at
         busy = self.dialling or (self.talk is not None and self.talk.then is not None)
-        if busy or (wants is Wants.NOTHING and not looks):
+        if busy or (wants is LeaseAction.NOTHING and not looks):
             return
         if self.talk is None or self.talk.lost or self.talk.closing:
             self.dialling = True
@@ -104,35 +105,35 @@
             self.talk.ask("POST", etcd.RANGE, JSON, body, self._others_came)
             return
         path, body = {
-            Wants.GRANT: (etcd.GRANT, etcd.grant_body(self.lease.seconds)),
-            Wants.PUT: (etcd.PUT, etcd.put_body(self.key, self.value(), lease)),
-            Wants.KEEP: (etcd.KEEP_ALIVE, etcd.lease_body(lease)),
+            LeaseAction.GRANT: (etcd.GRANT, etcd.grant_body(self.lease.seconds)),
+            LeaseAction.PUT: (etcd.PUT, etcd.put_body(self.key, self.value(), lease)),
+            LeaseAction.KEEP: (etcd.KEEP_ALIVE, etcd.lease_body(lease)),
         }[wants]
         self._late = self.network.callLater(PATIENCE, self._failed, "no answer in time")
         self.talk.ask("POST", path, JSON, body, lambda answer: self._came(wants, now, answer))
 
-    def _came(self, wants: Wants, asked_at: int, answer: Answer | None) -> None:
+    def _came(self, wants: LeaseAction, asked_at: int, answer: HttpResponse | None) -> None:
         stop(self._late)
         self._late = None
         try:
             if answer is None or not answer.whole:
                 raise etcd.BadAnswer("it broke off")
-            told = etcd.granted(answer.status, answer.body, wants is Wants.KEEP)
+            told = etcd.granted(answer.status, answer.body, wants is LeaseAction.KEEP)
         except (etcd.BadAnswer, etcd.Compacted) as trouble:
-            if wants is Wants.PUT and answer is not None and answer.status == 400:
+            if wants is LeaseAction.PUT and answer is not None and answer.status == 400:
                 self.lease.kept(0, asked_at)  # the registry knows no such lease
             self._failed(str(trouble))
             return
-        if wants is Wants.GRANT:
+        if wants is LeaseAction.GRANT:
             self.lease.granted(told.ID, asked_at)
-        elif wants is Wants.PUT:
+        elif wants is LeaseAction.PUT:
             self.lease.was_put(asked_at)
         else:
             self.lease.kept(told.TTL, asked_at)
         stop(self._look)
         self._look = self.network.callLater(0, self._turn)
 
-    def _others_came(self, answer: Answer | None) -> None:
+    def _others_came(self, answer: HttpResponse | None) -> None:
         stop(self._late)
         self._late = None
         try:
@@ -166,9 +167,9 @@
         self.at = (self.at + 1) % len(self.servers)
         self.lease.failed(now_ns(self.network), round(AGAIN * self.chance.random() * SECOND))
 
-    def buildProtocol(self, addr: Any) -> Talk:
+    def buildProtocol(self, addr: Any) -> HttpClientProtocol:
         self.dialling = False
-        self.talk = Talk(lambda talk: None, lambda talk: None)
+        self.talk = HttpClientProtocol(lambda talk: None, lambda talk: None)
         return self.talk
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
--- a/ochrecourse/membership/roster.py
+++ b/ochrecourse/membership/registrations.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from ochrecourse.membership.registry import Record
-from ochrecourse.outside import MS
-from ochrecourse.wire.messages import Listed
+from ochrecourse.membership.registry_state import Record
+from ochrecourse.common.time_units import MS
+from ochrecourse.wire.messages import EndpointEntry
 
 LONGEST_AGE = 86_400_000.0  # ms; a record that seems older was written by a clock that is wrong
 
@@ -30,20 +30,20 @@
     written_ms: float = 0.0
 
 
-class Roster:
+class NodeRegistrations:
     """Lines made of records; `notes` counts records that can't be read, by why."""
 
     def __init__(self) -> None:
         self.started: dict[bytes, tuple[int, int]] = {}  # by key: revision of its record, ns of the start
         self.notes: dict[str, int] = {}
 
-    def lines(self, records: dict[bytes, Record], now: int, since_1970: int) -> list[Listed]:
+    def lines(self, records: dict[bytes, Record], now: int, since_1970: int) -> list[EndpointEntry]:
         """The list, by node; `now` in ns on this host's clock, `since_1970` the same moment in ms.
 
         One record that can't be read costs its node alone. Of two that claim one node the one that changed
         last counts.
         """
-        found: dict[int, tuple[int, Listed]] = {}
+        found: dict[int, tuple[int, EndpointEntry]] = {}
         for key, record in sorted(records.items()):
             try:
                 said = msgspec.json.decode(record.value, type=NodeRecord)
@@ -51,7 +51,7 @@
                 self._note(f"{key.decode('utf-8', 'replace')}: {trouble}")
                 continue
             started = self._started(key, record, said, now, since_1970)
-            line = Listed(
+            line = EndpointEntry(
                 node=said.node,
                 address=said.address,
                 shard=said.shard,
--- a/ochrecourse/membership/registrar.py
+++ b/ochrecourse/membership/registry_watcher.py
@@ -16,13 +16,14 @@
 from twisted.internet.protocol import ClientFactory
 
 from ochrecourse.membership import etcd
-from ochrecourse.membership.choice import LAG, LOOK, PATIENCE, Choice, Lag
-from ochrecourse.membership.follower import Holder
-from ochrecourse.membership.registry import Change, Feed, RangeAsked, Untrusted
-from ochrecourse.membership.roster import Roster
-from ochrecourse.membership.view import BadList, News
-from ochrecourse.outside import MS, Network, Timer, now_ns, stop
-from ochrecourse.wire.talk import Answer, Talk
+from ochrecourse.membership.server_selection import LAG, LOOK, PATIENCE, ServerSelector, WatchLag
+from ochrecourse.membership.list_server_watcher import EndpointListStore
+from ochrecourse.membership.registry_state import Change, Feed, RangeAsked, Untrusted
+from ochrecourse.membership.registrations import NodeRegistrations
+from ochrecourse.membership.endpoint_list import BadEndpointListError, EndpointListUpdate
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS
+from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
 
 PAGE = 100  # keys of a page; some tens of KiB
 JSON = {"Content-Type": "application/json"}
@@ -33,20 +34,20 @@
 
     noisy = False
 
-    def __init__(self, up: Callable[[Talk], None], lost: Callable[[], None]) -> None:
+    def __init__(self, up: Callable[[HttpClientProtocol], None], lost: Callable[[], None]) -> None:
         self.up = up
         self.lost = lost
-        self.talk: Talk | None = None
+        self.talk: HttpClientProtocol | None = None
 
-    def buildProtocol(self, addr: Any) -> Talk:
-        self.talk = Talk(self.up, lambda talk: self.lost())
+    def buildProtocol(self, addr: Any) -> HttpClientProtocol:
+        self.talk = HttpClientProtocol(self.up, lambda talk: self.lost())
         return self.talk
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.lost()
 
 
-class Registrar(Holder):
+class RegistryWatcher(EndpointListStore):
     """The gateway's side of the registry; stands where a `Follower` of a list server would.
 
     `since_1970` gives ms since 1970, for ages that writers tell by their own clocks. `line` is the watch
@@ -59,7 +60,7 @@
         network: Network,
         servers: Sequence[tuple[str, int]],
         prefix: bytes,
-        told: Callable[[News], None],
+        told: Callable[[EndpointListUpdate], None],
         path: Path | None,
         seed: int,
         since_1970: Callable[[], int],
@@ -69,11 +70,11 @@
         self.servers = list(servers)
         self.since_1970 = since_1970
         self.chance = random.Random(seed)
-        self.choice = Choice(len(self.servers), self.chance.random)
-        self.lag = Lag()
+        self.choice = ServerSelector(len(self.servers), self.chance.random)
+        self.lag = WatchLag()
         self.feed = Feed(prefix)
-        self.roster = Roster()
-        self.line: Talk | None = None
+        self.roster = NodeRegistrations()
+        self.line: HttpClientProtocol | None = None
         self.calls: _Line | None = None
         self.watch: _Line | None = None
         self.other: _Line | None = None  # to another server, for looks
@@ -108,7 +109,7 @@
         self._timer = None
         self.calls = self._dial(self.choice.at, self._ask)
 
-    def _dial(self, at: int, up: Callable[[Talk], None]) -> _Line:
+    def _dial(self, at: int, up: Callable[[HttpClientProtocol], None]) -> _Line:
         line = _Line(up, lambda: self._lost(line))
         host, port = self.servers[at]
         self.network.connectTCP(host, port, line, timeout=PATIENCE)
@@ -159,12 +160,12 @@
 
     # --- calls ---
 
-    def _call(self, path: str, body: bytes, then: Callable[[Answer], None]) -> None:
+    def _call(self, path: str, body: bytes, then: Callable[[HttpResponse], None]) -> None:
         line = self.calls
         if line is None or line.talk is None:
             return
 
-        def came(answer: Answer | None) -> None:
+        def came(answer: HttpResponse | None) -> None:
             if self.calls is not line:
                 return
             stop(self._late)
@@ -191,7 +192,7 @@
         self._late = None
         self._broke("no answer in time")
 
-    def _ask(self, talk: Talk | None = None) -> None:
+    def _ask(self, talk: HttpClientProtocol | None = None) -> None:
         """Asks for what the feed wants next."""
         asked = self.feed.asks()
         if isinstance(asked, RangeAsked):
@@ -200,7 +201,7 @@
             self.watch = self._dial(self.choice.at, self._watch_up)
             self._look = self.network.callLater(LOOK * self.chance.random(), self._look_at_newest)
 
-    def _page_came(self, answer: Answer) -> None:
+    def _page_came(self, answer: HttpResponse) -> None:
         header, records, more = etcd.range_answer(answer.status, answer.body)
         changes = self.feed.page_came(header.cluster_id, header.revision, records, more)
         if changes is not None:
@@ -215,10 +216,10 @@
         elif self.other.talk is not None and self.other.talk.then is None:
             self._look_up(self.other.talk)
 
-    def _look_up(self, talk: Talk) -> None:
+    def _look_up(self, talk: HttpClientProtocol) -> None:
         talk.ask("POST", etcd.RANGE, JSON, etcd.newest_body(self.feed.prefix), self._newest_came)
 
-    def _newest_came(self, answer: Answer | None) -> None:
+    def _newest_came(self, answer: HttpResponse | None) -> None:
         stop(self._look_late)
         self._look_late = None
         try:
@@ -244,7 +245,7 @@
 
     # --- the watch ---
 
-    def _watch_up(self, talk: Talk) -> None:
+    def _watch_up(self, talk: HttpClientProtocol) -> None:
         asked = self.feed.asks()
         if isinstance(asked, RangeAsked):
             return
@@ -253,7 +254,7 @@
         body = etcd.watch_body(self.feed.prefix, asked.revision)
         talk.ask("POST", etcd.WATCH, JSON, body, lambda answer: self._stream_over(talk))
 
-    def _streamed(self, talk: Talk, data: bytes) -> None:
+    def _streamed(self, talk: HttpClientProtocol, data: bytes) -> None:
         if self.watch is None or self.watch.talk is not talk:
             return
         try:
@@ -279,7 +280,7 @@
         except Untrusted as trouble:
             self._untrusted(str(trouble))
 
-    def _stream_over(self, talk: Talk) -> None:
+    def _stream_over(self, talk: HttpClientProtocol) -> None:
         if self.watch is not None and self.watch.talk is talk:
             self._broke("the watch ended")
 
@@ -291,7 +292,7 @@
         lines = self.roster.lines(self.feed.records, now_ns(self.network), self.since_1970())
         try:
             self.take("full", self.feed.known, lines)
-        except BadList as trouble:
+        except BadEndpointListError as trouble:
             self.counts["bad lists"] += 1
             self.warn(f"the registry's list is not taken: {trouble}")
 
--- a/ochrecourse/membership/choice.py
+++ b/ochrecourse/membership/server_selection.py
@@ -20,7 +20,7 @@
 ROUNDS = 2  # times that each server may be disbelieved before an operator is told
 
 
-class Choice:
+class ServerSelector:
     """The server at hand among `count`, and the wait after a break. `chance` gives numbers from 0 to 1."""
 
     def __init__(self, count: int, chance: Callable[[], float]) -> None:
@@ -58,7 +58,7 @@
         return True
 
 
-class Lag:
+class WatchLag:
     """Whether a watch keeps up with what looks at other servers see. Revisions as the registry gives them."""
 
     def __init__(self) -> None:
--- a/ochrecourse/nodes/dispatcher.py
+++ b/ochrecourse/nodes/dispatcher.py
@@ -14,8 +14,15 @@
 from typing import Protocol
 
 from ochrecourse.nodes.pool import PooledConnection, Pool, PoolLimits, State
-from ochrecourse.nodes.proof import Close, Seen, Written, seen_at_close, seen_at_timeout
-from ochrecourse.outside import SECOND, Clock, Timer, now_ns, stop
+from ochrecourse.nodes.outcome import (
+    ConnectionEnd,
+    AttemptEvent,
+    WriteProgress,
+    event_at_close,
+    event_at_timeout,
+)
+from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.wire import messages as m
 
 LINGER = (
@@ -43,11 +50,11 @@
 
     def written(self, attempt: OutgoingAttempt) -> None: ...
 
-    def began(self, attempt: OutgoingAttempt, answer: m.Done) -> None: ...
+    def began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None: ...
 
     def piece(self, attempt: OutgoingAttempt, data: bytes) -> None: ...
 
-    def ended(self, attempt: OutgoingAttempt, seen: Seen, answer: m.Any | None) -> None: ...
+    def ended(self, attempt: OutgoingAttempt, seen: AttemptEvent, answer: m.AnyMessage | None) -> None: ...
 
 
 class OutgoingAttempt:
@@ -60,7 +67,7 @@
         number: int,
         request_id: int,
         node: int,
-        message: m.LegSent,
+        message: m.SendAttempt,
         body: Body | None,
         listener: AttemptListener,
     ) -> None:
@@ -76,7 +83,7 @@
         self.connection: NodeConnection | None = None
         self.id = -1  # on its connection
         self.written = 0  # bytes of the body
-        self.answer: m.Done | None = None
+        self.answer: m.AttemptServed | None = None
         self.taken = 0
         self.granted = 0
         self.over = False
@@ -87,11 +94,11 @@
         self.write_before = 0  # ns; from then on it may not be written any more; 0: no such time
         self.write_timer: Timer | None = None
 
-    def handed(self) -> Written:
+    def handed(self) -> WriteProgress:
         """How much of it was handed to the network."""
         if self.id < 0:
-            return Written.NOTHING
-        return Written.WHOLE if self.written >= self.message.size else Written.PARTIAL
+            return WriteProgress.NOTHING
+        return WriteProgress.WHOLE if self.written >= self.message.size else WriteProgress.PARTIAL
 
 
 class NodeConnection(Protocol):
@@ -158,7 +165,7 @@
         self,
         request_id: int,
         node: int,
-        message: m.LegSent,
+        message: m.SendAttempt,
         body: Body | None,
         time_out: int,
         stall: int,
@@ -183,14 +190,14 @@
             left = max(0, write_before - attempt.sent_at) / SECOND
             attempt.write_timer = self.clock.callLater(left, self._too_late_to_write, attempt)
         if self.address_of(node) is None:
-            self.clock.callLater(0, self._end, attempt, Seen.UNLISTED, None)
+            self.clock.callLater(0, self._end, attempt, AttemptEvent.UNLISTED, None)
             return attempt
         place = self.pool.place(node, attempt.number, message.product, message.size > m.MAX_BODY)
         if place.instead is not None and place.instead.number in self.connections:
             self.connections[place.instead.number].close()
         if place.connection is None:
             self.counts["no room"] += 1
-            self.clock.callLater(0, self._end, attempt, Seen.NO_ROOM, None)
+            self.clock.callLater(0, self._end, attempt, AttemptEvent.NO_ROOM, None)
             return attempt
         attempt.pooled = place.connection
         if place.now:
@@ -204,14 +211,20 @@
     def cancel(self, attempt: OutgoingAttempt) -> None:
         """Stops waiting for an attempt; its end is reported at once, as no more than was known."""
         if not attempt.over:
-            known = Seen.CANCEL_UNANSWERED if attempt.handed() is Written.WHOLE else Seen.LEFT_BEFORE
+            known = (
+                AttemptEvent.CANCEL_UNANSWERED
+                if attempt.handed() is WriteProgress.WHOLE
+                else AttemptEvent.LEFT_BEFORE
+            )
             self._abandon(attempt, known)
 
     def shed(self, stays: Callable[[int], bool]) -> None:
         """Gives up attempts that still wait for a connection to a node that does not stay."""
-        for attempt in [attempt for attempt in self.out.values() if attempt.handed() is Written.NOTHING]:
+        for attempt in [
+            attempt for attempt in self.out.values() if attempt.handed() is WriteProgress.NOTHING
+        ]:
             if not attempt.over and not stays(attempt.node):
-                self._end(attempt, Seen.LEFT_BEFORE, None)
+                self._end(attempt, AttemptEvent.LEFT_BEFORE, None)
 
     def grant(self, attempt: OutgoingAttempt, size: int) -> None:
         """The listener has room for so many more bytes of a long answer."""
@@ -276,27 +289,27 @@
         self._free(connection.pooled, -1)
 
     def connection_closed(
-        self, connection: NodeConnection, attempts: list[OutgoingAttempt], how: Close
+        self, connection: NodeConnection, attempts: list[OutgoingAttempt], how: ConnectionEnd
     ) -> None:
         self.connections.pop(connection.pooled.number, None)
-        if how is Close.GARBLED:
+        if how is ConnectionEnd.GARBLED:
             self.counts["nodes that broke the protocol"] += 1
         if not connection.met or connection.pooled.number in self.dials:
-            self.dial_failed(connection.pooled, Seen.REFUSED)
+            self.dial_failed(connection.pooled, AttemptEvent.REFUSED)
             return
         self.pool.gone(connection.pooled)
         for attempt in attempts:
-            self._end(attempt, seen_at_close(attempt.handed(), attempt.answer is not None, how), None)
+            self._end(attempt, event_at_close(attempt.handed(), attempt.answer is not None, how), None)
         self._dial()
 
-    def dial_failed(self, pooled: PooledConnection, seen: Seen) -> None:
+    def dial_failed(self, pooled: PooledConnection, seen: AttemptEvent) -> None:
         timer = self.dials.pop(pooled.number, None)
         if timer is None:
             return  # reported already
         stop(timer)
         self.counts["dials failed"] += 1
         give_up = self.give_up.pop(pooled.number, None)
-        if give_up is not None and seen is Seen.DIAL_TIMEOUT:
+        if give_up is not None and seen is AttemptEvent.DIAL_TIMEOUT:
             give_up()
         waiting = self.pool.gone(pooled)
         connection = self.connections.pop(pooled.number, None)
@@ -307,10 +320,15 @@
         self._dial()
 
     def answered(
-        self, connection: NodeConnection, attempt: OutgoingAttempt, message: m.Any, body: bytes, over: bool
+        self,
+        connection: NodeConnection,
+        attempt: OutgoingAttempt,
+        message: m.AnyMessage,
+        body: bytes,
+        over: bool,
     ) -> None:
         """A message for an attempt that is still waited for; `over`: it was the last one."""
-        if isinstance(message, m.Done):
+        if isinstance(message, m.AttemptServed):
             attempt.answer = message
             self.pool.answered(attempt.message.product, message.size > message.body)
             attempt.listener.began(attempt, message)
@@ -319,15 +337,19 @@
             attempt.listener.piece(attempt, body)
         if not over or attempt.over:
             return
-        if isinstance(message, m.Done | m.Part):
-            seen = Seen.DONE
-        elif isinstance(message, m.Full):
-            seen = Seen.NOT_STORED if message.why == "not held" else Seen.FULL
-        elif isinstance(message, m.Failed):
-            seen = Seen.BROKE_OFF if attempt.answer is not None else Seen.FAILED
+        if isinstance(message, m.AttemptServed | m.BodyChunk):
+            seen = AttemptEvent.DONE
+        elif isinstance(message, m.AttemptRejected):
+            seen = AttemptEvent.NOT_STORED if message.why == "not held" else AttemptEvent.FULL
+        elif isinstance(message, m.AttemptFailed):
+            seen = AttemptEvent.BROKE_OFF if attempt.answer is not None else AttemptEvent.FAILED
         else:
-            seen = Seen.CANCELLED_UNRUN if getattr(message, "ran", "") == "no" else Seen.CANCELLED
-        self._end(attempt, seen, message if isinstance(message, m.NodeAnswer) else attempt.answer)
+            seen = (
+                AttemptEvent.CANCELLED_UNRUN
+                if getattr(message, "ran", "") == "no"
+                else AttemptEvent.CANCELLED
+            )
+        self._end(attempt, seen, message if isinstance(message, m.NodeReply) else attempt.answer)
 
     # --- inside ---
 
@@ -340,7 +362,7 @@
             self.dials[pooled.number] = self.clock.callLater(slow, self._slow, pooled)
             self.counts["dials"] += 1
             if address is None:
-                self.dial_failed(pooled, Seen.UNLISTED)
+                self.dial_failed(pooled, AttemptEvent.UNLISTED)
             else:
                 give_up = self.open_connection(self, pooled, address)
                 if give_up is not None:
@@ -360,17 +382,17 @@
         """A dial goes on as long as an attempt waits that ends its wait itself."""
         for number in list(pooled.waiting):
             if self.out[number].wait is None:
-                self._end(self.out[number], Seen.DIAL_TIMEOUT, None)
+                self._end(self.out[number], AttemptEvent.DIAL_TIMEOUT, None)
         if self.pool.helps(pooled):
             self.dials[pooled.number] = self.clock.callLater(self.dial_time, self._old, pooled)
         else:
-            self.dial_failed(pooled, Seen.DIAL_TIMEOUT)
+            self.dial_failed(pooled, AttemptEvent.DIAL_TIMEOUT)
 
     def _waited(self, attempt: OutgoingAttempt) -> None:
         """No connection opened in the time in which it could have served the attempt."""
         attempt.wait = None
         if not attempt.over:
-            self._end(attempt, Seen.DIAL_TIMEOUT, None)
+            self._end(attempt, AttemptEvent.DIAL_TIMEOUT, None)
 
     def _go(self, attempt: OutgoingAttempt, pooled: PooledConnection) -> None:
         """The attempt has a connection with room for it."""
@@ -380,7 +402,7 @@
         attempt.pooled = pooled
         if attempt.write_before and now >= attempt.write_before:
             # Guards against a loop that stood still: the timer for this has not been called yet.
-            self.clock.callLater(0, self._end, attempt, Seen.LEFT_BEFORE, None)
+            self.clock.callLater(0, self._end, attempt, AttemptEvent.LEFT_BEFORE, None)
             return
         attempt.on_connection_at = now
         self.connections[pooled.number].send(attempt)
@@ -389,8 +411,8 @@
     def _too_late_to_write(self, attempt: OutgoingAttempt) -> None:
         """What the node does not have whole by now never runs."""
         attempt.write_timer = None
-        if not attempt.over and attempt.handed() is not Written.WHOLE:
-            self._abandon(attempt, Seen.LEFT_BEFORE)
+        if not attempt.over and attempt.handed() is not WriteProgress.WHOLE:
+            self._abandon(attempt, AttemptEvent.LEFT_BEFORE)
 
     def _relieve(self, pooled: PooledConnection) -> None:
         """Attempts that wait for another connection to the same node go on this one, as far as it has
@@ -412,14 +434,14 @@
         if attempt.answer is not None and rest > 0:
             attempt.timer = self.clock.callLater(rest, self._timed_out, attempt)
         elif not attempt.over:
-            seen = seen_at_timeout(attempt.handed(), attempt.answer is not None)
+            seen = event_at_timeout(attempt.handed(), attempt.answer is not None)
             waited = self.clock.seconds() - attempt.sent_at / SECOND
-            if attempt.handed() is Written.NOTHING and waited < self.dial_time:
+            if attempt.handed() is WriteProgress.NOTHING and waited < self.dial_time:
                 # Guards against hasty clients who look like a node that can't be reached.
-                seen = Seen.LEFT_BEFORE
+                seen = AttemptEvent.LEFT_BEFORE
             self._abandon(attempt, seen)
 
-    def _abandon(self, attempt: OutgoingAttempt, seen: Seen) -> None:
+    def _abandon(self, attempt: OutgoingAttempt, seen: AttemptEvent) -> None:
         connection, pooled = attempt.connection, attempt.pooled
         if connection is not None and connection.holds(attempt):
             attempt.over = True  # before the cancel goes out, so that nothing of it is sent on
@@ -430,7 +452,7 @@
             pass  # it waited for a dial: _end frees its place
         self._end(attempt, seen, None)
 
-    def _end(self, attempt: OutgoingAttempt, seen: Seen, answer: m.Any | None) -> None:
+    def _end(self, attempt: OutgoingAttempt, seen: AttemptEvent, answer: m.AnyMessage | None) -> None:
         if attempt.over:
             return
         attempt.over = True
--- a/ochrecourse/nodes/framed_connection.py
+++ b/ochrecourse/nodes/framed_connection.py
@@ -13,21 +13,21 @@
 
 from ochrecourse.nodes.dispatcher import LINGER, LONGEST, Dispatcher, OutgoingAttempt, OpenConnection
 from ochrecourse.nodes.pool import PooledConnection
-from ochrecourse.nodes.proof import Close, Seen
-from ochrecourse.outside import Network, Timer, stop
+from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent
+from ochrecourse.common.runtime import Network, Timer, stop
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import Open, Side, leg_moves
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import StreamState, Role, node_connection_state
 
 
 @implementer(IPushProducer)
-class FramedConnection(Framed):
+class FramedConnection(FramedProtocol):
     """One connection to a node: sends attempts, streams their bodies while the transport takes more, reads
     answers.
     """
 
     def __init__(self, client: Dispatcher, pooled: PooledConnection) -> None:
-        super().__init__(client.clock, Side.ASKING, leg_moves())
+        super().__init__(client.clock, Role.ASKING, node_connection_state())
         self.client = client
         self.pooled = pooled
         self.attempts: dict[int, OutgoingAttempt] = {}
@@ -57,12 +57,12 @@
         return attempt.id in self.attempts
 
     def credit(self, attempt: OutgoingAttempt, size: int) -> None:
-        self.say(m.Credit(id=attempt.id, bytes=size))
+        self.say(m.WindowUpdate(id=attempt.id, bytes=size))
 
     def close(self) -> None:
         """Ends the connection once what was written has gone out."""
         if self.up:
-            self.say(m.Bye(reason="idle"))
+            self.say(m.GoAway(reason="idle"))
             self.transport.loseConnection()
             self.clock.callLater(LINGER, self.abort)
 
@@ -74,7 +74,7 @@
                 continue
             piece = attempt.body.read(attempt.written, m.MAX_BODY)
             attempt.written += len(piece)
-            self.say(m.Part(id=attempt.id), piece)
+            self.say(m.BodyChunk(id=attempt.id), piece)
             if attempt.written < attempt.message.size:
                 self.sending.append(attempt)
 
@@ -95,25 +95,25 @@
         self.attempts.pop(attempt.id, None)
         if attempt in self.sending:
             self.sending.remove(attempt)
-        self.say(m.Cancel(id=attempt.id))
+        self.say(m.CancelAttempt(id=attempt.id))
         self.given_up[attempt.id] = self.clock.callLater(LINGER, self.abort)
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.met = True
             self.client.connection_opened(self)
             return
-        if isinstance(message, m.Bye):
+        if isinstance(message, m.GoAway):
             self.client.connection_leaving(self)
             return
-        if isinstance(message, m.Fault):
+        if isinstance(message, m.ErrorNotice):
             self.client.counts["faults told by nodes"] += 1
             self.abort()
             return
         number: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
-        over = after in (Open.CLOSED, Open.REFUSED)
+        over = after in (StreamState.CLOSED, StreamState.REFUSED)
         if number in self.given_up:
-            if not isinstance(message, m.Cancelled):
+            if not isinstance(message, m.AttemptCancelled):
                 self.client.counts["late answers dropped"] += 1
             if over:
                 stop(self.given_up.pop(number))
@@ -122,17 +122,23 @@
         attempt = self.attempts[number]
         if over:
             del self.attempts[number]
-        if after is Open.REFUSED:
+        if after is StreamState.REFUSED:
             if attempt in self.sending:
                 self.sending.remove(attempt)
-            self.say(m.Cancel(id=number))  # the rest of its body need not be sent
+            self.say(m.CancelAttempt(id=number))  # the rest of its body need not be sent
         self.client.answered(self, attempt, message, body, over)
 
     def closed(self, half: bool) -> None:
         for timer in self.given_up.values():
             stop(timer)
         self.given_up.clear()
-        how = Close.GARBLED if self.ended_by else Close.HALF_HEADER if half else Close.BETWEEN
+        how = (
+            ConnectionEnd.GARBLED
+            if self.ended_by
+            else ConnectionEnd.HALF_HEADER
+            if half
+            else ConnectionEnd.BETWEEN
+        )
         attempts, self.attempts = self.attempts, {}
         self.client.connection_closed(self, list(attempts.values()), how)
 
@@ -152,7 +158,7 @@
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.client.dial_failed(self.pooled, Seen.REFUSED)
+        self.client.dial_failed(self.pooled, AttemptEvent.REFUSED)
 
 
 def dialler(network: Network) -> OpenConnection:
--- a/ochrecourse/nodes/reach.py
+++ b/ochrecourse/nodes/health.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class ContactHistory:
     """Failures in a row, and what was sent since the last word. `since`: when the first of it was."""
 
     failures: int = 0
@@ -46,21 +46,21 @@
         return self.sent >= UNHEARD and now - self.since > SILENCE
 
 
-class Reach:
+class NodeHealth:
     """All nodes that were sent an attempt."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, Heard] = {}
-        self.whole = Heard()
+        self.nodes: dict[int, ContactHistory] = {}
+        self.whole = ContactHistory()
 
     def sent(self, node: int, now: int) -> None:
         """An attempt goes to this node."""
-        self.nodes.setdefault(node, Heard()).attempt_sent(now)
+        self.nodes.setdefault(node, ContactHistory()).attempt_sent(now)
         self.whole.attempt_sent(now)
 
     def ended(self, node: int, ending: Ending) -> None:
         """An attempt at this node ended so."""
-        self.nodes.setdefault(node, Heard()).attempt_ended(ending)
+        self.nodes.setdefault(node, ContactHistory()).attempt_ended(ending)
         self.whole.attempt_ended(ending)
 
     def reached(self, nodes: Iterable[int], now: int) -> int:
@@ -69,5 +69,5 @@
             return 0
         return sum(self._reached(self.nodes.get(node), now) for node in nodes)
 
-    def _reached(self, heard: Heard | None, now: int) -> bool:
+    def _reached(self, heard: ContactHistory | None, now: int) -> bool:
         return heard is None or (heard.failures < IN_A_ROW and not heard.unheard(now))
--- a/ochrecourse/relay/__main__.py
+++ b/ochrecourse/relay/__main__.py
@@ -7,15 +7,15 @@
 
 import sys
 
-from ochrecourse.relay.signals import Signals
+from ochrecourse.service.signals import SignalHandler
 
 
 def main() -> int:
     """The process's exit code, once the gateway has left."""
-    signals = Signals()
+    signals = SignalHandler()
     signals.install()
     # Guards against an end by a signal's default action while the program is loaded, most of a start's time.
-    from ochrecourse.relay.run import run
+    from ochrecourse.service.main import run
 
     try:
         return run(signals)
--- a/ochrecourse/resp/connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -16,14 +16,15 @@
 from twisted.internet.protocol import Protocol
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import BadRequest, Request
-from ochrecourse.outside import MS, Timer, now_ns, stop
-from ochrecourse.resp.closing import LingeringClose
+from ochrecourse.gateway.gateway import BadRequestError, Request
+from ochrecourse.common.runtime import Timer, now_ns, stop
+from ochrecourse.common.time_units import MS
+from ochrecourse.resp.lingering_close import LingeringClose
 from ochrecourse.resp.codec import Breach, Commands, bulk
-from ochrecourse.resp.words import asked
+from ochrecourse.resp.commands import asked
 
 if TYPE_CHECKING:
-    from ochrecourse.resp.front import RespFrontFactory
+    from ochrecourse.resp.server import RespServerFactory
 
 AT_ONCE = 32  # requests of one connection that run at once or whose answers wait for their turn
 PARSED = 256  # commands of one connection in a turn of the loop, some ms; then others have theirs
@@ -54,12 +55,12 @@
 
 
 @implementer(IPushProducer)
-class RespFront(Protocol):
+class RespClientConnection(Protocol):
     """One client's connection, and the asker of all requests that came on it."""
 
     transport: Any  # Twisted's interfaces carry no types
 
-    def __init__(self, factory: RespFrontFactory) -> None:
+    def __init__(self, factory: RespServerFactory) -> None:
         self.factory = factory
         self.gateway = factory.gateway
         self.clock = factory.clock
@@ -224,7 +225,7 @@
         self.jobs[job] = slot
         try:
             self.gateway.take(request, self)
-        except BadRequest as trouble:
+        except BadRequestError as trouble:
             del self.jobs[job]
             if trouble.code == "late_body":
                 self._answer(slot, b"-ERR too late\r\n")
--- a/ochrecourse/resp/words.py
+++ b/ochrecourse/resp/commands.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 from ochrecourse.gateway.gateway import Request
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 from ochrecourse.resp.codec import Breach, Error, Reply, command
 from ochrecourse.wire import messages as m
 
@@ -114,7 +114,7 @@
     return {name: float(value) for name, _, value in pairs}
 
 
-def answer(reply: Reply) -> tuple[m.Done | m.Failed | m.Full, bytes]:
+def answer(reply: Reply) -> tuple[m.AttemptServed | m.AttemptFailed | m.AttemptRejected, bytes]:
     """What a node's reply to a leg says, and the value. Raises Breach if it is none that a node gives."""
     if isinstance(reply, list):
         value = reply[0]
@@ -124,14 +124,14 @@
         load = figures(reply[2]) if len(reply) > 2 else {}
         size = len(value)
         used, elsewhere = _use(use)
-        return m.Done(id=0, size=size, body=size, load=load, used=used, elsewhere=elsewhere), value
+        return m.AttemptServed(id=0, size=size, body=size, load=load, used=used, elsewhere=elsewhere), value
     if isinstance(reply, Error):
         word, _, rest = reply.text.partition(b" ")
         used, elsewhere = _use(_told(rest))
         if word == b"BUSY" and (not rest or all(FIGURES.fullmatch(each) for each in rest.split(b" "))):
-            return m.Full(id=0, used=used, elsewhere=elsewhere), b""
+            return m.AttemptRejected(id=0, used=used, elsewhere=elsewhere), b""
         if word == b"ERR":
-            return m.Failed(id=0, text="error", used=used, elsewhere=elsewhere), b""
+            return m.AttemptFailed(id=0, text="error", used=used, elsewhere=elsewhere), b""
     raise Breach("not_an_answer", "neither a value, nor an error, nor busy")
 
 
--- a/ochrecourse/resp/closing.py
+++ b/ochrecourse/resp/lingering_close.py
@@ -10,7 +10,7 @@
 
 from typing import Any
 
-from ochrecourse.outside import Clock, Timer, stop
+from ochrecourse.common.runtime import Clock, Timer, stop
 
 LINGER = 1.0  # s for a client to read its last answers and to close; clients that are at work take far less
 DRAIN = 2.0  # s for a slow reader to take what is still to be written, before the sending side is shut
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -15,10 +15,11 @@
 
 from ochrecourse.nodes.dispatcher import LONGEST, Dispatcher, OutgoingAttempt, OpenConnection
 from ochrecourse.nodes.pool import PooledConnection
-from ochrecourse.nodes.proof import Close, Seen
-from ochrecourse.outside import MS, Network, now_ns
+from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.common.time_units import MS
 from ochrecourse.resp.codec import Breach, Replies
-from ochrecourse.resp.words import Asked, answer
+from ochrecourse.resp.commands import Asked, answer
 
 REST = 0.01  # s after an answer before its connection is used again; a second copy may come some ms late
 
@@ -116,8 +117,8 @@
         self.up = False
         attempts = [] if self.attempt is None else [self.attempt]
         self.attempt = None
-        half = Close.HALF_HEADER if self.replies.partial() else Close.BETWEEN
-        how = Close.GARBLED if self.garbled else half
+        half = ConnectionEnd.HALF_HEADER if self.replies.partial() else ConnectionEnd.BETWEEN
+        how = ConnectionEnd.GARBLED if self.garbled else half
         self.client.connection_closed(self, attempts, how)
 
 
@@ -138,7 +139,7 @@
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.client.dial_failed(self.pooled, Seen.REFUSED)
+        self.client.dial_failed(self.pooled, AttemptEvent.REFUSED)
 
 
 def dialler(network: Network) -> OpenConnection:
