--- a/ochrecourse/resp/front.py
+++ b/ochrecourse/resp/server.py
@@ -9,10 +9,10 @@
 from twisted.internet.protocol import Factory
 
 from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.gateway.ledger import Closing, JobStory
-from ochrecourse.outside import Clock, Timer, stop
-from ochrecourse.resp.connection import RespFront
-from ochrecourse.resp.words import Kinds
+from ochrecourse.common.request_records import RequestOutcome, RequestRecord
+from ochrecourse.common.runtime import Clock, Timer, stop
+from ochrecourse.resp.client_connection import RespClientConnection
+from ochrecourse.resp.commands import Kinds
 
 HESITATE = 0.25  # s for a new connection's first byte; beyond it, it makes room for others first
 PAUSE = 0.25  # s without an open job before which a connection is not closed to make room
@@ -25,8 +25,9 @@
 LAST_LINGER = 0.15  # s that a close lingers after `leave`; the last answers are out 0.2 s before the kill
 
 
-class RespFrontFactory(Factory):
-    """Makes a `RespFront` for each client; keeps their number under `most`, and near `roomy` if it can.
+class RespServerFactory(Factory):
+    """Makes a `RespClientConnection` for each client; keeps their number under `most`, and near `roomy` if
+    it can.
 
     It looks on at the gateway's jobs (gateway.Observer): one that ended too late gets an error line.
     """
@@ -39,10 +40,14 @@
         self.kinds = kinds
         self.most = most
         self.roomy = roomy
-        self.fronts: dict[RespFront, None] = {}  # all that hold a descriptor, oldest first
-        self.silent: dict[RespFront, None] = {}  # without a whole command so far, oldest first
-        self.idle: OrderedDict[RespFront, None] = OrderedDict()  # without an open job, longest first
-        self.lingering: dict[RespFront, None] = {}  # shut by this side and not gone yet, oldest first
+        self.fronts: dict[RespClientConnection, None] = {}  # all that hold a descriptor, oldest first
+        self.silent: dict[RespClientConnection, None] = {}  # without a whole command so far, oldest first
+        self.idle: OrderedDict[RespClientConnection, None] = (
+            OrderedDict()
+        )  # without an open job, longest first
+        self.lingering: dict[
+            RespClientConnection, None
+        ] = {}  # shut by this side and not gone yet, oldest first
         self.commands = 0  # without their answers, on all connections
         self.waiting_size = 0  # bytes of requests that wait, on all connections
         self.open_ids: dict[bytes, object] = {}  # and the place in the order of answers that each one has
@@ -61,14 +66,14 @@
         """
         return self.most + BEYOND - len(self.fronts)
 
-    def buildProtocol(self, addr: Any) -> RespFront | None:
+    def buildProtocol(self, addr: Any) -> RespClientConnection | None:
         if self.room() <= 0:
             # Guards against many that come in one turn of the loop: what makes room is gone a turn later.
             self.counts["shut_unread"] += 1
             return None
-        return RespFront(self)
+        return RespClientConnection(self)
 
-    def came(self, front: RespFront) -> None:
+    def came(self, front: RespClientConnection) -> None:
         self.fronts[front] = None
         self.silent[front] = None
         front.idle_since = self.clock.seconds()
@@ -82,7 +87,7 @@
         if in_use > self.roomy and not self._make_room() and in_use > self.most:
             front.turn_away()
 
-    def went(self, front: RespFront) -> None:
+    def went(self, front: RespClientConnection) -> None:
         self.fronts.pop(front, None)
         self.silent.pop(front, None)
         self.idle.pop(front, None)
@@ -91,7 +96,7 @@
         if self.leaving and not self.fronts and self.left is not None:
             self.left()
 
-    def rests(self, front: RespFront) -> None:
+    def rests(self, front: RespClientConnection) -> None:
         """A connection has no open job from now on."""
         self.idle[front] = None
         self.idle.move_to_end(front)
@@ -103,7 +108,7 @@
 
     # --- room ---
 
-    def lingers(self, front: RespFront) -> None:
+    def lingers(self, front: RespClientConnection) -> None:
         """This side ends a connection, which holds its descriptor until its client has closed too."""
         self.silent.pop(front, None)
         self.idle.pop(front, None)
@@ -177,9 +182,9 @@
         stop(self._last_words)
         self._sweep = self._last_words = None
 
-    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
         """A job whose answer came too late to be of use."""
-        if story.closing is not Closing.TOO_LATE:
+        if story.closing is not RequestOutcome.TOO_LATE:
             return
         for front in [each for each in self.fronts if story.number in each.jobs]:
             front.too_late(story.number)
--- a/ochrecourse/decide.py
+++ b/ochrecourse/scheduler/scheduler.py
@@ -11,11 +11,10 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from ochrecourse.interface import Attempt, AttemptEnd, Ending, Health, ListCall, ListKind, MissingValue
+from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.interface import Attempt, AttemptEnd, Ending, Health, ListCall, ListKind, MissingSettingError
 from ochrecourse.interface import NodeEntry, Outcome, Reply, Request
 
-MS = 1_000_000  # ns in a millisecond
-SECOND = 1_000 * MS  # ns in a second
 QUEUE = 32  # requests out at one node, shared evenly by its volumes; the paper's queue length
 TRIMMED = 8  # requests out in total while a recent volume is empty; the paper's beta
 CAPACITY = 10.0  # units out above which a node counts as loaded; the paper's count of channels
@@ -184,7 +183,7 @@
 
     def text(self, name: str, default: str | None = None) -> str:
         if (value := self.values.get(name, default)) is None:
-            raise MissingValue(f"the settings lack {name}")
+            raise MissingSettingError(f"the settings lack {name}")
         return value
 
     def number(self, name: str, default: float | None = None) -> float:
@@ -193,7 +192,7 @@
                 self.numbers[name] = float(self.text(name, None if default is None else str(default)))
             return self.numbers[name]
         except ValueError:
-            raise MissingValue(f"the settings hold no number under {name}") from None
+            raise MissingSettingError(f"the settings hold no number under {name}") from None
 
     # --- what the host reports ---
 
--- /dev/null
+++ b/ochrecourse/service/__init__.py
@@ -0,0 +1,1 @@
+"""The deployed process: its start file, service discovery and signals."""
--- a/ochrecourse/relay/discovery.py
+++ b/ochrecourse/service/discovery.py
@@ -12,17 +12,17 @@
 from typing import Any
 
 from ochrecourse.interface import Health, ListKind, NodeEntry
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 STATES = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
 KEPT_GONE = 4_096  # names of gone nodes that keep their number, should they return; some hundreds go at once
 
 
-class BadNews(Exception):
+class MalformedEndpointListError(Exception):
     """A line of the list that can't be taken; nothing of it is. The text says why."""
 
 
-class Lines:
+class LineDecoder:
     """Puts objects together that come indented, over several lines; one that stands on one line passes as it
     is."""
 
@@ -38,11 +38,13 @@
         return bool(self._text)
 
     def take(self, line: bytes) -> Any:
-        """The object that this line ends, read, or None. Raises BadNews if no more lines can make it one."""
+        """The object that this line ends, read, or None. Raises MalformedEndpointListError if no more
+        lines can make it one.
+        """
         bare = line.strip()
         if not bare:
             if self._text:
-                raise BadNews("an object of the list breaks off")
+                raise MalformedEndpointListError("an object of the list breaks off")
             return None
         indent = len(line) - len(line.lstrip())
         if not self._text:
@@ -52,25 +54,25 @@
                 return json.loads(text)
             except json.JSONDecodeError as trouble:
                 if bare[:1] != b"{" or trouble.pos < len(text):  # what is wrong is not that it ends here
-                    raise BadNews("a line of the list is not JSON") from None
+                    raise MalformedEndpointListError("a line of the list is not JSON") from None
             except (ValueError, RecursionError):
-                raise BadNews("a line of the list is not JSON") from None
+                raise MalformedEndpointListError("a line of the list is not JSON") from None
             self._indent, self._open = indent, 0
         self._text += bare + b"\n"
         self._open += bare.count(b"{") - bare.count(b"}")
         if len(self._text) > self.most:
-            raise BadNews("an object of the list is too long")
+            raise MalformedEndpointListError("an object of the list is too long")
         if self._open > 0 and not (bare[:1] == b"}" and indent <= self._indent):
             return None
         whole, self._text = bytes(self._text), bytearray()
         try:
             return json.loads(whole)
         except (ValueError, RecursionError):
-            raise BadNews("an object of the list is not JSON") from None
+            raise MalformedEndpointListError("an object of the list is not JSON") from None
 
 
 @dataclass(slots=True)
-class News:
+class EndpointListUpdate:
     """What to tell the gateway."""
 
     kind: ListKind
@@ -78,7 +80,7 @@
     addresses: dict[int, tuple[str, int]]
 
 
-class Book:
+class DiscoveredEndpoints:
     """The list as this gateway holds it.
 
     `zones`: names in the settings' order; `unix_ahead`: ns by which Unix time is ahead of this host's clock.
@@ -96,17 +98,17 @@
 
     @staticmethod
     def version_of(told: Any) -> int:
-        """The version of a list or change. Raises BadNews."""
+        """The version of a list or change. Raises MalformedEndpointListError."""
         if not isinstance(told, dict) or not isinstance(told.get("instances"), list):
-            raise BadNews("a line of the list names no nodes")
+            raise MalformedEndpointListError("a line of the list names no nodes")
         version = told.get("generation")
         if not isinstance(version, int) or isinstance(version, bool):
-            raise BadNews("a line of the list has no version")
+            raise MalformedEndpointListError("a line of the list has no version")
         return version
 
-    def take(self, told: Any, cached: bool = False) -> News:
+    def take(self, told: Any, cached: bool = False) -> EndpointListUpdate:
         """A list or its changes, whatever their version; `cached`: as it was held before this start. Raises
-        BadNews."""
+        MalformedEndpointListError."""
         version = self.version_of(told)
         whole = cached or told.get("reset") is True
         read = self.read(told)
@@ -129,7 +131,7 @@
             entries.append(entry)
         self.version = version
         kind = ListKind.CACHED if cached else ListKind.FULL if whole else ListKind.DELTA
-        return News(kind, entries, addresses)
+        return EndpointListUpdate(kind, entries, addresses)
 
     def _forget(self, name: str) -> None:
         self.listed.pop(name, None)
@@ -141,30 +143,32 @@
             del self.gone[oldest], self.numbers[oldest]
 
     def read(self, told: Any) -> list[tuple[str, NodeEntry, tuple[str, int]]]:
-        """The nodes of a list or change: name, entry without a number, address. Raises BadNews."""
+        """The nodes of a list or change: name, entry without a number, address. Raises
+        MalformedEndpointListError.
+        """
         return [self._read(each) for each in told["instances"]]
 
     def _read(self, told: Any) -> tuple[str, NodeEntry, tuple[str, int]]:
         if not isinstance(told, dict) or not isinstance(told.get("instanceId"), str):
-            raise BadNews("a node without a name")
+            raise MalformedEndpointListError("a node without a name")
         name = told["instanceId"]
         health = STATES.get(str(told.get("lifecycle")))
         if health is None:
-            raise BadNews(f"node {name[:64]} has an unknown state")
+            raise MalformedEndpointListError(f"node {name[:64]} has an unknown state")
         host, _, port = str(told.get("hostPort", "")).rpartition(":")
         good = host and port.isascii() and port.isdigit() and len(port) < 6
         if not good and health is not Health.GONE:
-            raise BadNews(f"node {name[:64]} has no address")
+            raise MalformedEndpointListError(f"node {name[:64]} has no address")
         shard, started = told.get("cell", 0), told.get("startedAtMs", 0)
         if not isinstance(shard, int) or not isinstance(started, int | float) or not 0 <= started < 1e15:
-            raise BadNews(f"node {name[:64]} has a figure out of range")
+            raise MalformedEndpointListError(f"node {name[:64]} has a figure out of range")
         zone = self.zones.setdefault(str(told.get("zone", "")), len(self.zones))
         begun = max(1, round(started * MS) - self.unix_ahead) if started else 0
         address = (host.strip("[]"), int(port)) if good else ("", 0)
         return name, NodeEntry(0, zone, shard, health, begun), address
 
 
-class Following:
+class WatchedEndpoints:
     """What one watch has told: the list as of its last line. Several may speak for a while, and a line of one
     may come after a newer line of another. So:
 
@@ -179,14 +183,16 @@
     - A whole list of any other watch is taken if its version is higher than the one held.
     """
 
-    def __init__(self, book: Book) -> None:
+    def __init__(self, book: DiscoveredEndpoints) -> None:
         """A watch that is asked for what changed after the list held now."""
         self.book = book
         self.version = book.version
         self.nodes = dict(book.told)
 
-    def take(self, told: Any, leads: bool) -> News | None:
-        """A line of the watch; None if it is old. `leads`: no newer watch speaks. Raises BadNews."""
+    def take(self, told: Any, leads: bool) -> EndpointListUpdate | None:
+        """A line of the watch; None if it is old. `leads`: no newer watch speaks. Raises
+        MalformedEndpointListError.
+        """
         version = self.book.version_of(told)
         names = [name for name, _, _ in self.book.read(told)]
         whole = told.get("reset") is True
--- a/ochrecourse/relay/watch.py
+++ b/ochrecourse/service/discovery_watch.py
@@ -11,9 +11,15 @@
 
 from twisted.internet.protocol import ClientFactory
 
-from ochrecourse.outside import Network, Timer, stop
-from ochrecourse.relay.discovery import BadNews, Book, Following, Lines, News
-from ochrecourse.wire.talk import Talk
+from ochrecourse.common.runtime import Network, Timer, stop
+from ochrecourse.service.discovery import (
+    MalformedEndpointListError,
+    DiscoveredEndpoints,
+    WatchedEndpoints,
+    LineDecoder,
+    EndpointListUpdate,
+)
+from ochrecourse.wire.http_client import HttpClientProtocol
 
 # A change has to be taken within 6 s from when the agent had it and could be reached, whatever failed before.
 # An attempt is a dial and the watch on its connection. None waits for the end of one before, so the time to
@@ -43,18 +49,18 @@
 MOST_WARNINGS = 8  # different ones in that time; a spoilt list may name another node in each
 
 
-class _Conversation(Talk):
+class _WatchConnection(HttpClientProtocol):
     """One watch: the attempt `number`, at `address`."""
 
-    def __init__(self, watch: Watch, number: int, address: tuple[str, int]) -> None:
+    def __init__(self, watch: DiscoveryWatch, number: int, address: tuple[str, int]) -> None:
         super().__init__(self._opened, self._over)
         self.watch = watch
         self.number = number
         self.address = address
         self.piece = self._piece
         self.rest = bytearray()
-        self.lines = Lines(LONGEST_LINE)
-        self.following = Following(watch.book)
+        self.lines = LineDecoder(LONGEST_LINE)
+        self.following = WatchedEndpoints(watch.book)
         self.timer: Timer | None = None
         self.began = self.heard = watch.network.seconds()  # `heard`: the last whole line
         self.unfinished = 0  # bytes since the last sign of progress
@@ -64,9 +70,9 @@
         self.leaving: Timer | None = None  # its end, if a newer watch has taken its place
         self.leave_at = 0.0
 
-    def _opened(self, talk: Talk) -> None:
+    def _opened(self, talk: HttpClientProtocol) -> None:
         self._wait()
-        self.following = Following(self.watch.book)
+        self.following = WatchedEndpoints(self.watch.book)
         path = f"/discovery/hosts?follow=1&since={self.following.version}"
         self.ask("GET", path, {}, b"", lambda answer: None)
 
@@ -144,7 +150,7 @@
             self.transport.abortConnection()
         self.watch.over(self)
 
-    def _over(self, talk: Talk) -> None:
+    def _over(self, talk: HttpClientProtocol) -> None:
         if not self.ended:
             self._stop()
             self.watch.over(self)
@@ -160,13 +166,13 @@
 
     noisy = False
 
-    def __init__(self, watch: Watch, number: int, address: tuple[str, int]) -> None:
+    def __init__(self, watch: DiscoveryWatch, number: int, address: tuple[str, int]) -> None:
         self.watch = watch
         self.number = number
         self.address = address
         self.connector: Any = None
 
-    def buildProtocol(self, addr: Any) -> _Conversation | None:
+    def buildProtocol(self, addr: Any) -> _WatchConnection | None:
         return self.watch.opened(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
@@ -179,15 +185,15 @@
             self.connector.disconnect()
 
 
-class Watch:
+class DiscoveryWatch:
     """The list as it is told at one address, which may change."""
 
     def __init__(
         self,
         network: Network,
-        book: Book,
+        book: DiscoveredEndpoints,
         address: tuple[str, int],
-        told: Callable[[News], None],
+        told: Callable[[EndpointListUpdate], None],
         warn: Callable[[str], None],
     ) -> None:
         self.network = network
@@ -197,7 +203,7 @@
         self.told = told
         self.warn = warn
         self.dials: list[_Dial] = []
-        self.talks: list[_Conversation] = []  # the newest last
+        self.talks: list[_WatchConnection] = []  # the newest last
         self.count = 0  # attempts so far; the number of the newest
         self.wait = FIRST_WAIT
         self.again: Timer | None = None  # begins the next attempt; always set until `stop`
@@ -251,34 +257,34 @@
     def _make_room(self) -> None:
         """Guards against attempts that pile up, and against unending lines that take a new one's place."""
         while len(self.dials) + len(self.talks) >= MOST_ATTEMPTS:
-            attempts: list[_Dial | _Conversation] = sorted(
+            attempts: list[_Dial | _WatchConnection] = sorted(
                 [*self.dials, *self.talks], key=lambda each: each.number
             )
             mute = [each for each in attempts if isinstance(each, _Dial) or not self._useful(each)]
             (mute[0] if mute else attempts[-1]).end()
 
-    def _useful(self, talk: _Conversation) -> bool:
+    def _useful(self, talk: _WatchConnection) -> bool:
         return talk.flowing or self._fresh(talk)
 
-    def _fresh(self, talk: _Conversation) -> bool:
+    def _fresh(self, talk: _WatchConnection) -> bool:
         return talk.spoke and self.network.seconds() - talk.heard < SILENT_GAP
 
-    def opened(self, dial: _Dial) -> _Conversation | None:
+    def opened(self, dial: _Dial) -> _WatchConnection | None:
         """The connection is up; None if the dial was given up meanwhile."""
         if dial not in self.dials:
             return None
         self.dials.remove(dial)
-        talk = _Conversation(self, dial.number, dial.address)
+        talk = _WatchConnection(self, dial.number, dial.address)
         self.talks.append(talk)
         self.talks.sort(key=lambda each: each.number)
         return talk
 
-    def answered(self, talk: _Conversation) -> None:
+    def answered(self, talk: _WatchConnection) -> None:
         """The head of an answer is whole and good; its lines follow."""
         if talk.number == self.count and not talk.spoke:
             self._next(MOVED_GAP if self.moved else FIRST_LINE_GAP)
 
-    def over(self, attempt: _Dial | _Conversation) -> None:
+    def over(self, attempt: _Dial | _WatchConnection) -> None:
         """An attempt failed or ended."""
         if isinstance(attempt, _Dial):
             if attempt not in self.dials:
@@ -296,13 +302,13 @@
 
     # --- lines ---
 
-    def line(self, talk: _Conversation, text: bytes) -> None:
+    def line(self, talk: _WatchConnection, text: bytes) -> None:
         """A whole line came on a watch."""
         held = self.book.version
         try:
             told = talk.lines.take(text)
             news = None if told is None else talk.following.take(told, self._leads(talk))
-        except BadNews as trouble:
+        except MalformedEndpointListError as trouble:
             self.trouble(f"the list can't be read: {trouble}")
             talk.end()
             return
@@ -321,20 +327,20 @@
         if news is not None:
             self.told(news)
 
-    def _rank(self, talk: _Conversation) -> tuple[bool, int]:
+    def _rank(self, talk: _WatchConnection) -> tuple[bool, int]:
         return talk.address == self.address, talk.number
 
-    def _leads(self, talk: _Conversation) -> bool:
+    def _leads(self, talk: _WatchConnection) -> bool:
         """Whether no watch speaks that is newer, or at the address that counts now where this one is not."""
         return not any(each.spoke and self._rank(each) > self._rank(talk) for each in self.talks)
 
-    def _end_others(self, talk: _Conversation) -> None:
+    def _end_others(self, talk: _WatchConnection) -> None:
         """The versions begin anew: what other watches tell, and what they were asked, is of older ones."""
         for other in list(self.talks):
             if other is not talk:
                 other.end()
 
-    def _replace_older(self, talk: _Conversation, told_more: bool) -> None:
+    def _replace_older(self, talk: _WatchConnection, told_more: bool) -> None:
         """A watch spoke: those before it are of no more use, but for what an old address may still tell."""
         for older in list(self.talks):
             if self._rank(older) >= self._rank(talk):
@@ -344,7 +350,7 @@
             else:
                 self._end_within(older, BEHIND_TIME if told_more else OLD_ADDRESS_TIME)
 
-    def _end_within(self, talk: _Conversation, seconds: float) -> None:
+    def _end_within(self, talk: _WatchConnection, seconds: float) -> None:
         due = self.network.seconds() + seconds
         if talk.leaving is None or due < talk.leave_at:
             stop(talk.leaving)
--- a/ochrecourse/relay/service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -1,9 +1,9 @@
 """The gateway in service on the platform: the library, its RESP2 entrance and exit, the list, and the order
 of start, reload and end.
 
-Start: the known list first, then the watch from its version, then the port. Reload: a file that can't be read
-changes nothing and is read again for some seconds. End: jobs are taken as long as clients may still come,
-connections are closed as they fall idle, and when the last job has its answer all is over.
+Start: the known list first, then the watch from its version, then the port. Reload: a file that
+can't be read changes nothing and is read again for some seconds. End: jobs are taken as long as clients may
+still come, connections are closed as they fall idle, and when the last job has its answer all is over.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.nodes.pool import PoolLimits
-from ochrecourse.outside import MS, SECOND, Network, Timer, now_ns, stop
-from ochrecourse.relay.discovery import BadNews, Book, News
-from ochrecourse.relay.file import read
-from ochrecourse.relay.start import BadStart, Start
-from ochrecourse.relay.watch import Watch
-from ochrecourse.resp.front import RespFrontFactory
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.service.discovery import MalformedEndpointListError, DiscoveredEndpoints, EndpointListUpdate
+from ochrecourse.service.start_file import read
+from ochrecourse.service.start_settings import StartSettingsError, StartSettings
+from ochrecourse.service.discovery_watch import DiscoveryWatch
+from ochrecourse.resp.server import RespServerFactory
 from ochrecourse.resp.node_connection import dialler
-from ochrecourse.resp.words import Kinds
+from ochrecourse.resp.commands import Kinds
 
 TRAVEL = 40 * MS  # ns kept back of a client's time: its way here is not seen, nor a busy loop foreseen
 GOING = 0.55  # s after SIGTERM in which new connections still come; it serves at least as long
@@ -43,12 +44,12 @@
     return clients, free - clients
 
 
-class Service:
+class GatewayService:
     """One gateway in service. `path` is the start file; `over` is called when it has ended."""
 
     def __init__(
         self,
-        start: Start,
+        start: StartSettings,
         path: str,
         network: Network,
         unix_ns: int,
@@ -56,7 +57,7 @@
         over: Callable[[], None],
         unread_since: Callable[[], int] | None = None,
     ) -> None:
-        """`unix_ns`: Unix time now; `unread_since`: as a gateway's. Raises BadStart."""
+        """`unix_ns`: Unix time now; `unread_since`: as a gateway's. Raises StartSettingsError."""
         self.path = path
         self.network = network
         self.log = log
@@ -70,11 +71,11 @@
             values, start.seed, network, dialler(network), start.name, travel=TRAVEL, limits=limits,
             unread_since=unread_since,
         )  # fmt: skip
-        self.front = RespFrontFactory(self.gateway, network, Kinds(values), clients, start.sockets // ROOMY)
+        self.front = RespServerFactory(self.gateway, network, Kinds(values), clients, start.sockets // ROOMY)
         self.gateway.observers = [self.front]
         zones = [each for each in values.get("Zones", "").split(",") if each]
-        self.book = Book(zones, unix_ns - now_ns(network))
-        self.watch = Watch(network, self.book, start.discovery, self._told, self._warn)
+        self.book = DiscoveredEndpoints(zones, unix_ns - now_ns(network))
+        self.watch = DiscoveryWatch(network, self.book, start.discovery, self._told, self._warn)
         self.listen_at = start.listen
         self.port: Any = None
         self.leaving = False
@@ -85,8 +86,8 @@
         self.kill = min(KILL[0], longest / 1000) + KILL[1]  # s after SIGTERM
         try:
             self._told(self.book.take(start.known, cached=True))
-        except BadNews as trouble:
-            raise BadStart(f"the known list: {trouble}") from None
+        except MalformedEndpointListError as trouble:
+            raise StartSettingsError(f"the known list: {trouble}") from None
 
     def serve(self) -> tuple[str, int]:
         """Begins to follow the list and to listen; the address is returned."""
@@ -111,11 +112,11 @@
         self.log(f"start file not taken over: {trouble}")
         self._reload_later(READ_AGAIN, self.network.seconds() + READ_UNTIL)
 
-    def _take_over(self) -> BadStart | None:
+    def _take_over(self) -> StartSettingsError | None:
         """Reads the start file and follows it; what is wrong with it, if it can't be read."""
         try:
             again = read(self.path)
-        except BadStart as trouble:
+        except StartSettingsError as trouble:
             return trouble
         self.watch.move(again.discovery)
         self.log(f"start file read again; the list is told at {again.discovery[0]}:{again.discovery[1]}")
@@ -166,7 +167,7 @@
         self.gateway.stop()
         self.over()
 
-    def _told(self, news: News) -> None:
+    def _told(self, news: EndpointListUpdate) -> None:
         self.gateway.list_came(news.kind, news.entries, news.addresses)
 
     def _warn(self, text: str) -> None:
--- a/ochrecourse/relay/run.py
+++ b/ochrecourse/service/main.py
@@ -10,12 +10,18 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import globalLogBeginner
 
-from ochrecourse.interface import MissingValue
-from ochrecourse.relay.file import read
-from ochrecourse.relay.service import Service
-from ochrecourse.relay.signals import Signals
-from ochrecourse.relay.start import BadStart
-from ochrecourse.steady import Collector, SteadyPort, raise_files, steady_reactor, unread_since
+from ochrecourse.interface import MissingSettingError
+from ochrecourse.service.start_file import read
+from ochrecourse.service.gateway_service import GatewayService
+from ochrecourse.service.signals import SignalHandler
+from ochrecourse.service.start_settings import StartSettingsError
+from ochrecourse.common.monotonic_reactor import (
+    CycleCollector,
+    BoundedAcceptPort,
+    raise_open_file_limit,
+    install_monotonic_reactor,
+    unread_since,
+)
 
 
 def log(text: str) -> None:
@@ -24,31 +30,31 @@
     sys.stderr.flush()
 
 
-def run(signals: Signals) -> int:
+def run(signals: SignalHandler) -> int:
     """Serves until the gateway is told to end and has left; the exit code."""
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
-            raise BadStart("RELAY_CONFIG is not set; it names the start file")
+            raise StartSettingsError("RELAY_CONFIG is not set; it names the start file")
         start = read(path)
-        files = raise_files()
+        files = raise_open_file_limit()
         start.sockets = min(start.sockets, files)  # neither limit may be passed
-        reactor = steady_reactor(SteadyPort)
+        reactor = install_monotonic_reactor(BoundedAcceptPort)
         globalLogBeginner.beginLoggingTo([cast(Any, _observe)], redirectStandardIO=False, discardBuffer=True)
         since = unread_since(reactor)
-        service = Service(start, path, reactor, time.time_ns(), log, reactor.stop, since)
+        service = GatewayService(start, path, reactor, time.time_ns(), log, reactor.stop, since)
         if signals.asked_to_end():
             log("told to end before it served")
             return 0
         host, port = service.serve()
-    except (BadStart, MissingValue) as trouble:
+    except (StartSettingsError, MissingSettingError) as trouble:
         log(f"ochrecourse relay: {trouble}")
         return 2
     except CannotListenError as trouble:
         log(f"ochrecourse relay: cannot listen: {trouble.socketError}")
         return 2
     signals.act(reactor.callFromThread, service.leave, service.reload)
-    Collector(reactor, lambda: not service.gateway.ledger.open, lambda: service.front.closed)
+    CycleCollector(reactor, lambda: not service.gateway.ledger.open, lambda: service.front.closed)
     log(f"{start.name} serves at {host}:{port}; {start.sockets} descriptors of {files}, {start.memory_mb} MB")
     reactor.run(installSignalHandlers=False)
     ledger = service.gateway.ledger
--- a/ochrecourse/relay/signals.py
+++ b/ochrecourse/service/signals.py
@@ -17,7 +17,7 @@
 ALL = (*END, signal.SIGHUP)
 
 
-class Signals:
+class SignalHandler:
     """SIGTERM and SIGINT ask for an end in order, SIGHUP to read the start file again."""
 
     def __init__(self) -> None:
--- a/ochrecourse/relay/file.py
+++ b/ochrecourse/service/start_file.py
@@ -5,21 +5,21 @@
 import json
 from pathlib import Path
 
-from ochrecourse.relay.start import BadStart, Start, parse
+from ochrecourse.service.start_settings import StartSettingsError, StartSettings, parse
 
 LARGEST_FILE = 16_777_216  # bytes; thousands of nodes and plans fit
 
 
-def read(path: str) -> Start:
-    """Reads the file. Raises BadStart."""
+def read(path: str) -> StartSettings:
+    """Reads the file. Raises StartSettingsError."""
     try:
         with Path(path).open("rb") as file:
             data = file.read(LARGEST_FILE + 1)
         if len(data) > LARGEST_FILE:
-            raise BadStart(f"{path} is larger than {LARGEST_FILE} bytes")
+            raise StartSettingsError(f"{path} is larger than {LARGEST_FILE} bytes")
         told = json.loads(data)
     except OSError as trouble:
-        raise BadStart(f"{path} can't be read: {trouble.strerror}") from None
+        raise StartSettingsError(f"{path} can't be read: {trouble.strerror}") from None
     except (ValueError, RecursionError) as trouble:
-        raise BadStart(f"{path} is not JSON: {trouble}") from None
+        raise StartSettingsError(f"{path} is not JSON: {trouble}") from None
     return parse(told)
--- a/ochrecourse/relay/start.py
+++ b/ochrecourse/service/start_settings.py
@@ -29,12 +29,12 @@
 MOST = 65_536  # classes or plans; the wire names them by 16 bits
 
 
-class BadStart(Exception):
+class StartSettingsError(Exception):
     """The file is missing or not what the platform describes; the text says where."""
 
 
 @dataclass(slots=True)
-class Start:
+class StartSettings:
     """What the file tells. `known` is the list of nodes in discovery's form, as this gateway last had it."""
 
     name: str
@@ -48,7 +48,7 @@
 
 
 def flat(settings: Mapping[str, Any]) -> dict[str, str]:
-    """Nested settings as the plain map of paths to texts. Raises BadStart."""
+    """Nested settings as the plain map of paths to texts. Raises StartSettingsError."""
     values: dict[str, str] = {}
     _flatten("", settings, values)
     return values
@@ -75,23 +75,23 @@
         return str(told)
     if isinstance(told, str):
         return told.replace(" ", "_").replace(",", "_")
-    raise BadStart(f"settings.{path} is of no known form")
+    raise StartSettingsError(f"settings.{path} is of no known form")
 
 
 def check(values: Mapping[str, str]) -> None:
     """Every figure and choice that is told is one a gateway can work with, so that none fails it in service.
-    Raises BadStart.
+    Raises StartSettingsError.
     """
     for path, told in values.items():
         if FIGURES.fullmatch(path):
             _check_figure(path, told)
         elif COUNTS.fullmatch(path):
             if not (told.isascii() and told.isdigit()) or int(told) > MOST:
-                raise BadStart(f"settings.{path} is not a whole number up to {MOST}: {told[:40]!r}")
+                raise StartSettingsError(f"settings.{path} is not a whole number up to {MOST}: {told[:40]!r}")
         elif found := CHOSEN.fullmatch(path):
             known = CHOICES[found[1]]
             if told not in known:
-                raise BadStart(f"settings.{path} is none of {', '.join(known)}: {told[:40]!r}")
+                raise StartSettingsError(f"settings.{path} is none of {', '.join(known)}: {told[:40]!r}")
 
 
 def _check_figure(path: str, told: str) -> None:
@@ -100,27 +100,27 @@
     except ValueError:
         figure = math.nan
     if not 0 <= figure <= LARGEST:  # no comparison holds for what is not a number
-        raise BadStart(f"settings.{path} is not a number from 0 to {LARGEST:.0e}: {told[:40]!r}")
+        raise StartSettingsError(f"settings.{path} is not a number from 0 to {LARGEST:.0e}: {told[:40]!r}")
 
 
 def place(text: Any, where: str) -> tuple[str, int]:
-    """Host and port. Raises BadStart."""
+    """Host and port. Raises StartSettingsError."""
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65536:
-        raise BadStart(f"{where} is not HOST:PORT: {text!r}")
+        raise StartSettingsError(f"{where} is not HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def parse(told: Any) -> Start:
-    """What a file's JSON tells. Raises BadStart."""
+def parse(told: Any) -> StartSettings:
+    """What a file's JSON tells. Raises StartSettingsError."""
     if not isinstance(told, dict) or not isinstance(told.get("settings"), dict):
-        raise BadStart("the start file holds no settings")
+        raise StartSettingsError("the start file holds no settings")
     limits = told.get("limits") or {}
     known = told.get("known") or {"generation": 0, "reset": True, "instances": []}
     try:
         values = flat(told["settings"])
         check(values)
-        return Start(
+        return StartSettings(
             name=str(told["name"]),
             listen=place(told["listen"], "listen"),
             discovery=place(told["discovery"], "discovery"),
@@ -131,6 +131,6 @@
             known=known,
         )
     except KeyError as trouble:
-        raise BadStart(f"the start file lacks {trouble.args[0]}") from None
+        raise StartSettingsError(f"the start file lacks {trouble.args[0]}") from None
     except (ValueError, TypeError, AttributeError) as trouble:
-        raise BadStart(f"the start file holds a figure that is none: {trouble}") from None
+        raise StartSettingsError(f"the start file holds a figure that is none: {trouble}") from None
--- a/ochrecourse/simulator/__main__.py
+++ b/ochrecourse/simulator/__main__.py
@@ -5,10 +5,10 @@
 import sys
 from typing import BinaryIO
 
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.simulator import frames
 from ochrecourse.simulator.frames import BadFrame, Batch
-from ochrecourse.interface import Attempt, MissingValue
+from ochrecourse.interface import Attempt, MissingSettingError
 
 LONGEST_WAKE = 3_600_000_000_000  # ns; the wire takes no timer of more than 71 minutes
 
@@ -117,7 +117,7 @@
             for gateway in touched:
                 if gateway in instances:
                     pull(gateway, instances[gateway], now, out)
-        except (BadFrame, MissingValue):
+        except (BadFrame, MissingSettingError):
             raise
         except Exception as error:  # any failure inside the decisions is reported, not swallowed
             out = [frames.fault(gateway, f"{type(error).__name__}: {error} (line {last_line(error)})")]
@@ -129,7 +129,7 @@
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (BadFrame, MissingValue) as error:
+    except (BadFrame, MissingSettingError) as error:
         print(f"ochrecourse simulator: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/ochrecourse/standins/bgppeer.py
+++ b/ochrecourse/standins/bgppeer.py
@@ -14,7 +14,7 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 
-from ochrecourse.outside import Network, Timer, stop
+from ochrecourse.common.runtime import Network, Timer, stop
 
 FRAME = b"\xff" * 16
 
--- a/ochrecourse/standins/breaker.py
+++ b/ochrecourse/standins/breaker.py
@@ -14,7 +14,7 @@
 import msgspec
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
-from ochrecourse.outside import Network
+from ochrecourse.common.runtime import Network
 
 MOST_HELD = 8 << 20  # bytes that wait at one end; beyond them the link breaks in place of growing
 MOST_LINE = 65_536  # bytes of a header line; what is longer passes as it is
--- a/ochrecourse/standins/fleet.py
+++ b/ochrecourse/standins/fleet.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ochrecourse.audit import records as r
-from ochrecourse.outside import Network, now_ns
+from ochrecourse.common.runtime import Network, now_ns
 from ochrecourse.standins.listserver import ListServer
 from ochrecourse.standins.machine import Machine, Marks, Meter, NodeKind, ProductWork, PushOver, Shard
 from ochrecourse.standins.node import NodePorts
@@ -155,8 +155,8 @@
         fresh = self._new_node(node.kind, node.shard, cold=True)
         self.tell(fresh, "ready", now_ns(self.network))
 
-    def _line(self, node: Node, health: str) -> m.Listed:
-        return m.Listed(
+    def _line(self, node: Node, health: str) -> m.EndpointEntry:
+        return m.EndpointEntry(
             node=node.number,
             address=f"{self.interface}:{node.port}",
             zone=node.shard.zone,
--- a/ochrecourse/standins/listserver.py
+++ b/ochrecourse/standins/listserver.py
@@ -12,21 +12,22 @@
 from twisted.internet.protocol import Factory
 
 from ochrecourse.audit import records as r
-from ochrecourse.outside import MS, Clock, now_ns
+from ochrecourse.common.runtime import Clock, now_ns
+from ochrecourse.common.time_units import MS
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import ListMoves, Open, Side
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import ListConnectionState, StreamState, Role
 
 KEPT = 256  # changes that are kept for gateways that come back; after more they get the whole list
 
 
-class ListPort(Framed):
+class ListPort(FramedProtocol):
     """One gateway's connection."""
 
     max_body: ClassVar[int] = m.MAX_LIST_BODY
 
     def __init__(self, server: ListServer) -> None:
-        super().__init__(server.clock, Side.ANSWERING, ListMoves())
+        super().__init__(server.clock, Role.ANSWERING, ListConnectionState())
         self.server = server
         self.gateway = ""
         self.next_at = 0.0
@@ -34,21 +35,21 @@
     def ready(self) -> None:
         self.say(m.Hello(version=m.VERSION, role="list", name="list"))
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.gateway = message.name
-        elif isinstance(message, m.Follow):
+        elif isinstance(message, m.WatchEndpoints):
             self.server.ports[self] = None
             self.server.bring(self, message.epoch)
 
-    def tell(self, kind: str, epoch: int, lines: list[m.Listed]) -> None:
+    def tell(self, kind: str, epoch: int, lines: list[m.EndpointEntry]) -> None:
         now = now_ns(self.clock)
         for line in lines:
             started = 0 if line.started_ms_ago < 0 else now - round(line.started_ms_ago * MS)
             self.server.record(
                 r.ListTold(t=now, gateway=self.gateway, node=line.node, health=line.health, started=started)
             )
-        self.say(m.NodeList(kind=kind, epoch=epoch), m.encode_list(lines))
+        self.say(m.EndpointListMessage(kind=kind, epoch=epoch), m.encode_list(lines))
 
     def closed(self, half: bool) -> None:
         self.server.ports.pop(self, None)
@@ -65,22 +66,22 @@
         self.spread = spread  # s; each follower hears of a change up to so much later
         self.record = record
         self.epoch = 1
-        self.lines: dict[int, m.Listed] = {}
+        self.lines: dict[int, m.EndpointEntry] = {}
         self.started: dict[int, int] = {}
-        self.changes: list[m.Listed] = []  # the last ones; the newest made version `epoch`
+        self.changes: list[m.EndpointEntry] = []  # the last ones; the newest made version `epoch`
         self.ports: dict[ListPort, None] = {}
         self.gone = False
-        self.mirrors: list[Callable[[m.Listed], None]] = []  # hear of each change
+        self.mirrors: list[Callable[[m.EndpointEntry], None]] = []  # hear of each change
         self.followers: list[Callable[[bool], None]] = []  # hear when the list goes (true) and comes back
 
     def buildProtocol(self, addr: Any) -> ListPort | None:
         return None if self.gone else ListPort(self)
 
-    def put(self, line: m.Listed, started: int) -> None:
+    def put(self, line: m.EndpointEntry, started: int) -> None:
         """A line of the first list, before anyone follows."""
         self.lines[line.node], self.started[line.node] = line, started
 
-    def change(self, line: m.Listed, started: int) -> None:
+    def change(self, line: m.EndpointEntry, started: int) -> None:
         """A new version with this line changed (health gone: removed). `started` in ns, 0 long ago."""
         self.epoch += 1
         self.changes.append(line)
@@ -117,11 +118,11 @@
         for port in list(self.ports):
             port.abort()
 
-    def _push(self, port: ListPort, epoch: int, line: m.Listed) -> None:
+    def _push(self, port: ListPort, epoch: int, line: m.EndpointEntry) -> None:
         if port.up and port in self.ports:
             port.tell("delta", epoch, [self._aged(line)])
 
-    def _aged(self, line: m.Listed) -> m.Listed:
+    def _aged(self, line: m.EndpointEntry) -> m.EndpointEntry:
         started = self.started.get(line.node, 0)
         age = (now_ns(self.clock) - started) / MS if started else -1.0
         return msgspec.structs.replace(line, started_ms_ago=age)
--- a/ochrecourse/standins/machine.py
+++ b/ochrecourse/standins/machine.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from ochrecourse.audit import records as r
-from ochrecourse.outside import MS, SECOND, Clock, Timer, now_ns
+from ochrecourse.common.runtime import Clock, Timer, now_ns
+from ochrecourse.common.time_units import MS, SECOND
 
 
 class NodeKind(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/ochrecourse/standins/node.py
+++ b/ochrecourse/standins/node.py
@@ -11,11 +11,12 @@
 from zope.interface import implementer
 
 from ochrecourse.audit import records as r
-from ochrecourse.outside import MS, Clock, now_ns
+from ochrecourse.common.runtime import Clock, now_ns
+from ochrecourse.common.time_units import MS
 from ochrecourse.standins.machine import Machine, Work
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import IllegalMove, Open, Side, leg_moves
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import ProtocolViolationError, StreamState, Role, node_connection_state
 
 
 class _Answer:
@@ -27,11 +28,11 @@
 
 
 @implementer(IPushProducer)
-class NodePort(Framed):
+class NodePort(FramedProtocol):
     """One gateway's connection."""
 
     def __init__(self, factory: NodePorts) -> None:
-        super().__init__(factory.clock, Side.ANSWERING, leg_moves())
+        super().__init__(factory.clock, Role.ANSWERING, node_connection_state())
         self.factory = factory
         self.machine = factory.machine
         factory.count += 1
@@ -54,40 +55,40 @@
         if self.up and not self.machine.silent and not self.machine.down:
             self.say(m.Hello(version=m.VERSION, role="node", name=str(self.machine.number)))
             if self.machine.draining:
-                self.say(m.Bye(reason="draining"))
+                self.say(m.GoAway(reason="draining"))
 
     def dataReceived(self, data: bytes) -> None:
         if not (self.gateway and self.machine.deaf_to(self.gateway)):
             super().dataReceived(data)
 
-    def say(self, message: m.Any, body: bytes = b"") -> None:
+    def say(self, message: m.AnyMessage, body: bytes = b"") -> None:
         if not (self.gateway and self.machine.deaf_to(self.gateway)):
             super().say(message, body)
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.gateway = message.name
-        elif isinstance(message, m.LegSent):
+        elif isinstance(message, m.SendAttempt):
             self._leg(message, body, after)
-        elif isinstance(message, m.Part):
+        elif isinstance(message, m.BodyChunk):
             work = self.legs.get(message.id)
             if work is not None:
                 work.body.append(body)
-                if after is Open.WHOLE:
+                if after is StreamState.WHOLE:
                     self.machine.offer(work)
-        elif isinstance(message, m.Cancel):
+        elif isinstance(message, m.CancelAttempt):
             self._cancel(message.id, after)
-        elif isinstance(message, m.Credit):
+        elif isinstance(message, m.WindowUpdate):
             answer = self.answers.get(message.id)
             if answer is not None:
                 answer.credit += message.bytes
                 self._send_parts()
-        elif isinstance(message, m.Probe) and not self.machine.silent:
-            self.say(m.Alive(id=message.id, load=self.machine.report()))
+        elif isinstance(message, m.HealthCheck) and not self.machine.silent:
+            self.say(m.HealthCheckReply(id=message.id, load=self.machine.report()))
 
-    def _leg(self, message: m.LegSent, body: bytes, after: Open | None) -> None:
+    def _leg(self, message: m.SendAttempt, body: bytes, after: StreamState | None) -> None:
         if message.product not in self.machine.products:
-            raise IllegalMove("unknown_product", f"no product {message.product!r} is known here")
+            raise ProtocolViolationError("unknown_product", f"no product {message.product!r} is known here")
         now = now_ns(self.clock)
         work = Work(
             mark=message.mark,
@@ -109,10 +110,10 @@
         self.machine.record(self._came(message, work, now))
         if message.shard not in (-1, self.machine.shard.number):
             self._reply(message.id, work, "not held")
-        elif after is Open.WHOLE:
+        elif after is StreamState.WHOLE:
             self.machine.offer(work)
 
-    def _came(self, message: m.LegSent, work: Work, now: int) -> r.LegCame:
+    def _came(self, message: m.SendAttempt, work: Work, now: int) -> r.LegCame:
         return r.LegCame(
             t=now,
             node=self.machine.number,
@@ -129,7 +130,7 @@
             work=work.cost,
         )
 
-    def _cancel(self, number: int, after: Open | None) -> None:
+    def _cancel(self, number: int, after: StreamState | None) -> None:
         self.machine.record(
             r.LegGivenUp(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number)
         )
@@ -137,13 +138,13 @@
         answering = self.answers.pop(number, None)
         if work is None and answering is not None:
             self._over(number, "done")
-            self.say(m.Cancelled(id=number, ran="maybe"))
-        if work is None or after in (Open.CLOSED, None):
+            self.say(m.AttemptCancelled(id=number, ran="maybe"))
+        if work is None or after in (StreamState.CLOSED, None):
             return
         ran = self.machine.stop(work)
         if not self.machine.silent:
             self._over(number, "cancelled")
-            self.say(m.Cancelled(id=number, ran=ran))
+            self.say(m.AttemptCancelled(id=number, ran=ran))
 
     def _over(self, number: int, how: str) -> None:
         self.machine.record(
@@ -173,7 +174,7 @@
             else:
                 self.answers[number] = _Answer(pieces)
             self.say(
-                m.Done(
+                m.AttemptServed(
                     id=number,
                     size=size,
                     shard=self.machine.shard.number,
@@ -189,17 +190,19 @@
         self._over(number, {"failed": "failed", "not held": "moot"}.get(how, "full"))
         if how == "failed":
             self.say(
-                m.Failed(id=number, text="the node failed the leg", load=load, used=used, elsewhere=elsewhere)
+                m.AttemptFailed(
+                    id=number, text="the node failed the leg", load=load, used=used, elsewhere=elsewhere
+                )
             )
         else:
-            self.say(m.Full(id=number, why=how, load=load))
+            self.say(m.AttemptRejected(id=number, why=how, load=load))
 
     def _reset(self, number: int, pieces: list[bytes], size: int) -> None:
         """Trouble: the connection breaks inside the answer, or before an answer without a body."""
         self._over(number, "cut")
         if pieces:
             half = pieces[0][: len(pieces[0]) // 2]
-            self.say(m.Done(id=number, size=size, shard=self.machine.shard.number), half)
+            self.say(m.AttemptServed(id=number, size=size, shard=self.machine.shard.number), half)
         self.transport.loseConnection()
 
     def _send_parts(self) -> None:
@@ -217,7 +220,7 @@
                 self.answers[number] = answer  # to the end: answers take turns
             else:
                 self._over(number, "done")
-            self.say(m.Part(id=number), piece)
+            self.say(m.BodyChunk(id=number), piece)
 
     def pauseProducing(self) -> None:
         self.blocked = True
@@ -263,5 +266,5 @@
 
     def say_bye(self) -> None:
         for port in self.ports:
-            if Side.ANSWERING in port.moves.greeted:
-                port.say(m.Bye(reason="draining"))
+            if Role.ANSWERING in port.moves.greeted:
+                port.say(m.GoAway(reason="draining"))
--- a/ochrecourse/standins/registry.py
+++ b/ochrecourse/standins/registry.py
@@ -13,7 +13,8 @@
 
 from twisted.web.http import HTTPChannel, HTTPFactory, Request
 
-from ochrecourse.outside import SECOND, Network, now_ns
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.common.time_units import SECOND
 
 
 def coded(data: bytes) -> str:
--- a/ochrecourse/durable/sealed.py
+++ b/ochrecourse/storage/atomic_file.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 
-class Damaged(Exception):
+class DamagedFileError(Exception):
     """The file is there but is not what was written; the text says what is wrong with it."""
 
 
@@ -36,7 +36,7 @@
 
 
 def read(path: Path, name: str, version: int) -> bytes | None:
-    """The file's content, or None if there is no file. Raises Damaged, OSError."""
+    """The file's content, or None if there is no file. Raises DamagedFileError, OSError."""
     try:
         whole = path.read_bytes()
     except FileNotFoundError:
@@ -44,14 +44,14 @@
     head, _, data = whole.partition(b"\n")
     words = head.decode("ascii", "replace").split(" ")
     if len(words) != 5 or words[0] != "ochrecourse":
-        raise Damaged(f"{path}: not a file of ours")
+        raise DamagedFileError(f"{path}: not a file of ours")
     if words[1] != name:
-        raise Damaged(f"{path}: holds {words[1]}, not {name}")
+        raise DamagedFileError(f"{path}: holds {words[1]}, not {name}")
     if words[2] != str(version):
         age = "a newer" if words[2].isdigit() and int(words[2]) > version else "another"
-        raise Damaged(f"{path}: is of {age} version, {words[2]}; this program reads {version}")
+        raise DamagedFileError(f"{path}: is of {age} version, {words[2]}; this program reads {version}")
     if words[3] != str(len(data)):
-        raise Damaged(f"{path}: {len(data)} bytes of {words[3]}")
+        raise DamagedFileError(f"{path}: {len(data)} bytes of {words[3]}")
     if words[4] != f"{zlib.crc32(data):08x}":
-        raise Damaged(f"{path}: the checksum does not match")
+        raise DamagedFileError(f"{path}: the checksum does not match")
     return data
--- a/ochrecourse/durable/journal.py
+++ b/ochrecourse/storage/journal.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from ochrecourse.durable.frames import Row, framed
+from ochrecourse.storage.record_frames import FrameReader, framed
 
 
 class Anew(Protocol):
@@ -55,7 +55,7 @@
         """Nothing more is written."""
 
 
-class InMemory:
+class MemoryJournal:
     """For runs that keep nothing, and for lives that follow each other in one process."""
 
     def __init__(self) -> None:
@@ -82,7 +82,7 @@
 
 
 class _AnewInMemory:
-    def __init__(self, journal: InMemory) -> None:
+    def __init__(self, journal: MemoryJournal) -> None:
         self.journal = journal
         self.records: list[bytes] = []
 
@@ -100,11 +100,11 @@
         self.records = []
 
 
-class BadJournal(Exception):
+class JournalError(Exception):
     """The file is not a journal of this kind; the text says what it is."""
 
 
-class InFile:
+class FileJournal:
     """Records in one file. `version` to `newest` are read; a new file is in `version`, one that is there
     stays in its own until that is set. `notes` say what was found damaged, a line each.
     """
@@ -120,12 +120,12 @@
         self.broken = False
 
     def records(self) -> Iterator[bytes]:
-        """All whole records. Raises BadJournal, OSError."""
+        """All whole records. Raises JournalError, OSError."""
         try:
             with open(self.path, "rb") as file:
                 head = file.readline(200)
                 self._read_head(head)
-                row = Row(file.read)
+                row = FrameReader(file.read)
                 yield from row.records()
                 if not row.sound:
                     self._damaged(len(head) + row.at, row.count, os.fstat(file.fileno()).st_size)
@@ -133,7 +133,7 @@
             return
 
     def look(self) -> None:
-        """Whether the file that is there, if one is, can be read here. Raises BadJournal, OSError."""
+        """Whether the file that is there, if one is, can be read here. Raises JournalError, OSError."""
         with contextlib.suppress(FileNotFoundError), open(self.path, "rb") as file:
             self._read_head(file.readline(200))
 
@@ -141,7 +141,7 @@
         return f"ochrecourse {self.name} {version}\n".encode()
 
     def _read_head(self, head: bytes) -> None:
-        """Raises BadJournal: nothing of another's or of a newer program's file is read or changed."""
+        """Raises JournalError: nothing of another's or of a newer program's file is read or changed."""
         for version in range(self.version, self.newest + 1):
             if head == self.head_of(version):
                 self.version = version
@@ -152,7 +152,7 @@
         text = f"{self.path}: begins with {said!r}, not {wanted!r}"
         if what == f"ochrecourse {self.name}" and version_said.isdigit() and int(version_said) > self.newest:
             text += ": a newer program keeps it; start that one"
-        raise BadJournal(text)
+        raise JournalError(text)
 
     def _damaged(self, at: int, count: int, whole: int) -> None:
         aside = self.path.with_name(f"{self.path.name}.damaged")
@@ -218,7 +218,7 @@
 class _AnewInFile:
     """A file beside the journal's; what was left of one is overwritten by the next."""
 
-    def __init__(self, journal: InFile) -> None:
+    def __init__(self, journal: FileJournal) -> None:
         self.journal = journal
         self.aside = journal.path.with_name(f"{journal.path.name}.new")
         self.file = open(self.aside, "wb")  # noqa: SIM115 - it stays open over many turns
--- a/ochrecourse/durable/sole.py
+++ b/ochrecourse/storage/process_lock.py
@@ -10,10 +10,10 @@
 import os
 from pathlib import Path
 
-from ochrecourse.durable.journal import BadJournal
+from ochrecourse.storage.journal import JournalError
 
 
-class Sole:
+class ProcessLock:
     """The right to write what is kept under one name. The file is never removed: a lock on a file that
     another process has just unlinked would be no lock."""
 
@@ -22,7 +22,7 @@
         self.file = -1
 
     def take(self) -> None:
-        """Raises BadJournal where another process has it, OSError where the file is not to be had."""
+        """Raises JournalError where another process has it, OSError where the file is not to be had."""
         if self.file >= 0:
             return
         file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -30,7 +30,7 @@
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(file)
-            raise BadJournal(
+            raise JournalError(
                 f"{self.path}: another process runs with this state; end it first, or start with --take-over"
             ) from None
         except OSError:
--- a/ochrecourse/durable/frames.py
+++ b/ochrecourse/storage/record_frames.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class FrameReader:
     """Reads a row of frames. `at`: bytes of whole frames so far, `count` records; `sound`: no damage yet."""
 
     read: Callable[[int], bytes]  # up to so many bytes from where the last call ended; fewer only at the end
--- a/ochrecourse/webdav/bodies.py
+++ b/ochrecourse/webdav/bodies.py
@@ -13,7 +13,7 @@
 from defusedxml.common import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.webdav.locks import Lock
 from ochrecourse.webdav.namespace import Entry
 from ochrecourse.webdav.paths import Path, href
--- a/ochrecourse/webdav/door.py
+++ b/ochrecourse/webdav/door.py
@@ -19,7 +19,8 @@
 from zope.interface import implementer
 
 from ochrecourse.gateway import gateway as g
-from ochrecourse.outside import MS, SECOND, Network, Timer, now_ns, stop
+from ochrecourse.common.runtime import Network, Timer, now_ns, stop
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.webdav import bodies
 from ochrecourse.webdav.kept import Kept
 from ochrecourse.webdav.limits import Arrival, DoorFigures, Pace
@@ -303,7 +304,7 @@
             self.registerProducer(self, True)
         try:
             door.gateway.take(request, self)
-        except g.BadRequest as trouble:
+        except g.BadRequestError as trouble:
             self.job = None
             raise Reply(408 if trouble.code == "late_body" else 403, str(trouble)) from None
 
--- a/ochrecourse/webdav/kept.py
+++ b/ochrecourse/webdav/kept.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.webdav.locks import Conflict, Lock, Locks, TooMany
 from ochrecourse.webdav.namespace import MOST, Content, Entry, Namespace, Refused, Staged
 from ochrecourse.webdav.paths import Path
--- a/ochrecourse/webdav/limits.py
+++ b/ochrecourse/webdav/limits.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 
 class DoorFigures(NamedTuple):
--- a/ochrecourse/webdav/locks.py
+++ b/ochrecourse/webdav/locks.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 from collections.abc import Iterable
 from dataclasses import dataclass
--- a/ochrecourse/webdav/methods.py
+++ b/ochrecourse/webdav/methods.py
@@ -14,7 +14,7 @@
 from itertools import islice
 from typing import NamedTuple, TypeVar
 
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.webdav import bodies, conditions
 from ochrecourse.webdav.kept import Kept
 from ochrecourse.webdav.locks import Conflict, TooMany
--- a/ochrecourse/wire/framed.py
+++ b/ochrecourse/wire/framed_protocol.py
@@ -13,14 +13,14 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from ochrecourse.outside import Clock, Timer, stop
+from ochrecourse.common.runtime import Clock, Timer, stop
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.moves import IllegalMove, Moves, Open, Side
+from ochrecourse.wire.state import ProtocolViolationError, ConnectionState, StreamState, Role
 
 HEADER_TIME = 5.0  # s in which a begun header line or body must be whole; a slow sender holds nothing up
 
 
-class Framed(LineReceiver):
+class FramedProtocol(LineReceiver):
     """One connection. Subclasses give `took` (a whole message) and, if they want, `ready` and `closed`."""
 
     transport: Any  # Twisted's interfaces carry no types
@@ -28,14 +28,14 @@
     MAX_LENGTH = m.MAX_HEADER
     max_body: ClassVar[int] = m.MAX_BODY
 
-    def __init__(self, clock: Clock, side: Side, moves: Moves) -> None:
+    def __init__(self, clock: Clock, side: Role, moves: ConnectionState) -> None:
         self.clock = clock
         self.side = side  # which side this end is
-        self.other = Side.ANSWERING if side is Side.ASKING else Side.ASKING
+        self.other = Role.ANSWERING if side is Role.ASKING else Role.ASKING
         self.moves = moves
         self.up = False
-        self.ended_by: IllegalMove | None = None  # what this end found wrong
-        self._header: m.Any | None = None
+        self.ended_by: ProtocolViolationError | None = None  # what this end found wrong
+        self._header: m.AnyMessage | None = None
         self._body: list[bytes] = []
         self._need = 0
         self._watch: Timer | None = None
@@ -45,8 +45,10 @@
     def ready(self) -> None:
         """The connection is made."""
 
-    def took(self, message: m.Any, body: bytes, after: Open | None) -> None:
-        """A whole message came and was legal; `after` is where its id stands now. An IllegalMove ends all."""
+    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+        """A whole message came and was legal; `after` is where its id stands now. An
+        ProtocolViolationError ends all.
+        """
         raise NotImplementedError
 
     def closed(self, half: bool) -> None:
@@ -54,8 +56,10 @@
 
     # --- sending ---
 
-    def say(self, message: m.Any, body: bytes = b"") -> None:
-        """Sends a message; one that would be illegal is a mistake of this side and raises IllegalMove."""
+    def say(self, message: m.AnyMessage, body: bytes = b"") -> None:
+        """Sends a message; one that would be illegal is a mistake of this side and raises
+        ProtocolViolationError.
+        """
         message.body = len(body)
         self.moves.step(self.side, message)
         if self.up:
@@ -64,9 +68,9 @@
     def give_up(self, code: str, text: str, number: int = -1) -> None:
         """Tells the other side what it did wrong and ends the connection."""
         if self.ended_by is None:
-            self.ended_by = IllegalMove(code, text)
+            self.ended_by = ProtocolViolationError(code, text)
             if self.up:
-                self.transport.write(m.encode(m.Fault(code=code, text=text[:500], id=number)))
+                self.transport.write(m.encode(m.ErrorNotice(code=code, text=text[:500], id=number)))
                 self.transport.loseConnection()
                 # Guards against a peer that never reads: what it left unread would keep the connection for
                 # ever.
@@ -105,7 +109,7 @@
         self._stop_watch()  # each whole header or body starts the time anew
         try:
             message = m.decode(line)
-        except m.BadMessage as trouble:
+        except m.MalformedMessageError as trouble:
             self.give_up("bad_message", str(trouble))
             return
         if message.body > self.max_body:
@@ -134,11 +138,11 @@
     def lineLengthExceeded(self, line: bytes) -> None:
         self.give_up("header_limit", f"a header line of more than {self.MAX_LENGTH} bytes")
 
-    def _hand_on(self, message: m.Any, body: bytes) -> None:
+    def _hand_on(self, message: m.AnyMessage, body: bytes) -> None:
         try:
             after = self.moves.step(self.other, message)
             self.took(message, body, after)
-        except IllegalMove as trouble:
+        except ProtocolViolationError as trouble:
             self.give_up(trouble.code, str(trouble))
 
     def _too_slow(self) -> None:
--- a/ochrecourse/wire/talk.py
+++ b/ochrecourse/wire/http_client.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class HttpResponse:
     """A response. `whole`: its body had the length that was told."""
 
     status: int
@@ -40,18 +40,20 @@
         return 100 <= self.status < 200 and self.status != 101
 
 
-class Talk(LineReceiver):
+class HttpClientProtocol(LineReceiver):
     """One connection. `then` hears of each answer, or of None if the connection ended before any came."""
 
     delimiter = b"\r\n"
     transport: Any
 
-    def __init__(self, up: Callable[[Talk], None], over: Callable[[Talk], None]) -> None:
+    def __init__(
+        self, up: Callable[[HttpClientProtocol], None], over: Callable[[HttpClientProtocol], None]
+    ) -> None:
         self.up = up
         self.over = over
-        self.then: Callable[[Answer | None], None] | None = None
+        self.then: Callable[[HttpResponse | None], None] | None = None
         self.piece: Callable[[bytes], None] | None = None  # takes the body as it comes, if it is set
-        self.answer: Answer | None = None
+        self.answer: HttpResponse | None = None
         self.method = ""
         self.left = 0
         self.chunked = False
@@ -73,7 +75,7 @@
         path: str,
         headers: Mapping[str, str],
         body: bytes,
-        then: Callable[[Answer | None], None],
+        then: Callable[[HttpResponse | None], None],
     ) -> None:
         """Sends a request; only when none is out."""
         lines = [f"{method} {path} HTTP/1.1", "Host: ochrecourse"]
@@ -86,7 +88,7 @@
     def lineReceived(self, line: bytes) -> None:
         if self.answer is None:
             if line:
-                self.answer = Answer(int(line.split(b" ", 2)[1]))
+                self.answer = HttpResponse(int(line.split(b" ", 2)[1]))
                 self.hash = hashlib.sha256()
                 self.in_chunks = False
         elif self.in_chunks:
@@ -155,7 +157,7 @@
         self.closing = self.closing or answer.headers.get("connection", "").lower() == "close"
         self._tell(answer)
 
-    def _tell(self, answer: Answer | None) -> None:
+    def _tell(self, answer: HttpResponse | None) -> None:
         then, self.then, self.answer = self.then, None, None
         if answer is not None:
             answer.digest = self.hash.hexdigest()
--- a/ochrecourse/wire/messages.py
+++ b/ochrecourse/wire/messages.py
@@ -33,13 +33,13 @@
     name: str = ""
 
 
-class Bye(Message, tag="bye"):
+class GoAway(Message, tag="bye"):
     """An orderly end: no new jobs or legs on this connection; what is out is still answered."""
 
     reason: str = ""
 
 
-class Fault(Message, tag="fault"):
+class ErrorNotice(Message, tag="fault"):
     """The other side broke the protocol (id below 0), or one of its jobs can't be taken (id of that job)."""
 
     code: str
@@ -47,20 +47,20 @@
     id: int = -1
 
 
-class Part(Message, tag="part"):
+class BodyChunk(Message, tag="part"):
     """More of a body that a job, a leg or an answer announced with `size`."""
 
     id: int
 
 
-class Credit(Message, tag="credit"):
+class WindowUpdate(Message, tag="credit"):
     """So many more bytes of this answer may be sent."""
 
     id: int
     bytes: int
 
 
-class JobAsked(Message, tag="job"):
+class SubmitRequest(Message, tag="job"):
     """A client's request. `timeout_ms` runs from when it was sent; `shard` below 0: a new object.
 
     `trace` is the client's own name for the job; it is handed on with each leg and stands in the job's log
@@ -80,19 +80,19 @@
     trace: str = ""
 
 
-class Leave(Message, tag="leave"):
+class CancelRequest(Message, tag="leave"):
     """The client no longer waits for this job."""
 
     id: int
 
 
-class Left(Message, tag="left"):
+class RequestCancelled(Message, tag="left"):
     """Answers a leave: nothing more comes for this job."""
 
     id: int
 
 
-class Fulfilled(Message, tag="fulfilled"):
+class RequestServed(Message, tag="fulfilled"):
     """The job was done. `size` bytes come, the first `body` of them at once; `shard`: where the data lies."""
 
     id: int
@@ -100,20 +100,20 @@
     shard: int = -1
 
 
-class Denied(Message, tag="denied"):
+class RequestRejected(Message, tag="denied"):
     """The job was turned away; trying again is harmless, best not before `come_back_ms` have passed."""
 
     id: int
     come_back_ms: float = 0.0
 
 
-class WrittenOff(Message, tag="written_off"):
+class RequestFailed(Message, tag="written_off"):
     """The job failed; whether it had an effect is not known. Also ends an answer that broke off half-way."""
 
     id: int
 
 
-class LegSent(Message, tag="leg"):
+class SendAttempt(Message, tag="leg"):
     """Work for a node. `mark` names the job for ever; `patience_ms`: when the gateway stops waiting, 0
     never.
     """
@@ -134,7 +134,7 @@
     trace: str = ""
 
 
-class Cancel(Message, tag="cancel"):
+class CancelAttempt(Message, tag="cancel"):
     """The gateway no longer waits for this leg; the node answers with `cancelled` unless its answer is on the
     way.
     """
@@ -142,13 +142,13 @@
     id: int
 
 
-class Probe(Message, tag="probe"):
+class HealthCheck(Message, tag="probe"):
     """Asks for a sign of life."""
 
     id: int
 
 
-class NodeAnswer(Message):
+class NodeReply(Message):
     """What every answer of a node may carry: its load, and served totals (`used` below 0: not told)."""
 
     id: int
@@ -157,7 +157,7 @@
     elsewhere: int = 0
 
 
-class Done(NodeAnswer, tag="done"):
+class AttemptServed(NodeReply, tag="done"):
     """The leg ran. `repeat`: its mark was known and the first answer is given again."""
 
     size: int = 0
@@ -165,35 +165,35 @@
     repeat: bool = False
 
 
-class Failed(NodeAnswer, tag="failed"):
+class AttemptFailed(NodeReply, tag="failed"):
     """The leg was begun and failed; it may have had its effect."""
 
     text: str = ""
 
 
-class Full(NodeAnswer, tag="full"):
+class AttemptRejected(NodeReply, tag="full"):
     """The leg was turned away unseen: no room, draining, or the shard is not held here (`why`)."""
 
     why: str = "full"
 
 
-class Cancelled(NodeAnswer, tag="cancelled"):
+class AttemptCancelled(NodeReply, tag="cancelled"):
     """Answers a cancel. `ran` is no or maybe."""
 
     ran: str = "maybe"
 
 
-class Alive(NodeAnswer, tag="alive"):
+class HealthCheckReply(NodeReply, tag="alive"):
     """Answers a probe."""
 
 
-class Follow(Message, tag="follow"):
+class WatchEndpoints(Message, tag="follow"):
     """Asks a list server for all changes after this version of the list; 0 asks for the whole list."""
 
     epoch: int = 0
 
 
-class Listed(msgspec.Struct, omit_defaults=True, kw_only=True):
+class EndpointEntry(msgspec.Struct, omit_defaults=True, kw_only=True):
     """One line of the list of nodes. `health`: ready, draining or gone; `started_ms_ago` below 0: long
     ago.
     """
@@ -206,40 +206,42 @@
     started_ms_ago: float = -1.0
 
 
-class NodeList(Message, tag="nodes"):
-    """A list of nodes, as a JSON array of `Listed` in the body. `kind`: full, or delta against `epoch` -
-    1.
+class EndpointListMessage(Message, tag="nodes"):
+    """A list of nodes, as a JSON array of `EndpointEntry` in the body. `kind`: full, or delta against
+    `epoch` - 1.
     """
 
     kind: str
     epoch: int
 
 
-Any = (
-    Hello | Bye | Fault | Part | Credit | JobAsked | Leave | Left | Fulfilled | Denied | WrittenOff | LegSent
-    | Cancel | Probe | Done | Failed | Full | Cancelled | Alive | Follow | NodeList
+AnyMessage = (
+    Hello | GoAway | ErrorNotice | BodyChunk | WindowUpdate | SubmitRequest | CancelRequest
+    | RequestCancelled | RequestServed | RequestRejected | RequestFailed | SendAttempt
+    | CancelAttempt | HealthCheck | AttemptServed | AttemptFailed | AttemptRejected | AttemptCancelled
+    | HealthCheckReply | WatchEndpoints | EndpointListMessage
 )  # fmt: skip
 
-_decoder = msgspec.json.Decoder(Any)
+_decoder = msgspec.json.Decoder(AnyMessage)
 _encoder = msgspec.json.Encoder()
-_list_decoder = msgspec.json.Decoder(list[Listed])
+_list_decoder = msgspec.json.Decoder(list[EndpointEntry])
 
 
-class BadMessage(Exception):
+class MalformedMessageError(Exception):
     """A header that is not what docs/node-protocol.md describes; the text says what is wrong with it."""
 
 
-def decode(line: bytes) -> Any:
-    """The message of one header line (without its end). Raises BadMessage."""
+def decode(line: bytes) -> AnyMessage:
+    """The message of one header line (without its end). Raises MalformedMessageError."""
     try:
         message = _decoder.decode(line)
     except (msgspec.DecodeError, RecursionError) as trouble:
-        raise BadMessage(f"not a message: {trouble}") from None
+        raise MalformedMessageError(f"not a message: {trouble}") from None
     if message.body < 0:
-        raise BadMessage("body below 0")
+        raise MalformedMessageError("body below 0")
     size = getattr(message, "size", 0)
     if size < 0 or (size and message.body > size):
-        raise BadMessage(f"size {size} does not hold a body of {message.body}")
+        raise MalformedMessageError(f"size {size} does not hold a body of {message.body}")
     return message
 
 
@@ -249,13 +251,13 @@
     return _encoder.encode(message) + b"\r\n" + body
 
 
-def decode_list(body: bytes) -> list[Listed]:
-    """The lines of a list of nodes. Raises BadMessage."""
+def decode_list(body: bytes) -> list[EndpointEntry]:
+    """The lines of a list of nodes. Raises MalformedMessageError."""
     try:
         return _list_decoder.decode(body)
     except msgspec.DecodeError as trouble:
-        raise BadMessage(f"not a list of nodes: {trouble}") from None
+        raise MalformedMessageError(f"not a list of nodes: {trouble}") from None
 
 
-def encode_list(entries: list[Listed]) -> bytes:
+def encode_list(entries: list[EndpointEntry]) -> bytes:
     return _encoder.encode(entries)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,8 +6,9 @@
 import pytest
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 
-from ochrecourse.decide import MS, SECOND, Scheduler
-from ochrecourse.gateway.front import FrontFactory
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.interface import Ending, Health, Request, AttemptEnd, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
@@ -235,7 +236,7 @@
         self.stories = []
         dial = dialler(self.network)
         self.gateway = Gateway(values, 7, self.network, dial, "g0", travel=20 * MS, observers=[self])
-        self.front = FrontFactory(self.gateway, self.network, 8)
+        self.front = ClientConnectionFactory(self.gateway, self.network, 8)
         self.port = self.network.listenTCP(0, self.front).getHost().port
         self.nodes = [ScriptedNode(self.network, script) for script in scripts]
         entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(scripts))]
@@ -253,7 +254,7 @@
 
     def ask(self, wire, number=1, product="read", body=b"", **more):
         told = {"plan": "p0", "volume": 1, "timeout_ms": 1000, "shard": 0, "size": len(body), **more}
-        wire.say(m.JobAsked(id=number, product=product, **told), body)
+        wire.say(m.SubmitRequest(id=number, product=product, **told), body)
 
     def run(self, seconds=3.0):
         self.network.advance(seconds)
--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.entries import Entry, Place, Stamp
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
 from ochrecourse.fleet.kept import Kept
@@ -48,7 +48,7 @@
 
     def __init__(self, world, name, founders):
         self.world, self.name, self.founders = world, name, founders
-        self.journal = InMemory()
+        self.journal = MemoryJournal()
         self.shift = 0
         self.reader = Reader()
         self.up = False
--- a/tests/forms/record.py
+++ b/tests/forms/record.py
@@ -16,7 +16,7 @@
 
 from test_fleet_part import EPOCH, Fleet  # noqa: E402
 
-from ochrecourse.durable.journal import InFile, InMemory  # noqa: E402
+from ochrecourse.storage.journal import FileJournal, MemoryJournal  # noqa: E402
 from ochrecourse.fleet.link import Link  # noqa: E402
 
 
@@ -32,7 +32,7 @@
     fleet.parts["a"].kill()
     journal = folder / "journal-1"
     journal.unlink(missing_ok=True)
-    fleet.journals["a"] = InFile(journal, "fleet-log", 1)
+    fleet.journals["a"] = FileJournal(journal, "fleet-log", 1)
     fleet.start("a")
     fleet.run(3)
     for i in range(12):
@@ -43,7 +43,7 @@
     for part in fleet.parts.values():
         part.compact("c", upto, {"sum": 15})
     fleet.parts["b"].kill()
-    fleet.journals["b"] = InMemory()  # a lost disk: it is told all that there is, snapshots too
+    fleet.journals["b"] = MemoryJournal()  # a lost disk: it is told all that there is, snapshots too
     fleet.run(1)
     told.clear()
     fleet.start("b")
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -101,10 +101,10 @@
 
 def test_cycles_are_collected_when_no_job_waits_or_many_connections_have_closed():
     code = (
-        "import gc\nfrom ochrecourse.steady import MANY, Collector\n"
+        "import gc\nfrom ochrecourse.common.monotonic_reactor import MANY, CycleCollector\n"
         "class Clock:\n    def callLater(self, delay, call): self.call = call\n"
         "clock, state, made = Clock(), {'idle': False, 'closed': 0}, []\n"
-        "collector = Collector(clock, lambda: state['idle'], lambda: state['closed'])\n"
+        "collector = CycleCollector(clock, lambda: state['idle'], lambda: state['closed'])\n"
         "assert not gc.isenabled(); gc.collect = lambda: made.append(1)\n"
         "clock.call(); state['closed'] = 3; clock.call(); assert not made\n"
         "state['idle'] = True; clock.call(); clock.call(); assert len(made) == 1\n"
@@ -115,7 +115,7 @@
 
 def test_the_daemons_clock_is_monotonic_so_a_wall_clock_that_steps_moves_no_timer():
     code = (
-        "import time; from ochrecourse.steady import steady_reactor; r = steady_reactor()\n"
+        "import time; from ochrecourse.common.monotonic_reactor import install_monotonic_reactor; r = install_monotonic_reactor()\n"
         "time.time = lambda: 0.0\n"  # the wall clock steps back by decades
         "made = []; r.callLater(0.01, made.append, 1); r.callLater(0.02, r.stop); r.run(); assert made == [1]"
     )
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -5,7 +5,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import RULES, Figures, ProductRule, audit
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.interface import Ending, Health, Attempt, ListKind, NodeEntry, Reply
 from ochrecourse.lab.baselines import Textbook
 from ochrecourse.lab.day import Day, Habits, RuleFigures, Trouble
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -15,7 +15,7 @@
 from ochrecourse.bgp.fitness import Drain, DrainFigures, Fitness, FitnessFigures, Sight, Stage, Standing
 from ochrecourse.bgp.routes import Routes
 from ochrecourse.bgp.watch import Watch
-from ochrecourse.gateway.ledger import Closing
+from ochrecourse.common.request_records import RequestOutcome
 from ochrecourse.bgp.session import SECOND, Dial, Drop, Peer, PeerFigures, Say, State
 
 V4 = ipaddress.ip_network("192.0.2.10/32")
@@ -426,17 +426,17 @@
 
 def test_a_second_without_a_fulfilled_job_is_barren_and_one_job_ends_it():
     watch, told = Watch(), []
-    books = {Closing.FULFILLED: 5, Closing.DENIED: 0, Closing.WRITTEN_OFF: 0}
+    books = {RequestOutcome.FULFILLED: 5, RequestOutcome.DENIED: 0, RequestOutcome.WRITTEN_OFF: 0}
     for i in range(30):
-        books[Closing.DENIED] += 4
-        books[Closing.WRITTEN_OFF] += i % 2
+        books[RequestOutcome.DENIED] += 4
+        books[RequestOutcome.WRITTEN_OFF] += i % 2
         told.append(watch.look(books, i * SECOND // 10))
     assert (
         (told[-1].lately, told[-1].fulfilled) == (45, 0)
         and told[-1].jobs == 131
         and round(told[-1].written_off, 2) == 0.11
     )
-    books[Closing.FULFILLED] += 1
+    books[RequestOutcome.FULFILLED] += 1
     assert watch.look(books, 3 * SECOND).fulfilled == 1
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -4,7 +4,8 @@
 
 from conftest import NODES, START
 
-from ochrecourse.decide import MS, NEVER, SECOND
+from ochrecourse.scheduler.scheduler import NEVER
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import Outcome, Ending, Health, Attempt, ListKind, NodeEntry, Reply
 
 COPY = NodeEntry(72, 1, 0, Health.READY, 0)  # holds the shard of node 70 too
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -12,15 +12,17 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from ochrecourse.decide import SECOND
-from ochrecourse.gateway.turns import POLLS, WAITED, Turns
+from ochrecourse.common.time_units import SECOND
+from ochrecourse.common.event_loop import POLLS, WAITED, PollHistory
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.relay.service import Service, shares
-from ochrecourse.relay.start import parse
-from ochrecourse.resp import codec, connection, front
-from ochrecourse.resp.closing import DRAIN, LINGER
+from ochrecourse.service.gateway_service import GatewayService, shares
+from ochrecourse.service.start_settings import parse
+from ochrecourse.resp import codec
+from ochrecourse.resp import server
+from ochrecourse.resp import client_connection
+from ochrecourse.resp.lingering_close import DRAIN, LINGER
 from ochrecourse.standins.respnode import ListAgent, RespNode, good
-from ochrecourse.steady import unread_since
+from ochrecourse.common.monotonic_reactor import unread_since
 
 PATIENCE = 60_000  # ms that the system may take for anything here; no verdict depends on it
 ENDLESS = 10_000  # turns after which a test that waits for something has failed
@@ -77,7 +79,7 @@
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.agent_port}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
-        self.service = Service(
+        self.service = GatewayService(
             parse(told),
             "none",
             self.loop,
@@ -258,13 +260,13 @@
 def test_the_end_behind_more_than_may_wait_is_seen_and_memory_is_bounded(shop, monkeypatch, how):
     """Guards against buffers that are full, so that nothing is read: the end would not even be sent by the client's
     system, which sends it behind what could not be taken here."""
-    monkeypatch.setattr(connection, "WAITING", 10 * 31_024)
+    monkeypatch.setattr(client_connection, "WAITING", 10 * 31_024)
     here = shop(lambda words: None)
     client, side = here.client()
     here.say(client, b"".join(write(i, body=b"x" * 30_000, d=60_000) for i in range(1, 301)))
     here.loop.until(lambda: len(side.slots) > 200)
     assert here.open == 32 and len(side.waiting) == 10
-    assert side.waiting_size == here.front.waiting_size <= connection.WAITING
+    assert side.waiting_size == here.front.waiting_size <= client_connection.WAITING
     go(client, how)
     here.loop.until(lambda: not side.up)
     assert not here.open and not here.front.fronts and not here.front.waiting_size and not here.front.commands
@@ -274,9 +276,9 @@
 def test_a_flood_without_end_is_a_mistake_and_the_end_behind_it_is_seen(shop, last):
     here = shop(lambda words: None)
     client, side = here.client()
-    here.say(client, read(1, d=60_000) + PING * connection.COMMANDS * last)
+    here.say(client, read(1, d=60_000) + PING * client_connection.COMMANDS * last)
     here.loop.until(lambda: side.breach is not None)
-    assert here.front.counts["too_many_commands"] == 1 and len(side.slots) == connection.COMMANDS + 1
+    assert here.front.counts["too_many_commands"] == 1 and len(side.slots) == client_connection.COMMANDS + 1
     assert here.open == 1 and not side.commands.partial()
     client.close()
     here.loop.until(lambda: not side.up)
@@ -284,7 +286,7 @@
 
 
 def test_what_is_refused_for_want_of_room_is_answered_in_its_turn(shop, monkeypatch):
-    monkeypatch.setattr(connection, "WAITING", 10 * 31_024)
+    monkeypatch.setattr(client_connection, "WAITING", 10 * 31_024)
     here = shop(lambda words: None)
     client, side = here.client()
     here.say(client, b"".join(write(i, body=b"x" * 30_000, d=60_000) for i in range(1, 61)) + PING)
@@ -304,15 +306,15 @@
 
 
 def test_what_waits_on_all_connections_is_bounded_in_sum_and_costs_nobody_its_next_request(shop, monkeypatch):
-    monkeypatch.setattr(connection, "WAITING_ALL", 100 * connection.OVERHEAD)
-    monkeypatch.setattr(connection, "COMMANDS_ALL", 500)
+    monkeypatch.setattr(client_connection, "WAITING_ALL", 100 * client_connection.OVERHEAD)
+    monkeypatch.setattr(client_connection, "COMMANDS_ALL", 500)
     here = shop(lambda words: None)
     clients = [here.client() for _ in range(8)]
     for number, (client, _) in enumerate(clients):
         here.say(client, b"".join(read(1000 * number + i, d=60_000) for i in range(1, 301)))
         here.loop.settle()
-    assert here.front.waiting_size <= connection.WAITING_ALL
-    assert here.front.commands <= connection.COMMANDS_ALL + 8 * (connection.AT_ONCE + 1)
+    assert here.front.waiting_size <= client_connection.WAITING_ALL
+    assert here.front.commands <= client_connection.COMMANDS_ALL + 8 * (client_connection.AT_ONCE + 1)
     quiet, _ = here.client()
     here.node.reply = good
     here.say(quiet, read(9000, d=60_000) + PING)
@@ -339,9 +341,10 @@
             break
         here.loop.turn()
     if side.up:
-        assert len(side.slots) <= connection.COMMANDS + 1
+        assert len(side.slots) <= client_connection.COMMANDS + 1
         assert (
-            len(side.transport.dataBuffer) + side.transport._tempDataLen <= 3 * READ + 7 * connection.COMMANDS
+            len(side.transport.dataBuffer) + side.transport._tempDataLen
+            <= 3 * READ + 7 * client_connection.COMMANDS
         )
 
 
@@ -362,7 +365,7 @@
         here.loop.turn()
         turns += 1
         got += readable(loud)
-    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // connection.PARSED
+    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // client_connection.PARSED
 
 
 # --- attempts after a client's end ---
@@ -495,7 +498,7 @@
 
 
 def test_what_may_stand_unread_is_as_old_as_the_third_last_poll_that_came_back_at_once():
-    turns = Turns()
+    turns = PollHistory()
     for at in range(1, 9):
         turns.polled(at * 10, at * 10, True)
     assert turns.unread_since() == (9 - POLLS) * 10
@@ -576,7 +579,7 @@
     client, side = here.client()
     here.say(client, PING)
     here.loop.settle()
-    while here.front._sweep.getTime() < side.idle_since + front.REST:
+    while here.front._sweep.getTime() < side.idle_since + server.REST:
         here.loop.now = here.front._sweep.getTime()
         here.loop.settle()
     client.sendall(read(1))
@@ -793,7 +796,7 @@
     here.sockets += crowd
     for _ in range(30):
         here.loop.turn()
-        assert len(here.front.fronts) <= most + front.BEYOND
+        assert len(here.front.fronts) <= most + server.BEYOND
     here.loop.now += 2 * LINGER
     here.loop.settle()
     assert len(here.front.fronts) <= most
@@ -804,7 +807,7 @@
 
 def test_connections_that_linger_are_bounded_and_make_room_first(shop):
     here = shop(sockets=72)
-    most, lingering = shares(72)[0], front.LINGERING_LEAST
+    most, lingering = shares(72)[0], server.LINGERING_LEAST
     clients = [here.client() for _ in range(most)]
     for client, _ in clients:
         here.say(client, PING)
--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -20,11 +20,12 @@
 
 from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.lab.virtual import VirtualNetwork, VirtualTransport
-from ochrecourse.outside import now_ns
-from ochrecourse.resp import codec, connection
-from ochrecourse.resp.closing import LingeringClose
-from ochrecourse.resp.connection import RespFront
-from ochrecourse.resp.words import asked
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.resp import codec
+from ochrecourse.resp import client_connection
+from ochrecourse.resp.lingering_close import LingeringClose
+from ochrecourse.resp.client_connection import RespClientConnection
+from ochrecourse.resp.commands import asked
 from ochrecourse.standins.respnode import VALUE, good
 
 BREAK = 0.1  # s after a client's end from which on an attempt is a break
@@ -290,7 +291,7 @@
             front = self.shop.service.front
             assert front.commands == sum(len(each.slots) for each in front.fronts)
             assert front.waiting_size == sum(each.waiting_size for each in front.fronts)
-            assert all(each.running <= connection.AT_ONCE for each in front.fronts)
+            assert all(each.running <= client_connection.AT_ONCE for each in front.fronts)
 
     def teardown(self):
         if not hasattr(self, "peers"):
@@ -371,15 +372,15 @@
 
 
 def reads_nothing_at_the_limit(monkeypatch):
-    whole = RespFront._go_on
+    whole = RespClientConnection._go_on
 
     def go_on(front):
         whole(front)
         if front.up and front.closing is None:
-            full = len(front.jobs) >= connection.AT_ONCE
+            full = len(front.jobs) >= client_connection.AT_ONCE
             (front.transport.pauseProducing if full else front.transport.resumeProducing)()
 
-    monkeypatch.setattr(RespFront, "_go_on", go_on)
+    monkeypatch.setattr(RespClientConnection, "_go_on", go_on)
 
 
 def closes_at_once(monkeypatch):
@@ -400,7 +401,7 @@
 
 
 def takes_what_comes_behind_its_shutdown(monkeypatch):
-    whole = RespFront.dataReceived
+    whole = RespClientConnection.dataReceived
 
     def received(front, data):
         if front.closing is None or front.breach is not None:
@@ -411,7 +412,7 @@
             if len(words) > 1:
                 front.gateway.take(asked(words, front.factory.kinds, now_ns(front.clock)), front)
 
-    monkeypatch.setattr(RespFront, "dataReceived", received)
+    monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
 def takes_what_comes_behind_a_mistake(monkeypatch):
@@ -425,7 +426,7 @@
             front._wrong(codec.Breach("not_a_command", "made on purpose"))
             front._go_on()
 
-    monkeypatch.setattr(RespFront, "dataReceived", received)
+    monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
 def waits_for_those_who_never_close(monkeypatch):
@@ -438,7 +439,7 @@
         front.waiting.clear()
         front._go_on()
 
-    monkeypatch.setattr(RespFront, "stop_taking", stop_taking)
+    monkeypatch.setattr(RespClientConnection, "stop_taking", stop_taking)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,7 +11,8 @@
 
 import pytest
 
-from ochrecourse.decide import COUNTED, MS, SECOND, Scheduler
+from ochrecourse.scheduler.scheduler import COUNTED, Scheduler
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import Ending, Health, Request, Attempt, AttemptEnd, ListKind, NodeEntry, Reply
 
 START = 1000 * SECOND  # clock time at which a day begins
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,7 +8,7 @@
 from relay_process import PATIENCE, Relay, ask
 from test_service import PING, listed, read, value
 
-from ochrecourse.relay.service import shares
+from ochrecourse.service.gateway_service import shares
 
 
 TRIES = 100_000  # of one client; a bound for what never comes
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -5,8 +5,8 @@
 import pytest
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ochrecourse.durable.journal import InMemory
-from ochrecourse.outside import SECOND
+from ochrecourse.storage.journal import MemoryJournal
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.webdav.door import Door
 from ochrecourse.webdav.kept import Kept
 from ochrecourse.webdav.limits import DoorFigures
@@ -31,38 +31,38 @@
         self.bodies = {}
 
     def __call__(self, wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             self.legs.append(message)
             self.bodies[message.id] = body
             if message.body == message.size:
                 wire.network.callLater(self.late, self.answer, wire, message)
-        elif isinstance(message, m.Part):
+        elif isinstance(message, m.BodyChunk):
             self.bodies[message.id] += body
             leg = self.legs[-1]
             if len(self.bodies[message.id]) == leg.size:
                 self.answer(wire, leg)
-        elif isinstance(message, m.Cancel):
-            wire.say(m.Cancelled(id=message.id))
+        elif isinstance(message, m.CancelAttempt):
+            wire.say(m.AttemptCancelled(id=message.id))
 
     def answer(self, wire, leg):
         if self.mute:
             return
         if self.full:
-            wire.say(m.Full(id=leg.id))
+            wire.say(m.AttemptRejected(id=leg.id))
             return
         if leg.write:
             self.objects[leg.key] = self.bodies[leg.id]
-            wire.say(m.Done(id=leg.id, shard=0))
+            wire.say(m.AttemptServed(id=leg.id, shard=0))
             return
         data = self.objects[leg.key]
         if self.cut:
-            wire.say(m.Done(id=leg.id, size=len(data)), data[: len(data) // 2])
+            wire.say(m.AttemptServed(id=leg.id, size=len(data)), data[: len(data) // 2])
             wire.transport.loseConnection()
             return
         first = data if len(data) <= m.MAX_BODY else b""
-        wire.say(m.Done(id=leg.id, size=len(data), shard=0), first)
+        wire.say(m.AttemptServed(id=leg.id, size=len(data), shard=0), first)
         for at in range(0, 0 if first else len(data), m.MAX_BODY):
-            wire.say(m.Part(id=leg.id), data[at : at + m.MAX_BODY])
+            wire.say(m.BodyChunk(id=leg.id), data[at : at + m.MAX_BODY])
 
 
 class House:
@@ -82,7 +82,7 @@
             65_536,
             8,
             0,
-            Kept(journal or InMemory(), lambda: f"urn:{next(count)}", 0, 1_700_000_000),
+            Kept(journal or MemoryJournal(), lambda: f"urn:{next(count)}", 0, 1_700_000_000),
             DoorFigures(**{**LIMITS, **figures}),
             Quota({"small": 10}),
             lambda **said: self.lines.append(said),
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -9,7 +9,7 @@
 from test_fleet_exchange import BEAT, QUIET, WALL, End, hand, kinds, meet, talk
 from test_fleet_part import Fleet
 
-from ochrecourse.durable.journal import InFile, InMemory
+from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet import anti_entropy, snapshot_transfer
 from ochrecourse.fleet import channel as channel_module
 from ochrecourse.fleet import kept as kept_module
@@ -23,7 +23,7 @@
 from ochrecourse.fleet.messages import BadPeer
 from ochrecourse.fleet.shared import EAGER, SLICE
 from ochrecourse.fleet.streams import Chain
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 PACE = 32_768  # bytes a second
 
@@ -33,7 +33,7 @@
 
     def __init__(self, name, life=1000, journal=None, pace=PACE, **more):
         super().__init__(name, life, **more)
-        self.journal = journal if journal is not None else InMemory()
+        self.journal = journal if journal is not None else MemoryJournal()
         self.kept = Kept(self.journal, name, Bounds(), WALL, life)
         self.log = self.kept.log
         self.members.begin(self.log.life)
@@ -328,7 +328,7 @@
 
 
 def test_many_holes_come_in_pieces_and_out_of_the_journal_again():
-    a, b = Away("a"), Away("b", journal=InMemory())
+    a, b = Away("a"), Away("b", journal=MemoryJournal())
     for i in range(6000):
         a.kept.append("cd"[i % 2], i, WALL + i)
     a.log.note_floor(Stamp(1 << 60, 0))
@@ -400,7 +400,7 @@
     monkeypatch.setattr(kept_module, "Renewal", kind)
     monkeypatch.setattr(kept_module, "SLACK", 1000)
     path = tmp_path / "a.log"
-    first = Kept(InFile(path, "fleet", 1), "a", Bounds(), WALL, 1)
+    first = Kept(FileJournal(path, "fleet", 1), "a", Bounds(), WALL, 1)
     peer = Away("b")
     for i in range(60):
         first.append("c", f"old {i}" * 9, WALL + i)
@@ -416,7 +416,7 @@
         first.promise(WALL + 5000 * steps)
         first.work(200)
         (tmp_path / "b.log").write_bytes(path.read_bytes())
-        again = Kept(InFile(tmp_path / "b.log", "fleet", 1), "a", Bounds(), WALL, 2)
+        again = Kept(FileJournal(tmp_path / "b.log", "fleet", 1), "a", Bounds(), WALL, 2)
         lives = {s: n for s, n in again.log.vector().items() if n}
         whole = whole and lives == first.log.vector() and again.notes == []
         whole = whole and again.append("e", 1, WALL).at > first.log.clock
@@ -434,7 +434,7 @@
 
 def test_a_disk_that_fills_while_the_journal_is_written_anew_leaves_the_old_one(tmp_path, monkeypatch):
     monkeypatch.setattr(kept_module, "SLACK", 1000)
-    journal = InFile(tmp_path / "a.log", "fleet", 1)
+    journal = FileJournal(tmp_path / "a.log", "fleet", 1)
     first = Kept(journal, "a", Bounds(), WALL, 1)
     for i in range(60):
         first.append("c", f"old {i}" * 9, WALL + i)
@@ -452,7 +452,7 @@
     first.append("c", "goes on", WALL)
     assert not (tmp_path / "a.log.new").exists()
     assert (
-        Kept(InFile(tmp_path / "a.log", "fleet", 1), "a", Bounds(), WALL, 2).log.vector()
+        Kept(FileJournal(tmp_path / "a.log", "fleet", 1), "a", Bounds(), WALL, 2).log.vector()
         == first.log.vector()
     )
 
@@ -460,7 +460,7 @@
 def test_what_was_merged_is_synced_once_before_it_is_claimed():
     synced = []
 
-    class Disk(InMemory):
+    class Disk(MemoryJournal):
         def sync(self):
             synced.append(len(self.kept))
 
--- a/tests/test_fleet_allot.py
+++ b/tests/test_fleet_allot.py
@@ -20,7 +20,7 @@
 
 from ochrecourse.fleet.allot import LENDABLE, Allot, _of
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 
 ZONE, NODE = 1, 7
 
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -14,7 +14,7 @@
 from ochrecourse.lab.fleet_told import ToldPlay, figures
 from ochrecourse.lab.fleet_world import Fault, World, day_of
 from ochrecourse.lab.worse_capacity_play import CapacityPlay, judged
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 
 S = SECOND
 # Zone 1 alone holds half of all shards; zones 0 and 2 hold the others.
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.exchange import BURST, FRAMES, Exchange
 from ochrecourse.fleet.kept import Kept
@@ -16,7 +16,7 @@
 from ochrecourse.fleet.mesh import ALL, FIRST_REST, Mesh
 from ochrecourse.fleet.messages import LONGEST_BODY, BadPeer, Entries, Hello, Rows, frame
 from ochrecourse.fleet.shared import Common
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 WALL = 1_700_000_000_000  # ms since 1970
 BEAT, QUIET = 250 * MS, 2 * SECOND
@@ -28,7 +28,7 @@
 
     def __init__(self, name, life=1000, flight=256, fleet="f", kind=Exchange, admit=lambda hello: ""):
         self.kind = kind
-        self.kept = Kept(InMemory(), name, Bounds(ahead_ms=3_600_000), WALL, life)
+        self.kept = Kept(MemoryJournal(), name, Bounds(ahead_ms=3_600_000), WALL, life)
         self.log = self.kept.log
         self.members = Members(name, self.log.life, 0, QUIET, 600 * SECOND)
         self.heard = []
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -11,8 +11,8 @@
 from test_fleet_part import EPOCH, GOOD, SAID, Fleet
 
 from ochrecourse.cli.control import answer
-from ochrecourse.durable.journal import BadJournal, InFile, InMemory
-from ochrecourse.durable.sole import Sole
+from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
+from ochrecourse.storage.process_lock import ProcessLock
 from ochrecourse.fleet import forms
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.exchange import Exchange
@@ -23,7 +23,7 @@
 from ochrecourse.fleet.messages import BadPeer, Entries, Hello, frame
 from ochrecourse.fleet.part import CHANNEL, JOURNAL, Part
 from ochrecourse.fleet.shared import Common
-from ochrecourse.outside import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.settings.load import resolve
 
 RECORDED = Path(__file__).parent / "forms"
@@ -41,7 +41,7 @@
     fleet = Fleet("a", shift=float(HELD["wall_ms"] - EPOCH))
     for _ in range(2):  # as it was written, and as this program wrote it
         fleet.parts["a"].kill()
-        fleet.journals["a"] = InFile(path, *JOURNAL)
+        fleet.journals["a"] = FileJournal(path, *JOURNAL)
         part = fleet.start("a")
         assert not part.kept.notes and part.dump("fleet").decode() == HELD["dumps"]["fleet"]
         (snapshot, entries), (had, kept) = json.loads(part.dump("c")), json.loads(HELD["dumps"]["c"])
@@ -52,7 +52,7 @@
 
 def test_frames_of_the_first_form_are_taken_as_they_were_recorded():
     """All that one gateway told another over one link: rows, entries, snapshots, whom it needs no more."""
-    kept = Kept(InMemory(), "b", BIG, HELD["wall_ms"], 9)
+    kept = Kept(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
     members = Members("b", kept.log.life, 0, QUIET, 600 * SECOND, "ac")
     common = Common(
         "f",
@@ -241,7 +241,7 @@
     snapshots = {part.log.snapshot(CHANNEL).value for part in fleet.parts.values()}
     assert len(snapshots) == 1 and len(fleet.dumps(CHANNEL)) == 1
     fleet.parts["c"].kill()
-    fleet.journals["c"] = InMemory()  # it has it from others, by the snapshot
+    fleet.journals["c"] = MemoryJournal()  # it has it from others, by the snapshot
     fleet.run(1)
     fleet.start("c")
     fleet.run(5)
@@ -342,7 +342,7 @@
     fleet = Fleet("abc", **OLD)
     for name in "abc":
         fleet.parts[name].kill()
-        fleet.journals[name] = InFile(tmp_path / f"{name}.log", *JOURNAL[:2])
+        fleet.journals[name] = FileJournal(tmp_path / f"{name}.log", *JOURNAL[:2])
         fleet.start(name)
     fleet.run(3)
     for i, name in enumerate("abcb"):  # one goes back to the older program and on again
@@ -351,7 +351,7 @@
         part.stop()
         fleet.run(0.5)
         newest = 1 if i == 1 else 2
-        fleet.journals[name] = InFile(tmp_path / f"{name}.log", "fleet-log", 1, newest)
+        fleet.journals[name] = FileJournal(tmp_path / f"{name}.log", "fleet-log", 1, newest)
         fleet.start(name, newest_form=newest)
         fleet.run(3)
         told = asked(fleet.parts["a"], form=2)
@@ -368,10 +368,10 @@
     # The older program finds so at the first line of its journal, and leaves the file as it is.
     fleet.parts["b"].kill()
     before = (tmp_path / "b.log").read_bytes()
-    with pytest.raises(BadJournal, match="a newer program keeps it; start that one"):
-        list(InFile(tmp_path / "b.log", *JOURNAL[:2]).records())
+    with pytest.raises(JournalError, match="a newer program keeps it; start that one"):
+        list(FileJournal(tmp_path / "b.log", *JOURNAL[:2]).records())
     # Without its journal it is turned away, and the others go on.
-    fleet.journals["b"] = InMemory()
+    fleet.journals["b"] = MemoryJournal()
     fleet.start("b", **OLD)
     fleet.run(6)
     assert (
@@ -382,7 +382,7 @@
     assert fleet.said_of("fleet link refused", peer="b")
     fleet.parts["b"].kill()
     assert (tmp_path / "b.log").read_bytes() == before
-    fleet.journals["b"] = InFile(tmp_path / "b.log", *JOURNAL)
+    fleet.journals["b"] = FileJournal(tmp_path / "b.log", *JOURNAL)
     fleet.start("b", newest_form=2)
     fleet.run(6)
     assert fleet.reached("a") == "abc" and len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
@@ -497,10 +497,10 @@
 
 
 def test_a_state_has_one_writer_and_is_free_with_its_end(tmp_path):
-    one, other = Sole(tmp_path / "g0.lock"), Sole(tmp_path / "g0.lock")
+    one, other = ProcessLock(tmp_path / "g0.lock"), ProcessLock(tmp_path / "g0.lock")
     one.take()
     one.take()
-    with pytest.raises(BadJournal, match="another process runs with this state"):
+    with pytest.raises(JournalError, match="another process runs with this state"):
         other.take()
     one.free()
     one.free()
@@ -511,7 +511,7 @@
     fleet = Fleet("ab")
     fleet.parts["a"].kill()
     path = tmp_path / "a.log"
-    fleet.journals["a"] = InFile(path, *JOURNAL)
+    fleet.journals["a"] = FileJournal(path, *JOURNAL)
     part = fleet.start("a")
     fleet.run(3)
     part.append("c", 1)
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -6,7 +6,7 @@
 from test_fleet_part import SAID as BASE
 from zone_world import World, left
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.awake import Awake
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.evidence import View
@@ -16,7 +16,8 @@
 from ochrecourse.fleet.terms import Terms
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
-from ochrecourse.gateway.ledger import JobStory, Ledger
+from ochrecourse.common.request_records import RequestRecord
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
 from ochrecourse.lab.fleet_checks import EQUAL
 from ochrecourse.lab.fleet_judge import judge
@@ -24,7 +25,8 @@
 from ochrecourse.lab.fleet_world import Fault
 from ochrecourse.lab.fleet_world import World as Drawn
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.outside import MS, SECOND, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS, SECOND
 
 LARGE = (1, 4, 4)  # units of jobs of which most are large
 
@@ -223,7 +225,7 @@
     ]
     kept = []
     for names in (("north", "south"), ("south", "north")):
-        watch = ZoneWatch(Zones({}, 2, "g0", 0, 2, names), Ledger(), 0, lambda: 0)
+        watch = ZoneWatch(Zones({}, 2, "g0", 0, 2, names), RequestLog(), 0, lambda: 0)
         kept.append(watch.keeps(events, Stamp(9, 0)))
     assert kept[0] == kept[1] == [events[1], events[2]]
     held = Standings(2, ("north", "south"))
@@ -238,11 +240,11 @@
 def watched(beat=250 * MS):
     zones = Zones({}, 2, "g0", 0, 2)
     zones.nodes_are({1: (0, 0, True, 0), 2: (1, 1, True, 0)}, 0)
-    return ZoneWatch(zones, Ledger(), 0, lambda: 0, beat)
+    return ZoneWatch(zones, RequestLog(), 0, lambda: 0, beat)
 
 
 def ends(watch, ending, sent, now, node=2, number=1):
-    story = JobStory(number, 0, 0, 1, 1.0, sent, now + SECOND, now + SECOND, "t")
+    story = RequestRecord(number, 0, 0, 1, 1.0, sent, now + SECOND, now + SECOND, "t")
     watch.books.take(story)
     watch.books.send(number, 0, node, sent)
     leg = story.legs[0]
@@ -305,7 +307,7 @@
 
 class Beside:
     def __init__(self, name):
-        self.name, self.ledger, self.legs_over, self.bounds = name, Ledger(), [], {}
+        self.name, self.ledger, self.legs_over, self.bounds = name, RequestLog(), [], {}
 
     def bounds_came(self, bounds):
         self.bounds = dict(bounds)
@@ -319,7 +321,7 @@
             {"name": n, "address": f"127.0.0.1:{20_000 + j}"} for j, n in enumerate(zones_of) if n != name
         ]
         made[name] = Part(
-            {**SAID, "peers": peers, **changes}, Beside(name), network.host(name), InMemory(), i,
+            {**SAID, "peers": peers, **changes}, Beside(name), network.host(name), MemoryJournal(), i,
             lambda: EPOCH + int(network.seconds() * 1000), lambda event, by=name, **more: lines.append((by, event, more)),
             i % 2, len(zones), names=zones,
         )  # fmt: skip
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -13,8 +13,9 @@
 from ochrecourse.fleet.calendar import Scope
 from ochrecourse.fleet.held import OVERHEAD, READERS, Copies, Key, _Waiting
 from ochrecourse.gateway.gateway import Request
-from ochrecourse.gateway.ledger import Closing
-from ochrecourse.outside import SECOND, now_ns
+from ochrecourse.common.request_records import RequestOutcome
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.wire import messages as m
 
 ALL = Scope("all", "")
@@ -28,17 +29,17 @@
         told = data()
         size = len(told)
         first = size if pieces == 1 else size // pieces
-        wire.say(m.Done(id=message.id, size=size, body=first), told[:first])
+        wire.say(m.AttemptServed(id=message.id, size=size, body=first), told[:first])
         while first < size:
             part = told[first : first + size // pieces + 1]
             first += len(part)
-            wire.say(m.Part(id=message.id, body=len(part)), part)
+            wire.say(m.BodyChunk(id=message.id, body=len(part)), part)
 
     def script(wire, message, body):
-        if not isinstance(message, m.LegSent):
+        if not isinstance(message, m.SendAttempt):
             return
         if message.write:
-            wire.network.callLater(after, wire.say, m.Done(id=message.id))
+            wire.network.callLater(after, wire.say, m.AttemptServed(id=message.id))
         elif hold is not None:
             hold.append(lambda: answer(wire, message))
         else:
@@ -75,7 +76,7 @@
 
     def bytes_of(self, wire, number):
         return b"".join(
-            body for message, body in wire.got if isinstance(message, m.Part) and message.id == number
+            body for message, body in wire.got if isinstance(message, m.BodyChunk) and message.id == number
         )
 
 
@@ -92,9 +93,9 @@
     yard.yard.network.advance(0.005)
     assert yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
     # It counts as other jobs do, and its story is told once.
-    assert yard.gateway.ledger.closings[Closing.FULFILLED] == 2 and not yard.gateway.tasks
+    assert yard.gateway.ledger.closings[RequestOutcome.FULFILLED] == 2 and not yard.gateway.tasks
     assert [(each.closing, len(each.legs)) for each in yard.yard.stories] == [
-        (Closing.FULFILLED, n) for n in (1, 0)
+        (RequestOutcome.FULFILLED, n) for n in (1, 0)
     ]
     assert yard.gateway.ledger.open == 0 and not yard.gateway.ledger.jobs
 
@@ -122,7 +123,7 @@
     held.pop()()
     yard.yard.run(0.3)
     assert [yard.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
-    assert yard.gateway.ledger.closings[Closing.FULFILLED] == 4 and not yard.gateway.tasks
+    assert yard.gateway.ledger.closings[RequestOutcome.FULFILLED] == 4 and not yard.gateway.tasks
     assert yard.read(wires[0], 2) == BIG and yard.legs == 1
 
 
@@ -130,9 +131,9 @@
     parts = []
 
     def script(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.say(m.Done(id=message.id, size=6, body=3), b"les")
-            parts.append(lambda: wire.say(m.Part(id=message.id, body=3), b"son"))
+        if isinstance(message, m.SendAttempt):
+            wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
+            parts.append(lambda: wire.say(m.BodyChunk(id=message.id, body=3), b"son"))
 
     yard = make(script)
     wire = yard.yard.client()
@@ -159,7 +160,7 @@
     held.pop()()
     yard.yard.run(0.3)
     assert [yard.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
-    assert yard.gateway.ledger.closings[Closing.CLIENT_GONE] == 1 and yard.gateway.ledger.open == 0
+    assert yard.gateway.ledger.closings[RequestOutcome.CLIENT_GONE] == 1 and yard.gateway.ledger.open == 0
 
 
 def test_nodes_that_never_answer_leave_each_job_its_one_answer_in_time(make):
@@ -169,7 +170,7 @@
         yard.ask(wire, 1)
         yard.yard.run(0.1)
     yard.yard.run(2.0)
-    ends = [len(wire.told(m.WrittenOff)) + len(wire.told(m.Denied)) for wire in wires]
+    ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
     assert ends == [1, 1, 1] and yard.gateway.ledger.open == 0 and not yard.copies.waits
 
 
@@ -177,9 +178,9 @@
     wires = []
 
     def script(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             wires.append(wire)
-            wire.say(m.Done(id=message.id, size=6, body=3), b"les")
+            wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
 
     yard = make(script, Limits__MaxAttempts="1")
     one, two = yard.yard.client(), yard.yard.client()
@@ -189,9 +190,9 @@
     yard.yard.run(0.02)
     wires[0].transport.loseConnection()
     yard.yard.run(0.1)
-    assert len(one.told(m.WrittenOff)) == len(two.told(m.WrittenOff)) == 1
+    assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
     closings = yard.gateway.ledger.closings
-    assert closings[Closing.WRITTEN_OFF] == 2 and not closings[Closing.FULFILLED]
+    assert closings[RequestOutcome.WRITTEN_OFF] == 2 and not closings[RequestOutcome.FULFILLED]
     assert not yard.copies.held and not yard.gateway.tasks and not yard.copies.readers
 
 
@@ -223,7 +224,7 @@
     wire = yard.yard.client()
     yard.ask(wire, 1, product="bind", body=b"new")
     yard.yard.run(0.01)
-    wire.say(m.Leave(id=1))
+    wire.say(m.CancelRequest(id=1))
     yard.yard.run(0.2)
     assert yard.read(wire, 2) == yard.read(wire, 3) == b"old"
     assert not yard.copies.held and yard.copies.unsure
@@ -326,11 +327,11 @@
     slow = len(yard.copies.readers)
     assert 30 < slow < 39  # each has one piece written at most, however much it asked for
     assert yard.copies.drop(ALL) == 1 and not yard.copies.readers
-    assert yard.gateway.ledger.closings[Closing.WRITTEN_OFF] == slow and not yard.gateway.tasks
+    assert yard.gateway.ledger.closings[RequestOutcome.WRITTEN_OFF] == slow and not yard.gateway.tasks
     wire.transport.resumeProducing()
     yard.yard.run(0.5)
-    assert len(wire.told(m.WrittenOff)) == slow
-    assert len(wire.told(m.Fulfilled)) == 39
+    assert len(wire.told(m.RequestFailed)) == slow
+    assert len(wire.told(m.RequestServed)) == 39
 
 
 def test_slow_clients_beyond_the_bound_ask_the_nodes(make):
@@ -422,7 +423,7 @@
 
 
 def test_without_copies_the_gateway_is_as_it_was_and_never_loads_the_room():
-    code = "import sys, ochrecourse.relay.service, ochrecourse.gateway.daemon; sys.exit(any('ochrecourse.fleet' in each or 'cachetools' in each for each in sys.modules))"
+    code = "import sys, ochrecourse.service.gateway_service, ochrecourse.gateway.daemon; sys.exit(any('ochrecourse.fleet' in each or 'cachetools' in each for each in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrecourse.durable.journal import InFile, InMemory
+from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet.entries import Row, Stamp
 from ochrecourse.fleet.frontier import Frontier
 from ochrecourse.fleet.kept import Kept
@@ -416,7 +416,7 @@
 
 
 def test_every_start_is_a_new_life_also_with_an_older_journal_or_a_clock_put_back():
-    journal = InMemory()
+    journal = MemoryJournal()
     first = kept(journal)
     copy = list(journal.kept)
     entry = first.append("x", 1, 1000)
@@ -429,7 +429,7 @@
 
 
 def test_the_log_comes_back_whole_with_snapshots_and_holes():
-    journal = InMemory()
+    journal = MemoryJournal()
     first = kept(journal)
     for i in range(4):
         first.append("x", i, i)
@@ -453,7 +453,7 @@
 def test_nothing_answered_is_lost_wherever_the_file_ends(tmp_path):
     """Guards against a kill at any byte of the record behind the last answer."""
     path = tmp_path / "a.log"
-    first = kept(InFile(path, "fleet", 1))
+    first = kept(FileJournal(path, "fleet", 1))
     for i in range(3):
         first.append("x", i, 1000)
     whole = path.stat().st_size
@@ -461,7 +461,7 @@
     data = path.read_bytes()
     for end in range(whole, len(data) + 1):
         path.write_bytes(data[:end])
-        journal = InFile(path, "fleet", 1)
+        journal = FileJournal(path, "fleet", 1)
         again = kept(journal, wall=2000)
         assert again.log.vector()[first.log.name, first.log.life] == (4 if end == len(data) else 3), end
         assert len(journal.notes) == (whole < end < len(data)), end
@@ -470,7 +470,7 @@
         (tmp_path / "a.log.damaged").unlink(missing_ok=True)
 
 
-class Failing(InMemory):
+class Failing(MemoryJournal):
     """A disk that fails on demand: a write keeps nothing, a sync may have kept it."""
 
     def __init__(self):
@@ -526,7 +526,7 @@
 
 
 def test_a_record_that_means_nothing_ends_what_is_recovered_with_one_line():
-    journal = InMemory()
+    journal = MemoryJournal()
     first = kept(journal)
     first.append("x", 1, 0)
     journal.kept.append(b"\xc1nothing")
@@ -539,7 +539,7 @@
 
 def test_a_sync_that_failed_allows_no_append_before_the_file_is_written_anew(tmp_path, monkeypatch):
     """Guards against a system that drops what it could not write and says so only once."""
-    journal = InFile(tmp_path / "j", "fleet", 1)
+    journal = FileJournal(tmp_path / "j", "fleet", 1)
     journal.restart([b"one"])
     journal.append(b"two")
     journal.sync()
@@ -557,11 +557,11 @@
     journal.append(b"three")
     journal.sync()
     journal.close()
-    assert list(InFile(tmp_path / "j", "fleet", 1).records()) == [b"one", b"two", b"three"]
+    assert list(FileJournal(tmp_path / "j", "fleet", 1).records()) == [b"one", b"two", b"three"]
 
 
 def test_an_append_is_synced_before_it_is_answered(tmp_path, monkeypatch):
-    journal = InFile(tmp_path / "j", "fleet", 1)
+    journal = FileJournal(tmp_path / "j", "fleet", 1)
     log_kept = kept(journal)
     synced = []
     monkeypatch.setattr(os, "fdatasync", lambda file: synced.append(os.fstat(file).st_size))
--- a/tests/test_fleet_needs.py
+++ b/tests/test_fleet_needs.py
@@ -8,7 +8,7 @@
 from ochrecourse.fleet.needs import HALF, Needs, borrower, named
 from ochrecourse.fleet.standing import Standing
 from ochrecourse.fleet.zones import Zones, order
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 S = SECOND
 
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse.cli.control import answer
-from ochrecourse.durable.journal import InFile, InMemory
+from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused
 from ochrecourse.fleet.messages import Entries, Hello, Rows, frame
@@ -20,11 +20,13 @@
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
-from ochrecourse.gateway.handover import in_the_way
-from ochrecourse.gateway.ledger import JobStory, Ledger
+from ochrecourse.gateway.socket_handover import in_the_way
+from ochrecourse.common.request_records import RequestRecord
+from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
-from ochrecourse.outside import MS, SECOND, now_ns
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.settings.load import resolve
 from ochrecourse.settings.load import Refused as BadSettings
 
@@ -43,7 +45,7 @@
     def __init__(self, name):
         self.name = name
         self.bounds = []
-        self.ledger = Ledger()
+        self.ledger = RequestLog()
         self.legs_over = []
 
     def bounds_came(self, bounds):
@@ -58,7 +60,7 @@
         self.hosts = {name: self.network.host(name) for name in names}
         self.ports = {name: 20_000 + i for i, name in enumerate(sorted(names))}
         self.changes = changes
-        self.journals = {name: InMemory() for name in names}
+        self.journals = {name: MemoryJournal() for name in names}
         self.lines = []
         self.parts = {}
         self.lives = 0
@@ -194,7 +196,7 @@
     """The journal is cut at every byte of what four appends wrote, as a kill would leave it."""
     path = tmp_path / "a.log"
     fleet = make_fleet("a")
-    fleet.journals["a"] = InFile(path, *JOURNAL)
+    fleet.journals["a"] = FileJournal(path, *JOURNAL)
     fleet.parts["a"].kill()
     part = fleet.start("a")
     ends, life = [], part.log.life
@@ -205,7 +207,7 @@
     whole = path.read_bytes()
     for size in range(ends[0] - 20, len(whole) + 1):
         path.write_bytes(whole[:size])
-        fleet.journals["a"] = InFile(path, *JOURNAL)
+        fleet.journals["a"] = FileJournal(path, *JOURNAL)
         part = fleet.start("a")
         held = [json.loads(entry.body) for entry in part.log.events("c")]
         assert held == list(range(sum(end <= size for end in ends)))
@@ -214,7 +216,7 @@
         fleet.run(0.01)
 
 
-class Full(InMemory):
+class Full(MemoryJournal):
     """A journal on a disk that is full for a while."""
 
     full = False
@@ -281,7 +283,7 @@
     for part in fleet.parts.values():
         part.compact("c", upto, {"sum": 45})
     fleet.parts["c"].kill()
-    fleet.journals["c"] = InMemory()
+    fleet.journals["c"] = MemoryJournal()
     fleet.run(1)
     fleet.start("c")
     fleet.parts["a"].append("c", 10)
@@ -297,7 +299,7 @@
 def test_a_wrong_clock_is_named_and_spoils_neither_order_nor_frontier(make_fleet, shift):
     fleet = make_fleet("abc")
     fleet.parts["b"].kill()
-    fleet.journals["b"] = InMemory()
+    fleet.journals["b"] = MemoryJournal()
     fleet.start("b", shift=shift)
     fleet.run(4)
     for i in range(30):
@@ -484,7 +486,7 @@
     assert len(fleet.dumps("fleet")) == 1
     number = fleet.parts["a"].zones.standing(0)[1]
     fleet.parts["c"].kill()
-    fleet.journals["c"] = InMemory()
+    fleet.journals["c"] = MemoryJournal()
     fleet.start("c")
     fleet.run(3)
     assert fleet.parts["c"].zones.standing(0)[1] == number
@@ -493,7 +495,7 @@
 
 def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
     zones = Zones({}, 2, "a", 0, 3)
-    books = Ledger()
+    books = RequestLog()
     watch = ZoneWatch(zones, books, 15 * SECOND, lambda: EPOCH)
     nodes = [NodeEntry(1, 0, 0, Health.READY, 0), NodeEntry(2, 1, 0, Health.READY, 50 * SECOND)]
     watch.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
@@ -501,7 +503,7 @@
 
     def leg(job, node, sent, ended=None, ending=Ending.SERVED):
         if job not in books.jobs:
-            books.take(JobStory(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
+            books.take(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
         story = books.send(job, len(books.jobs[job].legs), node, sent)
         if ended is not None:
             watch.leg_over(*books.ended(job, story.legs[-1].number, ending, "", ended), ended)
@@ -525,7 +527,7 @@
 
 def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
     zones = Zones({}, 3, "a", 0, 3)
-    watch = ZoneWatch(zones, Ledger(), 0, lambda: EPOCH)
+    watch = ZoneWatch(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
         return Entry("fleet", "a", 1, seq, Stamp(EPOCH + seq, 0), (), json.dumps(body).encode())
@@ -710,7 +712,7 @@
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
-    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.relay.service, ochrecourse.relay.start"
+    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
     text = (
         f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
     )
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet import almanac
 from ochrecourse.fleet.calendar import SiteCalendar
 from ochrecourse.fleet.clocks import Told, WallClock, ring
@@ -28,7 +28,7 @@
 from ochrecourse.gateway.gateway import Request
 from ochrecourse.interface import Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.settings.load import resolve
 from ochrecourse.wire import messages as m
 
@@ -1063,10 +1063,10 @@
         self.legs = 0
 
         def serve(wire, message, body):
-            if isinstance(message, m.LegSent):
+            if isinstance(message, m.SendAttempt):
                 self.legs += 1
                 data = b"%08d" % self.ms()
-                self.network.callLater(0.02, wire.say, m.Done(id=message.id, size=8, body=8), data)
+                self.network.callLater(0.02, wire.say, m.AttemptServed(id=message.id, size=8, body=8), data)
 
         self.node = make_node(self.network, serve)
         self.lines, self.daemons, self.disks = [], {}, {}
@@ -1100,7 +1100,7 @@
         daemon = Daemon(
             resolve(text, "g.cue"), self.network.host(name), [], lambda text: None, lambda: None,
             told=lambda event, **more: self.lines.append((self.ms(), name, event, more)),
-            log=self.disks.setdefault(name, InMemory()),
+            log=self.disks.setdefault(name, MemoryJournal()),
             epoch_ms=lambda: round(CLOSE.timestamp() * 1000) - 1000 * BEFORE_CLOSE + self.ms(),
         )  # fmt: skip
         daemon.start()
@@ -1120,11 +1120,11 @@
         wire = self.make_wire(self.network).connect(21_000 + int(name[1]))
         self.network.advance(0.005)
         wire.say(m.Hello(version=m.VERSION, role="client"))
-        wire.say(m.JobAsked(id=1, product="read", plan="p0", volume=1, timeout_ms=900, key=5, shard=0))
+        wire.say(m.SubmitRequest(id=1, product="read", plan="p0", volume=1, timeout_ms=900, key=5, shard=0))
         return wire
 
     def told(self, wire):
-        bodies = [body for message, body in wire.got if isinstance(message, m.Part)]
+        bodies = [body for message, body in wire.got if isinstance(message, m.BodyChunk)]
         return int(bodies[0]) if bodies else None
 
     def read(self, name):
@@ -1141,7 +1141,7 @@
     building.until(8000)
     building.stop("g1")
     if damage == "lost":
-        building.disks["g1"] = InMemory()
+        building.disks["g1"] = MemoryJournal()
     elif damage == "broken off":
         building.disks["g1"].kept[-2:] = [b"?"]
     ways = [way for other in ("g0", "g1", "g3") for way in (("g2", other), (other, "g2"))]
@@ -1201,7 +1201,7 @@
     building.start("g1")
     building.until(11_000 + gap)
     if disk == "lost":
-        building.disks["g0"] = InMemory()
+        building.disks["g0"] = MemoryJournal()
     building.start("g0")
     building.until(20_000)
     building.ways([])
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -15,7 +15,7 @@
 from ochrecourse.fleet.standing import WORDS, Standing, Standings
 from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.interface import Ending
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 NODES = {0: 0, 1: 0, 2: 0, 100: 1, 101: 1, 102: 1}  # zones by node
 READY = {0: {0, 1, 2}, 1: {100, 101, 102}}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -2,18 +2,18 @@
 
 import pytest
 
-from ochrecourse.gateway.ledger import Closing
+from ochrecourse.common.request_records import RequestOutcome
 from ochrecourse.interface import Ending
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.wire import messages as m
 
 
 def answer(wire, message, body):
     """A node that does what it is asked."""
-    if isinstance(message, m.LegSent) and message.body == message.size:
-        wire.say(m.Done(id=message.id, size=4, shard=0), b"data")
-    elif isinstance(message, m.Cancel):
-        wire.say(m.Cancelled(id=message.id))
+    if isinstance(message, m.SendAttempt) and message.body == message.size:
+        wire.say(m.AttemptServed(id=message.id, size=4, shard=0), b"data")
+    elif isinstance(message, m.CancelAttempt):
+        wire.say(m.AttemptCancelled(id=message.id))
 
 
 def silent(wire, message, body):
@@ -25,8 +25,8 @@
     client = yard.client()
     yard.ask(client)
     yard.run()
-    assert [type(each).__name__ for each, _ in client.got] == ["Hello", "Fulfilled", "Part"]
-    assert client.got[2][1] == b"data" and yard.stories[0].closing is Closing.FULFILLED
+    assert [type(each).__name__ for each, _ in client.got] == ["Hello", "RequestServed", "BodyChunk"]
+    assert client.got[2][1] == b"data" and yard.stories[0].closing is RequestOutcome.FULFILLED
 
 
 def test_a_silent_node_gets_an_answer_before_the_clients_timeout(make_yard):
@@ -35,38 +35,41 @@
     client = yard.client()
     yard.ask(client, product="bind", key=5, timeout_ms=700)
     yard.run(0.701)
-    assert [type(each) for each, _ in client.got[1:]] == [m.WrittenOff]
-    assert yard.stories[0].legs[0].ending is Ending.TIMEOUT and yard.nodes[0].wires[0].told(m.Cancel)
+    assert [type(each) for each, _ in client.got[1:]] == [m.RequestFailed]
+    assert yard.stories[0].legs[0].ending is Ending.TIMEOUT and yard.nodes[0].wires[0].told(m.CancelAttempt)
 
 
 def test_a_second_answer_breaks_the_nodes_connection_and_reaches_no_client(make_yard):
     def twice(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             for _ in range(2):
-                wire.say(m.Done(id=message.id, size=2, shard=0), b"ok")
+                wire.say(m.AttemptServed(id=message.id, size=2, shard=0), b"ok")
 
     yard = make_yard(twice)
     client = yard.client()
     yard.ask(client)
     yard.run()
-    assert len(client.told(m.Fulfilled)) == 1 and yard.nodes[0].wires[0].told(m.Fault)[0].code == "over"
+    assert (
+        len(client.told(m.RequestServed)) == 1
+        and yard.nodes[0].wires[0].told(m.ErrorNotice)[0].code == "over"
+    )
     assert yard.gateway.nodes.counts["nodes that broke the protocol"] == 1
 
 
 @pytest.mark.parametrize(
     ("raw", "code"),
     [
-        (m.encode(m.Done(id=99, size=0)), "never_opened"),
+        (m.encode(m.AttemptServed(id=99, size=0)), "never_opened"),
         (b"{not json}\r\n", "bad_message"),
         (b"x" * 5000, "header_limit"),
-        (m.encode(m.Part(id=1), b"zz"), "illegal"),
+        (m.encode(m.BodyChunk(id=1), b"zz"), "illegal"),
         (b'{"m":"done","id":1,"size":9,"body":70000}\r\n', "bad_message"),
         (b'{"m":"done","id":1,"size":90000,"body":70000}\r\n', "body_limit"),
     ],
 )
 def test_a_node_that_breaks_the_protocol_loses_its_legs_only(make_yard, raw, code):
     def garble(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             wire.transport.write(raw)
 
     yard = make_yard(garble, answer)
@@ -74,17 +77,19 @@
     yard.ask(client, 1, product="bind", key=3)
     yard.ask(client, 2, shard=1)
     yard.run()
-    told = {each.id: type(each) for each, _ in client.got if isinstance(each, m.WrittenOff | m.Fulfilled)}
-    assert told == {1: m.WrittenOff, 2: m.Fulfilled}
-    assert yard.nodes[0].wires[0].told(m.Fault)[0].code == code
+    told = {
+        each.id: type(each) for each, _ in client.got if isinstance(each, m.RequestFailed | m.RequestServed)
+    }
+    assert told == {1: m.RequestFailed, 2: m.RequestServed}
+    assert yard.nodes[0].wires[0].told(m.ErrorNotice)[0].code == code
     first = next(story for story in yard.stories if story.product == 2)
     assert first.legs[0].ending is Ending.RESET
 
 
 def test_answers_one_byte_at_a_time_are_whole(make_yard):
     def drip(wire, message, body):
-        if isinstance(message, m.LegSent):
-            data = m.encode(m.Done(id=message.id, size=6), b"abcdef")
+        if isinstance(message, m.SendAttempt):
+            data = m.encode(m.AttemptServed(id=message.id, size=6), b"abcdef")
             for i in range(len(data)):
                 wire.network.callLater(i * 0.001, wire.transport.write, data[i : i + 1])
 
@@ -92,19 +97,19 @@
     client = yard.client()
     yard.ask(client)
     yard.run()
-    assert client.told(m.Fulfilled) and client.got[-1][1] == b"abcdef"
+    assert client.told(m.RequestServed) and client.got[-1][1] == b"abcdef"
 
 
 def test_a_late_answer_is_dropped_and_counted(make_yard):
     def late(wire, message, body):
-        if isinstance(message, m.Cancel):
-            wire.say(m.Done(id=message.id, size=0))
+        if isinstance(message, m.CancelAttempt):
+            wire.say(m.AttemptServed(id=message.id, size=0))
 
     yard = make_yard(late)
     client = yard.client()
     yard.ask(client, product="bind", key=9, timeout_ms=600)
     yard.run()
-    assert [type(each) for each, _ in client.got[1:]] == [m.WrittenOff]
+    assert [type(each) for each, _ in client.got[1:]] == [m.RequestFailed]
     assert yard.gateway.nodes.counts["late answers dropped"] == 1 and not yard.nodes[0].wires[0].lost
 
 
@@ -118,38 +123,38 @@
 
 def test_a_node_that_stops_reading_stalls_only_its_own_leg(make_yard):
     def stop_reading(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             wire.transport.pauseProducing()
 
     yard = make_yard(stop_reading, answer)
     client = yard.client()
     size = 4 << 20
     client.say(
-        m.JobAsked(id=1, product="bind", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size)
+        m.SubmitRequest(id=1, product="bind", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size)
     )
     for _ in range(size // m.MAX_BODY):
-        client.say(m.Part(id=1), bytes(m.MAX_BODY))
+        client.say(m.BodyChunk(id=1), bytes(m.MAX_BODY))
     yard.ask(client, 2, shard=1)
     yard.run(0.3)
-    assert client.told(m.Fulfilled)[0].id == 2
+    assert client.told(m.RequestServed)[0].id == 2
     connection = next(iter(yard.gateway.nodes.connections.values()))
     assert connection.transport.on_way_size < 4 * m.MAX_BODY  # the body waits in the spool, not in memory
     yard.run()
     # Nothing can have run, for the node never had the whole leg: it is denied, not written off.
-    assert client.told(m.Denied)[0].id == 1 and yard.stories[-1].legs[0].ending is Ending.UNREACHABLE
+    assert client.told(m.RequestRejected)[0].id == 1 and yard.stories[-1].legs[0].ending is Ending.UNREACHABLE
 
 
 def test_a_long_answer_keeps_to_its_window_while_the_client_does_not_read(make_yard):
     sent, credit = [], []
 
     def stream(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.say(m.Done(id=message.id, size=8 << 20))
+        if isinstance(message, m.SendAttempt):
+            wire.say(m.AttemptServed(id=message.id, size=8 << 20))
             credit.append(m.WINDOW)
-        if isinstance(message, m.Credit):
+        if isinstance(message, m.WindowUpdate):
             credit.append(message.bytes)
         while sum(credit) > sum(sent) and sum(sent) < 8 << 20:
-            wire.say(m.Part(id=1), bytes(m.MAX_BODY))
+            wire.say(m.BodyChunk(id=1), bytes(m.MAX_BODY))
             sent.append(m.MAX_BODY)
 
     yard = make_yard(stream)
@@ -161,21 +166,28 @@
     client.transport.resumeProducing()
     yard.run()
     assert sum(len(body) for _, body in client.got) == 8 << 20
-    assert yard.stories[0].closing is Closing.FULFILLED
+    assert yard.stories[0].closing is RequestOutcome.FULFILLED
 
 
 def test_an_answer_that_breaks_off_is_told_as_written_off(make_yard):
     def half(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.say(m.Done(id=message.id, size=10), b"12345")
+        if isinstance(message, m.SendAttempt):
+            wire.say(m.AttemptServed(id=message.id, size=10), b"12345")
             wire.transport.loseConnection()
 
     yard = make_yard(half)
     client = yard.client()
     yard.ask(client)
     yard.run()
-    assert [type(each).__name__ for each, _ in client.got[1:]] == ["Fulfilled", "Part", "WrittenOff"]
-    assert yard.stories[0].closing is Closing.WRITTEN_OFF and yard.stories[0].legs[0].ending is Ending.RESET
+    assert [type(each).__name__ for each, _ in client.got[1:]] == [
+        "RequestServed",
+        "BodyChunk",
+        "RequestFailed",
+    ]
+    assert (
+        yard.stories[0].closing is RequestOutcome.WRITTEN_OFF
+        and yard.stories[0].legs[0].ending is Ending.RESET
+    )
 
 
 @pytest.mark.parametrize(
@@ -187,11 +199,11 @@
         (lambda y, c: y.ask(c, timeout_ms=1e300), "bad_figure", False),
         (lambda y, c: y.ask(c, size=1 << 40), "body_limit", False),
         (lambda y, c: (y.ask(c, 5), y.ask(c, 5)), "repeated_id", True),
-        (lambda y, c: c.say(m.Part(id=7), b"x"), "never_opened", True),
+        (lambda y, c: c.say(m.BodyChunk(id=7), b"x"), "never_opened", True),
         (lambda y, c: c.transport.write(b"A" * 5000), "header_limit", True),
         (lambda y, c: c.transport.write(b"[]\r\n"), "bad_message", True),
-        (lambda y, c: (y.ask(c, size=m.MAX_BODY + 5), c.say(m.Part(id=1), bytes(m.MAX_BODY + 1 - 1)),
-                       c.say(m.Part(id=1), bytes(9))), "body_too_long", True),
+        (lambda y, c: (y.ask(c, size=m.MAX_BODY + 5), c.say(m.BodyChunk(id=1), bytes(m.MAX_BODY + 1 - 1)),
+                       c.say(m.BodyChunk(id=1), bytes(9))), "body_too_long", True),
         (lambda y, c: c.say(m.Hello(version=1, role="client")), "second_hello", True),
     ],
 )  # fmt: skip
@@ -202,30 +214,30 @@
     send(yard, wrong)
     yard.ask(right, 1)
     yard.run()
-    assert wrong.told(m.Fault)[-1].code == code and wrong.lost is ends
-    assert right.told(m.Fulfilled) and not right.lost
+    assert wrong.told(m.ErrorNotice)[-1].code == code and wrong.lost is ends
+    assert right.told(m.RequestServed) and not right.lost
     assert any(code in name for name in yard.front.counts)
 
 
 def test_a_client_that_sends_a_byte_a_second_is_cut_off(make_yard):
     yard = make_yard(answer)
     slow = yard.client()
-    data = m.encode(m.JobAsked(id=1, product="read", plan="p0", volume=1, timeout_ms=99_000))
+    data = m.encode(m.SubmitRequest(id=1, product="read", plan="p0", volume=1, timeout_ms=99_000))
     for i in range(30):
         yard.network.callLater(i, slow.transport.write, data[i : i + 1])
     yard.run(20)
-    assert slow.told(m.Fault)[0].code == "slow" and slow.lost and not yard.front.fronts
+    assert slow.told(m.ErrorNotice)[0].code == "slow" and slow.lost and not yard.front.fronts
 
 
 def test_a_client_that_never_says_hello_is_cut_off_and_one_too_many_is_told(make_yard, make_wire):
     yard = make_yard(answer)
     wires = [yard.client() for _ in range(9)]
     yard.run(1)
-    assert wires[8].told(m.Fault)[0].code == "too_many_connections" and wires[8].lost
+    assert wires[8].told(m.ErrorNotice)[0].code == "too_many_connections" and wires[8].lost
     mute = make_yard(answer)
     wire = make_wire(mute.network).connect(mute.port)
     mute.run(8)
-    assert wire.told(m.Fault)[0].code == "no_hello" and wire.lost
+    assert wire.told(m.ErrorNotice)[0].code == "no_hello" and wire.lost
 
 
 def test_a_body_shorter_than_said_is_refused_when_the_client_gives_up(make_yard):
@@ -233,11 +245,11 @@
     client = yard.client()
     yard.ask(client, size=200_000, timeout_ms=500)
     yard.run(1)
-    assert client.told(m.Fault)[0].code == "late_body" and not client.lost
-    client.say(m.Part(id=1), bytes(100))  # the rest, on its way when it was refused, does no harm
+    assert client.told(m.ErrorNotice)[0].code == "late_body" and not client.lost
+    client.say(m.BodyChunk(id=1), bytes(100))  # the rest, on its way when it was refused, does no harm
     yard.ask(client, 2)
     yard.run()
-    assert client.told(m.Fulfilled)[0].id == 2
+    assert client.told(m.RequestServed)[0].id == 2
 
 
 def test_a_client_that_leaves_hears_no_more_of_its_job(make_yard):
@@ -245,10 +257,10 @@
     client = yard.client()
     yard.ask(client, timeout_ms=900)
     yard.run(0.1)
-    client.say(m.Leave(id=1))
+    client.say(m.CancelRequest(id=1))
     yard.run()
-    assert [type(each) for each, _ in client.got[1:]] == [m.Left]
-    assert yard.stories[0].closing is Closing.CLIENT_GONE and not yard.gateway.tasks
+    assert [type(each) for each, _ in client.got[1:]] == [m.RequestCancelled]
+    assert yard.stories[0].closing is RequestOutcome.CLIENT_GONE and not yard.gateway.tasks
 
 
 def test_clients_that_vanish_leave_their_jobs(make_yard):
@@ -259,7 +271,9 @@
     yard.run(0.05)
     client.transport.abortConnection()
     yard.run()
-    assert [story.closing for story in yard.stories] == [Closing.CLIENT_GONE] * 5 and not yard.gateway.tasks
+    assert [story.closing for story in yard.stories] == [
+        RequestOutcome.CLIENT_GONE
+    ] * 5 and not yard.gateway.tasks
 
 
 def test_a_loop_that_stood_still_gives_no_answer_after_the_clients_timeout(make_yard):
@@ -271,11 +285,11 @@
     assert yard.gateway.lateness.timer_came(now - 300 * MS, now)
     yard.ask(client, 1, product="bind", key=3, timeout_ms=600)
     yard.run(0.31)
-    assert client.told(m.WrittenOff)[0].id == 1  # in time even if it was sent 300 ms before it was read
+    assert client.told(m.RequestFailed)[0].id == 1  # in time even if it was sent 300 ms before it was read
     yard.gateway.lateness.turned()
     yard.ask(client, 2, product="bind", key=4, timeout_ms=600)
     yard.run(0.31)
-    assert len(client.told(m.WrittenOff)) == 1
+    assert len(client.told(m.RequestFailed)) == 1
 
 
 def test_drain_answers_what_is_held_and_denies_what_comes(make_yard):
@@ -288,9 +302,9 @@
     yard.gateway.drain()
     yard.ask(client, 2)
     yard.run(0.1)
-    assert client.told(m.Denied)[0].id == 2 and not left
+    assert client.told(m.RequestRejected)[0].id == 2 and not left
     yard.run()
-    assert client.told(m.WrittenOff)[0].id == 1 and left
+    assert client.told(m.RequestFailed)[0].id == 1 and left
 
 
 def test_connections_are_pooled_capped_and_closed_when_idle(make_yard):
@@ -299,9 +313,9 @@
     for number in range(1, 20):
         yard.ask(client, number)
     yard.run(0.4)
-    assert len(client.told(m.Fulfilled)) == 19 and len(yard.nodes[0].wires) <= 2
+    assert len(client.told(m.RequestServed)) == 19 and len(yard.nodes[0].wires) <= 2
     yard.run(2)
-    assert all(wire.lost for wire in yard.nodes[0].wires) and yard.nodes[0].wires[0].told(m.Bye)
+    assert all(wire.lost for wire in yard.nodes[0].wires) and yard.nodes[0].wires[0].told(m.GoAway)
 
 
 def test_a_refused_dial_and_a_node_without_hello_prove_that_nothing_ran(make_yard, make_node):
@@ -310,7 +324,7 @@
     client = yard.client()
     yard.ask(client, product="bind", key=1)
     yard.run()
-    assert client.told(m.Denied) and yard.stories[0].legs[0].ending is Ending.UNREACHABLE
+    assert client.told(m.RequestRejected) and yard.stories[0].legs[0].ending is Ending.UNREACHABLE
     mute = make_node(yard.network, silent, hello=False)
     yard.gateway.addresses[70] = ("127.0.0.1", mute.port)
     yard.run(5)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 import pytest
 from test_sockets import LONG, Client, gateway, ochrecourse, running  # noqa: F401  (fixtures)
 
-from ochrecourse.gateway.handover import Handover, Step, in_the_way, moved_from
+from ochrecourse.gateway.socket_handover import Handover, HandoverStep, in_the_way, moved_from
 
 pytestmark = pytest.mark.long
 PLAIN = {"gateway": {"name": "g0", "seed": 0, "listen": "127.0.0.1:7000", "admin": ""}}
@@ -53,16 +53,16 @@
 
 def test_one_taker_at_a_time_and_each_step_once():
     handover = Handover(PLAIN)
-    assert not handover.accepted("a") and handover.step is Step.NONE  # it did not ask
+    assert not handover.accepted("a") and handover.step is HandoverStep.NONE  # it did not ask
     assert handover.ask("a", True) == "" and "not ready" in handover.ask("b", True)
     assert not handover.accepted("b")
     handover.lost("b")
-    assert handover.step is Step.OFFERED
+    assert handover.step is HandoverStep.OFFERED
     handover.lost("a")  # it ended before its word: as if nobody had asked
-    assert handover.step is Step.NONE and not handover.accepted("a")
+    assert handover.step is HandoverStep.NONE and not handover.accepted("a")
     assert handover.ask("b", True) == "" and handover.accepted("b") and not handover.accepted("b")
     handover.lost("b")
-    assert handover.step is Step.GIVEN and "leaving" in handover.ask("c", True)
+    assert handover.step is HandoverStep.GIVEN and "leaving" in handover.ask("c", True)
 
 
 def test_of_a_fleet_the_journal_goes_before_the_sockets_and_comes_back_if_the_taker_ends():
@@ -70,11 +70,11 @@
     assert not handover.released("a")
     assert handover.ask("a", True) == "" and not handover.accepted("a")  # it has not got the journal
     assert not handover.released("b") and handover.released("a") and not handover.released("a")
-    assert handover.step is Step.RELEASED and "not ready" in handover.ask("b", True)
-    assert not handover.lost("b") and handover.lost("a") and handover.step is Step.NONE
+    assert handover.step is HandoverStep.RELEASED and "not ready" in handover.ask("b", True)
+    assert not handover.lost("b") and handover.lost("a") and handover.step is HandoverStep.NONE
     assert handover.ask("b", True) == "" and not handover.lost("b")  # it had not got the journal yet
     assert handover.ask("b", True) == "" and handover.released("b") and handover.accepted("b")
-    assert not handover.lost("b") and handover.step is Step.GIVEN
+    assert not handover.lost("b") and handover.step is HandoverStep.GIVEN
 
 
 def test_a_gateway_that_leaves_gives_nothing():
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrecourse.durable.journal import BadJournal, InFile, InMemory
+from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
 from ochrecourse.webdav.kept import Kept, Unreadable
 from ochrecourse.webdav.locks import Conflict, TooMany
 from ochrecourse.webdav.namespace import Content, Refused
@@ -90,7 +90,7 @@
 @given(st.lists(steps, max_size=25), st.integers(0, 25))
 def test_a_new_life_finds_what_the_last_one_showed(history, cut):
     """Snapshot and records both: a second life in the middle, a third at the end, on a clock with another zero."""
-    journal, tokens = InMemory(), []
+    journal, tokens = MemoryJournal(), []
     kept = life(journal)
     for i, what in enumerate(history):
         if i == cut:
@@ -101,7 +101,7 @@
 
 
 def test_keys_of_writes_that_never_showed_are_not_used_again():
-    journal = InMemory()
+    journal = MemoryJournal()
     kept = life(journal)
     put(kept, ("a",), 1)
     lost = kept.tree.stage(("a",)).key
@@ -109,7 +109,7 @@
 
 
 def test_a_change_that_can_not_be_written_down_is_not_made(tmp_path, monkeypatch):
-    journal = InFile(tmp_path / "g0.tree", "webdav-tree", 1)
+    journal = FileJournal(tmp_path / "g0.tree", "webdav-tree", 1)
     kept = life(journal)
     put(kept, ("a",), 1)
     before = seen(kept)
@@ -130,13 +130,13 @@
         assert seen(kept) == before
     monkeypatch.undo()
     put(kept, ("c",), 3)
-    again = InFile(tmp_path / "g0.tree", "webdav-tree", 1)
+    again = FileJournal(tmp_path / "g0.tree", "webdav-tree", 1)
     assert seen(life(again)) == seen(kept) and not again.notes
 
 
 def test_nothing_is_written_behind_half_a_record(tmp_path, monkeypatch):
     """Guards against records that are lost because one before them could not be taken back."""
-    kept = life(InFile(tmp_path / "t", "webdav-tree", 1))
+    kept = life(FileJournal(tmp_path / "t", "webdav-tree", 1))
     whole = os.write
     monkeypatch.setattr(os, "write", lambda number, data: whole(number, data[:5]))
     monkeypatch.setattr(os, "ftruncate", lambda *_: (_ for _ in ()).throw(OSError(errno.EIO, "broken")))
@@ -145,14 +145,14 @@
     monkeypatch.undo()
     with pytest.raises(OSError, match="could not be mended"):
         put(kept, ("a",), 1)
-    assert life(InFile(tmp_path / "t", "webdav-tree", 1)).tree.find(("a",)) is None
+    assert life(FileJournal(tmp_path / "t", "webdav-tree", 1)).tree.find(("a",)) is None
 
 
 @pytest.fixture
 def written(tmp_path):
     """A file with some changes behind its snapshot, and what was seen after each of them."""
     path = tmp_path / "t"
-    kept = life(InFile(path, "webdav-tree", 1))
+    kept = life(FileJournal(path, "webdav-tree", 1))
     states = [seen(kept)]
     for i, name in enumerate(NAMES):
         put(kept, (name,), i)
@@ -165,7 +165,7 @@
     head, found = data.index(b"\n") + 1, []
     for cut in range(head, len(data) + 1):
         path.write_bytes(data[:cut])
-        journal = InFile(path, "webdav-tree", 1)
+        journal = FileJournal(path, "webdav-tree", 1)
         got = seen(life(journal))
         if got not in states:
             assert got[0][0][2] == 0 and len(got[0]) == 1  # not even the snapshot was whole: an empty tree
@@ -190,7 +190,7 @@
         wrong = bytearray(data)
         wrong[at] ^= 1 << (at % 8)
         path.write_bytes(wrong)
-        journal = InFile(path, "webdav-tree", 1)
+        journal = FileJournal(path, "webdav-tree", 1)
         got = seen(life(journal))
         assert journal.notes and path.with_name("t.damaged").read_bytes() == bytes(wrong)
         assert got in states[:-1] or len(got[0]) == 1
@@ -203,20 +203,20 @@
 def test_another_file_is_not_touched(tmp_path, head):
     path = tmp_path / "t"
     path.write_bytes(head)
-    with pytest.raises(BadJournal, match="begins with"):
-        life(InFile(path, "webdav-tree", 1))
+    with pytest.raises(JournalError, match="begins with"):
+        life(FileJournal(path, "webdav-tree", 1))
     assert path.read_bytes() == head
 
 
 def test_a_record_from_elsewhere_is_told():
-    journal = InMemory()
+    journal = MemoryJournal()
     journal.append(b"\x91\xa4Kind")
     with pytest.raises(Unreadable, match="can't be read"):
         life(journal)
 
 
 def test_a_lock_outlives_its_process_and_runs_out_on_time():
-    journal = InMemory()
+    journal = MemoryJournal()
     kept = life(journal)
     put(kept, ("a",), 1)
     lock = kept.take(("a",), True, False, "", "me", 5 * SECOND, 1)
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -12,9 +12,15 @@
 
 from ochrecourse.interface import Health, ListKind
 from ochrecourse.lab.virtual import VirtualNetwork, Way
-from ochrecourse.relay import watch as watch_module
-from ochrecourse.relay.discovery import BadNews, Book, Following
-from ochrecourse.relay.watch import LINE_TIME, MOST_ATTEMPTS, MOST_WARNINGS, Watch, _Conversation
+from ochrecourse.service import discovery_watch as watch_module
+from ochrecourse.service.discovery import MalformedEndpointListError, DiscoveredEndpoints, WatchedEndpoints
+from ochrecourse.service.discovery_watch import (
+    LINE_TIME,
+    MOST_ATTEMPTS,
+    MOST_WARNINGS,
+    DiscoveryWatch,
+    _WatchConnection,
+)
 
 IN_TIME = 5.0  # s of the 6 s that a change may take; the rest is for what a busy machine adds
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -184,10 +190,10 @@
         ]
         self.here = 0
         self.log, self.news = [], []
-        self.book = Book(["a"], 0)
+        self.book = DiscoveredEndpoints(["a"], 0)
         self.book.take(json.loads(self.agents[0].whole()), cached=True)
         self.gateway = self.network.host("gateway")
-        self.watch = Watch(self.gateway, self.book, self.place(0), self.news.append, self.log.append)
+        self.watch = DiscoveryWatch(self.gateway, self.book, self.place(0), self.news.append, self.log.append)
         self.watch.start()
         self.network.advance(0.3)
 
@@ -407,9 +413,9 @@
 
 
 def test_a_change_that_is_told_twice_or_late_is_taken_once():
-    book = Book([], 0)
+    book = DiscoveredEndpoints([], 0)
     book.take(json.loads(line(41, entry("s-1"))), cached=True)
-    newer, older = Following(book), Following(book)
+    newer, older = WatchedEndpoints(book), WatchedEndpoints(book)
     assert newer.take(json.loads(line(42, entry("s-1", DRAINING))), True).kind is ListKind.DELTA
     for watch in (newer, older):
         for old in (line(42, entry("s-1")), line(41, entry("s-1")), line(3)):
@@ -427,15 +433,15 @@
         [],
         {"generation": 3, "instances": [1]},
     ):
-        with pytest.raises(BadNews):
+        with pytest.raises(MalformedEndpointListError):
             newer.take(bad, True)
 
 
 def test_a_node_that_came_and_went_beside_a_watch_that_was_asked_before_is_not_kept():
     """Guards against a first line that is taken upon a newer list than the one it was asked for."""
-    book = Book([], 0)
+    book = DiscoveredEndpoints([], 0)
     book.take(json.loads(line(41, entry("s-1"))), cached=True)
-    older, newer = Following(book), Following(book)
+    older, newer = WatchedEndpoints(book), WatchedEndpoints(book)
     older.take(json.loads(line(42, entry("s-2"), entry("s-1", DRAINING))), True)
     news = newer.take(json.loads(line(43, entry("s-3"))), True)
     assert news.kind is ListKind.FULL and book.version == 43
@@ -469,12 +475,12 @@
     rig = Rig()
     rig.watch.stop()
     rig.change()
-    book = Book(["a"], 0)
+    book = DiscoveredEndpoints(["a"], 0)
     rig.agents[0].index = 1
     book.take(json.loads(rig.agents[0].whole()), cached=True)
     rig.agents[0].index = 0
     rig.book, rig.news = book, []
-    rig.watch = Watch(rig.gateway, book, rig.place(0), rig.news.append, rig.log.append)
+    rig.watch = DiscoveryWatch(rig.gateway, book, rig.place(0), rig.news.append, rig.log.append)
     rig.watch.start()
     rig.network.advance(0.3)
     assert rig.held_index() == 1 and rig.agent.asked[-1] == 1001
@@ -749,20 +755,20 @@
 STARVED = """
 import os, resource, sys
 from twisted.internet import protocol
-from ochrecourse.steady import steady_reactor
-reactor = steady_reactor()
-from ochrecourse.relay.discovery import Book
-from ochrecourse.relay.watch import Watch
+from ochrecourse.common.monotonic_reactor import install_monotonic_reactor
+reactor = install_monotonic_reactor()
+from ochrecourse.service.discovery import DiscoveredEndpoints
+from ochrecourse.service.discovery_watch import DiscoveryWatch
 from ochrecourse.standins.respnode import ListAgent
 agent = ListAgent({"generation": 7, "reset": True, "instances": []})
 port = reactor.listenTCP(0, agent, interface="127.0.0.1")
 resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 taken = []
-book = Book([], 0)
+book = DiscoveredEndpoints([], 0)
 def told(news):
     print("told", book.version, flush=True)
     reactor.stop()
-watch = Watch(reactor, book, ("127.0.0.1", port.getHost().port), told, print)
+watch = DiscoveryWatch(reactor, book, ("127.0.0.1", port.getHost().port), told, print)
 failed = [0]
 over = watch.over
 def count(attempt):
@@ -795,10 +801,10 @@
 
 HUNG = """
 import os, socket
-from ochrecourse.steady import steady_reactor
-reactor = steady_reactor()
-from ochrecourse.relay.discovery import Book
-from ochrecourse.relay.watch import Watch
+from ochrecourse.common.monotonic_reactor import install_monotonic_reactor
+reactor = install_monotonic_reactor()
+from ochrecourse.service.discovery import DiscoveredEndpoints
+from ochrecourse.service.discovery_watch import DiscoveryWatch
 from ochrecourse.standins.respnode import ListAgent
 full = socket.socket()
 full.bind(("127.0.0.1", 0))
@@ -812,12 +818,12 @@
 agent = ListAgent({"generation": 7, "reset": True, "instances": []})
 port = reactor.listenTCP(0, agent, interface="127.0.0.1").getHost().port
 files = lambda: len(os.listdir("/proc/self/fd"))
-book = Book([], 0)
+book = DiscoveredEndpoints([], 0)
 def told(news):
     # The connection at either end; the dials to the old address are closed.
     print("told", book.version, watch.count, files() - before, flush=True)
     reactor.stop()
-watch = Watch(reactor, book, full.getsockname(), told, print)
+watch = DiscoveryWatch(reactor, book, full.getsockname(), told, print)
 begin = watch._begin
 def count():
     begin()
@@ -968,7 +974,7 @@
 
 
 def silence_counted_by_bytes(monkeypatch):
-    received = _Conversation.dataReceived
+    received = _WatchConnection.dataReceived
 
     def any_byte(self, data):
         received(self, data)
@@ -978,11 +984,11 @@
             if self.spoke:
                 self.watch._next(watch_module.SILENT_GAP)
 
-    monkeypatch.setattr(_Conversation, "dataReceived", any_byte)
+    monkeypatch.setattr(_WatchConnection, "dataReceived", any_byte)
 
 
 def no_second_watch(monkeypatch):
-    begin = Watch._begin
+    begin = DiscoveryWatch._begin
 
     def one_at_a_time(self):
         if self.dials or any(talk.address == self.address for talk in self.talks):
@@ -990,11 +996,11 @@
         else:
             begin(self)
 
-    monkeypatch.setattr(Watch, "_begin", one_at_a_time)
+    monkeypatch.setattr(DiscoveryWatch, "_begin", one_at_a_time)
 
 
 def versions_not_compared(monkeypatch):
-    monkeypatch.setattr(Following, "take", lambda self, told, leads: self.book.take(told))
+    monkeypatch.setattr(WatchedEndpoints, "take", lambda self, told, leads: self.book.take(told))
 
 
 def dial_without_bound(monkeypatch):
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -12,12 +12,12 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from ochrecourse.relay.service import RESERVE, Service, shares
-from ochrecourse.resp.front import BEYOND
-from ochrecourse.relay.start import parse
+from ochrecourse.service.gateway_service import RESERVE, GatewayService, shares
+from ochrecourse.resp.server import BEYOND
+from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import ListAgent, RespNode, good
-from ochrecourse.steady import SteadyPort, make_reactor
+from ochrecourse.common.monotonic_reactor import BoundedAcceptPort, make_reactor
 
 TURNS = 100_000  # of the loop, each of a tenth of a second at most; a bound for what never comes
 
@@ -26,7 +26,7 @@
     """A reactor of the test's own, moved turn by turn, with a node, an agent and a service on it."""
 
     def __init__(self, reply=good, sockets=256):
-        self.reactor = make_reactor(SteadyPort)
+        self.reactor = make_reactor(BoundedAcceptPort)
         self.node, self.agent = RespNode(reply), ListAgent()
         self.ports = [
             self.reactor.listenTCP(0, each, interface="127.0.0.1") for each in (self.node, self.agent)
@@ -37,7 +37,7 @@
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{agent}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": FLAT, "known": listed(node),
         }  # fmt: skip
-        self.service = Service(
+        self.service = GatewayService(
             parse(told), "none", self.reactor, 10**18, self.log.append, lambda: self.over.append(1)
         )
         self.port = self.service.serve()[1]
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("reserved", [True, False])
 def test_a_process_without_a_free_descriptor_does_not_spin_at_its_port(reserved, monkeypatch):
-    reactor = make_reactor(SteadyPort)
+    reactor = make_reactor(BoundedAcceptPort)
     port = reactor.listenTCP(0, Factory.forProtocol(Quiet), interface="127.0.0.1")
     calls = []
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -2,7 +2,8 @@
 
 from conftest import START, VALUES
 
-from ochrecourse.decide import CAPACITY, MS, QUEUE, SECOND, TRIMMED, Scheduler
+from ochrecourse.scheduler.scheduler import CAPACITY, QUEUE, TRIMMED, Scheduler
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import Outcome, Ending, Health, Attempt, ListKind, NodeEntry, Reply
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -11,8 +11,8 @@
 
 ROOT = Path(__file__).parent.parent / "ochrecourse"
 DONE = [
-    "decide.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
-    "nodes/framed_connection.py", "nodes/proof.py", "nodes/reach.py", "resp/node_connection.py", "gateway/turns.py",
+    "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
+    "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -22,8 +22,8 @@
 PLAIN = {"part"}  # in a sentence, where it means what it says
 ALIASES = {
     "interface.py": ["FULFILLED"],  # the name that programs of library surface 1 use
-    "nodes/dispatcher.py": ["Part", "product"],  # of wire/messages.py, which is not done
-    "nodes/framed_connection.py": ["leg", "Bye", "Part"],  # of wire/messages.py and moves.py
+    "nodes/dispatcher.py": ["product"],  # of wire/messages.py, which is not done
+    "nodes/framed_connection.py": ["leg"],  # of wire/messages.py and moves.py
 }
 
 
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -8,16 +8,16 @@
 from test_service import FLAT, Shop, read, value
 from test_standing import Clerk, Nobody, Street, Wire
 
-from ochrecourse.decide import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.gateway.gateway import Gateway, Request
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.nodes.dispatcher import Dispatcher
 from ochrecourse.nodes.pool import PoolLimits
-from ochrecourse.nodes.proof import Close, Seen, Written
+from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent, WriteProgress
 from ochrecourse.resp import codec
 from ochrecourse.resp.node_connection import RespNodeConnection
-from ochrecourse.resp.words import Kinds, asked
+from ochrecourse.resp.commands import Kinds, asked
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
@@ -56,7 +56,9 @@
         return wire
 
     def reset(self, wire):
-        self.gateway.nodes.connection_closed(wire, list(self.gateway.nodes.out.values()), Close.BETWEEN)
+        self.gateway.nodes.connection_closed(
+            wire, list(self.gateway.nodes.out.values()), ConnectionEnd.BETWEEN
+        )
 
     def first_attempt_breaks(self):
         self.request()
@@ -111,12 +113,12 @@
     busy = world.gateway.nodes.out[1]
     world.request()
     second = world.connect()
-    world.gateway.nodes.connection_closed(second, [world.gateway.nodes.out[2]], Close.BETWEEN)
+    world.gateway.nodes.connection_closed(second, [world.gateway.nodes.out[2]], ConnectionEnd.BETWEEN)
     world.gateway.scheduler.nodes[7].window = 8.0  # a second request has room beside the first
     world.until_dialled(3)
     world.network.now += 0.5
     busy.pooled = None
-    world.gateway.nodes.answered(first, busy, m.Done(id=0, size=0, body=0), b"", True)
+    world.gateway.nodes.answered(first, busy, m.AttemptServed(id=0, size=0, body=0), b"", True)
     world.gateway.nodes.connection_freed(first, -1)
     assert first.sent == [1]
 
@@ -137,16 +139,16 @@
     """Guards against the last byte of a long body behind the window: the node begins with that byte."""
     street = Street()
     now = round(street.network.seconds() * SECOND)
-    message = m.LegSent(
+    message = m.SendAttempt(
         id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=True, effect="keyed",
         window_ms=0.0, patience_ms=1.0, size=99,
     )  # fmt: skip
     attempt = street.dispatcher.send(1, 7, message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS)
     street.came(street.dialled[0])
     attempt.written = 50
-    assert attempt.handed() is Written.PARTIAL
+    assert attempt.handed() is WriteProgress.PARTIAL
     street.network.advance(0.11)
-    assert street.ends == [(1, Seen.LEFT_BEFORE)] and attempt.connection.ended
+    assert street.ends == [(1, AttemptEvent.LEFT_BEFORE)] and attempt.connection.ended
 
 
 def test_an_attempt_that_was_written_in_time_is_not_ended_by_its_latest_time():
@@ -159,7 +161,7 @@
     for line in list(street.dialled):
         street.came(line)
     street.network.advance(0.2)
-    assert street.ends == [] and other.handed() is Written.WHOLE
+    assert street.ends == [] and other.handed() is WriteProgress.WHOLE
 
 
 # --- connections that speak the platform's protocol ---
@@ -207,7 +209,7 @@
         reader = codec.Commands()
         reader.feed(read(number))
         body = asked(reader.next(), Kinds(FLAT), 0).body
-        message = m.LegSent(
+        message = m.SendAttempt(
             id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, effect="safe",
             window_ms=0.0, patience_ms=patience / MS, size=0,
         )  # fmt: skip
@@ -399,7 +401,9 @@
     street.came(street.dialled[0])
     street.dispatcher.cancel(attempt)
     street.network.advance(0)
-    assert street.wires[street.dialled[0].number].sent == [] and street.ends == [(1, Seen.LEFT_BEFORE)]
+    assert street.wires[street.dialled[0].number].sent == [] and street.ends == [
+        (1, AttemptEvent.LEFT_BEFORE)
+    ]
 
 
 def test_a_connection_that_closes_before_all_is_read_is_a_dial_that_failed():
@@ -407,9 +411,13 @@
     street = Behind()
     street.send(1)
     street.came(street.dialled[0])
-    street.dispatcher.connection_closed(street.wires[street.dialled[0].number], [], Close.BETWEEN)
+    street.dispatcher.connection_closed(street.wires[street.dialled[0].number], [], ConnectionEnd.BETWEEN)
     street.network.advance(0)
-    assert street.ends == [(1, Seen.REFUSED)] and not street.dispatcher.out and not street.dispatcher.dials
+    assert (
+        street.ends == [(1, AttemptEvent.REFUSED)]
+        and not street.dispatcher.out
+        and not street.dispatcher.dials
+    )
 
 
 def test_a_connection_that_is_left_after_a_long_turn_takes_what_waits_when_all_is_read():
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -25,14 +25,17 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.python.failure import Failure
 
-from ochrecourse.decide import SECOND
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.gateway import gateway
 from ochrecourse.lab.virtual import VirtualHost, VirtualNetwork, VirtualTransport
-from ochrecourse.nodes import dispatcher, proof
+from ochrecourse.nodes import dispatcher
+from ochrecourse.nodes import outcome
 from ochrecourse.nodes.dispatcher import Dispatcher
-from ochrecourse.relay.service import Service
-from ochrecourse.relay.start import parse
-from ochrecourse.resp import codec, connection, node_connection, words
+from ochrecourse.service.gateway_service import GatewayService
+from ochrecourse.service.start_settings import parse
+from ochrecourse.resp import codec, node_connection
+from ochrecourse.resp import commands
+from ochrecourse.resp import client_connection
 from ochrecourse.resp.node_connection import RespNodeConnection
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer
 
@@ -375,7 +378,7 @@
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{agent_port}", "seed": "0f",
             "limits": {"sockets": 256}, "settings": SETTINGS, "known": {**self.agent.first, "reset": False},
         }  # fmt: skip
-        self.service = Service(
+        self.service = GatewayService(
             parse(told), "none", self.here, 10**18, lambda text: None, lambda: self.over.append(1),
             self.here.unread_since,
         )  # fmt: skip
@@ -428,7 +431,7 @@
 
     def send(self, client, kind, cell, count=1):
         """New requests of one client in one write; `cell` -1: any node may serve them."""
-        if not client.here or len(client.sent) - len(client.got) + count > connection.AT_ONCE:
+        if not client.here or len(client.sent) - len(client.got) + count > client_connection.AT_ONCE:
             return  # what waits for its turn on its connection has no time of its own yet
         data = b""
         for _ in range(count):
@@ -799,20 +802,26 @@
 
 
 def takes_a_reset_for_proof_that_nothing_ran(monkeypatch):
-    monkeypatch.setattr(dispatcher, "seen_at_close", lambda written, answering, how: proof.Seen.CLOSED_BEFORE)
+    monkeypatch.setattr(
+        dispatcher, "event_at_close", lambda written, answering, how: outcome.AttemptEvent.CLOSED_BEFORE
+    )
 
 
 def takes_half_an_answer_for_proof_that_nothing_ran(monkeypatch):
-    whole = proof.seen_at_close
+    whole = outcome.event_at_close
 
     def seen(written, answering, how):
-        return proof.Seen.CLOSED_BEFORE if how is proof.Close.HALF_HEADER else whole(written, answering, how)
+        return (
+            outcome.AttemptEvent.CLOSED_BEFORE
+            if how is outcome.ConnectionEnd.HALF_HEADER
+            else whole(written, answering, how)
+        )
 
-    monkeypatch.setattr(dispatcher, "seen_at_close", seen)
+    monkeypatch.setattr(dispatcher, "event_at_close", seen)
 
 
 def takes_what_begins_like_busy_for_busy(monkeypatch):
-    whole = words.answer
+    whole = commands.answer
 
     def answer(reply):
         if isinstance(reply, codec.Error) and reply.text.startswith(b"BUSY"):
--- a/tests/test_people.py
+++ b/tests/test_people.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ochrecourse.audit.judge import audit
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.lab import play
 from ochrecourse.lab.days import bad_evening, one_trouble
 from ochrecourse.lab.figures import figures_of
@@ -47,11 +47,11 @@
 
 
 def test_a_tree_that_is_lost_with_its_process_is_found(monkeypatch):
-    class Forgets(InMemory):
+    class Forgets(MemoryJournal):
         def records(self):
             return iter(())
 
-    monkeypatch.setattr(play, "InMemory", Forgets)
+    monkeypatch.setattr(play, "MemoryJournal", Forgets)
     run, _ = played(short("balancer_roll"))
     assert any("was saved and is gone" in fault for fault in run.people.faults)
 
--- a/tests/test_pool_total.py
+++ b/tests/test_pool_total.py
@@ -2,7 +2,7 @@
 
 from ochrecourse.interface import Ending
 from ochrecourse.nodes.pool import Pool, PoolLimits, State
-from ochrecourse.nodes.proof import PROVES, Proof, Ran, Seen
+from ochrecourse.nodes.outcome import VERDICTS, AttemptVerdict, Executed, AttemptEvent
 
 
 def test_connections_to_all_nodes_are_bounded_and_one_that_rests_makes_room():
@@ -24,4 +24,4 @@
 
 def test_shortage_on_this_side_is_not_told_as_a_node_that_can_not_be_reached():
     # decide.py takes an unreachable node for a shut one, and would send it less for what is our own lack.
-    assert PROVES[Seen.NO_ROOM] == Proof(Ending.MOOT, Ran.NO)
+    assert VERDICTS[AttemptEvent.NO_ROOM] == AttemptVerdict(Ending.MOOT, Executed.NO)
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -207,6 +207,6 @@
     again.serve_one()
     stop.set()
     coming.join()
-    assert not refused and answers and set(answers) <= {m.Fulfilled, m.Denied, m.WrittenOff}
+    assert not refused and answers and set(answers) <= {m.RequestServed, m.RequestRejected, m.RequestFailed}
     assert members(control)["nodes"]  # the second one's: the first has ended
     assert second.end()[0] == 0
--- a/tests/test_recorded_behaviour.py
+++ b/tests/test_recorded_behaviour.py
@@ -15,7 +15,7 @@
 from test_cold_fleet import Day as ColdDay
 from test_service import Shop, read, write
 
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.lab.days import demo
 from ochrecourse.lab.play import VirtualPlay
 from ochrecourse.lab.virtual import VirtualTransport
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -15,15 +15,17 @@
 from ochrecourse.lab.days import quiet
 from ochrecourse.lab.play import VirtualPlay
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership import etcd, kept
-from ochrecourse.membership.choice import LAG, LOOK, Choice, Lag
-from ochrecourse.membership.enrolled import Enrolled
-from ochrecourse.membership.lease import Lease, Wants
-from ochrecourse.membership.registrar import Registrar, age_clock
-from ochrecourse.membership.registry import Change, RangeAsked, Record
-from ochrecourse.membership.roster import Roster
-from ochrecourse.membership.view import Copy
-from ochrecourse.outside import SECOND, now_ns
+from ochrecourse.membership import etcd
+from ochrecourse.membership import endpoint_cache
+from ochrecourse.membership.server_selection import LAG, LOOK, ServerSelector, WatchLag
+from ochrecourse.membership.registration import Registration
+from ochrecourse.membership.lease import Lease, LeaseAction
+from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.registry_state import Change, RangeAsked, Record
+from ochrecourse.membership.registrations import NodeRegistrations
+from ochrecourse.membership.endpoint_list import EndpointListSnapshot
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
 
 PREFIX = b"/n/"
@@ -53,7 +55,7 @@
         heard = self.lists[number] = []
         servers = [("127.0.0.1", end.port) for end in self.ends]
         clock = age_clock(self.network, 1_790_000_000)
-        made = Registrar(
+        made = RegistryWatcher(
             "g0",
             self.network,
             servers,
@@ -294,7 +296,7 @@
 
 
 def test_when_a_node_started_is_worked_out_once_and_wrong_clocks_count_as_careful():
-    roster, now = Roster(), 100 * SECOND
+    roster, now = NodeRegistrations(), 100 * SECOND
     told = {"started_ms_ago": 1000.0, "written_ms": 5_000.0}
     right = {b"1": record(1, 3, **told)}
     assert roster.lines(right, now, 9_000)[0].started_ms_ago == 5000.0
@@ -302,14 +304,14 @@
         roster.lines(right, now + SECOND, 1)[0].started_ms_ago == 6000.0
     )  # a clock that stepped moves nothing
     assert (
-        Roster().lines({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago == 0.0
+        NodeRegistrations().lines({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago == 0.0
     )  # written in the future
-    assert Roster().lines({b"1": record(1, 3, **told)}, now, 10**12)[0].started_ms_ago == 0.0
-    assert Roster().lines({b"1": record(1, 3)}, now, 9_000)[0].started_ms_ago == -1.0
+    assert NodeRegistrations().lines({b"1": record(1, 3, **told)}, now, 10**12)[0].started_ms_ago == 0.0
+    assert NodeRegistrations().lines({b"1": record(1, 3)}, now, 9_000)[0].started_ms_ago == -1.0
 
 
 def test_of_two_records_for_one_node_the_later_one_counts():
-    roster = Roster()
+    roster = NodeRegistrations()
     both = {b"x": record(1, 9, health="draining"), b"y": record(1, 4)}
     lines = roster.lines(both, SECOND, 0)
     assert [line.health for line in lines] == ["draining"] and roster.notes
@@ -321,7 +323,7 @@
 def enrolled(town, number=0, seconds=6, others=None):
     servers = [("127.0.0.1", end.port) for end in town.ends]
     key, seed = b"/g/g%03d" % number if others else b"/g/g%d" % number, town.seed * 100 + number
-    made = Enrolled(town.network, servers, key, lambda: b"me", seconds, seed, b"/g/", others)
+    made = Registration(town.network, servers, key, lambda: b"me", seconds, seed, b"/g/", others)
     for end in town.ends:
         end.lease_time = seconds
     made.start()
@@ -405,18 +407,18 @@
 
 def test_a_lease_counts_from_when_it_was_asked_for():
     lease = Lease(9)
-    assert lease.wants(0) is Wants.GRANT and not lease.held(0)
+    assert lease.wants(0) is LeaseAction.GRANT and not lease.held(0)
     lease.granted(5, 1 * SECOND)
-    assert lease.wants(2 * SECOND) is Wants.PUT and not lease.held(2 * SECOND)
+    assert lease.wants(2 * SECOND) is LeaseAction.PUT and not lease.held(2 * SECOND)
     lease.was_put(2 * SECOND)
     assert (
         lease.held(2 * SECOND)
-        and lease.wants(4 * SECOND) is Wants.NOTHING
-        and lease.wants(5 * SECOND) is Wants.KEEP
+        and lease.wants(4 * SECOND) is LeaseAction.NOTHING
+        and lease.wants(5 * SECOND) is LeaseAction.KEEP
     )
     lease.kept(9, 5 * SECOND)
     assert lease.held(14 * SECOND - 1) and not lease.held(14 * SECOND)
-    assert lease.wants(14 * SECOND) is Wants.GRANT and lease.lost == 1
+    assert lease.wants(14 * SECOND) is LeaseAction.GRANT and lease.lost == 1
 
 
 # --- a daemon with a registry ---
@@ -501,7 +503,7 @@
 
 
 def test_waits_double_are_drawn_and_start_anew_once_a_watch_stands():
-    choice = Choice(3, iter([0.5] * 99).__next__)
+    choice = ServerSelector(3, iter([0.5] * 99).__next__)
     assert [choice.broke() for _ in range(5)] == [0.25, 0.5, 1.0, 1.0, 1.0]
     choice.stands()
     assert choice.broke() == 0.25
@@ -509,24 +511,24 @@
 
 def test_another_server_is_never_the_one_at_hand_and_each_is_taken_at_times():
     chance = random.Random(1)
-    choice, seen = Choice(4, chance.random), set()
+    choice, seen = ServerSelector(4, chance.random), set()
     for _ in range(200):
         at, other = choice.at, choice.another()
         assert other != at and 0 <= other < 4
         choice.broke()
         seen.add(choice.at)
-    assert seen == {0, 1, 2, 3} and Choice(1, chance.random).another() == 0
+    assert seen == {0, 1, 2, 3} and ServerSelector(1, chance.random).another() == 0
 
 
 def test_an_operator_is_told_once_when_no_server_is_believed_and_again_after_one_was():
-    choice = Choice(3, random.Random(1).random)
+    choice = ServerSelector(3, random.Random(1).random)
     assert [choice.refused() for _ in range(9)] == [False] * 5 + [True] + [False] * 3
     choice.stands()
     assert [choice.refused() for _ in range(6)] == [False] * 5 + [True]
 
 
 def test_a_watch_is_behind_only_if_what_was_seen_does_not_come_in_time():
-    lag = Lag()
+    lag = WatchLag()
     assert lag.saw(5, 5) == LOOK and not lag.behind(5)
     assert lag.saw(7, 5) == LAG and not lag.behind(7)
     assert lag.saw(7, 5) == LAG and lag.behind(6)
@@ -554,7 +556,7 @@
 
 def test_a_kept_list_of_a_list_server_says_nothing_of_a_registry(tmp_path):
     town = Town()
-    kept.save(tmp_path / "nodes", Copy(99, 7, [], "g0"))
+    endpoint_cache.save(tmp_path / "nodes", EndpointListSnapshot(99, 7, [], "g0"))
     late = town.gateway(8, tmp_path / "nodes")
     town.run(2)
     assert town.seen(8) == town.right() and not late.feed.restored
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -9,7 +9,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from minicheck import Protocol, check_safety
 
-from ochrecourse.membership.registry import Change, Feed, RangeAsked, Record, Stage, Untrusted, WatchAsked
+from ochrecourse.membership.registry_state import (
+    Change,
+    Feed,
+    RangeAsked,
+    Record,
+    Stage,
+    Untrusted,
+    WatchAsked,
+)
 
 pytestmark = pytest.mark.long
 KEYS = [b"n/a", b"n/b", b"n/c"]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,10 +5,15 @@
 import pytest
 
 from ochrecourse.interface import Health, ListKind
-from ochrecourse.outside import MS, SECOND
-from ochrecourse.relay.discovery import KEPT_GONE, BadNews, Book, Lines
-from ochrecourse.relay.file import read
-from ochrecourse.relay.start import BadStart, flat, parse
+from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.service.discovery import (
+    KEPT_GONE,
+    MalformedEndpointListError,
+    DiscoveredEndpoints,
+    LineDecoder,
+)
+from ochrecourse.service.start_file import read
+from ochrecourse.service.start_settings import StartSettingsError, flat, parse
 
 
 def line(name="s-1", state="Ready", port=6379, cell=3, started=0):
@@ -53,18 +58,18 @@
         "settings": {"Period": 2},
         **change,
     }
-    with pytest.raises(BadStart, match=text):
+    with pytest.raises(StartSettingsError, match=text):
         parse({name: each for name, each in good.items() if each is not ...})
     for data, why in ((b"{", "not JSON"), (b"[" * 100_000, "not JSON")):
         (tmp_path / "start.json").write_bytes(data)
-        with pytest.raises(BadStart, match=why):
+        with pytest.raises(StartSettingsError, match=why):
             read(str(tmp_path / "start.json"))
-    with pytest.raises(BadStart, match="can't be read"):
+    with pytest.raises(StartSettingsError, match="can't be read"):
         read(str(tmp_path / "none.json"))
 
 
 def test_list_keeps_numbers_and_times_of_starts_through_all_its_forms():
-    book = Book(["a"], unix_ahead=1000 * SECOND)
+    book = DiscoveredEndpoints(["a"], unix_ahead=1000 * SECOND)
     known = book.take(told(41, line("s-1"), line("s-2", started=1_500_000), reset=True), cached=True)
     assert known.kind is ListKind.CACHED and [each.node for each in known.entries] == [1, 2]
     assert [each.started for each in known.entries] == [0, 500 * SECOND]
@@ -78,7 +83,7 @@
 
 
 def test_names_of_nodes_that_are_gone_do_not_pile_up():
-    book = Book([], 0)
+    book = DiscoveredEndpoints([], 0)
     for i in range(3 * KEPT_GONE):
         book.take(told(2 * i, line(f"s-{i}")))
         book.take(told(2 * i + 1, line(f"s-{i}", "Gone")))
@@ -88,7 +93,7 @@
 def test_a_thousand_nodes_of_as_many_zones_that_leave_at_once_come_back_under_their_numbers():
     """Guards against a fleet that returns after an outage as if all of it were new."""
     lines = [{**line(f"s-{i}", cell=i), "zone": f"z{i}"} for i in range(1024)]
-    book = Book([], 0)
+    book = DiscoveredEndpoints([], 0)
     first = [(entry.node, entry.zone) for entry in book.take(told(1, *lines, reset=True)).entries]
     assert len(set(first)) == 1024
     assert not book.take(told(2, reset=True)).entries and not book.listed
@@ -105,14 +110,14 @@
     ],
 )  # fmt: skip
 def test_line_that_can_not_be_read_changes_nothing(text):
-    book = Book([], 0)
+    book = DiscoveredEndpoints([], 0)
     book.take(told(7, line()))
-    with pytest.raises(BadNews):
-        book.take(Lines(1 << 20).take(text))
+    with pytest.raises(MalformedEndpointListError):
+        book.take(LineDecoder(1 << 20).take(text))
     assert book.version == 7 and list(book.listed) == ["s-1"]
 
 
 def test_zone_that_the_settings_do_not_name_gets_a_number_of_its_own():
-    book = Book(["x"], -5 * MS)
+    book = DiscoveredEndpoints(["x"], -5 * MS)
     entry = book.take(told(1, line(started=1))).entries[0]
     assert entry.zone == 1 and entry.started == 6 * MS
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,7 +8,7 @@
 from relay_process import Relay
 from test_service import Shop, listed
 
-from ochrecourse.relay import service
+from ochrecourse.service import gateway_service
 from ochrecourse.standins.respnode import ListAgent
 
 
@@ -110,8 +110,10 @@
 def test_a_bad_file_is_read_a_bounded_number_of_times(tmp_path, monkeypatch):
     moved = Moved(tmp_path)
     moved.path.write_text("{")
-    reads, usual = [], service.read
-    monkeypatch.setattr(service, "read", lambda path: (reads.append(moved.shop.network.now), usual(path))[1])
+    reads, usual = [], gateway_service.read
+    monkeypatch.setattr(
+        gateway_service, "read", lambda path: (reads.append(moved.shop.network.now), usual(path))[1]
+    )
     moved.shop.service.reload()
     moved.shop.run(60.0)
     assert 10 <= len(reads) <= 40
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -4,10 +4,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ochrecourse.outside import MS
+from ochrecourse.common.time_units import MS
 from ochrecourse.resp import codec
 from ochrecourse.resp.codec import Breach, Commands, Error, Replies, Status
-from ochrecourse.resp.words import Kinds, answer, asked
+from ochrecourse.resp.commands import Kinds, answer, asked
 from ochrecourse.wire import messages as m
 
 FIELDS = b"c=read,t=p0,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
@@ -156,9 +156,9 @@
     for use, load in ((None, None), (b"used=much", b"\xff"), (b"", b"util=" + b"9" * 40)):
         done, value = answer([b"v", use, load])
         assert (value, done.used, done.elsewhere, done.load) == (b"v", -1.0, 0, {})
-    assert isinstance(answer(Error(b"BUSY"))[0], m.Full)
+    assert isinstance(answer(Error(b"BUSY"))[0], m.AttemptRejected)
     failed, _ = answer(Error(b"ERR failed used=50"))
-    assert isinstance(failed, m.Failed) and failed.used == 0.5
+    assert isinstance(failed, m.AttemptFailed) and failed.used == 0.5
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,8 @@
 import pytest
 from conftest import NODES, START, VALUES
 
-from ochrecourse.decide import MS, SECOND, Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import (
     Outcome,
     Ending,
@@ -11,7 +12,7 @@
     Request,
     Attempt,
     ListKind,
-    MissingValue,
+    MissingSettingError,
     NodeEntry,
     Reply,
 )
@@ -133,7 +134,7 @@
 
 
 def test_missing_setting_is_named(make_desk):
-    with pytest.raises(MissingValue, match=r"Classes\.0\.Aim"):
+    with pytest.raises(MissingSettingError, match=r"Classes\.0\.Aim"):
         make_desk(Classes__0__Aim="")
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,10 +15,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.relay.service import Service, shares
-from ochrecourse.relay.start import parse
+from ochrecourse.service.gateway_service import GatewayService, shares
+from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec
-from ochrecourse.resp.words import Asked, Kinds, asked
+from ochrecourse.resp.commands import Asked, Kinds, asked
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, good
 
 FLAT = {
@@ -89,7 +89,7 @@
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.agent_port}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
-        self.service = Service(
+        self.service = GatewayService(
             parse(told), "none", self.network, 10**18, self.log.append, lambda: self.over.append(1)
         )
         self.port = self.service.serve()[1]
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -12,10 +12,10 @@
 from test_service import FLAT
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ochrecourse.interface import MissingValue
+from ochrecourse.interface import MissingSettingError
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.relay.service import Service
-from ochrecourse.relay.start import BadStart, parse
+from ochrecourse.service.gateway_service import GatewayService
+from ochrecourse.service.start_settings import StartSettingsError, parse
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer, good
 
@@ -251,7 +251,7 @@
         }  # fmt: skip
         self.log = []
         dials = LateDials(self.network, set(ports), list(late))
-        self.service = Service(parse(told), "none", dials, 10**18, self.log.append, lambda: None)
+        self.service = GatewayService(parse(told), "none", dials, 10**18, self.log.append, lambda: None)
         port = self.service.serve()[1]
         self.clients = {}
         for number, request in enumerate(day["requests"], 1):
@@ -520,14 +520,16 @@
 
 def begin(changes):
     network = VirtualNetwork(1)
-    Service(parse(start_file(changes)), "none", network, 10**18, lambda text: None, lambda: None).serve()
+    GatewayService(
+        parse(start_file(changes)), "none", network, 10**18, lambda text: None, lambda: None
+    ).serve()
     network.advance(0.1)
 
 
 @pytest.mark.parametrize("odd", ODD)
 def test_settings_without_sense_are_refused_by_their_name(odd):
     changes, name = ODD[odd]
-    with pytest.raises((BadStart, MissingValue)) as refused:
+    with pytest.raises((StartSettingsError, MissingSettingError)) as refused:
         begin(changes)
     assert name in str(refused.value) and "\n" not in str(refused.value) and len(str(refused.value)) < 200
 
@@ -535,7 +537,7 @@
 @pytest.mark.parametrize("name", FIGURES)
 def test_figures_that_are_none_are_refused_by_their_name(name):
     for told in NO_FIGURE:
-        with pytest.raises((BadStart, MissingValue)) as refused:
+        with pytest.raises((StartSettingsError, MissingSettingError)) as refused:
             begin({name: told})
         assert name in str(refused.value) and "\n" not in str(refused.value) and len(str(refused.value)) < 200
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,18 +7,23 @@
 from test_service import PING, read, value
 
 BEFORE_SERVING = [
-    "import:ochrecourse.relay.start",  # the first of the program's own parts after the handlers
+    "import:ochrecourse.service.start_settings",  # the first of the program's own parts after the handlers
     "import:json",
     "import:twisted.internet.tcp",
-    "import:ochrecourse.decide",
+    "import:ochrecourse.scheduler.scheduler",
     "call:read",  # the start file
-    "call:steady_reactor",
-    "call:Service.__init__",
+    "call:install_monotonic_reactor",
+    "call:GatewayService.__init__",
+]
+SERVING = [
+    "call:GatewayService.serve",
+    "return:GatewayService.serve",
+    "call:ReactorBase.run",
+    "call:ReactorBase.mainLoop",
 ]
-SERVING = ["call:Service.serve", "return:Service.serve", "call:ReactorBase.run", "call:ReactorBase.mainLoop"]
 LEAVING = [
-    "call:Service.leave", "return:Service.leave", "call:Service._close_door", "call:RespFrontFactory.leave",
-    "call:Service._empty", "call:Service._end", "call:Watch.stop", "call:ReactorBase.disconnectAll",
+    "call:GatewayService.leave", "return:GatewayService.leave", "call:GatewayService._close_door", "call:RespServerFactory.leave",
+    "call:GatewayService._empty", "call:GatewayService._end", "call:DiscoveryWatch.stop", "call:ReactorBase.disconnectAll",
     "return:ReactorBase.mainLoop", "return:ReactorBase.run", "exit:", "late:",
 ]  # fmt: skip
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -7,7 +7,7 @@
 
 from ochrecourse.simulator import __main__ as simulator
 from ochrecourse.simulator import frames
-from ochrecourse.interface import Outcome, Attempt, ListCall, MissingValue, Reply
+from ochrecourse.interface import Outcome, Attempt, ListCall, MissingSettingError, Reply
 
 
 def batch(*records, count=None):
@@ -56,7 +56,7 @@
 
 
 def test_missing_setting_ends_the_drill_without_a_reply():
-    with pytest.raises(MissingValue, match=r"Classes\.count"):
+    with pytest.raises(MissingSettingError, match=r"Classes\.count"):
         simulator.serve(io.BytesIO(batch(start(b"Discovery=push"))), io.BytesIO())
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -72,19 +72,19 @@
 
     def ask(self, number, product="page-read", **more):
         told = {"plan": "open", "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
-        self.say(m.JobAsked(id=number, product=product, **told))
+        self.say(m.SubmitRequest(id=number, product=product, **told))
 
     def serve_one(self):
         """Asks until a job is fulfilled: a gateway that has just started may not have its list yet."""
         for number in range(1, 1000):
             self.ask(number)
-            if isinstance(self.answer(), m.Fulfilled):
+            if isinstance(self.answer(), m.RequestServed):
                 return
 
     def answer(self):
         """The next final answer."""
         while (message := self.hear()) is not None:
-            if isinstance(message, m.Fulfilled | m.Denied | m.WrittenOff | m.Fault):
+            if isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed | m.ErrorNotice):
                 return message
         return None
 
@@ -185,7 +185,11 @@
     for client in clients:
         client.ask(1, timeout_ms=20_000, units=1.0)
     answers = [type(client.answer()) for client in clients]
-    assert len(answers) == 1000 and set(answers) <= {m.Fulfilled, m.Denied} and answers.count(m.Fulfilled) > 0
+    assert (
+        len(answers) == 1000
+        and set(answers) <= {m.RequestServed, m.RequestRejected}
+        and answers.count(m.RequestServed) > 0
+    )
     for client in clients:
         client.socket.close()
     assert serving.end()[0] == 0
