--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -13,16 +13,16 @@
 from conftest import NODES, START, VALUES
 from test_service import FLAT, PING, Shop, listed, read
 
-from ochrecourse.decide import Scheduler
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.gateway.gateway import Gateway, Request
 from ochrecourse.interface import AttemptEnd, Ending, Health, ListKind, NodeEntry
 from ochrecourse.interface import Request as SchedulerRequest
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.nodes.dispatcher import Dispatcher
 from ochrecourse.nodes.pool import PoolLimits
-from ochrecourse.nodes.proof import Seen
-from ochrecourse.outside import MS, SECOND
-from ochrecourse.relay.discovery import BadNews, Lines
+from ochrecourse.nodes.outcome import AttemptEvent
+from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.service.discovery import MalformedEndpointListError, LineDecoder
 from ochrecourse.wire import messages as m
 
 # --- connections to nodes that come up late ---
@@ -76,7 +76,7 @@
         self.dispatcher.connection_opened(self.wires[line.number])
 
     def send(self, job, node=7, wait=300 * MS, time_out=2 * SECOND):
-        message = m.LegSent(
+        message = m.SendAttempt(
             id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, effect="safe",
             window_ms=0.0, patience_ms=1.0, size=0,
         )  # fmt: skip
@@ -85,7 +85,9 @@
     def answer(self, attempt):
         """The node answers; its connection rests."""
         attempt.pooled = None
-        self.dispatcher.answered(attempt.connection, attempt, m.Done(id=0, size=0, body=0), b"", True)
+        self.dispatcher.answered(
+            attempt.connection, attempt, m.AttemptServed(id=0, size=0, body=0), b"", True
+        )
         self.dispatcher.connection_freed(attempt.connection, -1)
 
     def written(self, attempt):
@@ -166,13 +168,13 @@
     street.send(1, wait=400 * MS)
     street.send(2, node=8, wait=None)
     street.network.advance(0.26)
-    assert street.ends == [(2, Seen.DIAL_TIMEOUT)] and {line.node for line in street.given_up} == {8}
+    assert street.ends == [(2, AttemptEvent.DIAL_TIMEOUT)] and {line.node for line in street.given_up} == {8}
     street.network.advance(0.1)
     street.came(street.dialled[0])
     assert street.wires[street.dialled[0].number].sent == [1]
     street.send(3, node=9, wait=400 * MS)
     street.network.advance(0.41)
-    assert street.ends[1:] == [(3, Seen.DIAL_TIMEOUT)]
+    assert street.ends[1:] == [(3, AttemptEvent.DIAL_TIMEOUT)]
     street.network.advance(0.3)
     assert {line.node for line in street.given_up} == {7, 8, 9} and not street.dispatcher.dials
 
@@ -237,7 +239,7 @@
     wire = branch.came(branch.dialled[0])
     branch.network.advance(0.02)
     attempt = next(iter(branch.gateway.nodes.out.values()))
-    branch.gateway.nodes.answered(wire, attempt, m.Done(id=0, size=0, body=0), b"", True)
+    branch.gateway.nodes.answered(wire, attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
     assert branch.asker.answers == ["fulfilled"]
     assert branch.scheduler.ends[0].took == pytest.approx(20 * MS, abs=MS)
 
@@ -298,7 +300,7 @@
     street.send(1, time_out=100 * MS)
     street.send(2, node=8, time_out=260 * MS)
     street.network.advance(0.3)
-    assert street.ends == [(1, Seen.LEFT_BEFORE), (2, Seen.TIMEOUT_BEFORE)]
+    assert street.ends == [(1, AttemptEvent.LEFT_BEFORE), (2, AttemptEvent.TIMEOUT_BEFORE)]
 
 
 # --- the list ---
@@ -323,9 +325,9 @@
 
 
 def test_an_indented_list_is_bounded_before_it_is_whole():
-    lines = Lines(100)
+    lines = LineDecoder(100)
     assert lines.take(b"{") is None
-    with pytest.raises(BadNews, match="too long"):
+    with pytest.raises(MalformedEndpointListError, match="too long"):
         lines.take(b' "instances": "' + b"x" * 100)
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -6,54 +6,63 @@
 
 import pytest
 
-from ochrecourse.durable import sealed
-from ochrecourse.gateway.lateness import Lateness
-from ochrecourse.gateway.leaving import Leaving, Stage
-from ochrecourse.gateway.ledger import Closing, JobStory, Ledger, Unbooked
-from ochrecourse.gateway.sampling import Sampling
+from ochrecourse.storage import atomic_file
+from ochrecourse.common.event_loop_lag import EventLoopLag
+from ochrecourse.gateway.graceful_shutdown import GracefulShutdown, ShutdownStage
+from ochrecourse.common.request_records import RequestOutcome, RequestRecord
+from ochrecourse.gateway.request_log import RequestLog, UnknownRequestError
+from ochrecourse.gateway.log_sampling import LogSampler
 from ochrecourse.interface import Ending, Health, ListKind
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership import kept
-from ochrecourse.membership.follower import Follower
-from ochrecourse.membership.view import BadList, Copy, View
+from ochrecourse.membership import endpoint_cache
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.membership.endpoint_list import BadEndpointListError, EndpointListSnapshot, EndpointList
 from ochrecourse.nodes.pool import Pool, PoolLimits, State
-from ochrecourse.nodes.reach import Reach
-from ochrecourse.nodes.proof import PROVES, Close, Ran, Seen, Written, seen_at_close, seen_at_timeout
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.nodes.health import NodeHealth
+from ochrecourse.nodes.outcome import (
+    VERDICTS,
+    ConnectionEnd,
+    Executed,
+    AttemptEvent,
+    WriteProgress,
+    event_at_close,
+    event_at_timeout,
+)
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.standins.listserver import ListServer
-from ochrecourse.wire.messages import Listed
+from ochrecourse.wire.messages import EndpointEntry
 
 # --- what events prove ---
 
 
 def test_every_event_has_its_proof_and_none_claims_more_than_is_known():
-    assert set(PROVES) == set(Seen)
+    assert set(VERDICTS) == set(AttemptEvent)
     sure = {Ending.UNREACHABLE, Ending.FULL, Ending.MOOT}
-    for seen, proof in PROVES.items():
-        assert (proof.ending in sure) == (proof.ran is Ran.NO), seen
-        assert (proof.ending is Ending.SERVED) == (seen is Seen.DONE)
+    for seen, proof in VERDICTS.items():
+        assert (proof.ending in sure) == (proof.ran is Executed.NO), seen
+        assert (proof.ending is Ending.SERVED) == (seen is AttemptEvent.DONE)
 
 
 @pytest.mark.parametrize(
     ("written", "answering", "how", "seen"),
     [
-        (Written.NOTHING, False, Close.BETWEEN, Seen.CLOSED_BEFORE),
-        (Written.PARTIAL, False, Close.BETWEEN, Seen.CLOSED_DURING),
-        (Written.WHOLE, False, Close.BETWEEN, Seen.CLOSED_AFTER),
-        (Written.WHOLE, False, Close.HALF_HEADER, Seen.HALF_HEADER),
-        (Written.WHOLE, True, Close.BETWEEN, Seen.HALF_BODY),
-        (Written.WHOLE, False, Close.GARBLED, Seen.GARBLED),
-        (Written.PARTIAL, False, Close.GARBLED, Seen.GARBLED_BEFORE),
+        (WriteProgress.NOTHING, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_BEFORE),
+        (WriteProgress.PARTIAL, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_DURING),
+        (WriteProgress.WHOLE, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_AFTER),
+        (WriteProgress.WHOLE, False, ConnectionEnd.HALF_HEADER, AttemptEvent.HALF_HEADER),
+        (WriteProgress.WHOLE, True, ConnectionEnd.BETWEEN, AttemptEvent.HALF_BODY),
+        (WriteProgress.WHOLE, False, ConnectionEnd.GARBLED, AttemptEvent.GARBLED),
+        (WriteProgress.PARTIAL, False, ConnectionEnd.GARBLED, AttemptEvent.GARBLED_BEFORE),
     ],
 )
 def test_the_end_of_a_connection_by_how_far_the_leg_had_come(written, answering, how, seen):
-    assert seen_at_close(written, answering, how) is seen
+    assert event_at_close(written, answering, how) is seen
 
 
 def test_a_time_out_proves_that_nothing_ran_only_before_the_last_byte():
-    assert seen_at_timeout(Written.PARTIAL, False) is Seen.TIMEOUT_BEFORE
-    assert seen_at_timeout(Written.WHOLE, False) is Seen.TIMEOUT
-    assert seen_at_timeout(Written.WHOLE, True) is Seen.BROKE_OFF
+    assert event_at_timeout(WriteProgress.PARTIAL, False) is AttemptEvent.TIMEOUT_BEFORE
+    assert event_at_timeout(WriteProgress.WHOLE, False) is AttemptEvent.TIMEOUT
+    assert event_at_timeout(WriteProgress.WHOLE, True) is AttemptEvent.BROKE_OFF
 
 
 # --- the pool ---
@@ -146,7 +155,7 @@
 
 
 def test_a_node_is_out_of_reach_after_failures_in_a_row_or_a_silence_and_back_with_a_word():
-    reach = Reach()
+    reach = NodeHealth()
     for _ in range(3):
         assert reach.reached([70, 71], SECOND) == 2
         reach.ended(70, Ending.TIMEOUT)
@@ -167,23 +176,28 @@
 
 
 def story(number=1, latest=1000):
-    return JobStory(number, 0, 0, 1, 1.0, 0, 900, latest)
+    return RequestRecord(number, 0, 0, 1, 1.0, 0, 900, latest)
 
 
 def test_a_job_is_answered_once_and_never_after_its_client_gave_up():
-    books = Ledger()
+    books = RequestLog()
     books.take(story(1))
     books.take(story(2))
-    assert books.answer(1, Closing.DENIED, 500) and not books.answer(1, Closing.WRITTEN_OFF, 501)
-    assert books.answer(2, Closing.WRITTEN_OFF, 1001) is None and books.closings[Closing.TOO_LATE] == 1
-    assert books.open == 0 and books.answer(3, Closing.DENIED, 0) is None
+    assert books.answer(1, RequestOutcome.DENIED, 500) and not books.answer(
+        1, RequestOutcome.WRITTEN_OFF, 501
+    )
+    assert (
+        books.answer(2, RequestOutcome.WRITTEN_OFF, 1001) is None
+        and books.closings[RequestOutcome.TOO_LATE] == 1
+    )
+    assert books.open == 0 and books.answer(3, RequestOutcome.DENIED, 0) is None
 
 
 def test_a_job_with_a_leg_out_stays_in_the_books_until_it_ends():
-    books = Ledger()
+    books = RequestLog()
     books.take(one := story())
     books.send(1, 0, 70, 10)
-    books.answer(1, Closing.CLIENT_GONE, 20)
+    books.answer(1, RequestOutcome.CLIENT_GONE, 20)
     assert not books.forget(one) and books.send(1, 1, 70, 30) is None
     books.ended(1, 0, Ending.TIMEOUT, "why", 40)
     assert books.forget(one) and not books.forget(one) and not books.jobs
@@ -196,25 +210,25 @@
     lambda books: books.ended(9, 0, Ending.ERROR, "", 0),
 ])  # fmt: skip
 def test_what_is_not_booked_is_told(call):
-    books = Ledger()
+    books = RequestLog()
     books.take(story())
-    with pytest.raises(Unbooked):
+    with pytest.raises(UnknownRequestError):
         call(books)
 
 
 def test_an_answer_that_breaks_off_counts_as_written_off():
-    books = Ledger()
+    books = RequestLog()
     books.take(one := story())
-    books.answer(1, Closing.FULFILLED, 5)
+    books.answer(1, RequestOutcome.FULFILLED, 5)
     books.broke_off(one)
-    assert books.closings[Closing.FULFILLED] == 0 and books.closings[Closing.WRITTEN_OFF] == 1
+    assert books.closings[RequestOutcome.FULFILLED] == 0 and books.closings[RequestOutcome.WRITTEN_OFF] == 1
 
 
 # --- lateness, leaving, sampling ---
 
 
 def test_jobs_read_after_a_stall_are_taken_to_have_waited_for_it():
-    late = Lateness()
+    late = EventLoopLag()
     assert not late.timer_came(100 * MS, 102 * MS) and late.sent_at(102 * MS) == 102 * MS
     assert late.timer_came(200 * MS, 500 * MS) and late.sent_at(500 * MS) == 200 * MS
     late.turned()
@@ -223,14 +237,14 @@
 
 
 def test_a_gateway_leaves_with_its_last_job_or_its_last_client():
-    leaving = Leaving()
+    leaving = GracefulShutdown()
     assert leaving.takes() and leaving.begin(100, 500) and not leaving.begin(101, 900) and not leaving.takes()
     assert not leaving.look(200, 1, 0) and not leaving.look(200, 0, 1)
-    assert leaving.look(500, 1, 1) and leaving.stage is Stage.LEFT and not leaving.look(501, 0, 0)
+    assert leaving.look(500, 1, 1) and leaving.stage is ShutdownStage.LEFT and not leaving.look(501, 0, 0)
 
 
 def test_jobs_that_went_wrong_find_room_in_a_flooded_log():
-    sampling = Sampling(10)
+    sampling = LogSampler(10)
     assert sum(sampling.writes(True, 1) for _ in range(50)) == 5
     assert sum(sampling.writes(False, 1) for _ in range(50)) == 5
     assert sampling.take_dropped() == 90 and sampling.take_dropped() == 0
@@ -241,11 +255,13 @@
 
 
 def listed(node, health="ready", age=-1.0):
-    return Listed(node=node, address=f"127.0.0.1:{node}", shard=node - 70, health=health, started_ms_ago=age)
+    return EndpointEntry(
+        node=node, address=f"127.0.0.1:{node}", shard=node - 70, health=health, started_ms_ago=age
+    )
 
 
 def test_changes_are_taken_in_order_and_a_gap_asks_for_the_whole_list():
-    view = View()
+    view = EndpointList()
     view.list_came("full", 5, [listed(70), listed(71)], SECOND)
     news = view.list_came("delta", 6, [listed(71, "draining")], SECOND)
     assert news.kind is ListKind.DELTA and news.entries[0].health is Health.DRAINING
@@ -262,30 +278,30 @@
 
 
 def test_the_same_start_told_twice_is_one_start():
-    view = View()
+    view = EndpointList()
     first = view.list_came("full", 1, [listed(70, age=500)], 10 * SECOND).entries[0].started
     again = view.list_came("full", 2, [listed(70, age=1520)], 11 * SECOND).entries[0].started
     assert first == again == 9500 * MS or first == 9500 * MS
 
 
 @pytest.mark.parametrize("bad", [
-    Listed(node=70, address="nowhere"), Listed(node=70, address="h:99999"), Listed(node=70, address="h:1", health="ill"),
-    Listed(node=-1, address="h:1"), Listed(node=1, address="h:1", zone=70_000),
+    EndpointEntry(node=70, address="nowhere"), EndpointEntry(node=70, address="h:99999"), EndpointEntry(node=70, address="h:1", health="ill"),
+    EndpointEntry(node=-1, address="h:1"), EndpointEntry(node=1, address="h:1", zone=70_000),
 ])  # fmt: skip
 def test_a_list_with_a_wrong_line_is_not_taken_at_all(bad):
-    view = View()
-    with pytest.raises(BadList):
+    view = EndpointList()
+    with pytest.raises(BadEndpointListError):
         view.list_came("full", 1, [listed(71), bad], SECOND)
     assert not view.lines and view.epoch == 0
 
 
 def test_a_kept_list_from_another_clock_makes_every_node_new():
-    view = View()
+    view = EndpointList()
     view.list_came("full", 3, [listed(70), listed(71, age=100)], 50 * SECOND)
     copy = view.copy(60 * SECOND)
-    same = View().read_back(copy, 61 * SECOND)
+    same = EndpointList().read_back(copy, 61 * SECOND)
     assert [entry.started for entry in same.entries] == [0, 50 * SECOND - 100 * MS]
-    other = View().read_back(copy, 5 * SECOND)
+    other = EndpointList().read_back(copy, 5 * SECOND)
     assert [entry.started for entry in other.entries] == [
         5 * SECOND,
         5 * SECOND,
@@ -294,9 +310,9 @@
 
 def test_a_kept_list_survives_and_a_damaged_one_is_told(tmp_path):
     path = tmp_path / "g0.nodes"
-    assert kept.load(path) is None
-    kept.save(path, Copy(4, 7, [listed(70)]))
-    assert kept.load(path) == Copy(4, 7, [listed(70)])
+    assert endpoint_cache.load(path) is None
+    endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
+    assert endpoint_cache.load(path) == EndpointListSnapshot(4, 7, [listed(70)])
     whole = path.read_bytes()
     for broken in (
         whole[:-1],
@@ -306,19 +322,19 @@
         b"ochrecourse nodes 9 0 00000000\n",
     ):
         path.write_bytes(broken)
-        with pytest.raises(sealed.Damaged):
-            kept.load(path)
+        with pytest.raises(atomic_file.DamagedFileError):
+            endpoint_cache.load(path)
 
 
 def test_a_kept_list_that_is_cut_or_changed_anywhere_is_never_taken(tmp_path):
     path = tmp_path / "g0.nodes"
-    kept.save(path, Copy(4, 7, [listed(70)]))
+    endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
     whole = path.read_bytes()
     for at in range(len(whole)):
         for broken in (whole[:at], whole[:at] + bytes((whole[at] ^ 1 << at % 8,)) + whole[at + 1 :]):
             path.write_bytes(broken)
-            with pytest.raises(sealed.Damaged):
-                kept.load(path)
+            with pytest.raises(atomic_file.DamagedFileError):
+                endpoint_cache.load(path)
 
 
 @pytest.mark.parametrize(("head", "told"), [
@@ -328,14 +344,14 @@
 def test_a_kept_file_of_another_kind_or_version_is_told_in_one_line(tmp_path, head, told):
     path = tmp_path / "g0.nodes"
     path.write_bytes(head)
-    with pytest.raises(sealed.Damaged, match=told):
-        kept.load(path)
+    with pytest.raises(atomic_file.DamagedFileError, match=told):
+        endpoint_cache.load(path)
 
 
 def test_another_gateways_kept_list_is_not_taken(tmp_path):
     path, network, warnings, news = tmp_path / "g0.nodes", VirtualNetwork(3), [], []
-    kept.save(path, Copy(4, 7, [listed(70)], "g9"))
-    Follower("g0", network, ("127.0.0.1", 1), news.append, path, 1, warnings.append).start()
+    endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)], "g9"))
+    ListServerWatcher("g0", network, ("127.0.0.1", 1), news.append, path, 1, warnings.append).start()
     assert not news and "of gateway 'g9', not of 'g0'" in warnings[0]
 
 
@@ -343,7 +359,7 @@
 @pytest.mark.parametrize("trouble", [errno.ENOSPC, errno.EROFS, errno.EIO])
 def test_a_list_that_can_not_be_written_leaves_the_old_one(tmp_path, monkeypatch, step, trouble):
     path = tmp_path / "g0.nodes"
-    kept.save(path, Copy(1, 7, [listed(70)]))
+    endpoint_cache.save(path, EndpointListSnapshot(1, 7, [listed(70)]))
 
     def fail(*words, **more):
         raise OSError(trouble, os.strerror(trouble))
@@ -370,8 +386,8 @@
         else:
             broken.setattr(f"os.{step}", fail)
         with pytest.raises(OSError):
-            kept.save(path, Copy(2, 8, [listed(71)]))
-    assert kept.load(path).epoch == 1
+            endpoint_cache.save(path, EndpointListSnapshot(2, 8, [listed(71)]))
+    assert endpoint_cache.load(path).epoch == 1
 
 
 @pytest.fixture
@@ -382,7 +398,7 @@
     server.put(listed(70), 0)
     server.put(listed(71), 0)
     port = network.listenTCP(0, server).getHost().port
-    follower = Follower("g0", network, ("127.0.0.1", port), news.append, None, 9)
+    follower = ListServerWatcher("g0", network, ("127.0.0.1", port), news.append, None, 9)
     follower.start()
     network.advance(0.1)
     return network, server, follower, news
@@ -413,7 +429,7 @@
 
 def test_a_list_server_that_tells_nonsense_is_left_and_asked_again(followed):
     network, server, follower, _ = followed
-    server.change(Listed(node=72, address="nowhere"), 0)
+    server.change(EndpointEntry(node=72, address="nowhere"), 0)
     network.advance(1)
     assert follower.counts["breaks"] >= 1 and set(follower.view.lines) == {70, 71}
     server.lines.pop(72)
@@ -424,11 +440,11 @@
 
 def test_a_follower_starts_with_the_kept_list_and_ignores_a_damaged_one(tmp_path):
     path, told, warned = tmp_path / "n", [], []
-    kept.save(path, Copy(4, 7, [listed(70)]))
-    Follower("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
+    endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
+    ListServerWatcher("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
     assert told[0].kind is ListKind.CACHED and not warned
     path.write_bytes(b"rubbish")
-    Follower("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
+    ListServerWatcher("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
     assert len(told) == 1 and "not a file of ours" in warned[0]
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,8 +7,15 @@
 
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed import Framed
-from ochrecourse.wire.moves import IllegalMove, ListMoves, Open, Side, job_moves, leg_moves
+from ochrecourse.wire.framed_protocol import FramedProtocol
+from ochrecourse.wire.state import (
+    ProtocolViolationError,
+    ListConnectionState,
+    StreamState,
+    Role,
+    client_connection_state,
+    node_connection_state,
+)
 
 HELLO = m.Hello(version=m.VERSION, role="client")
 
@@ -28,9 +35,9 @@
     abortConnection = loseConnection
 
 
-class Ear(Framed):
+class Ear(FramedProtocol):
     def __init__(self):
-        super().__init__(VirtualNetwork(1), Side.ANSWERING, job_moves())
+        super().__init__(VirtualNetwork(1), Role.ANSWERING, client_connection_state())
         self.heard = []
 
     def took(self, message, body, after):
@@ -52,7 +59,7 @@
 def test_any_split_of_the_stream_gives_the_same_messages(jobs, cuts):
     said = [m.encode(HELLO)]
     for number, (trace, body) in enumerate(jobs):
-        asked = m.JobAsked(
+        asked = m.SubmitRequest(
             id=number, product="p", plan="q", volume=1, timeout_ms=5, size=len(body), trace=trace
         )
         said.append(m.encode(asked, body))
@@ -62,7 +69,7 @@
         end.dataReceived(data[at : at + step])
         at, turn = at + step, turn + 1
     assert [(each.trace, body) for each, body, _ in end.heard[1:]] == jobs
-    assert not end.transport.closed and all(after is Open.WHOLE for _, _, after in end.heard[1:])
+    assert not end.transport.closed and all(after is StreamState.WHOLE for _, _, after in end.heard[1:])
 
 
 @settings(max_examples=300, deadline=None)
@@ -81,36 +88,36 @@
 def test_decoding_raises_nothing_but_its_own_error(line):
     try:
         message = m.decode(line)
-    except m.BadMessage:
+    except m.MalformedMessageError:
         return
     assert m.decode(m.encode(message)[:-2]) == message
 
 
 def test_what_is_encoded_decodes_to_itself():
-    done = m.Done(id=3, size=5, load={"rif": 2.0}, used=0.5, elsewhere=7, shard=2)
+    done = m.AttemptServed(id=3, size=5, load={"rif": 2.0}, used=0.5, elsewhere=7, shard=2)
     line, _, body = m.encode(done, b"12345").partition(b"\r\n")
     assert m.decode(line) == done and done.body == 5 and body == b"12345"
 
 
 def test_unknown_fields_are_skipped_and_unknown_messages_told():
-    assert m.decode(b'{"m":"leave","id":4,"later":"field"}') == m.Leave(id=4)
-    with pytest.raises(m.BadMessage, match="dance"):
+    assert m.decode(b'{"m":"leave","id":4,"later":"field"}') == m.CancelRequest(id=4)
+    with pytest.raises(m.MalformedMessageError, match="dance"):
         m.decode(b'{"m":"dance"}')
 
 
 def asked(number, **more):
-    return m.JobAsked(id=number, product="p", plan="q", volume=1, timeout_ms=5, **more)
+    return m.SubmitRequest(id=number, product="p", plan="q", volume=1, timeout_ms=5, **more)
 
 
 def opened(moves, *messages):
-    for side in Side:
+    for side in Role:
         moves.step(side, HELLO)
     for side, message in messages:
         moves.step(side, message)
     return moves
 
 
-ASK, ANSWER = Side.ASKING, Side.ANSWERING
+ASK, ANSWER = Role.ASKING, Role.ANSWERING
 
 
 @pytest.mark.parametrize(
@@ -119,62 +126,74 @@
         ([], ANSWER, asked(1), "wrong_side"),
         ([(ASK, asked(4))], ASK, asked(4), "repeated_id"),
         ([(ASK, asked(4))], ASK, asked(2), "repeated_id"),
-        ([], ANSWER, m.Denied(id=1), "never_opened"),
-        ([(ASK, asked(1)), (ANSWER, m.Denied(id=1))], ANSWER, m.WrittenOff(id=1), "over"),
-        ([(ASK, asked(1)), (ANSWER, m.Fulfilled(id=1))], ANSWER, m.Fulfilled(id=1), "over"),
+        ([], ANSWER, m.RequestRejected(id=1), "never_opened"),
+        ([(ASK, asked(1)), (ANSWER, m.RequestRejected(id=1))], ANSWER, m.RequestFailed(id=1), "over"),
+        ([(ASK, asked(1)), (ANSWER, m.RequestServed(id=1))], ANSWER, m.RequestServed(id=1), "over"),
         (
-            [(ASK, asked(1)), (ANSWER, m.Fulfilled(id=1, size=3))],
+            [(ASK, asked(1)), (ANSWER, m.RequestServed(id=1, size=3))],
             ANSWER,
-            m.Part(id=1, body=4),
+            m.BodyChunk(id=1, body=4),
             "body_too_long",
         ),
-        ([(ASK, asked(1, size=3))], ASK, m.Part(id=1, body=4), "body_too_long"),
-        ([(ASK, asked(1))], ASK, m.Part(id=1, body=4), "illegal"),
-        ([(ASK, asked(1))], ASK, m.Bye(), None),
-        ([(ASK, m.Bye())], ASK, asked(1), "after_bye"),
+        ([(ASK, asked(1, size=3))], ASK, m.BodyChunk(id=1, body=4), "body_too_long"),
+        ([(ASK, asked(1))], ASK, m.BodyChunk(id=1, body=4), "illegal"),
+        ([(ASK, asked(1))], ASK, m.GoAway(), None),
+        ([(ASK, m.GoAway())], ASK, asked(1), "after_bye"),
         ([], ASK, m.Hello(version=1, role="x"), "second_hello"),
-        ([(ASK, asked(1))], ANSWER, m.Cancelled(id=1), "illegal"),
-        ([(ASK, asked(1)), (ANSWER, m.Denied(id=1))], ASK, m.Leave(id=1), None),  # it crossed the answer
-        ([(ASK, asked(1)), (ASK, m.Leave(id=1))], ANSWER, m.Fulfilled(id=1, size=9), None),
-        ([(ASK, asked(1, size=9)), (ANSWER, m.Denied(id=1))], ASK, m.Part(id=1, body=9), None),
-        ([(ASK, asked(1)), (ASK, m.Leave(id=1)), (ANSWER, m.Left(id=1))], ANSWER, m.Denied(id=1), "over"),
+        ([(ASK, asked(1))], ANSWER, m.AttemptCancelled(id=1), "illegal"),
+        (
+            [(ASK, asked(1)), (ANSWER, m.RequestRejected(id=1))],
+            ASK,
+            m.CancelRequest(id=1),
+            None,
+        ),  # it crossed the answer
+        ([(ASK, asked(1)), (ASK, m.CancelRequest(id=1))], ANSWER, m.RequestServed(id=1, size=9), None),
+        ([(ASK, asked(1, size=9)), (ANSWER, m.RequestRejected(id=1))], ASK, m.BodyChunk(id=1, body=9), None),
+        (
+            [(ASK, asked(1)), (ASK, m.CancelRequest(id=1)), (ANSWER, m.RequestCancelled(id=1))],
+            ANSWER,
+            m.RequestRejected(id=1),
+            "over",
+        ),
     ],
 )
 def test_each_move_is_legal_or_a_named_error(before, side, message, code):
-    moves = opened(job_moves(), *before)
+    moves = opened(client_connection_state(), *before)
     if code is None:
         moves.step(side, message)
         return
-    with pytest.raises(IllegalMove) as told:
+    with pytest.raises(ProtocolViolationError) as told:
         moves.step(side, message)
     assert told.value.code == code
 
 
 def test_hello_comes_first_and_names_a_version_that_is_spoken():
-    with pytest.raises(IllegalMove, match="before hello"):
-        leg_moves().step(ASK, m.Probe(id=1))
-    with pytest.raises(IllegalMove, match="version 9"):
-        leg_moves().step(ASK, m.Hello(version=9, role="node"))
+    with pytest.raises(ProtocolViolationError, match="before hello"):
+        node_connection_state().step(ASK, m.HealthCheck(id=1))
+    with pytest.raises(ProtocolViolationError, match="version 9"):
+        node_connection_state().step(ASK, m.Hello(version=9, role="node"))
 
 
 def test_ids_that_are_over_are_forgotten():
-    moves = opened(leg_moves())
+    moves = opened(node_connection_state())
     for number in range(1, 500):
-        moves.step(ASK, m.LegSent(id=number, mark="x", product="p", volume=1))
-        moves.step(ANSWER, m.Done(id=number))
+        moves.step(ASK, m.SendAttempt(id=number, mark="x", product="p", volume=1))
+        moves.step(ANSWER, m.AttemptServed(id=number))
     assert not moves.standing
 
 
 def test_a_list_server_tells_lists_only_to_those_who_follow():
-    moves = opened(ListMoves())
-    with pytest.raises(IllegalMove, match="nobody asked"):
-        moves.step(ANSWER, m.NodeList(kind="full", epoch=1))
-    moves.step(ASK, m.Follow())
-    moves.step(ANSWER, m.NodeList(kind="full", epoch=1))
-    with pytest.raises(IllegalMove, match="no place"):
+    moves = opened(ListConnectionState())
+    with pytest.raises(ProtocolViolationError, match="nobody asked"):
+        moves.step(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
+    moves.step(ASK, m.WatchEndpoints())
+    moves.step(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
+    with pytest.raises(ProtocolViolationError, match="no place"):
         moves.step(ASK, asked(1))
 
 
 def test_every_message_has_a_name_of_its_own():
-    names = [each.__struct_config__.tag for each in m.Any.__args__]
-    assert len(set(names)) == len(names) and all(issubclass(each, msgspec.Struct) for each in m.Any.__args__)
+    names = [each.__struct_config__.tag for each in m.AnyMessage.__args__]
+    assert len(set(names)) == len(names) and all(
+        issubclass(each, msgspec.Struct) for each in m.AnyMessage.__args__
+    )
--- a/tests/transcripts/test_rolling.py
+++ b/tests/transcripts/test_rolling.py
@@ -9,7 +9,7 @@
 from transcript import Approved, Fleet
 
 from ochrecourse.cli.control import answer
-from ochrecourse.durable.journal import InMemory
+from ochrecourse.storage.journal import MemoryJournal
 
 
 class Forms(Fleet):
@@ -38,7 +38,7 @@
     def replace(name, newest, kept=True):
         fleet.parts[name].stop()
         if not kept:
-            fleet.journals[name] = InMemory()
+            fleet.journals[name] = MemoryJournal()
         fleet.run(0.2)
         tap.note(
             fleet.network,
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -20,11 +20,11 @@
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
 from ochrecourse.cli.control import answer as control_answer
-from ochrecourse.gateway.front import FrontFactory
+from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
-from ochrecourse.membership.follower import Follower
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.standins.listserver import ListServer
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
@@ -73,16 +73,18 @@
     def keeps(wire, message, body):
         got.append(body)
         if sum(map(len, got)) == 150_000:
-            wire.say(m.Done(id=1, shard=0))
+            wire.say(m.AttemptServed(id=1, shard=0))
 
     yard = yard_of(tap, make_yard, keeps)
     client = yard.client()
     client.say(
-        m.JobAsked(id=1, product="mark", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000)
+        m.SubmitRequest(
+            id=1, product="mark", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000
+        )
     )
     for size in (m.MAX_BODY, m.MAX_BODY, 150_000 - 2 * m.MAX_BODY):
         yard.run(0.01)
-        client.say(m.Part(id=1), bytes(size))
+        client.say(m.BodyChunk(id=1), bytes(size))
     yard.run()
 
 
@@ -112,18 +114,18 @@
     client = yard.client()
     yard.ask(client, timeout_ms=900)
     yard.run(0.1)
-    client.say(m.Leave(id=1))
+    client.say(m.CancelRequest(id=1))
     yard.run()
 
 
 def answer_cancels(wire, message, body):
-    if isinstance(message, m.Cancel):
-        wire.say(m.Cancelled(id=message.id, ran="no"))
+    if isinstance(message, m.CancelAttempt):
+        wire.say(m.AttemptCancelled(id=message.id, ran="no"))
 
 
 def fails(wire, message, body):
-    if isinstance(message, m.LegSent):
-        wire.say(m.Failed(id=message.id, text="disk"))
+    if isinstance(message, m.SendAttempt):
+        wire.say(m.AttemptFailed(id=message.id, text="disk"))
 
 
 @story
@@ -132,7 +134,7 @@
     legs = []
 
     def first_fails(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             legs.append(message)
             (fails if len(legs) == 1 else answer)(wire, message, body)
 
@@ -154,8 +156,8 @@
     """A node has no room for a binding job: nothing was begun, so it is denied and not written off."""
 
     def full(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.say(m.Full(id=message.id))
+        if isinstance(message, m.SendAttempt):
+            wire.say(m.AttemptRejected(id=message.id))
 
     yard = yard_of(tap, make_yard, full)
     yard.ask(yard.client(), product="bind", key=5)
@@ -167,8 +169,8 @@
     """The list says that a node drains: what is out there ends there, what comes for new objects goes elsewhere."""
 
     def slowly(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.network.callLater(0.05, wire.say, m.Done(id=message.id, shard=message.shard))
+        if isinstance(message, m.SendAttempt):
+            wire.network.callLater(0.05, wire.say, m.AttemptServed(id=message.id, shard=message.shard))
 
     yard = yard_of(tap, make_yard, slowly, slowly)
     client = yard.client()
@@ -186,8 +188,8 @@
     """Jobs on one key go out one after another, in their order; another key's job does not wait for them."""
 
     def slowly(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.network.callLater(0.03, wire.say, m.Done(id=message.id, shard=0))
+        if isinstance(message, m.SendAttempt):
+            wire.network.callLater(0.03, wire.say, m.AttemptServed(id=message.id, shard=0))
 
     yard = yard_of(tap, make_yard, slowly)
     client = yard.client()
@@ -201,8 +203,8 @@
     """A node's connection ends in the middle of an answer: what came is kept, and the job is written off."""
 
     def half(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.say(m.Done(id=message.id, size=10), b"12345")
+        if isinstance(message, m.SendAttempt):
+            wire.say(m.AttemptServed(id=message.id, size=10), b"12345")
             wire.transport.loseConnection()
 
     yard = yard_of(tap, make_yard, half)
@@ -215,9 +217,9 @@
     """A node that answers a leg twice is told its fault and loses the connection; the client has one answer."""
 
     def twice(wire, message, body):
-        if isinstance(message, m.LegSent):
+        if isinstance(message, m.SendAttempt):
             for _ in range(2):
-                wire.say(m.Done(id=message.id, size=2, shard=0), b"ok")
+                wire.say(m.AttemptServed(id=message.id, size=2, shard=0), b"ok")
 
     yard = yard_of(tap, make_yard, twice)
     yard.ask(yard.client())
@@ -239,8 +241,8 @@
     """A gateway that leaves says bye, denies what comes, and answers what it holds before it goes."""
 
     def late(wire, message, body):
-        if isinstance(message, m.LegSent):
-            wire.network.callLater(0.3, wire.say, m.Done(id=message.id, shard=0))
+        if isinstance(message, m.SendAttempt):
+            wire.network.callLater(0.3, wire.say, m.AttemptServed(id=message.id, shard=0))
 
     yard = yard_of(tap, make_yard, late)
     client = yard.client()
@@ -294,7 +296,7 @@
             self.server.put(line(node), 0)
         port = self.network.listenTCP(0, self.server).getHost().port
         tap.place(port, "list server", "gateway", Framed)
-        self.follower = Follower("g0", self.network, ("127.0.0.1", port), self.news.append, None, 9)
+        self.follower = ListServerWatcher("g0", self.network, ("127.0.0.1", port), self.news.append, None, 9)
         self.follower.start()
         self.network.advance(0.1)
 
@@ -314,7 +316,7 @@
     """A change is missing between what is known and what is told: the whole list is asked for."""
     following = Following(tap)
     port = next(iter(following.server.ports))
-    port.say(m.NodeList(kind="delta", epoch=5), m.encode_list([line(72)]))
+    port.say(m.EndpointListMessage(kind="delta", epoch=5), m.encode_list([line(72)]))
     following.network.advance(0.5)
 
 
@@ -721,7 +723,7 @@
 def test_a_gateway_that_leaves_without_a_word_is_seen(tap, make_yard, monkeypatch):
     """A seeded mistake: no bye is said."""
     approved = Path(__file__).parent / "__snapshots__" / "test_transcripts" / "test_native_gateway_drains.txt"
-    monkeypatch.setattr(FrontFactory, "say_bye", lambda self: None)
+    monkeypatch.setattr(ClientConnectionFactory, "say_bye", lambda self: None)
     native_gateway_drains(tap, make_yard)
     lines, others = (
         [line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text(""))
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -13,7 +13,7 @@
 from ochrecourse.fleet.standing import Standing
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.interface import Ending
-from ochrecourse.outside import MS, SECOND
+from ochrecourse.common.time_units import MS, SECOND
 
 QUIET = 2 * SECOND
 AGREE = 3 * SECOND  # those that reached each other for so long hold the same standings
