--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -182,15 +182,15 @@
 
 
 def decisions_alone() -> float:
-    """CPU time a job of `decide.py` fed with the same jobs in the same order, one leg each, answered at once."""
+    """CPU time a job of the scheduler fed with the same jobs in the same order, one attempt each, answered at once."""
     host = Scheduler(plain_map(resolve(SETTINGS, "bench")), 1, 0)
-    host.list_came(ListKind.FULL, [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(NODES)], 0)
+    host.list_received(ListKind.FULL, [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(NODES)], 0)
     now, began, waiting = 0, 0.0, []
     for number in range(1, JOBS + JOBS // 5 + 1):
         if number == JOBS // 5:
             began = time.process_time()
         now += 100_000
-        host.job_came(
+        host.request_received(
             Request(number, 0, 0, number % 40, number % 97, 2.0, number % NODES, 1, now + 5_000_000_000), now
         )
         while (said := host.decide(now)) is not None:
@@ -200,7 +200,7 @@
             leg = waiting.pop(0)
             now += 100_000
             end = AttemptEnd(leg.request_id, leg.number, leg.node, Ending.SERVED, 800_000, True, -1.0, 0, {})
-            host.leg_ended(end, now)
+            host.attempt_ended(end, now)
             while (said := host.decide(now)) is not None:
                 if isinstance(said, Attempt):
                     waiting.append(said)
