--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -23,7 +23,7 @@
 from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.gateway.gateway import Gateway, RequestObserver
 from ochrecourse.common.request_records import RequestRecord
-from ochrecourse.interface import Decisions, Health, ListKind
+from ochrecourse.interface import Health, ListKind, SchedulerApi
 from ochrecourse.membership.conflicts import NodeObservations, conflicts
 from ochrecourse.membership.registration import Registration
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
@@ -60,7 +60,7 @@
         warn: Callable[[str], None],
         gone: Callable[[], None],
         told: Callable[..., None] | None = None,
-        decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler,
+        decisions: Callable[[Mapping[str, str], int, int], SchedulerApi] = Scheduler,
         epoch: int = 0,
         access: Callable[..., None] | None = None,
         tree: Journal | None = None,
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -23,7 +23,7 @@
 from ochrecourse.common.request_records import RequestOutcome, RequestRecord, AttemptRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse import interface
-from ochrecourse.interface import Attempt, AttemptEnd, Decisions, Health, ListCall, ListKind, NodeEntry
+from ochrecourse.interface import Attempt, AttemptEnd, Health, ListCall, ListKind, NodeEntry, SchedulerApi
 from ochrecourse.interface import Outcome, Reply
 from ochrecourse.nodes.dispatcher import Body, Dispatcher, OutgoingAttempt, OpenConnection
 from ochrecourse.nodes.pool import PoolLimits
@@ -157,7 +157,7 @@
         name: str,
         travel: int = 0,
         observers: Sequence[RequestObserver] = (),
-        decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler,
+        decisions: Callable[[Mapping[str, str], int, int], SchedulerApi] = Scheduler,
         limits: PoolLimits | None = None,
         unread_since: Callable[[], int] | None = None,
     ) -> None:
--- a/ochrecourse/lab/baselines.py
+++ b/ochrecourse/lab/baselines.py
@@ -14,7 +14,7 @@
 from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.interface import (
     Outcome,
-    Decisions,
+    SchedulerApi,
     Ending,
     Health,
     Request,
@@ -119,7 +119,7 @@
         self.attempts[request.id] += 1
 
 
-def policy(name: str) -> Callable[[Mapping[str, str], int, int], Decisions]:
+def policy(name: str) -> Callable[[Mapping[str, str], int, int], SchedulerApi]:
     """What makes a gateway's decisions, by name: ours, random, round-robin, least-out."""
     if name == "ours":
         return Scheduler
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -15,7 +15,7 @@
 from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.gateway.daemon import Daemon
-from ochrecourse.interface import Decisions
+from ochrecourse.interface import SchedulerApi
 from ochrecourse.lab.day import Day, Trouble, gateway_record, node_kind, push_over, volumes, works
 from ochrecourse.lab.load import Load, Outcomes, schedule
 from ochrecourse.lab.people import People, door_record
@@ -35,7 +35,7 @@
 WARM_UP = 0.5  # s before the first job, in which lists and connections come up
 TAIL = 8.0  # s after the last job, more than any client waits with all its tries
 
-DecisionsFor = Callable[[Mapping[str, str], int, int], Decisions]
+DecisionsFor = Callable[[Mapping[str, str], int, int], SchedulerApi]
 
 
 @dataclass
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -50,7 +50,7 @@
 )
 def test_bad_input_is_told_without_a_reply(data, told):
     sink = io.BytesIO()
-    with pytest.raises(frames.BadFrame, match=told):
+    with pytest.raises(frames.BadFrameError, match=told):
         simulator.serve(io.BytesIO(data), sink)
     assert sink.getvalue() == b""
 
