--- a/ochrecourse/scheduler/latency.py
+++ b/ochrecourse/scheduler/latency.py
@@ -19,13 +19,11 @@
 FIRST_PACE_NS_PER_UNIT = 20 * MS  # expected before any answer was seen
 SMOOTHING = 0.125  # weight of the newest answer in a running mean
 RARE_ANSWER_SPAN = 2 * SECOND  # ns since the answer before after which the newest has half of the weight
-EASING_HALVING = (
-    1350 * MS
-)  # ns in which what is believed of a node halves, at the least; an overload by a few gateways is over
+EASING_HALVING = 1350 * MS  # ns in which beliefs of a node halve, at the least; a short overload is over
 TIMELY_SHARE = 0.3  # of the shortest latency objective; an answer that takes longer is late
 LOST_AFTER_USUAL_TIMES = 4  # expected answer times after which an attempt counts as lost
 LOST_SHARES = (0.04, 0.4)  # of attempts at quick nodes between which answers get lost; more is an overload
-BACKOFF_FACTOR = 2  # on a slowdown, for each attempt that was refused or not answered
+SLOWDOWN_BACKOFF_FACTOR = 2  # on a slowdown, for each attempt that was refused or not answered
 MAX_BACKOFF_SLOWDOWN = 64.0  # usual answer times
 ENDED_BY_GATEWAY = (Ending.WITHDRAWN, Ending.MOOT)  # these tell nothing of the node
 
@@ -133,7 +131,7 @@
             node.last_answer_quick = False
         node.last_attempt_silent = silent
         if refused or silent:  # no time was seen: each one only makes the next wait longer
-            ratio = min(BACKOFF_FACTOR * max(ratio, node.slowdown), MAX_BACKOFF_SLOWDOWN)
+            ratio = min(SLOWDOWN_BACKOFF_FACTOR * max(ratio, node.slowdown), MAX_BACKOFF_SLOWDOWN)
         if served or refused or (silent and not (lost and self.answers_get_lost())):
             node.slowdown += newest_weight * (ratio - node.slowdown)
             self.slowdown += SMOOTHING * (min(ratio, LOST_AFTER_USUAL_TIMES) - self.slowdown)
--- a/ochrecourse/scheduler/slow_start.py
+++ b/ochrecourse/scheduler/slow_start.py
@@ -22,7 +22,7 @@
 CHANCE_DEVIATIONS = 4  # that keep a drawn sum of N requests within N + 2 root N + 2, which a cold node bears
 LOAD_SPAN = 16 * SECOND  # ns over which this gateway's own load is averaged; as long as nodes are cold
 LN_2 = 0.69  # rounded; from the span of a mean to that in which it halves
-FIRST_WINDOW_REQUESTS = 1.0  # at a node that starts
+START_WINDOW_REQUESTS = 1.0  # at a node that starts
 
 
 class SlowStart:
@@ -73,7 +73,7 @@
         if not returned and (node.started_at == entry.started or not 0 < since > now - self._span):
             return False
         node.slow_start_until = since + self._span
-        node.window = FIRST_WINDOW_REQUESTS
+        node.window = START_WINDOW_REQUESTS
         node.window_shrunk_at = now
         node.slowdown = self._start_slowdown
         node.decayed_at = now
--- a/tests/test_pool_total.py
+++ b/tests/test_pool_total.py
@@ -23,5 +23,5 @@
 
 
 def test_shortage_on_this_side_is_not_told_as_a_node_that_can_not_be_reached():
-    # decide.py takes an unreachable node for a shut one, and would send it less for what is our own lack.
+    # The scheduler takes an unreachable node for a shut one, and would send it less for what is our own lack.
     assert VERDICTS[AttemptEvent.NO_ROOM] == AttemptVerdict(Ending.MOOT, Executed.NO)
