--- a/ochrecourse/scheduler/admission.py
+++ b/ochrecourse/scheduler/admission.py
@@ -22,7 +22,11 @@
 
 
 class Admission:
-    """Decides whether a request may wait at its node, and makes the replies to those that may not."""
+    """Decides whether a request may wait at its node, and makes the replies to those that may not.
+
+    `settings`: of these it takes the priority weight of each class, the priority share of each rate (0 to 1),
+    and whether clients honour advice on how long to stay away, with the longest (ns).
+    """
 
     __slots__ = ("_chance", "_settings")
 
--- a/ochrecourse/scheduler/evacuation.py
+++ b/ochrecourse/scheduler/evacuation.py
@@ -28,7 +28,11 @@
 
 
 class NodeRates:
-    """The rates of all nodes, for this gateway."""
+    """The rates of all nodes, for this gateway.
+
+    `settings`: of these it takes the window over which a node's load is counted (ns) and the units of a usual
+    request.
+    """
 
     __slots__ = ("_chance", "_node_window", "_rates", "_usual_units")
 
--- a/ochrecourse/scheduler/latency.py
+++ b/ochrecourse/scheduler/latency.py
@@ -22,14 +22,22 @@
 EASING_HALVING = 1350 * MS  # ns in which beliefs of a node halve, at the least; a short overload is over
 TIMELY_SHARE = 0.3  # of the shortest latency objective; an answer that takes longer is late
 LOST_AFTER_USUAL_TIMES = 4  # expected answer times after which an attempt counts as lost
-LOST_SHARES = (0.04, 0.4)  # of attempts at quick nodes between which answers get lost; more is an overload
+LEAST_LOST_SHARE = 0.04  # of attempts at quick nodes above which answers get lost
+MOST_LOST_SHARE = 0.4  # and below which; more is an overload
 SLOWDOWN_BACKOFF_FACTOR = 2  # on a slowdown, for each attempt that was refused or not answered
 MAX_BACKOFF_SLOWDOWN = 64.0  # usual answer times
 ENDED_BY_GATEWAY = (Ending.WITHDRAWN, Ending.MOOT)  # these tell nothing of the node
 
 
 class LatencyEstimator:
-    """What this gateway has learned of answer times."""
+    """What this gateway has learned of answer times.
+
+    `settings`: of these it takes the number of gateways, the units of a usual request, and the latency
+    objective of each class (ns). `now`: clock time of the gateway's start, ns.
+
+    `paces` has an estimate for each class, in the order of the settings; the other attributes are running
+    figures over all nodes.
+    """
 
     __slots__ = (
         "_latency_objectives",
@@ -61,7 +69,7 @@
 
     def answers_get_lost(self) -> bool:
         """Whether more attempts go unanswered at quick nodes than answers come late, and not too many."""
-        return max(LOST_SHARES[0], self.late_share) < self.lost_share < LOST_SHARES[1]
+        return max(LEAST_LOST_SHARE, self.late_share) < self.lost_share < MOST_LOST_SHARE
 
     def is_retried_soon(self, pending: PendingRequest) -> bool:
         """Whether an attempt sent now is given up early, so that there is time for another."""
--- a/ochrecourse/scheduler/placement.py
+++ b/ochrecourse/scheduler/placement.py
@@ -26,7 +26,11 @@
 
 
 class Placement:
-    """Chooses among the nodes that hold a request's data."""
+    """Chooses among the nodes that hold a request's data.
+
+    `settings`: of these it takes the margin by which an answer must be on its way (ns). The other parameters
+    are the rules that say what a node is sent now, and how fast it answers.
+    """
 
     __slots__ = ("_admission", "_latency", "_margin", "_rates", "_slow_start")
 
--- a/ochrecourse/scheduler/retries.py
+++ b/ochrecourse/scheduler/retries.py
@@ -25,7 +25,13 @@
 
 
 class RetryPolicy:
-    """Retries of all requests, with the gateway's budget."""
+    """Retries of all requests, with the gateway's budget.
+
+    `settings`: of these it takes the attempts that any request may have, the first included; the idempotency
+    window of each class (ns) and the margin by which an answer must be on its way (ns); the priority share of
+    each rate (0 to 1); and the budget, if there is one: so many retries in its span (ns), and so many for
+    each request received in it.
+    """
 
     __slots__ = ("_answer_margin", "_chance", "_requests_at", "_retries_at", "_settings")
 
--- a/ochrecourse/scheduler/slow_start.py
+++ b/ochrecourse/scheduler/slow_start.py
@@ -26,7 +26,13 @@
 
 
 class SlowStart:
-    """Slow start of all nodes, as seen by one gateway."""
+    """Slow start of all nodes, as seen by one gateway.
+
+    `settings`: of these it takes the longest time that a node needs to warm up (ns), the window over which a
+    node's load is counted (ns), the units in that window that any starting node bears, the share of its
+    capacity that a node has at its start, the multiple of its capacity that it bears, the number of gateways,
+    and the units of a usual request. `now`: clock time of the gateway's start, ns.
+    """
 
     __slots__ = (
         "_answer_factor",
