--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -23,7 +23,7 @@
 from ochrecourse.common.request_records import RequestOutcome, RequestRecord, AttemptRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse import interface
-from ochrecourse.interface import Attempt, AttemptEnd, Decisions, Health, ListCall, ListKind, NodeEntry
+from ochrecourse.interface import Attempt, AttemptEnd, Health, ListCall, ListKind, NodeEntry, SchedulerApi
 from ochrecourse.interface import Outcome, Reply
 from ochrecourse.nodes.dispatcher import Body, Dispatcher, OutgoingAttempt, OpenConnection
 from ochrecourse.nodes.pool import PoolLimits
@@ -157,7 +157,7 @@
         name: str,
         travel: int = 0,
         observers: Sequence[RequestObserver] = (),
-        decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler,
+        decisions: Callable[[Mapping[str, str], int, int], SchedulerApi] = Scheduler,
         limits: PoolLimits | None = None,
         unread_since: Callable[[], int] | None = None,
     ) -> None:
@@ -232,7 +232,7 @@
 
     def bounds_came(self, bounds: Mapping[int, float]) -> None:
         """Units a second that may begin at each node named, as the fleet sees it; others are free."""
-        self.scheduler.bounds_received(bounds, now_ns(self.clock))
+        self.scheduler.node_rates_received(bounds, now_ns(self.clock))
         self._pull()
 
     def take(self, request: Request, asker: ResponseHandler) -> int:
--- a/ochrecourse/lab/baselines.py
+++ b/ochrecourse/lab/baselines.py
@@ -14,7 +14,7 @@
 from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.interface import (
     Outcome,
-    Decisions,
+    SchedulerApi,
     Ending,
     Health,
     Request,
@@ -79,7 +79,7 @@
             self.replies.append(Reply(end.request_id, Outcome.FAILED, 0))
             self._forget(end.request_id)
 
-    def bounds_received(self, bounds: Mapping[int, float], now: int) -> None:
+    def node_rates_received(self, bounds: Mapping[int, float], now: int) -> None:
         """A textbook policy knows of no fleet."""
 
     def stream_began(self, request_id: int) -> None:
@@ -119,7 +119,7 @@
         self.attempts[request.id] += 1
 
 
-def policy(name: str) -> Callable[[Mapping[str, str], int, int], Decisions]:
+def policy(name: str) -> Callable[[Mapping[str, str], int, int], SchedulerApi]:
     """What makes a gateway's decisions, by name: ours, random, round-robin, least-out."""
     if name == "ours":
         return Scheduler
