--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -53,72 +53,72 @@
     """Answers at once."""
 
     def __init__(self) -> None:
-        super().__init__(reactor, Role.ANSWERING, node_connection_state())
+        super().__init__(reactor, Role.RESPONDER, node_connection_state())
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="node"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="node"))
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.SendAttempt):
-            self.say(m.AttemptServed(id=message.id, size=len(BODY), shard=message.shard), BODY)
+            self.send_message(m.AttemptServed(id=message.id, size=len(BODY), shard=message.shard), BODY)
 
 
 class RelayOut(FramedProtocol):
     """The relay's side towards the node."""
 
     def __init__(self, relay: Relay) -> None:
-        super().__init__(reactor, Role.ASKING, node_connection_state())
+        super().__init__(reactor, Role.REQUESTER, node_connection_state())
         self.relay = relay
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="gateway"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway"))
         self.relay.outs.append(self)
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.AttemptServed):
-            self.relay.say(m.RequestServed(id=message.id, size=message.size, shard=message.shard))
+            self.relay.send_message(m.RequestServed(id=message.id, size=message.size, shard=message.shard))
             if body:
-                self.relay.say(m.BodyChunk(id=message.id), body)
+                self.relay.send_message(m.BodyChunk(id=message.id), body)
 
 
 class Relay(FramedProtocol):
     """The same framing and bytes as the gateway, and no decisions: each job goes on to the node of its shard."""
 
     def __init__(self, ports: list[int]) -> None:
-        super().__init__(reactor, Role.ANSWERING, client_connection_state())
+        super().__init__(reactor, Role.RESPONDER, client_connection_state())
         self.ports = ports
         self.outs: list[RelayOut] = []
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="gateway"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway"))
         for port in self.ports:
             factory = ClientFactory()
             factory.noisy = False
             factory.buildProtocol = lambda address: RelayOut(self)  # type: ignore[method-assign, assignment]
             reactor.connectTCP("127.0.0.1", port, factory)
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.SubmitRequest):
             leg = m.SendAttempt(
-                id=message.id, mark=str(message.id), product=message.product, volume=message.volume, key=message.key,
-                units=message.units, shard=message.shard, patience_ms=message.timeout_ms,
+                id=message.id, idempotency_key=str(message.id), request_class=message.request_class, volume=message.volume, key=message.key,
+                units=message.units, shard=message.shard, timeout_ms=message.timeout_ms,
             )  # fmt: skip
-            self.outs[message.shard % len(self.outs)].say(leg)
+            self.outs[message.shard % len(self.outs)].send_message(leg)
 
 
 class Asker(FramedProtocol):
     """A client that keeps `OUT` jobs outstanding; `done` is called with the CPU time that they took."""
 
     def __init__(self, done: Any) -> None:
-        super().__init__(reactor, Role.ASKING, client_connection_state())
+        super().__init__(reactor, Role.REQUESTER, client_connection_state())
         self.done = done
         self.sent = self.answered = 0
         self.began = 0.0
         self.warm = JOBS // 5
         self.denied = 0
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="client"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
         reactor.callLater(0.2, self.start)
 
     def start(self) -> None:
@@ -129,11 +129,11 @@
         self.sent += 1
         if self.answered == self.warm:
             self.began = time.process_time()
-        self.say(
+        self.send_message(
             m.SubmitRequest(
                 id=self.sent,
-                product="read",
-                plan="plan",
+                request_class="read",
+                tenant="plan",
                 volume=self.sent % 40,
                 timeout_ms=5000,
                 key=self.sent % 97,
@@ -142,7 +142,7 @@
             )
         )
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.Hello) or (isinstance(message, m.RequestServed) and message.size):
             return
         self.answered += 1
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -127,7 +127,7 @@
     line: HttpClientProtocol, method: str, path: str, body: bytes = b"", **headers: str
 ) -> Deferred[HttpResponse]:
     done: Deferred[HttpResponse] = Deferred()
-    line.ask(method, path, headers, body, done.callback)  # type: ignore[arg-type]
+    line.request(method, path, headers, body, done.callback)  # type: ignore[arg-type]
     return done
 
 
@@ -186,8 +186,8 @@
         client.say(
             m.SubmitRequest(
                 id=state["sent"],
-                product=product,
-                plan="open",
+                request_class=product,
+                tenant="open",
                 volume=1,
                 timeout_ms=60_000,
                 key=5 * write * state["sent"],
@@ -271,7 +271,7 @@
         stop, moved, lines = [False], [0], []
 
         def so_far(moved: list[int] = moved, lines: list[HttpClientProtocol] = lines) -> int:
-            return moved[0] + sum(each.answer.size for each in lines if each.answer is not None)
+            return moved[0] + sum(each.response.size for each in lines if each.response is not None)
 
         @inlineCallbacks
         def download(
@@ -356,7 +356,7 @@
     before, began = peak(), reactor.seconds()
     done: Deferred[HttpResponse] = Deferred()
     size, piece = 1 << 30, bytes(1 << 20)
-    line.method, line.then = "PUT", done.callback  # type: ignore[assignment]
+    line.method, line.on_response = "PUT", done.callback  # type: ignore[assignment]
     line.transport.write(f"PUT /v1/giant HTTP/1.1\r\nHost: h\r\nContent-Length: {size}\r\n\r\n".encode())
     for _ in range(size // len(piece)):
         line.transport.write(piece)
--- a/benchmarks/http_relay.py
+++ b/benchmarks/http_relay.py
@@ -23,15 +23,15 @@
     """A connection to the node."""
 
     def __init__(self) -> None:
-        super().__init__(reactor, Role.ASKING, node_connection_state())
+        super().__init__(reactor, Role.REQUESTER, node_connection_state())
         self.waiting: dict[int, Passed] = {}
         self.count = 0
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="gateway"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway"))
         OUTS.append(self)
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.AttemptServed):
             request = self.waiting.pop(message.id)
             request.setHeader("Content-Length", str(message.size))
@@ -48,11 +48,11 @@
         out.waiting[out.count] = self
         write = self.method == b"PUT"
         product = "note-save" if write else "page-read"
-        out.say(
+        out.send_message(
             m.SendAttempt(
                 id=out.count,
-                mark=str(out.count),
-                product=product,
+                idempotency_key=str(out.count),
+                request_class=product,
                 volume=1,
                 key=1,
                 units=1.0,
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -62,31 +62,31 @@
     mute = False
 
     def __init__(self) -> None:
-        super().__init__(reactor, Role.ANSWERING, node_connection_state())
+        super().__init__(reactor, Role.RESPONDER, node_connection_state())
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="node"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="node"))
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.SendAttempt) and not Node.mute:
-            self.say(m.AttemptServed(id=message.id, shard=message.shard))
+            self.send_message(m.AttemptServed(id=message.id, shard=message.shard))
         elif isinstance(message, m.CancelAttempt):
-            self.say(m.AttemptCancelled(id=message.id))
+            self.send_message(m.AttemptCancelled(id=message.id))
 
 
 class Client(FramedProtocol):
     """One connection; `answered` is called with each answered id."""
 
     def __init__(self, answered: Any, ready: Any) -> None:
-        super().__init__(reactor, Role.ASKING, client_connection_state())
+        super().__init__(reactor, Role.REQUESTER, client_connection_state())
         self.answered = answered
         self.when_ready = ready
         self.count = 0
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="client"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
 
-    def took(self, message: Any, body: bytes, after: Any) -> None:
+    def message_received(self, message: Any, body: bytes, after: Any) -> None:
         if isinstance(message, m.Hello):
             self.when_ready(self)
         elif isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed):
@@ -94,11 +94,11 @@
 
     def ask(self) -> int:
         self.count += 1
-        self.say(
+        self.send_message(
             m.SubmitRequest(
                 id=self.count,
-                product="read",
-                plan="plan",
+                request_class="read",
+                tenant="plan",
                 volume=self.count % 40,
                 timeout_ms=60_000,
                 key=0,
--- a/ochrecourse/gateway/client_connection.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -19,7 +19,7 @@
 from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.framed_protocol import HEADER_TIME, FramedProtocol
+from ochrecourse.wire.framed_protocol import MESSAGE_TIMEOUT_S, FramedProtocol
 from ochrecourse.wire.state import StreamState, Role, client_connection_state
 
 TRACE = 64  # characters of a client's own name for a job that are kept; it stands in every leg's header
@@ -41,7 +41,7 @@
     """One client's connection. It is the asker of all jobs that came on it."""
 
     def __init__(self, factory: ClientConnectionFactory) -> None:
-        super().__init__(factory.clock, Role.ANSWERING, client_connection_state())
+        super().__init__(factory.clock, Role.RESPONDER, client_connection_state())
         self.factory = factory
         self.gateway = factory.gateway
         self.uploads: dict[int, _Upload] = {}
@@ -51,18 +51,20 @@
         self.owed: dict[int, int] = {}  # bytes of answers written while the client's transport was full
         self.greeting: Timer | None = None
 
-    def ready(self) -> None:
+    def connection_ready(self) -> None:
         if len(self.factory.fronts) >= self.factory.most:
             self.factory.counts["connections over the cap"] += 1
-            self.say(m.Hello(version=m.VERSION, role="gateway", name=self.gateway.name))
-            self.give_up("too_many_connections", "this gateway has all the connections it takes")
+            self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.gateway.name))
+            self.fail_connection("too_many_connections", "this gateway has all the connections it takes")
             return
         self.factory.fronts[self] = None
-        self.greeting = self.clock.callLater(HEADER_TIME, self.give_up, "no_hello", "no hello came")
+        self.greeting = self.clock.callLater(
+            MESSAGE_TIMEOUT_S, self.fail_connection, "no_hello", "no hello came"
+        )
         self.transport.registerProducer(self, True)
-        self.say(m.Hello(version=m.VERSION, role="gateway", name=self.gateway.name))
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.gateway.name))
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             stop(self.greeting)
         elif isinstance(message, m.SubmitRequest):
@@ -104,8 +106,8 @@
     def _take(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
         timeout = asked.timeout_ms * MS
         request = Request(
-            product=asked.product,
-            plan=asked.plan,
+            product=asked.request_class,
+            plan=asked.tenant,
             volume=asked.volume,
             timeout=round(timeout) if abs(timeout) < 1e18 else 0,
             read_at=read_at,
@@ -127,7 +129,7 @@
 
     def _refuse(self, number: int, code: str, text: str) -> None:
         self.factory.counts[f"refused: {code}"] += 1
-        self.say(m.ErrorNotice(id=number, code=code, text=text))
+        self.send_message(m.ErrorNotice(id=number, code=code, text=text))
 
     def _leave(self, number: int, after: StreamState | None) -> None:
         upload = self.uploads.pop(number, None)
@@ -139,7 +141,7 @@
             self._forget(job)
             self.gateway.leave(job)
         if after not in (StreamState.CLOSED, None):
-            self.say(m.RequestCancelled(id=number))
+            self.send_message(m.RequestCancelled(id=number))
 
     def _forget(self, job: int) -> int | None:
         number = self.jobs.pop(job, None)
@@ -150,7 +152,7 @@
     # --- the answer (gateway.Asker) ---
 
     def fulfilled(self, job: int, size: int, shard: int) -> None:
-        self.say(m.RequestServed(id=self.jobs[job], size=size, shard=shard))
+        self.send_message(m.RequestServed(id=self.jobs[job], size=size, shard=shard))
         if not size:
             self._forget(job)
 
@@ -159,8 +161,8 @@
         if number is None:
             self.gateway.room(job, len(data))
             return
-        self.say(m.BodyChunk(id=number), data)
-        if number not in self.moves.standing:
+        self.send_message(m.BodyChunk(id=number), data)
+        if number not in self.state.streams:
             self._forget(job)
         elif self.blocked:
             self.owed[job] = self.owed.get(job, 0) + len(data)
@@ -169,15 +171,15 @@
 
     def broke_off(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.RequestFailed(id=number))
+            self.send_message(m.RequestFailed(id=number))
 
     def denied(self, job: int, come_back: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.RequestRejected(id=number, come_back_ms=come_back / MS))
+            self.send_message(m.RequestRejected(id=number, retry_after_ms=come_back / MS))
 
     def written_off(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.RequestFailed(id=number))
+            self.send_message(m.RequestFailed(id=number))
 
     # --- back-pressure from the client (IPushProducer) ---
 
@@ -193,12 +195,12 @@
     def stopProducing(self) -> None:
         self.blocked = True
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         self.factory.fronts.pop(self, None)
         self.factory.closed += 1
         stop(self.greeting)
-        if self.ended_by is not None:
-            self.factory.counts[f"connections ended: {self.ended_by.code}"] += 1
+        if self.failure is not None:
+            self.factory.counts[f"connections ended: {self.failure.code}"] += 1
         for upload in self.uploads.values():
             upload.spool.close()
             stop(upload.timer)
@@ -229,7 +231,7 @@
     def say_bye(self) -> None:
         """Tells every client that no new jobs are taken."""
         for front in self.fronts:
-            front.say(m.GoAway(reason="draining"))
+            front.send_message(m.GoAway(reason="draining"))
 
     def close(self) -> None:
         """Closes all connections once what was written to them has gone out."""
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -410,7 +410,7 @@
             # its connection took to come up.
             took=(began or now) - (attempt.on_connection_at or attempt.sent_at),
             last=story.closing is not None,
-            volume_used=told.used if told else -1.0,
+            volume_used=told.volume_used if told else -1.0,
             elsewhere=told.elsewhere if told else 0,
             load=told.load if told else {},
         )
@@ -501,17 +501,17 @@
         time_out = min(said.time_out, left) if said.time_out else left
         message = m.SendAttempt(
             id=0,
-            mark=f"{self.mark}/{said.request_id}",
-            product=request.product,
+            idempotency_key=f"{self.mark}/{said.request_id}",
+            request_class=request.product,
             volume=request.volume,
             key=request.key,
             units=request.units,
             shard=request.shard,
             number=said.number,
             write=self.kinds.writes[product],
-            effect=self.kinds.effects[product],
-            window_ms=self.kinds.windows[product],
-            patience_ms=round(time_out / MS, 3),
+            idempotency=self.kinds.effects[product],
+            idempotency_window_ms=self.kinds.windows[product],
+            timeout_ms=round(time_out / MS, 3),
             size=request.body.size if request.body else 0,
             trace=request.trace,
         )
--- a/ochrecourse/lab/load.py
+++ b/ochrecourse/lab/load.py
@@ -21,8 +21,9 @@
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.wire import messages as m
+from ochrecourse.wire.errors import ProtocolViolationError
 from ochrecourse.wire.framed_protocol import FramedProtocol
-from ochrecourse.wire.state import ProtocolViolationError, StreamState, Role, client_connection_state
+from ochrecourse.wire.state import StreamState, Role, client_connection_state
 
 SHIFT = 9.0  # s for which a volume leads with one of its gateways
 SURGE = (3.0, 8.0)  # s a surge lasts
@@ -197,7 +198,7 @@
     """One connection of clients to a gateway."""
 
     def __init__(self, factory: Lines) -> None:
-        super().__init__(factory.load.network, Role.ASKING, client_connection_state())
+        super().__init__(factory.load.network, Role.REQUESTER, client_connection_state())
         self.factory = factory
         self.load = factory.load
         self.load.conns += 1
@@ -208,10 +209,10 @@
         self.leaving = False
         self.bodies: Counter[int] = Counter()
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="client"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.met = True
             self.factory.met(self)
@@ -240,8 +241,8 @@
         size = round(call.units * product.unit_bytes) if product.writes else 0
         message = m.SubmitRequest(
             id=this.id,
-            product=product.name,
-            plan=day.plans[call.volume.plan].name,
+            request_class=product.name,
+            tenant=day.plans[call.volume.plan].name,
             volume=call.volume.number,
             timeout_ms=product.timeout_ms,
             key=key,
@@ -259,7 +260,7 @@
                 id=this.id,
                 trace=this.trace(),
                 product=product.name,
-                plan=message.plan,
+                plan=message.tenant,
                 volume=message.volume,
                 key=key,
                 units=call.units,
@@ -268,9 +269,9 @@
                 shard=shard,
             )
         )
-        self.say(message, bytes(size) if size <= m.MAX_BODY else b"")
-        for at in range(0, size if size > m.MAX_BODY else 0, m.MAX_BODY):
-            self.say(m.BodyChunk(id=this.id), bytes(min(m.MAX_BODY, size - at)))
+        self.send_message(message, bytes(size) if size <= m.MAX_BODY_BYTES else b"")
+        for at in range(0, size if size > m.MAX_BODY_BYTES else 0, m.MAX_BODY_BYTES):
+            self.send_message(m.BodyChunk(id=this.id), bytes(min(m.MAX_BODY_BYTES, size - at)))
 
     def leave(self, this: Try) -> None:
         self.load.record(
@@ -283,11 +284,11 @@
             )
         )
         try:
-            self.say(m.CancelRequest(id=this.id))
+            self.send_message(m.CancelRequest(id=this.id))
         except ProtocolViolationError:
             return  # its answer is coming in just now
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         if self.met:
             self.load.record(r.ConnLost(t=now_ns(self.clock), gateway=self.factory.name, conn=self.conn))
         tries, self.tries = self.tries, {}
@@ -488,7 +489,7 @@
             return
         left_early = now_ns(self.network) < this.due - MS
         this.over = True
-        if left_early and this.line is not None and this.line.up:
+        if left_early and this.line is not None and this.line.is_open:
             this.line.leave(this)
         product = self.day.products[this.call.product]
         self._failed(this, "left early" if left_early else "no answer", 0.0, product.effect == "retriable")
@@ -517,7 +518,7 @@
                     trace=this.trace(),
                     how=told,
                     made=int.from_bytes(body, "big") if self.day.dated and len(body) == 8 else 0,
-                    come_back=round(message.come_back_ms * MS)
+                    come_back=round(message.retry_after_ms * MS)
                     if isinstance(message, m.RequestRejected)
                     else 0,
                 )
@@ -542,7 +543,7 @@
         if how in ("fulfilled", None):
             self._fulfilled(this, now)
         else:
-            wait = message.come_back_ms / 1000 if isinstance(message, m.RequestRejected) else 0.0
+            wait = message.retry_after_ms / 1000 if isinstance(message, m.RequestRejected) else 0.0
             product = self.day.products[this.call.product]
             may = how == "denied" or (how == "written_off" and product.effect == "retriable")
             self._failed(this, how, wait, may)
--- a/ochrecourse/lab/people.py
+++ b/ochrecourse/lab/people.py
@@ -117,12 +117,12 @@
     def _up(self, talk: HttpClientProtocol) -> None:
         self.talk = talk
         self.people.conns += 1
-        talk.conn = self.people.conns
+        talk.number = self.people.conns
         self._tell(talk)
 
     def _over(self, talk: HttpClientProtocol) -> None:
         people = self.people
-        people.record(r.ConnLost(t=now_ns(people.network), gateway=f"g{self.gateway}", conn=talk.conn))
+        people.record(r.ConnLost(t=now_ns(people.network), gateway=f"g{self.gateway}", conn=talk.number))
         if talk is self.talk:
             self.talk = None
 
@@ -207,7 +207,7 @@
         headers = {"Range": "bytes=0-1023"} if ranged else {}
 
         def then(answer: HttpResponse | None) -> None:
-            if answer is not None and answer.whole:
+            if answer is not None and answer.complete:
                 if answer.status == 200 and (answer.digest, answer.size) != (digest, size):
                     self._fault(f"{path} was read with other bytes")
                 elif answer.status == 206 and (not ranged or answer.size != 1024):
@@ -250,7 +250,7 @@
 
     def _read_back(self, then: Callable[[], None]) -> None:
         def heard(answer: HttpResponse | None) -> None:
-            if answer is not None and answer.whole:
+            if answer is not None and answer.complete:
                 if answer.status == 404 and self.known:
                     self._fault(f"{self.own} was saved and is gone")
                 elif answer.status == 200:
@@ -268,12 +268,12 @@
         path = f"/v{self.volume.number}/"
 
         def then(answer: HttpResponse | None) -> None:
-            if answer is not None and answer.whole and answer.status == 207:
+            if answer is not None and answer.complete and answer.status == 207:
                 where = self.gateway, self.volume.number
                 names = {shared.encode() for shared, _, _ in self.people.shared[where]}
                 if answer.size < 1 << 16 and not all(name in answer.body for name in names):
                     self._fault(f"a listing of {path} lacks a member")
-            elif answer is not None and answer.whole and answer.status not in (429, 503):
+            elif answer is not None and answer.complete and answer.status not in (429, 503):
                 self._fault(f"PROPFIND of {path} was answered {answer.status}")
             self._later()
 
@@ -283,8 +283,8 @@
         """Locks its file, is kept off without the token, saves with it, unlocks."""
 
         def locked(answer: HttpResponse | None) -> None:
-            if answer is None or not answer.whole or answer.status not in (200, 201):
-                if answer is not None and answer.whole and answer.status not in (423, 429, 503):
+            if answer is None or not answer.complete or answer.status not in (200, 201):
+                if answer is not None and answer.complete and answer.status not in (423, 429, 503):
                     self._fault(f"LOCK of {self.own} was answered {answer.status}")
                 self._later(self._wait(answer))
                 return
@@ -292,12 +292,12 @@
             self.save(self.lines[0], {}, kept_off)
 
         def kept_off(answer: HttpResponse | None) -> None:
-            if answer is not None and answer.whole and answer.status in (201, 204):
+            if answer is not None and answer.complete and answer.status in (201, 204):
                 self._fault(f"{self.own} was saved past its lock")
             self.save(self.lines[0], {"If": f"({self.token})"}, saved)
 
         def saved(answer: HttpResponse | None) -> None:
-            if answer is not None and answer.whole and answer.status in (412, 423):
+            if answer is not None and answer.complete and answer.status in (412, 423):
                 self._fault(f"the holder of the lock of {self.own} was answered {answer.status}")
             self._unlock(20)
 
@@ -309,7 +309,7 @@
                 if tries:
                     self.people.network.callLater(AGAIN, self._unlock, tries - 1)
                     return
-            elif answer.whole and answer.status not in (204, 409):
+            elif answer.complete and answer.status not in (204, 409):
                 self._fault(f"UNLOCK of {self.own} was answered {answer.status}")
             self._read_back(self._later)
 
@@ -328,7 +328,7 @@
             got.append(answer)
             if len(got) < 2:
                 return
-            told = [each.status for each in got if each is not None and each.whole]
+            told = [each.status for each in got if each is not None and each.complete]
             well = [each for each in got if each is not None and each.status in (201, 204)]
             if well:
                 self.heard_of_save(digest, 20_000, well[0])
@@ -355,7 +355,7 @@
     def _gone(self) -> None:
         this = self.people.gone(self.lines[0])
         if this is not None and this.talk is not None:
-            this.talk.leave()
+            this.talk.cancel()
             this.then(None)
 
     def _back(self) -> None:
@@ -487,7 +487,7 @@
         then = this.then
 
         def up(talk: HttpClientProtocol | None) -> None:
-            if talk is None or talk.then is not None:
+            if talk is None or talk.on_response is not None:
                 self.counts["no connection"] += 1
                 self.network.callLater(AGAIN, then, None)
                 return
@@ -496,12 +496,12 @@
             wait = this.product.timeout_ms / 1000 if this.product else 5.0
             this.timer = self.network.callLater(wait, given_up)
             told = {"X-Request-Id": this.trace, **headers}
-            talk.ask(this.method, this.path, told, body, heard)
+            talk.request(this.method, this.path, told, body, heard)
 
         def heard(answer: HttpResponse | None) -> None:
             if not this.over:
                 self._heard(this, volume, size, answer)
-                then(answer if answer is not None and answer.whole else None)
+                then(answer if answer is not None and answer.complete else None)
 
         def given_up() -> None:
             this.timer = None
@@ -512,15 +512,15 @@
                     self.fault(f"{this.method} of {this.path} had no answer in 5 s")
                 this.over = True
                 self.out.pop(this.line, None)
-                talk.leave()
+                talk.cancel()
                 then(None)
 
         this.line.get(up)
 
     def _asked(self, this: Ask, talk: HttpClientProtocol, volume: Volume, size: int) -> None:
         line = this.line
-        talk.count += 1
-        this.sent, this.id, this.conn = now_ns(self.network), talk.count, talk.conn
+        talk.request_count += 1
+        this.sent, this.id, this.conn = now_ns(self.network), talk.request_count, talk.number
         self.out[line] = this
         self.outcomes.tries += 1
         if this.product is None:
@@ -560,7 +560,7 @@
             return
         how = {503: "denied", 429: "denied", 504: "written_off"}.get(answer.status, "refused")
         if answer.status < 400:
-            how = "fulfilled" if answer.whole else "written_off"
+            how = "fulfilled" if answer.complete else "written_off"
         if this.product is not None:
             self.record(
                 r.Told(
@@ -579,7 +579,7 @@
                 self.outcomes.in_time += in_time
                 self.outcomes.late += not in_time
                 self.outcomes.earned += in_time * self._worth(this, volume, size)
-        self._ended(this, f"{answer.status}" if answer.whole else f"{answer.status} cut")
+        self._ended(this, f"{answer.status}" if answer.complete else f"{answer.status} cut")
 
     def _ended(self, this: Ask, how: str) -> None:
         self.outcomes.endings[how] += 1
--- a/ochrecourse/lab/prober.py
+++ b/ochrecourse/lab/prober.py
@@ -27,16 +27,16 @@
     """One connection of probes; `out` holds those that wait, with the time at which each was asked."""
 
     def __init__(self, prober: Prober) -> None:
-        super().__init__(prober.network, Role.ASKING, client_connection_state())
+        super().__init__(prober.network, Role.REQUESTER, client_connection_state())
         self.prober = prober
         self.out: dict[int, int] = {}
         self.count = 0
         self.met = False
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="client"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         self.met = True
         if (
             isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed | m.ErrorNotice)
@@ -49,11 +49,11 @@
         day = self.prober.day
         self.count += 1
         self.out[self.count] = now_ns(self.clock)
-        self.say(
+        self.send_message(
             m.SubmitRequest(
                 id=self.count,
-                product=day.products[0].name,
-                plan=max(day.plans, key=lambda plan: plan.worth).name,
+                request_class=day.products[0].name,
+                tenant=max(day.plans, key=lambda plan: plan.worth).name,
                 volume=VOLUME,
                 timeout_ms=PATIENCE,
                 trace="probe",
@@ -65,7 +65,7 @@
         if number in self.out:
             self.prober.tell(self.out.pop(number), "no answer")
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         for asked in self.out.values():
             self.prober.tell(asked, "connection lost")
         self.out.clear()
@@ -95,7 +95,7 @@
 
     def start(self) -> None:
         self.network.callLater(PACE, self.start)
-        if self.line is not None and self.line.met and self.line.up:
+        if self.line is not None and self.line.met and self.line.is_open:
             self.line.ask()
             return
         self.tell(now_ns(self.network), "no connection")
--- a/ochrecourse/membership/list_server_watcher.py
+++ b/ochrecourse/membership/list_server_watcher.py
@@ -22,8 +22,9 @@
 )
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.wire import messages as m
+from ochrecourse.wire.errors import MalformedMessageError, ProtocolViolationError
 from ochrecourse.wire.framed_protocol import FramedProtocol
-from ochrecourse.wire.state import ProtocolViolationError, ListConnectionState, StreamState, Role
+from ochrecourse.wire.state import ListConnectionState, StreamState, Role
 
 FIRST_WAIT = 0.1  # s before the first try to come back; a restarted server is there again soon
 LONGEST_WAIT = 2.0  # s; an operator's drain grace is of this size, so a break costs no more than one of it
@@ -32,26 +33,26 @@
 class _ListServerConnection(FramedProtocol):
     """One connection to the list server."""
 
-    max_body: ClassVar[int] = m.MAX_LIST_BODY
+    max_body: ClassVar[int] = m.MAX_LIST_BODY_BYTES
 
     def __init__(self, follower: ListServerWatcher) -> None:
-        super().__init__(follower.network, Role.ASKING, ListConnectionState())
+        super().__init__(follower.network, Role.REQUESTER, ListConnectionState())
         self.follower = follower
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="gateway", name=self.follower.name))
-        self.say(m.WatchEndpoints(epoch=self.follower.view.epoch))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.follower.name))
+        self.send_message(m.WatchEndpoints(epoch=self.follower.view.epoch))
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.EndpointListMessage):
             try:
                 self.follower.list_came(message.kind, message.epoch, m.decode_list(body))
-            except (BadEndpointListError, m.MalformedMessageError) as trouble:
+            except (BadEndpointListError, MalformedMessageError) as trouble:
                 raise ProtocolViolationError("bad_list", str(trouble)) from None
             if not self.follower.view.epoch:
-                self.say(m.WatchEndpoints(epoch=0))
+                self.send_message(m.WatchEndpoints(epoch=0))
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         self.follower.lost(self)
 
 
--- a/ochrecourse/membership/registration.py
+++ b/ochrecourse/membership/registration.py
@@ -70,15 +70,15 @@
         self._look = self._late = None
         talk, self.talk = self.talk, None
         if talk is not None and not talk.lost:
-            talk.leave()
+            talk.cancel()
 
     def leave(self) -> None:
         """On purpose: the lease is given back, so that the entry goes now."""
         talk, lease = self.talk, self.lease.id
         stop(self._look)
         self._look = None
-        if talk is not None and not talk.lost and talk.then is None and lease:
-            talk.ask("POST", etcd.REVOKE, JSON, etcd.lease_body(lease), lambda answer: self.stop())
+        if talk is not None and not talk.lost and talk.on_response is None and lease:
+            talk.request("POST", etcd.REVOKE, JSON, etcd.lease_body(lease), lambda answer: self.stop())
         else:
             self.stop()
 
@@ -90,7 +90,7 @@
         now = now_ns(self.network)
         wants = self.lease.wants(now)
         looks = self.others is not None and wants is LeaseAction.NOTHING and now >= self._others_at
-        busy = self.dialling or (self.talk is not None and self.talk.then is not None)
+        busy = self.dialling or (self.talk is not None and self.talk.on_response is not None)
         if busy or (wants is LeaseAction.NOTHING and not looks):
             return
         if self.talk is None or self.talk.lost or self.talk.closing:
@@ -102,7 +102,7 @@
         if looks:
             body = etcd.range_body(self.prefix, RangeAsked(self._page, 0), PAGE)
             self._late = self.network.callLater(PATIENCE, self._failed, "no answer in time")
-            self.talk.ask("POST", etcd.RANGE, JSON, body, self._others_came)
+            self.talk.request("POST", etcd.RANGE, JSON, body, self._others_came)
             return
         path, body = {
             LeaseAction.GRANT: (etcd.GRANT, etcd.grant_body(self.lease.seconds)),
@@ -110,13 +110,13 @@
             LeaseAction.KEEP: (etcd.KEEP_ALIVE, etcd.lease_body(lease)),
         }[wants]
         self._late = self.network.callLater(PATIENCE, self._failed, "no answer in time")
-        self.talk.ask("POST", path, JSON, body, lambda answer: self._came(wants, now, answer))
+        self.talk.request("POST", path, JSON, body, lambda answer: self._came(wants, now, answer))
 
     def _came(self, wants: LeaseAction, asked_at: int, answer: HttpResponse | None) -> None:
         stop(self._late)
         self._late = None
         try:
-            if answer is None or not answer.whole:
+            if answer is None or not answer.complete:
                 raise etcd.BadAnswer("it broke off")
             told = etcd.granted(answer.status, answer.body, wants is LeaseAction.KEEP)
         except (etcd.BadAnswer, etcd.Compacted) as trouble:
@@ -137,7 +137,7 @@
         stop(self._late)
         self._late = None
         try:
-            if answer is None or not answer.whole:
+            if answer is None or not answer.complete:
                 raise etcd.BadAnswer("it broke off")
             _, records, more = etcd.range_answer(answer.status, answer.body)
         except (etcd.BadAnswer, etcd.Compacted) as trouble:
@@ -163,7 +163,7 @@
         stop(self._late)
         self._late = None
         if talk is not None and not talk.lost:
-            talk.leave()
+            talk.cancel()
         self.at = (self.at + 1) % len(self.servers)
         self.lease.failed(now_ns(self.network), round(AGAIN * self.chance.random() * SECOND))
 
--- a/ochrecourse/membership/registry_watcher.py
+++ b/ochrecourse/membership/registry_watcher.py
@@ -128,7 +128,7 @@
         stop(self._look_late)
         self._look_late = None
         if other is not None and other.talk is not None and not other.talk.lost:
-            other.talk.leave()
+            other.talk.cancel()
         if self.watch is not None:
             stop(self._look)
             self._look = self.network.callLater(LAG, self._look_at_newest)
@@ -150,7 +150,7 @@
         self._late = self._look = self._look_late = None
         for line in lines:
             if line is not None and line.talk is not None and not line.talk.lost:
-                line.talk.leave()
+                line.talk.cancel()
 
     def _untrusted(self, why: str) -> None:
         """What this server says is not believed. If no other is, an operator must say which is right."""
@@ -170,7 +170,7 @@
                 return
             stop(self._late)
             self._late = None
-            if answer is None or not answer.whole:
+            if answer is None or not answer.complete:
                 self._broke("an answer broke off")
                 return
             try:
@@ -186,7 +186,7 @@
                 self._untrusted(str(trouble))
 
         self._late = self.network.callLater(PATIENCE, self._too_late)
-        line.talk.ask("POST", path, JSON, body, came)
+        line.talk.request("POST", path, JSON, body, came)
 
     def _too_late(self) -> None:
         self._late = None
@@ -213,17 +213,17 @@
         self._look_late = self.network.callLater(PATIENCE, self._other_failed)
         if self.other is None:
             self.other = self._dial(self.choice.another(), self._look_up)
-        elif self.other.talk is not None and self.other.talk.then is None:
+        elif self.other.talk is not None and self.other.talk.on_response is None:
             self._look_up(self.other.talk)
 
     def _look_up(self, talk: HttpClientProtocol) -> None:
-        talk.ask("POST", etcd.RANGE, JSON, etcd.newest_body(self.feed.prefix), self._newest_came)
+        talk.request("POST", etcd.RANGE, JSON, etcd.newest_body(self.feed.prefix), self._newest_came)
 
     def _newest_came(self, answer: HttpResponse | None) -> None:
         stop(self._look_late)
         self._look_late = None
         try:
-            if answer is None or not answer.whole:
+            if answer is None or not answer.complete:
                 raise etcd.BadAnswer("it broke off")
             header, records, _ = etcd.range_answer(answer.status, answer.body)
             self.feed.watch_began(header.cluster_id, header.revision)  # believed or not, as for a watch
@@ -250,9 +250,9 @@
         if isinstance(asked, RangeAsked):
             return
         self.stream = etcd.Stream()
-        talk.piece = lambda data: self._streamed(talk, data)
+        talk.on_body_data = lambda data: self._streamed(talk, data)
         body = etcd.watch_body(self.feed.prefix, asked.revision)
-        talk.ask("POST", etcd.WATCH, JSON, body, lambda answer: self._stream_over(talk))
+        talk.request("POST", etcd.WATCH, JSON, body, lambda answer: self._stream_over(talk))
 
     def _streamed(self, talk: HttpClientProtocol, data: bytes) -> None:
         if self.watch is None or self.watch.talk is not talk:
--- a/ochrecourse/nodes/dispatcher.py
+++ b/ochrecourse/nodes/dispatcher.py
@@ -192,7 +192,7 @@
         if self.address_of(node) is None:
             self.clock.callLater(0, self._end, attempt, AttemptEvent.UNLISTED, None)
             return attempt
-        place = self.pool.place(node, attempt.number, message.product, message.size > m.MAX_BODY)
+        place = self.pool.place(node, attempt.number, message.request_class, message.size > m.MAX_BODY_BYTES)
         if place.instead is not None and place.instead.number in self.connections:
             self.connections[place.instead.number].close()
         if place.connection is None:
@@ -231,7 +231,7 @@
         attempt.taken += size
         due = attempt.taken - attempt.granted
         if (
-            due >= m.MAX_BODY
+            due >= m.MAX_BODY_BYTES
             and not attempt.over
             and attempt.connection is not None
             and attempt.connection.holds(attempt)
@@ -330,7 +330,7 @@
         """A message for an attempt that is still waited for; `over`: it was the last one."""
         if isinstance(message, m.AttemptServed):
             attempt.answer = message
-            self.pool.answered(attempt.message.product, message.size > message.body)
+            self.pool.answered(attempt.message.request_class, message.size > message.body)
             attempt.listener.began(attempt, message)
         attempt.heard_at = self.clock.seconds()
         if body and not attempt.over:
@@ -340,13 +340,13 @@
         if isinstance(message, m.AttemptServed | m.BodyChunk):
             seen = AttemptEvent.DONE
         elif isinstance(message, m.AttemptRejected):
-            seen = AttemptEvent.NOT_STORED if message.why == "not held" else AttemptEvent.FULL
+            seen = AttemptEvent.NOT_STORED if message.reason == m.NOT_STORED else AttemptEvent.FULL
         elif isinstance(message, m.AttemptFailed):
             seen = AttemptEvent.BROKE_OFF if attempt.answer is not None else AttemptEvent.FAILED
         else:
             seen = (
                 AttemptEvent.CANCELLED_UNRUN
-                if getattr(message, "ran", "") == "no"
+                if getattr(message, "executed", "") == m.NOT_EXECUTED
                 else AttemptEvent.CANCELLED
             )
         self._end(attempt, seen, message if isinstance(message, m.NodeReply) else attempt.answer)
--- a/ochrecourse/nodes/framed_connection.py
+++ b/ochrecourse/nodes/framed_connection.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, client: Dispatcher, pooled: PooledConnection) -> None:
-        super().__init__(client.clock, Role.ASKING, node_connection_state())
+        super().__init__(client.clock, Role.REQUESTER, node_connection_state())
         self.client = client
         self.pooled = pooled
         self.attempts: dict[int, OutgoingAttempt] = {}
@@ -37,18 +37,18 @@
         self.blocked = False
         self.met = False
 
-    def ready(self) -> None:
+    def connection_ready(self) -> None:
         self.transport.registerProducer(self, True)
-        self.say(m.Hello(version=m.VERSION, role="gateway", name=self.client.name))
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.client.name))
 
     def send(self, attempt: OutgoingAttempt) -> None:
         self.count += 1
         attempt.id, attempt.connection = self.count, self
         self.attempts[attempt.id] = attempt
-        first = attempt.body.read(0, m.MAX_BODY) if attempt.body and attempt.message.size else b""
+        first = attempt.body.read(0, m.MAX_BODY_BYTES) if attempt.body and attempt.message.size else b""
         attempt.message.id = attempt.id
         attempt.written = len(first)
-        self.say(attempt.message, first)
+        self.send_message(attempt.message, first)
         if attempt.written < attempt.message.size:
             self.sending.append(attempt)
             self.pump()
@@ -57,24 +57,24 @@
         return attempt.id in self.attempts
 
     def credit(self, attempt: OutgoingAttempt, size: int) -> None:
-        self.say(m.WindowUpdate(id=attempt.id, bytes=size))
+        self.send_message(m.WindowUpdate(id=attempt.id, increment_bytes=size))
 
     def close(self) -> None:
         """Ends the connection once what was written has gone out."""
-        if self.up:
-            self.say(m.GoAway(reason="idle"))
+        if self.is_open:
+            self.send_message(m.GoAway(reason="idle"))
             self.transport.loseConnection()
             self.clock.callLater(LINGER, self.abort)
 
     def pump(self) -> None:
         """Sends one piece of each body in turn until the transport asks to wait or all is sent."""
-        while self.sending and not self.blocked and self.up:
+        while self.sending and not self.blocked and self.is_open:
             attempt = self.sending.pop(0)
             if attempt.over or attempt.body is None:
                 continue
-            piece = attempt.body.read(attempt.written, m.MAX_BODY)
+            piece = attempt.body.read(attempt.written, m.MAX_BODY_BYTES)
             attempt.written += len(piece)
-            self.say(m.BodyChunk(id=attempt.id), piece)
+            self.send_message(m.BodyChunk(id=attempt.id), piece)
             if attempt.written < attempt.message.size:
                 self.sending.append(attempt)
 
@@ -95,10 +95,10 @@
         self.attempts.pop(attempt.id, None)
         if attempt in self.sending:
             self.sending.remove(attempt)
-        self.say(m.CancelAttempt(id=attempt.id))
+        self.send_message(m.CancelAttempt(id=attempt.id))
         self.given_up[attempt.id] = self.clock.callLater(LINGER, self.abort)
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.met = True
             self.client.connection_opened(self)
@@ -111,7 +111,7 @@
             self.abort()
             return
         number: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
-        over = after in (StreamState.CLOSED, StreamState.REFUSED)
+        over = after in (StreamState.CLOSED, StreamState.REJECTED)
         if number in self.given_up:
             if not isinstance(message, m.AttemptCancelled):
                 self.client.counts["late answers dropped"] += 1
@@ -122,21 +122,21 @@
         attempt = self.attempts[number]
         if over:
             del self.attempts[number]
-        if after is StreamState.REFUSED:
+        if after is StreamState.REJECTED:
             if attempt in self.sending:
                 self.sending.remove(attempt)
-            self.say(m.CancelAttempt(id=number))  # the rest of its body need not be sent
+            self.send_message(m.CancelAttempt(id=number))  # the rest of its body need not be sent
         self.client.answered(self, attempt, message, body, over)
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         for timer in self.given_up.values():
             stop(timer)
         self.given_up.clear()
         how = (
             ConnectionEnd.GARBLED
-            if self.ended_by
+            if self.failure
             else ConnectionEnd.HALF_HEADER
-            if half
+            if mid_message
             else ConnectionEnd.BETWEEN
         )
         attempts, self.attempts = self.attempts, {}
--- a/ochrecourse/resp/commands.py
+++ b/ochrecourse/resp/commands.py
@@ -124,14 +124,16 @@
         load = figures(reply[2]) if len(reply) > 2 else {}
         size = len(value)
         used, elsewhere = _use(use)
-        return m.AttemptServed(id=0, size=size, body=size, load=load, used=used, elsewhere=elsewhere), value
+        return m.AttemptServed(
+            id=0, size=size, body=size, load=load, volume_used=used, elsewhere=elsewhere
+        ), value
     if isinstance(reply, Error):
         word, _, rest = reply.text.partition(b" ")
         used, elsewhere = _use(_told(rest))
         if word == b"BUSY" and (not rest or all(FIGURES.fullmatch(each) for each in rest.split(b" "))):
-            return m.AttemptRejected(id=0, used=used, elsewhere=elsewhere), b""
+            return m.AttemptRejected(id=0, volume_used=used, elsewhere=elsewhere), b""
         if word == b"ERR":
-            return m.AttemptFailed(id=0, text="error", used=used, elsewhere=elsewhere), b""
+            return m.AttemptFailed(id=0, text="error", volume_used=used, elsewhere=elsewhere), b""
     raise Breach("not_an_answer", "neither a value, nor an error, nor busy")
 
 
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -46,7 +46,7 @@
         waited = now_ns(self.client.clock) - attempt.sent_at
         self.attempt, attempt.connection, attempt.id = attempt, self, 1
         attempt.written = asked.size
-        self.transport.write(asked.command(round(attempt.message.patience_ms * MS) - waited))
+        self.transport.write(asked.command(round(attempt.message.timeout_ms * MS) - waited))
 
     def drop(self, attempt: OutgoingAttempt) -> None:
         """Gives the attempt up: the platform's nodes take the end of the connection for that."""
--- a/ochrecourse/service/discovery_watch.py
+++ b/ochrecourse/service/discovery_watch.py
@@ -57,7 +57,7 @@
         self.watch = watch
         self.number = number
         self.address = address
-        self.piece = self._piece
+        self.on_body_data = self._piece
         self.rest = bytearray()
         self.lines = LineDecoder(LONGEST_LINE)
         self.following = WatchedEndpoints(watch.book)
@@ -74,7 +74,7 @@
         self._wait()
         self.following = WatchedEndpoints(self.watch.book)
         path = f"/discovery/hosts?follow=1&since={self.following.version}"
-        self.ask("GET", path, {}, b"", lambda answer: None)
+        self.request("GET", path, {}, b"", lambda answer: None)
 
     def _wait(self) -> None:
         stop(self.timer)
@@ -94,13 +94,13 @@
         self.watch.trouble("the list's answer can't be read: a line of its head is too long")
         self.end()
 
-    def _headers_whole(self) -> None:
-        answer = self.answer
+    def _headers_complete(self) -> None:
+        answer = self.response
         if answer is not None and answer.status != 200 and not answer.interim:
             self.watch.trouble(f"the list is answered with status {answer.status}")
             self.end()
             return
-        super()._headers_whole()
+        super()._headers_complete()
         if answer is not None and answer.status == 200 and not self.ended:
             self.watch.answered(self)
 
@@ -135,7 +135,7 @@
             self.flowing = False
             self._wait()
 
-    def _whole(self) -> None:
+    def _response_complete(self) -> None:
         if self.rest and not self.ended:  # its length says that nothing of the line is missing
             line, self.rest = bytes(self.rest), bytearray()
             self._line(line)
--- a/ochrecourse/standins/listserver.py
+++ b/ochrecourse/standins/listserver.py
@@ -24,18 +24,18 @@
 class ListPort(FramedProtocol):
     """One gateway's connection."""
 
-    max_body: ClassVar[int] = m.MAX_LIST_BODY
+    max_body: ClassVar[int] = m.MAX_LIST_BODY_BYTES
 
     def __init__(self, server: ListServer) -> None:
-        super().__init__(server.clock, Role.ANSWERING, ListConnectionState())
+        super().__init__(server.clock, Role.RESPONDER, ListConnectionState())
         self.server = server
         self.gateway = ""
         self.next_at = 0.0
 
-    def ready(self) -> None:
-        self.say(m.Hello(version=m.VERSION, role="list", name="list"))
+    def connection_ready(self) -> None:
+        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="list", name="list"))
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.gateway = message.name
         elif isinstance(message, m.WatchEndpoints):
@@ -49,9 +49,9 @@
             self.server.record(
                 r.ListTold(t=now, gateway=self.gateway, node=line.node, health=line.health, started=started)
             )
-        self.say(m.EndpointListMessage(kind=kind, epoch=epoch), m.encode_list(lines))
+        self.send_message(m.EndpointListMessage(kind=kind, epoch=epoch), m.encode_list(lines))
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         self.server.ports.pop(self, None)
 
 
@@ -119,7 +119,7 @@
             port.abort()
 
     def _push(self, port: ListPort, epoch: int, line: m.EndpointEntry) -> None:
-        if port.up and port in self.ports:
+        if port.is_open and port in self.ports:
             port.tell("delta", epoch, [self._aged(line)])
 
     def _aged(self, line: m.EndpointEntry) -> m.EndpointEntry:
--- a/ochrecourse/standins/node.py
+++ b/ochrecourse/standins/node.py
@@ -15,8 +15,9 @@
 from ochrecourse.common.time_units import MS
 from ochrecourse.standins.machine import Machine, Work
 from ochrecourse.wire import messages as m
+from ochrecourse.wire.errors import ProtocolViolationError
 from ochrecourse.wire.framed_protocol import FramedProtocol
-from ochrecourse.wire.state import ProtocolViolationError, StreamState, Role, node_connection_state
+from ochrecourse.wire.state import StreamState, Role, node_connection_state
 
 
 class _Answer:
@@ -24,7 +25,7 @@
 
     def __init__(self, pieces: list[bytes]) -> None:
         self.pieces = deque(pieces)
-        self.credit = m.WINDOW
+        self.credit = m.WINDOW_BYTES
 
 
 @implementer(IPushProducer)
@@ -32,7 +33,7 @@
     """One gateway's connection."""
 
     def __init__(self, factory: NodePorts) -> None:
-        super().__init__(factory.clock, Role.ANSWERING, node_connection_state())
+        super().__init__(factory.clock, Role.RESPONDER, node_connection_state())
         self.factory = factory
         self.machine = factory.machine
         factory.count += 1
@@ -42,7 +43,7 @@
         self.answers: dict[int, _Answer] = {}
         self.blocked = False
 
-    def ready(self) -> None:
+    def connection_ready(self) -> None:
         if len(self.factory.ports) >= self.machine.kind.connections:
             self.abort()
             return
@@ -52,20 +53,20 @@
             self.clock.callLater(self.machine.kind.handshake_ms / 1000, self._greet)
 
     def _greet(self) -> None:
-        if self.up and not self.machine.silent and not self.machine.down:
-            self.say(m.Hello(version=m.VERSION, role="node", name=str(self.machine.number)))
+        if self.is_open and not self.machine.silent and not self.machine.down:
+            self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="node", name=str(self.machine.number)))
             if self.machine.draining:
-                self.say(m.GoAway(reason="draining"))
+                self.send_message(m.GoAway(reason="draining"))
 
     def dataReceived(self, data: bytes) -> None:
         if not (self.gateway and self.machine.deaf_to(self.gateway)):
             super().dataReceived(data)
 
-    def say(self, message: m.AnyMessage, body: bytes = b"") -> None:
+    def send_message(self, message: m.AnyMessage, body: bytes = b"") -> None:
         if not (self.gateway and self.machine.deaf_to(self.gateway)):
-            super().say(message, body)
+            super().send_message(message, body)
 
-    def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
         if isinstance(message, m.Hello):
             self.gateway = message.name
         elif isinstance(message, m.SendAttempt):
@@ -74,33 +75,35 @@
             work = self.legs.get(message.id)
             if work is not None:
                 work.body.append(body)
-                if after is StreamState.WHOLE:
+                if after is StreamState.COMPLETE:
                     self.machine.offer(work)
         elif isinstance(message, m.CancelAttempt):
             self._cancel(message.id, after)
         elif isinstance(message, m.WindowUpdate):
             answer = self.answers.get(message.id)
             if answer is not None:
-                answer.credit += message.bytes
+                answer.credit += message.increment_bytes
                 self._send_parts()
         elif isinstance(message, m.HealthCheck) and not self.machine.silent:
-            self.say(m.HealthCheckReply(id=message.id, load=self.machine.report()))
+            self.send_message(m.HealthCheckReply(id=message.id, load=self.machine.report()))
 
     def _leg(self, message: m.SendAttempt, body: bytes, after: StreamState | None) -> None:
-        if message.product not in self.machine.products:
-            raise ProtocolViolationError("unknown_product", f"no product {message.product!r} is known here")
+        if message.request_class not in self.machine.products:
+            raise ProtocolViolationError(
+                "unknown_product", f"no product {message.request_class!r} is known here"
+            )
         now = now_ns(self.clock)
         work = Work(
-            mark=message.mark,
+            mark=message.idempotency_key,
             trace=message.trace,
             number=message.number,
-            product=message.product,
+            product=message.request_class,
             volume=message.volume,
             key=message.key,
             units=message.units,
             write=message.write,
-            window=round(message.window_ms * MS),
-            expires=now + round(message.patience_ms * MS) if message.patience_ms else 0,
+            window=round(message.idempotency_window_ms * MS),
+            expires=now + round(message.timeout_ms * MS) if message.timeout_ms else 0,
             gateway=self.gateway,
             reply=lambda work, how: self._reply(message.id, work, how),
             body=[body] if body else [],
@@ -110,7 +113,7 @@
         self.machine.record(self._came(message, work, now))
         if message.shard not in (-1, self.machine.shard.number):
             self._reply(message.id, work, "not held")
-        elif after is StreamState.WHOLE:
+        elif after is StreamState.COMPLETE:
             self.machine.offer(work)
 
     def _came(self, message: m.SendAttempt, work: Work, now: int) -> r.LegCame:
@@ -120,10 +123,10 @@
             gateway=self.gateway,
             conn=self.conn,
             id=message.id,
-            mark=message.mark,
+            mark=message.idempotency_key,
             trace=message.trace,
             number=message.number,
-            product=message.product,
+            product=message.request_class,
             volume=message.volume,
             key=message.key,
             units=message.units,
@@ -138,13 +141,13 @@
         answering = self.answers.pop(number, None)
         if work is None and answering is not None:
             self._over(number, "done")
-            self.say(m.AttemptCancelled(id=number, ran="maybe"))
+            self.send_message(m.AttemptCancelled(id=number, executed="maybe"))
         if work is None or after in (StreamState.CLOSED, None):
             return
         ran = self.machine.stop(work)
         if not self.machine.silent:
             self._over(number, "cancelled")
-            self.say(m.AttemptCancelled(id=number, ran=ran))
+            self.send_message(m.AttemptCancelled(id=number, executed=ran))
 
     def _over(self, number: int, how: str) -> None:
         self.machine.record(
@@ -152,16 +155,16 @@
         )
 
     def _reply(self, number: int, work: Work, how: str) -> None:
-        if self.legs.get(number) is not work or not self.up:
+        if self.legs.get(number) is not work or not self.is_open:
             return  # cancelled, or the connection is gone
         del self.legs[number]
         load = self.machine.report()
         used, elsewhere = self.machine.totals(work.volume, work.gateway)
         if how == "done":
             pieces = [
-                piece[at : at + m.MAX_BODY]
+                piece[at : at + m.MAX_BODY_BYTES]
                 for piece in self.machine.content(work)
-                for at in range(0, len(piece), m.MAX_BODY)
+                for at in range(0, len(piece), m.MAX_BODY_BYTES)
             ]
             size = sum(map(len, pieces))
             share = self.machine.reset_share
@@ -173,14 +176,14 @@
                 self._over(number, "done")
             else:
                 self.answers[number] = _Answer(pieces)
-            self.say(
+            self.send_message(
                 m.AttemptServed(
                     id=number,
                     size=size,
                     shard=self.machine.shard.number,
-                    repeat=work.repeat,
+                    replayed=work.repeat,
                     load=load,
-                    used=used,
+                    volume_used=used,
                     elsewhere=elsewhere,
                 ),
                 inline,
@@ -189,24 +192,28 @@
             return
         self._over(number, {"failed": "failed", "not held": "moot"}.get(how, "full"))
         if how == "failed":
-            self.say(
+            self.send_message(
                 m.AttemptFailed(
-                    id=number, text="the node failed the leg", load=load, used=used, elsewhere=elsewhere
+                    id=number,
+                    text="the node failed the leg",
+                    load=load,
+                    volume_used=used,
+                    elsewhere=elsewhere,
                 )
             )
         else:
-            self.say(m.AttemptRejected(id=number, why=how, load=load))
+            self.send_message(m.AttemptRejected(id=number, reason=how, load=load))
 
     def _reset(self, number: int, pieces: list[bytes], size: int) -> None:
         """Trouble: the connection breaks inside the answer, or before an answer without a body."""
         self._over(number, "cut")
         if pieces:
             half = pieces[0][: len(pieces[0]) // 2]
-            self.say(m.AttemptServed(id=number, size=size, shard=self.machine.shard.number), half)
+            self.send_message(m.AttemptServed(id=number, size=size, shard=self.machine.shard.number), half)
         self.transport.loseConnection()
 
     def _send_parts(self) -> None:
-        while self.answers and not self.blocked and self.up:
+        while self.answers and not self.blocked and self.is_open:
             number, answer = next(iter(self.answers.items()))
             if answer.credit <= 0:
                 ready = [each for each, other in self.answers.items() if other.credit > 0]
@@ -220,7 +227,7 @@
                 self.answers[number] = answer  # to the end: answers take turns
             else:
                 self._over(number, "done")
-            self.say(m.BodyChunk(id=number), piece)
+            self.send_message(m.BodyChunk(id=number), piece)
 
     def pauseProducing(self) -> None:
         self.blocked = True
@@ -232,7 +239,7 @@
     def stopProducing(self) -> None:
         self.blocked = True
 
-    def closed(self, half: bool) -> None:
+    def connection_ended(self, mid_message: bool) -> None:
         self.factory.ports.pop(self, None)
         for number in [*self.legs, *self.answers]:
             self._over(number, "cut")
@@ -266,5 +273,5 @@
 
     def say_bye(self) -> None:
         for port in self.ports:
-            if Role.ANSWERING in port.moves.greeted:
-                port.say(m.GoAway(reason="draining"))
+            if Role.RESPONDER in port.state.greeted:
+                port.send_message(m.GoAway(reason="draining"))
--- a/ochrecourse/wire/http_client.py
+++ b/ochrecourse/wire/http_client.py
@@ -1,6 +1,7 @@
 """An HTTP/1.1 client's side of one connection, one request at a time (RFC 9112).
 
-It judges nothing: it tells the status, the headers, the body's size and digest, and whether it was whole.
+It judges nothing: it reports the status, the headers, the body's size and digest, and whether the body was
+complete.
 """
 
 from __future__ import annotations
@@ -12,27 +13,30 @@
 
 from twisted.protocols.basic import LineReceiver
 
-KEPT_BODY = 1 << 16  # bytes of a body that are kept beside its digest
+MAX_STORED_BODY_BYTES = 1 << 16  # of a body are stored beside its digest
 
 
-def _size(text: str, base: int) -> int:
-    """A length as it is told. Raises ValueError, for one below zero too."""
-    size = int(text, base)
-    if size < 0:
-        raise ValueError(f"a length below zero: {size}")
-    return size
+def _parse_length(text: str, base: int) -> int:
+    """A length from a header or chunk line. Raises ValueError, for one below zero too."""
+    length = int(text, base)
+    if length < 0:
+        raise ValueError(f"a length below zero: {length}")
+    return length
 
 
 @dataclass(slots=True)
 class HttpResponse:
-    """A response. `whole`: its body had the length that was told."""
+    """A response. `size`: bytes of its body; `digest`: SHA-256 of it, in hexadecimal.
+
+    `body` has its first `MAX_STORED_BODY_BYTES`; `complete`: it had the announced length.
+    """
 
     status: int
-    headers: dict[str, str] = field(default_factory=dict)
+    headers: dict[str, str] = field(default_factory=dict)  # by name in lower case
     size: int = 0
     digest: str = ""
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
 
     @property
     def interim(self) -> bool:
@@ -41,135 +45,148 @@
 
 
 class HttpClientProtocol(LineReceiver):
-    """One connection. `then` hears of each answer, or of None if the connection ended before any came."""
+    """One connection, which calls `on_connected` and `on_closed`.
+
+    `on_response` gets the response to the request in flight, None if the connection ended before one began.
+    `on_body_data`, if it is set, gets the body as it arrives. Malformed responses raise ValueError.
+    """
 
     delimiter = b"\r\n"
-    transport: Any
+    transport: Any  # Twisted's interfaces carry no types
 
     def __init__(
-        self, up: Callable[[HttpClientProtocol], None], over: Callable[[HttpClientProtocol], None]
+        self,
+        on_connected: Callable[[HttpClientProtocol], None],
+        on_closed: Callable[[HttpClientProtocol], None],
     ) -> None:
-        self.up = up
-        self.over = over
-        self.then: Callable[[HttpResponse | None], None] | None = None
-        self.piece: Callable[[bytes], None] | None = None  # takes the body as it comes, if it is set
-        self.answer: HttpResponse | None = None
+        self.on_connected = on_connected
+        self.on_closed = on_closed
+        self.on_response: Callable[[HttpResponse | None], None] | None = None
+        self.on_body_data: Callable[[bytes], None] | None = None
+        self.response: HttpResponse | None = None
         self.method = ""
-        self.left = 0
+        self.body_bytes_left = 0  # of the body or its current chunk; below 0: in the trailers
         self.chunked = False
-        self.unbounded = False  # the body lasts until the connection ends
+        self.until_close = False  # the body lasts until the connection ends
         self.in_chunks = False
         self.hash = hashlib.sha256()
         self.lost = False
-        self.closing = False  # the server takes no more on this connection
-        self.conn = 0  # its number among all of a run
-        self.count = 0  # requests so far
+        self.closing = False  # the server takes no more requests on this connection
+        self.number = 0  # for its user: the connection's number among all
+        self.request_count = 0  # for its user: requests so far
 
     def connectionMade(self) -> None:
+        """Twisted's callback: the connection is made."""
         self.transport.setTcpNoDelay(True)
-        self.up(self)
+        self.on_connected(self)
 
-    def ask(
+    def request(
         self,
         method: str,
         path: str,
         headers: Mapping[str, str],
         body: bytes,
-        then: Callable[[HttpResponse | None], None],
+        on_response: Callable[[HttpResponse | None], None],
     ) -> None:
-        """Sends a request; only when none is out."""
+        """Sends a request; only when none is in flight."""
         lines = [f"{method} {path} HTTP/1.1", "Host: ochrecourse"]
         if body or method == "PUT":
             lines.append(f"Content-Length: {len(body)}")
         lines += [f"{name}: {value}" for name, value in headers.items()]
-        self.method, self.then, self.answer = method, then, None
+        self.method, self.on_response, self.response = method, on_response, None
         self.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
 
     def lineReceived(self, line: bytes) -> None:
-        if self.answer is None:
+        """Twisted's callback: a line of the head or between chunks, without its end."""
+        if self.response is None:
             if line:
-                self.answer = HttpResponse(int(line.split(b" ", 2)[1]))
+                self.response = HttpResponse(int(line.split(b" ", 2)[1]))
                 self.hash = hashlib.sha256()
                 self.in_chunks = False
         elif self.in_chunks:
-            self._chunk(line)
+            self._chunk_line(line)
         elif line:
             name, _, value = line.decode("latin-1").partition(":")
-            self.answer.headers[name.lower()] = value.strip()
+            self.response.headers[name.lower()] = value.strip()
         else:
-            self._headers_whole()
+            self._headers_complete()
 
-    def _headers_whole(self) -> None:
-        answer = self.answer
-        assert answer is not None
-        if answer.interim:
-            self.answer = None
+    def _headers_complete(self) -> None:
+        response = self.response
+        assert response is not None
+        if response.interim:
+            self.response = None
             return
-        self.chunked = "chunked" in answer.headers.get("transfer-encoding", "").lower()
-        self.left = _size(answer.headers.get("content-length", "0"), 10)
-        # Whoever takes the body as it comes takes one without a length too; others have none then.
-        self.unbounded = self.piece is not None and "content-length" not in answer.headers
-        if self.method == "HEAD" or answer.status in (204, 304):
-            self.left, self.chunked, self.unbounded = 0, False, False
+        self.chunked = "chunked" in response.headers.get("transfer-encoding", "").lower()
+        self.body_bytes_left = _parse_length(response.headers.get("content-length", "0"), 10)
+        # A streamed body may come without a length too; any other has none then.
+        self.until_close = self.on_body_data is not None and "content-length" not in response.headers
+        if self.method == "HEAD" or response.status in (204, 304):
+            self.body_bytes_left, self.chunked, self.until_close = 0, False, False
         if self.chunked:
             self.in_chunks = True
-        elif self.left or self.unbounded:
+        elif self.body_bytes_left or self.until_close:
             self.setRawMode()
         else:
-            self._whole()
+            self._response_complete()
 
-    def _chunk(self, line: bytes) -> None:
-        if self.left < 0:  # behind the last chunk: trailers, then an empty line
+    def _chunk_line(self, line: bytes) -> None:
+        if self.body_bytes_left < 0:  # behind the last chunk: trailers, then an empty line
             if not line:
-                self._whole()
+                self._response_complete()
             return
         if not line:
             return
-        self.left = _size(line.split(b";")[0].decode("latin-1"), 16)
-        if self.left:
+        self.body_bytes_left = _parse_length(line.split(b";")[0].decode("latin-1"), 16)
+        if self.body_bytes_left:
             self.setRawMode()
         else:
-            self.left = -1  # the last chunk; an empty line ends the body
+            self.body_bytes_left = -1  # the last chunk; an empty line ends the body
 
     def rawDataReceived(self, data: bytes) -> None:
-        assert self.answer is not None
-        bounded = self.chunked or not self.unbounded
-        mine, rest = (data[: self.left], data[self.left :]) if bounded else (data, b"")
-        self.left -= len(mine) if bounded else 0
-        self.answer.size += len(mine)
-        if self.piece is not None and mine:
-            self.piece(mine)
-        self.hash.update(mine)
-        if len(self.answer.body) < KEPT_BODY:
-            self.answer.body += mine[: KEPT_BODY - len(self.answer.body)]
-        if self.left or not bounded:
+        """Twisted's callback: bytes of the body, and perhaps what follows it."""
+        assert self.response is not None
+        bounded = self.chunked or not self.until_close
+        body_data, rest = (
+            (data[: self.body_bytes_left], data[self.body_bytes_left :]) if bounded else (data, b"")
+        )
+        self.body_bytes_left -= len(body_data) if bounded else 0
+        self._add_body_data(self.response, body_data)
+        if self.body_bytes_left or not bounded:
             return
-        if self.chunked:
-            self.setLineMode(rest)
-        else:
-            self._whole()
-            self.setLineMode(rest)
-
-    def _whole(self) -> None:
-        answer = self.answer
-        assert answer is not None
-        answer.whole = True
-        self.closing = self.closing or answer.headers.get("connection", "").lower() == "close"
-        self._tell(answer)
-
-    def _tell(self, answer: HttpResponse | None) -> None:
-        then, self.then, self.answer = self.then, None, None
-        if answer is not None:
-            answer.digest = self.hash.hexdigest()
-        if then is not None:
-            then(answer)
-
-    def leave(self) -> None:
-        """The client stops waiting: its connection ends, and nothing more is told."""
-        self.then = None
+        if not self.chunked:
+            self._response_complete()
+        self.setLineMode(rest)
+
+    def _add_body_data(self, response: HttpResponse, data: bytes) -> None:
+        response.size += len(data)
+        if self.on_body_data is not None and data:
+            self.on_body_data(data)
+        self.hash.update(data)
+        if len(response.body) < MAX_STORED_BODY_BYTES:
+            response.body += data[: MAX_STORED_BODY_BYTES - len(response.body)]
+
+    def _response_complete(self) -> None:
+        response = self.response
+        assert response is not None
+        response.complete = True
+        self.closing = self.closing or response.headers.get("connection", "").lower() == "close"
+        self._deliver(response)
+
+    def _deliver(self, response: HttpResponse | None) -> None:
+        on_response, self.on_response, self.response = self.on_response, None, None
+        if response is not None:
+            response.digest = self.hash.hexdigest()
+        if on_response is not None:
+            on_response(response)
+
+    def cancel(self) -> None:
+        """The caller stops waiting: the connection is aborted and no response is delivered."""
+        self.on_response = None
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Twisted's callback: the connection is gone."""
         self.lost = True
-        self._tell(self.answer)
-        self.over(self)
+        self._deliver(self.response)
+        self.on_closed(self)
--- a/ochrecourse/wire/messages.py
+++ b/ochrecourse/wire/messages.py
@@ -1,26 +1,33 @@
-"""The messages of all our connections, and their header lines.
+"""The messages of all framed connections and their JSON header lines.
 
-A message is one line of JSON, at most `MAX_HEADER` bytes, ended by CR LF, with the name of the message under
-"m". If its `body` is above 0, that many raw bytes follow. Fields that are not known are skipped; fields left
-out have their default. docs/node-protocol.md describes each message; sizes are in bytes, spans in
-milliseconds.
+This module is the edge between the protocol and the code: JSON names are those of docs/node-protocol.md,
+Python names are the terms of docs/glossary.md. Where the two differ, the class maps them with `rename`.
+
+A message is one line of JSON of at most `MAX_HEADER_BYTES`, ended by CR LF, with the name of the message
+under "m". If its `body` is above 0, that many raw bytes follow. Unknown fields are skipped and missing fields
+have their default. Sizes are in bytes, durations in milliseconds.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-VERSION = 1  # of the protocol; told in the first message of each side
-MAX_HEADER = 4096  # bytes of a header line, its end included; the largest message has a dozen short fields
-MAX_BODY = (
-    65_536  # bytes behind one header; larger bodies go on in parts, so none blocks a connection for long
+from ochrecourse.wire.errors import MalformedMessageError
+
+PROTOCOL_VERSION = 1  # announced in each side's hello
+MAX_HEADER_BYTES = 4096  # with the line end; the largest message has a dozen short fields
+MAX_BODY_BYTES = (
+    65_536  # behind one header; a larger body continues in chunks, so none blocks a connection long
 )
-MAX_LIST_BODY = 4_194_304  # bytes of a list of nodes behind one header; some ten thousand nodes
-WINDOW = 262_144  # bytes of an answer a node may send ahead of the credit it was given
+MAX_LIST_BODY_BYTES = 4_194_304  # of an endpoint list behind one header; some ten thousand nodes
+WINDOW_BYTES = 262_144  # of a response that a node may send before the first window update
+
+NOT_STORED = "not held"  # reason of a rejection: the node does not store the shard
+NOT_EXECUTED = "no"  # in a confirmed cancellation: nothing of the attempt ran or ever will
 
 
 class Message(msgspec.Struct, tag_field="m", omit_defaults=True, kw_only=True, gc=False):
-    """What all messages have: how many raw bytes follow the header."""
+    """What all messages have: `body`, the number of raw bytes that follow the header."""
 
     body: int = 0
 
@@ -34,13 +41,13 @@
 
 
 class GoAway(Message, tag="bye"):
-    """An orderly end: no new jobs or legs on this connection; what is out is still answered."""
+    """Graceful end: no new requests or attempts on this connection; those in flight are still answered."""
 
     reason: str = ""
 
 
 class ErrorNotice(Message, tag="fault"):
-    """The other side broke the protocol (id below 0), or one of its jobs can't be taken (id of that job)."""
+    """The receiver broke the protocol (`id` below 0), or its request `id` can't be accepted."""
 
     code: str
     text: str
@@ -48,28 +55,29 @@
 
 
 class BodyChunk(Message, tag="part"):
-    """More of a body that a job, a leg or an answer announced with `size`."""
+    """More of a body that a request, an attempt or a response announced with `size`."""
 
     id: int
 
 
-class WindowUpdate(Message, tag="credit"):
-    """So many more bytes of this answer may be sent."""
+class WindowUpdate(Message, tag="credit", rename={"increment_bytes": "bytes"}):
+    """Flow control of a response: the node may send `increment_bytes` more."""
 
     id: int
-    bytes: int
+    increment_bytes: int
 
 
-class SubmitRequest(Message, tag="job"):
-    """A client's request. `timeout_ms` runs from when it was sent; `shard` below 0: a new object.
+class SubmitRequest(Message, tag="job", rename={"request_class": "product", "tenant": "plan"}):
+    """A client's request.
 
-    `trace` is the client's own name for the job; it is handed on with each leg and stands in the job's log
-    line.
+    `timeout_ms` runs from when the client sent it; `key` 0: none; `shard` below 0: a new object; `gateways`:
+    through how many gateways the volume works; `trace`: the client's own name for the request, passed on with
+    each attempt and logged.
     """
 
     id: int
-    product: str
-    plan: str
+    request_class: str
+    tenant: str
     volume: int
     timeout_ms: float
     key: int = 0
@@ -81,121 +89,144 @@
 
 
 class CancelRequest(Message, tag="leave"):
-    """The client no longer waits for this job."""
+    """The client no longer waits for this request."""
 
     id: int
 
 
 class RequestCancelled(Message, tag="left"):
-    """Answers a leave: nothing more comes for this job."""
+    """Confirms a `CancelRequest`: nothing more follows for this request."""
 
     id: int
 
 
 class RequestServed(Message, tag="fulfilled"):
-    """The job was done. `size` bytes come, the first `body` of them at once; `shard`: where the data lies."""
+    """The request was served: `size` bytes of response follow, the first `body` of them at once.
+
+    `shard` says where the data lies.
+    """
 
     id: int
     size: int = 0
     shard: int = -1
 
 
-class RequestRejected(Message, tag="denied"):
-    """The job was turned away; trying again is harmless, best not before `come_back_ms` have passed."""
+class RequestRejected(Message, tag="denied", rename={"retry_after_ms": "come_back_ms"}):
+    """The request was rejected; a retry is harmless, best after `retry_after_ms`."""
 
     id: int
-    come_back_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 class RequestFailed(Message, tag="written_off"):
-    """The job failed; whether it had an effect is not known. Also ends an answer that broke off half-way."""
+    """The request failed and its effect is unknown. Also ends a response that broke off."""
 
     id: int
 
 
-class SendAttempt(Message, tag="leg"):
-    """Work for a node. `mark` names the job for ever; `patience_ms`: when the gateway stops waiting, 0
-    never.
+class SendAttempt(
+    Message,
+    tag="leg",
+    rename={
+        "idempotency_key": "mark",
+        "request_class": "product",
+        "idempotency": "effect",
+        "idempotency_window_ms": "window_ms",
+        "timeout_ms": "patience_ms",
+    },
+):
+    """One attempt of a request, sent to a node.
+
+    `idempotency_key` names the request for ever and is the same for each of its attempts; the node must know
+    it for `idempotency_window_ms`. `idempotency`: safe, keyed or unsafe. `timeout_ms`: when the gateway stops
+    waiting, 0 never. `number`: 0 for the first attempt.
     """
 
     id: int
-    mark: str
-    product: str
+    idempotency_key: str
+    request_class: str
     volume: int
     key: int = 0
     units: float = 1.0
     shard: int = -1
     number: int = 0
     write: bool = False
-    effect: str = "safe"
-    window_ms: float = 0.0
-    patience_ms: float = 0.0
+    idempotency: str = "safe"
+    idempotency_window_ms: float = 0.0
+    timeout_ms: float = 0.0
     size: int = 0
     trace: str = ""
 
 
 class CancelAttempt(Message, tag="cancel"):
-    """The gateway no longer waits for this leg; the node answers with `cancelled` unless its answer is on the
-    way.
+    """The gateway no longer waits for this attempt.
+
+    The node confirms with `AttemptCancelled` unless its response is on the way.
     """
 
     id: int
 
 
 class HealthCheck(Message, tag="probe"):
-    """Asks for a sign of life."""
+    """Asks a node for a `HealthCheckReply`."""
 
     id: int
 
 
-class NodeReply(Message):
-    """What every answer of a node may carry: its load, and served totals (`used` below 0: not told)."""
+class NodeReply(Message, rename={"volume_used": "used"}):
+    """What every reply of a node may carry: its load report and how much it served of a volume.
+
+    `volume_used`: units served for the volume everywhere in a finished period, against its rate; below 0: not
+    known. `elsewhere`: units served here for the volume through other gateways since the last reply to this
+    one.
+    """
 
     id: int
     load: dict[str, float] = {}
-    used: float = -1.0
+    volume_used: float = -1.0
     elsewhere: int = 0
 
 
-class AttemptServed(NodeReply, tag="done"):
-    """The leg ran. `repeat`: its mark was known and the first answer is given again."""
+class AttemptServed(NodeReply, tag="done", rename={"volume_used": "used", "replayed": "repeat"}):
+    """The attempt ran. `replayed`: its idempotency key was known and the first response is given again."""
 
     size: int = 0
     shard: int = -1
-    repeat: bool = False
+    replayed: bool = False
 
 
 class AttemptFailed(NodeReply, tag="failed"):
-    """The leg was begun and failed; it may have had its effect."""
+    """The attempt was begun and failed; it may have had its effect."""
 
     text: str = ""
 
 
-class AttemptRejected(NodeReply, tag="full"):
-    """The leg was turned away unseen: no room, draining, or the shard is not held here (`why`)."""
+class AttemptRejected(NodeReply, tag="full", rename={"volume_used": "used", "reason": "why"}):
+    """The attempt was rejected before any of it ran. `reason`: full, draining or `NOT_STORED`."""
 
-    why: str = "full"
+    reason: str = "full"
 
 
-class AttemptCancelled(NodeReply, tag="cancelled"):
-    """Answers a cancel. `ran` is no or maybe."""
+class AttemptCancelled(NodeReply, tag="cancelled", rename={"volume_used": "used", "executed": "ran"}):
+    """Confirms a `CancelAttempt`. `executed`: `NOT_EXECUTED` or maybe."""
 
-    ran: str = "maybe"
+    executed: str = "maybe"
 
 
 class HealthCheckReply(NodeReply, tag="alive"):
-    """Answers a probe."""
+    """Answers a `HealthCheck`."""
 
 
 class WatchEndpoints(Message, tag="follow"):
-    """Asks a list server for all changes after this version of the list; 0 asks for the whole list."""
+    """Asks a list server for all changes after version `epoch`; 0 asks for the whole list."""
 
     epoch: int = 0
 
 
 class EndpointEntry(msgspec.Struct, omit_defaults=True, kw_only=True):
-    """One line of the list of nodes. `health`: ready, draining or gone; `started_ms_ago` below 0: long
-    ago.
+    """One node of the endpoint list.
+
+    `health`: ready, draining or gone; `started_ms_ago`: age of its last start, below 0: long ago.
     """
 
     node: int
@@ -207,8 +238,9 @@
 
 
 class EndpointListMessage(Message, tag="nodes"):
-    """A list of nodes, as a JSON array of `EndpointEntry` in the body. `kind`: full, or delta against
-    `epoch` - 1.
+    """An endpoint list, as a JSON array of `EndpointEntry` in the body.
+
+    `kind`: full, or delta against version `epoch` - 1.
     """
 
     kind: str
@@ -227,16 +259,12 @@
 _list_decoder = msgspec.json.Decoder(list[EndpointEntry])
 
 
-class MalformedMessageError(Exception):
-    """A header that is not what docs/node-protocol.md describes; the text says what is wrong with it."""
-
-
 def decode(line: bytes) -> AnyMessage:
-    """The message of one header line (without its end). Raises MalformedMessageError."""
+    """The message of one header line, given without its line end. Raises MalformedMessageError."""
     try:
         message = _decoder.decode(line)
-    except (msgspec.DecodeError, RecursionError) as trouble:
-        raise MalformedMessageError(f"not a message: {trouble}") from None
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise MalformedMessageError(f"not a message: {error}") from None
     if message.body < 0:
         raise MalformedMessageError("body below 0")
     size = getattr(message, "size", 0)
@@ -252,12 +280,13 @@
 
 
 def decode_list(body: bytes) -> list[EndpointEntry]:
-    """The lines of a list of nodes. Raises MalformedMessageError."""
+    """The entries of an endpoint list. Raises MalformedMessageError."""
     try:
         return _list_decoder.decode(body)
-    except msgspec.DecodeError as trouble:
-        raise MalformedMessageError(f"not a list of nodes: {trouble}") from None
+    except msgspec.DecodeError as error:
+        raise MalformedMessageError(f"not a list of nodes: {error}") from None
 
 
 def encode_list(entries: list[EndpointEntry]) -> bytes:
+    """The body of an `EndpointListMessage`."""
     return _encoder.encode(entries)
--- a/ochrecourse/wire/state.py
+++ b/ochrecourse/wire/state.py
@@ -1,10 +1,10 @@
-"""Which message may come when: the state of a connection and of each job or leg on it. Free of I/O.
+"""Which message may follow which: the state of a connection and of each stream on it. Free of I/O.
 
-A connection speaks of jobs (client and gateway) or of legs (gateway and node); both kinds share one form: the
-asking side opens an id, higher than all before, and the answering side closes it with exactly one closing
-message. Whoever holds a `ConnectionState` feeds it every message in the order in which it was sent or came.
-What a table does not name is illegal and raises `ProtocolViolationError`, so an answer that comes twice or
-for an id that was never opened can't reach a job.
+A stream is one request (between a client and a gateway) or one attempt (between a gateway and a node) and has
+an id. The requester opens a stream under an id higher than all before; the responder closes it with exactly
+one closing message. Whoever owns a `ConnectionState` applies every message to it, in the order in which it
+was sent or received. Whatever the tables do not name raises `ProtocolViolationError`, so a second response,
+or one for an id that was never opened, can't reach a request.
 """
 
 from __future__ import annotations
@@ -15,223 +15,255 @@
 from typing import Any
 
 from ochrecourse.wire import messages as m
-
-
-class ProtocolViolationError(Exception):
-    """A message that may not come now. `code` is for counters, the text for people."""
-
-    def __init__(self, code: str, text: str) -> None:
-        super().__init__(text)
-        self.code = code
+from ochrecourse.wire.errors import ProtocolViolationError
 
 
 class Role(IntEnum):
-    """Who sent a message."""
+    """Which side of a connection sent a message."""
 
-    ASKING = 0
-    ANSWERING = 1
+    REQUESTER = 0
+    RESPONDER = 1
 
 
 class StreamState(IntEnum):
-    """Where one id stands."""
-
-    ASKED = 0  # opened, its body still coming
-    WHOLE = 1  # opened, its body complete
-    LEFT = 2  # the asking side stopped waiting; its closing message may be on the way
-    ANSWERING = 3  # the answer began, its body still coming
-    LEFT_ANSWERING = 4  # the same, after the asking side stopped waiting
-    REFUSED = 5  # answered for good while its body was still coming; the rest is dropped
+    """The state of one stream."""
+
+    OPENING = 0  # opened; more of the request's body follows
+    COMPLETE = 1  # opened; the request's body is complete
+    CANCELLED = 2  # the requester stopped waiting; a closing message may be on the way
+    RESPONDING = 3  # the response began; more of its body follows
+    CANCELLED_RESPONDING = 4  # the same, after the requester stopped waiting
+    REJECTED = 5  # closed by the responder while the request's body was arriving; the rest is dropped
     CLOSED = 6
 
 
-Move = tuple[StreamState, Role, type[m.Message]]
-Table = Mapping[Move, StreamState]  # the state after each legal move
-ASKING, ANSWERING = Role.ASKING, Role.ANSWERING
-
-
-def _closing(answers: tuple[type[m.Message], ...], stop: type[m.Message]) -> dict[Move, StreamState]:
-    table: dict[Move, StreamState] = {
-        (StreamState.ASKED, ASKING, m.BodyChunk): StreamState.ASKED,
-        (StreamState.ASKED, ASKING, stop): StreamState.LEFT,
-        (StreamState.WHOLE, ASKING, stop): StreamState.LEFT,
-        (StreamState.ANSWERING, ASKING, stop): StreamState.LEFT_ANSWERING,
-        (StreamState.ANSWERING, ANSWERING, m.BodyChunk): StreamState.ANSWERING,
-        (StreamState.LEFT_ANSWERING, ANSWERING, m.BodyChunk): StreamState.LEFT_ANSWERING,
+# Texts that are sent to peers, so they keep the protocol's words.
+STATE_TEXTS: Mapping[StreamState, str] = {
+    StreamState.OPENING: "asked",
+    StreamState.COMPLETE: "whole",
+    StreamState.CANCELLED: "left",
+    StreamState.RESPONDING: "answering",
+    StreamState.CANCELLED_RESPONDING: "left answering",
+    StreamState.REJECTED: "refused",
+    StreamState.CLOSED: "closed",
+}
+
+Transition = tuple[StreamState, Role, type[m.Message]]
+TransitionTable = Mapping[Transition, StreamState]  # the state after each legal message
+
+REQUESTER, RESPONDER = Role.REQUESTER, Role.RESPONDER
+RESPONSE_STATES = (StreamState.RESPONDING, StreamState.CANCELLED_RESPONDING)
+
+
+def _transitions(
+    closing_messages: tuple[type[m.Message], ...], cancel_message: type[m.Message]
+) -> dict[Transition, StreamState]:
+    """The transitions that both kinds of stream share."""
+    table: dict[Transition, StreamState] = {
+        (StreamState.OPENING, REQUESTER, m.BodyChunk): StreamState.OPENING,
+        (StreamState.OPENING, REQUESTER, cancel_message): StreamState.CANCELLED,
+        (StreamState.COMPLETE, REQUESTER, cancel_message): StreamState.CANCELLED,
+        (StreamState.RESPONDING, REQUESTER, cancel_message): StreamState.CANCELLED_RESPONDING,
+        (StreamState.RESPONDING, RESPONDER, m.BodyChunk): StreamState.RESPONDING,
+        (StreamState.CANCELLED_RESPONDING, RESPONDER, m.BodyChunk): StreamState.CANCELLED_RESPONDING,
+        (StreamState.REJECTED, REQUESTER, m.BodyChunk): StreamState.REJECTED,
+        (StreamState.REJECTED, REQUESTER, cancel_message): StreamState.CLOSED,
     }
-    table[StreamState.REFUSED, ASKING, m.BodyChunk] = StreamState.REFUSED
-    table[StreamState.REFUSED, ASKING, stop] = StreamState.CLOSED
-    for answer in answers:
-        table[StreamState.ASKED, ANSWERING, answer] = StreamState.REFUSED
-        for state in (StreamState.WHOLE, StreamState.LEFT, StreamState.ANSWERING, StreamState.LEFT_ANSWERING):
-            table[state, ANSWERING, answer] = StreamState.CLOSED
+    for message_type in closing_messages:
+        table[StreamState.OPENING, RESPONDER, message_type] = StreamState.REJECTED
+        table[StreamState.COMPLETE, RESPONDER, message_type] = StreamState.CLOSED
+        table[StreamState.CANCELLED, RESPONDER, message_type] = StreamState.CLOSED
+        table[StreamState.RESPONDING, RESPONDER, message_type] = StreamState.CLOSED
+        table[StreamState.CANCELLED_RESPONDING, RESPONDER, message_type] = StreamState.CLOSED
     return table
 
 
-ATTEMPT_TRANSITIONS: Table = {
-    **_closing((m.AttemptFailed, m.AttemptRejected), m.CancelAttempt),
-    (StreamState.WHOLE, ANSWERING, m.AttemptServed): StreamState.ANSWERING,
-    (StreamState.LEFT, ANSWERING, m.AttemptServed): StreamState.LEFT_ANSWERING,
-    (StreamState.LEFT, ANSWERING, m.AttemptCancelled): StreamState.CLOSED,
-    (StreamState.LEFT_ANSWERING, ANSWERING, m.AttemptCancelled): StreamState.CLOSED,
-    (StreamState.ANSWERING, ASKING, m.WindowUpdate): StreamState.ANSWERING,
-    (StreamState.WHOLE, ANSWERING, m.HealthCheckReply): StreamState.CLOSED,
-}  # between a gateway and a node
-
-REQUEST_TRANSITIONS: Table = {
-    **_closing((m.RequestRejected, m.RequestFailed, m.ErrorNotice), m.CancelRequest),
-    (StreamState.WHOLE, ANSWERING, m.RequestServed): StreamState.ANSWERING,
-    (StreamState.LEFT, ANSWERING, m.RequestServed): StreamState.LEFT_ANSWERING,
-    (StreamState.LEFT, ANSWERING, m.RequestCancelled): StreamState.CLOSED,
-    (StreamState.LEFT_ANSWERING, ANSWERING, m.RequestCancelled): StreamState.CLOSED,
-}  # between a client and a gateway
-
-
-APART = frozenset((m.Hello, m.GoAway, m.ErrorNotice))  # messages that may be about the connection itself
-CROSSING = (
-    m.CancelRequest,
-    m.CancelAttempt,
-    m.WindowUpdate,
-)  # what the asking side may send before it has seen the answer
+# Between a gateway and a node.
+ATTEMPT_TRANSITIONS: TransitionTable = {
+    **_transitions((m.AttemptFailed, m.AttemptRejected), m.CancelAttempt),
+    (StreamState.COMPLETE, RESPONDER, m.AttemptServed): StreamState.RESPONDING,
+    (StreamState.CANCELLED, RESPONDER, m.AttemptServed): StreamState.CANCELLED_RESPONDING,
+    (StreamState.CANCELLED, RESPONDER, m.AttemptCancelled): StreamState.CLOSED,
+    (StreamState.CANCELLED_RESPONDING, RESPONDER, m.AttemptCancelled): StreamState.CLOSED,
+    (StreamState.RESPONDING, REQUESTER, m.WindowUpdate): StreamState.RESPONDING,
+    (StreamState.COMPLETE, RESPONDER, m.HealthCheckReply): StreamState.CLOSED,
+}
+
+# Between a client and a gateway.
+REQUEST_TRANSITIONS: TransitionTable = {
+    **_transitions((m.RequestRejected, m.RequestFailed, m.ErrorNotice), m.CancelRequest),
+    (StreamState.COMPLETE, RESPONDER, m.RequestServed): StreamState.RESPONDING,
+    (StreamState.CANCELLED, RESPONDER, m.RequestServed): StreamState.CANCELLED_RESPONDING,
+    (StreamState.CANCELLED, RESPONDER, m.RequestCancelled): StreamState.CLOSED,
+    (StreamState.CANCELLED_RESPONDING, RESPONDER, m.RequestCancelled): StreamState.CLOSED,
+}
+
+# Messages that may be about the connection itself.
+CONNECTION_MESSAGES = frozenset((m.Hello, m.GoAway, m.ErrorNotice))
+# What a requester may send before it has seen that the responder closed the stream.
+CROSSING_MESSAGES = (m.CancelRequest, m.CancelAttempt, m.WindowUpdate)
 
 
 @dataclass(slots=True)
 class Stream:
-    """One id: its state and how many bytes of its two bodies are still to come."""
+    """One stream: its state and how many bytes of its two bodies are still to come."""
 
     state: StreamState
-    ask_left: int
-    answer_left: int = 0
+    request_bytes_left: int
+    response_bytes_left: int = 0
 
 
 class ConnectionState:
-    """The state of one connection."""
+    """The state of one connection: the handshake, the go-aways and all open streams by id.
+
+    `opening_messages` are the messages that open a stream.
+    """
 
-    def __init__(self, table: Table, opens: tuple[type[m.Message], ...]) -> None:
+    def __init__(self, table: TransitionTable, opening_messages: tuple[type[m.Message], ...]) -> None:
         self.table = table
-        self.opens = opens
-        self.standing: dict[int, Stream] = {}
-        self.highest = -1
-        self.greeted: set[Role] = set()
-        self.both = False  # both sides have said hello
-        self.leaving: set[Role] = set()
-
-    def step(self, side: Role, message: Any) -> StreamState | None:
-        """Takes one message. Returns the state of its id after it, or None if it names none. Raises
-        ProtocolViolationError.
+        self.opening_messages = opening_messages
+        self.streams: dict[int, Stream] = {}
+        self.highest_id = -1
+        self.greeted: set[Role] = set()  # the sides that sent hello
+        self.handshake_complete = False
+        self.going_away: set[Role] = set()
+
+    def apply(self, sender: Role, message: Any) -> StreamState | None:
+        """Applies one message. Returns the state of its stream after it, None if it names none.
+
+        Raises ProtocolViolationError for a message that is not legal now.
         """
-        kind = type(message)
-        if self.both and kind not in APART:  # nearly all messages
-            return self._open(side, message) if kind in self.opens else self._step(side, message)
-        if kind is m.Hello:
-            if side in self.greeted:
-                raise ProtocolViolationError("second_hello", "hello came twice")
-            if message.version != m.VERSION:
-                raise ProtocolViolationError(
-                    "version", f"speaks version {message.version}, this side version {m.VERSION}"
-                )
-            self.greeted.add(side)
-            self.both = len(self.greeted) == len(Role)
+        message_type = type(message)
+        if self.handshake_complete and message_type not in CONNECTION_MESSAGES:  # nearly all messages
+            return self._apply_to_stream(sender, message)
+        if message_type is m.Hello:
+            self._apply_hello(sender, message)
             return None
-        if side not in self.greeted:
-            raise ProtocolViolationError("no_hello", f"{_name(message)} came before hello")
-        if kind is m.GoAway:
-            self.leaving.add(side)
+        if sender not in self.greeted:
+            raise ProtocolViolationError("no_hello", f"{_wire_name(message)} came before hello")
+        if message_type is m.GoAway:
+            self.going_away.add(sender)
             return None
-        if kind is m.ErrorNotice and message.id < 0:
+        if message_type is m.ErrorNotice and message.id < 0:
             return None
-        return self._open(side, message) if kind in self.opens else self._step(side, message)
-
-    def _open(self, side: Role, message: Any) -> StreamState:
-        number = getattr(message, "id", -1)
-        if side is not Role.ASKING:
-            raise ProtocolViolationError(
-                "wrong_side", f"{_name(message)} may not come from the answering side"
-            )
-        if self.leaving and side in self.leaving:
-            raise ProtocolViolationError("after_bye", f"{_name(message)} {number} came after bye")
-        if number <= self.highest:
-            raise ProtocolViolationError(
-                "repeated_id", f"{_name(message)} {number} came after {self.highest}; ids must rise"
-            )
-        self.highest = number
-        left = max(0, getattr(message, "size", 0) - message.body)
-        state = StreamState.ASKED if left else StreamState.WHOLE
-        self.standing[number] = Stream(state, left)
+        return self._apply_to_stream(sender, message)
+
+    def _apply_hello(self, sender: Role, message: m.Hello) -> None:
+        if sender in self.greeted:
+            raise ProtocolViolationError("second_hello", "hello came twice")
+        if message.version != m.PROTOCOL_VERSION:
+            text = f"speaks version {message.version}, this side version {m.PROTOCOL_VERSION}"
+            raise ProtocolViolationError("version", text)
+        self.greeted.add(sender)
+        self.handshake_complete = len(self.greeted) == len(Role)
+
+    def _apply_to_stream(self, sender: Role, message: Any) -> StreamState | None:
+        if type(message) in self.opening_messages:
+            return self._open_stream(sender, message)
+        return self._advance_stream(sender, message)
+
+    def _open_stream(self, sender: Role, message: Any) -> StreamState:
+        stream_id = getattr(message, "id", -1)
+        name = _wire_name(message)
+        if sender is not Role.REQUESTER:
+            raise ProtocolViolationError("wrong_side", f"{name} may not come from the answering side")
+        if sender in self.going_away:
+            raise ProtocolViolationError("after_bye", f"{name} {stream_id} came after bye")
+        if stream_id <= self.highest_id:
+            text = f"{name} {stream_id} came after {self.highest_id}; ids must rise"
+            raise ProtocolViolationError("repeated_id", text)
+        self.highest_id = stream_id
+        request_bytes_left = max(0, getattr(message, "size", 0) - message.body)
+        state = StreamState.OPENING if request_bytes_left else StreamState.COMPLETE
+        self.streams[stream_id] = Stream(state, request_bytes_left)
         return state
 
-    def _step(self, side: Role, message: Any) -> StreamState | None:
-        number: int = getattr(message, "id", -1)
-        at = self.standing.get(number)
-        if at is None:
-            over = 0 <= number <= self.highest
-            if over and side is Role.ASKING and type(message) in CROSSING:
-                return None  # it crossed the answer on the way, and means nothing any more
-            known = "is over" if over else "was never opened"
-            raise ProtocolViolationError(
-                "over" if over else "never_opened", f"{_name(message)} for {number}, which {known}"
-            )
-        after = self.table.get((at.state, side, type(message)))
-        if after is None:
-            raise ProtocolViolationError(
-                "illegal",
-                f"{_name(message)} for {number}, which is {at.state.name.lower().replace('_', ' ')}",
-            )
-        if after in (StreamState.ANSWERING, StreamState.LEFT_ANSWERING) and side is Role.ANSWERING:
-            if at.state not in (StreamState.ANSWERING, StreamState.LEFT_ANSWERING):
-                at.answer_left = getattr(message, "size", 0)
-            at.answer_left -= message.body
-            if at.answer_left < 0:
-                raise ProtocolViolationError(
-                    "body_too_long", f"the answer to {number} is longer than it said"
-                )
-            if at.answer_left == 0:
-                after = StreamState.CLOSED
+    def _advance_stream(self, sender: Role, message: Any) -> StreamState | None:
+        stream_id: int = getattr(message, "id", -1)
+        stream = self.streams.get(stream_id)
+        if stream is None:
+            self._check_closed_stream(sender, message, stream_id)
+            return None
+        state = self.table.get((stream.state, sender, type(message)))
+        if state is None:
+            text = f"{_wire_name(message)} for {stream_id}, which is {STATE_TEXTS[stream.state]}"
+            raise ProtocolViolationError("illegal", text)
+        if sender is Role.RESPONDER and state in RESPONSE_STATES:
+            state = _count_response_bytes(stream, stream_id, message, state)
         elif isinstance(message, m.BodyChunk):
-            at.ask_left -= message.body
-            if at.ask_left < 0:
-                raise ProtocolViolationError("body_too_long", f"the body of {number} is longer than it said")
-            if at.ask_left == 0:
-                after = StreamState.WHOLE if after is StreamState.ASKED else StreamState.CLOSED
-        if after is StreamState.CLOSED:
-            del self.standing[number]
+            state = _count_request_bytes(stream, stream_id, message, state)
+        if state is StreamState.CLOSED:
+            del self.streams[stream_id]
         else:
-            at.state = after
-        return after
+            stream.state = state
+        return state
+
+    def _check_closed_stream(self, sender: Role, message: Any, stream_id: int) -> None:
+        """Accepts a message that crossed the closing one. Raises ProtocolViolationError for any other."""
+        was_open = 0 <= stream_id <= self.highest_id
+        if was_open and sender is Role.REQUESTER and type(message) in CROSSING_MESSAGES:
+            return
+        if was_open:
+            raise ProtocolViolationError("over", f"{_wire_name(message)} for {stream_id}, which is over")
+        text = f"{_wire_name(message)} for {stream_id}, which was never opened"
+        raise ProtocolViolationError("never_opened", text)
+
+
+def _count_response_bytes(stream: Stream, stream_id: int, message: Any, state: StreamState) -> StreamState:
+    """The state after a message with response bytes; closed with the last of them."""
+    if stream.state not in RESPONSE_STATES:
+        stream.response_bytes_left = getattr(message, "size", 0)
+    stream.response_bytes_left -= message.body
+    if stream.response_bytes_left < 0:
+        raise ProtocolViolationError("body_too_long", f"the answer to {stream_id} is longer than it said")
+    return state if stream.response_bytes_left else StreamState.CLOSED
+
+
+def _count_request_bytes(
+    stream: Stream, stream_id: int, message: m.BodyChunk, state: StreamState
+) -> StreamState:
+    """The state after a chunk of the request's body; the last one completes it, or closes a rejected one."""
+    stream.request_bytes_left -= message.body
+    if stream.request_bytes_left < 0:
+        raise ProtocolViolationError("body_too_long", f"the body of {stream_id} is longer than it said")
+    if stream.request_bytes_left:
+        return state
+    return StreamState.COMPLETE if state is StreamState.OPENING else StreamState.CLOSED
+
+
+def _wire_name(message: Any) -> str:
+    """The name of a message in the protocol, its field "m"."""
+    return str(type(message).__struct_config__.tag)
 
 
 def node_connection_state() -> ConnectionState:
-    """For a connection between a gateway and a node."""
+    """The initial state of a connection between a gateway and a node."""
     return ConnectionState(ATTEMPT_TRANSITIONS, (m.SendAttempt, m.HealthCheck))
 
 
 def client_connection_state() -> ConnectionState:
-    """For a connection between a client and a gateway."""
+    """The initial state of a connection between a client and a gateway."""
     return ConnectionState(REQUEST_TRANSITIONS, (m.SubmitRequest,))
 
 
-def _name(message: Any) -> str:
-    return str(type(message).__struct_config__.tag)
-
-
 class ListConnectionState(ConnectionState):
-    """Between a gateway, which asks with `follow`, and a list server, which answers with lists for ever
-    after.
-    """
+    """Between a gateway, which sends `WatchEndpoints`, and a list server, which sends lists ever after."""
 
     def __init__(self) -> None:
         super().__init__({}, ())
-        self.followed = False
+        self.watching = False
 
-    def step(self, side: Role, message: Any) -> StreamState | None:
-        if isinstance(message, m.WatchEndpoints) and side is Role.ASKING and side in self.greeted:
-            self.followed = True
+    def apply(self, sender: Role, message: Any) -> StreamState | None:
+        """Applies one message; there are no streams here, so None. Raises ProtocolViolationError."""
+        if isinstance(message, m.WatchEndpoints) and sender is Role.REQUESTER and sender in self.greeted:
+            self.watching = True
             return None
-        if isinstance(message, m.EndpointListMessage) and side is Role.ANSWERING and side in self.greeted:
-            if not self.followed:
+        if isinstance(message, m.EndpointListMessage) and sender is Role.RESPONDER and sender in self.greeted:
+            if not self.watching:
                 raise ProtocolViolationError("not_followed", "a list came that nobody asked for")
             return None
         if isinstance(message, m.Hello | m.GoAway | m.ErrorNotice):
-            return super().step(side, message)
+            return super().apply(sender, message)
         raise ProtocolViolationError(
-            "illegal", f"{_name(message)} has no place on a list server's connection"
+            "illegal", f"{_wire_name(message)} has no place on a list server's connection"
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -211,7 +211,7 @@
                 def connection_made():
                     made()
                     if hello:
-                        wire.say(m.Hello(version=m.VERSION, role="node"))
+                        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="node"))
 
                 end.connectionMade = connection_made
                 return end
@@ -249,12 +249,12 @@
     def client(self):
         wire = Wire(self.network).connect(self.port)
         self.network.advance(0.01)
-        wire.say(m.Hello(version=m.VERSION, role="client"))
+        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
         return wire
 
-    def ask(self, wire, number=1, product="read", body=b"", **more):
-        told = {"plan": "p0", "volume": 1, "timeout_ms": 1000, "shard": 0, "size": len(body), **more}
-        wire.say(m.SubmitRequest(id=number, product=product, **told), body)
+    def ask(self, wire, number=1, product="read", body=b"", plan="p0", **more):
+        told = {"tenant": plan, "volume": 1, "timeout_ms": 1000, "shard": 0, "size": len(body), **more}
+        wire.say(m.SubmitRequest(id=number, request_class=product, **told), body)
 
     def run(self, seconds=3.0):
         self.network.advance(seconds)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -59,10 +59,10 @@
             wire.say(m.AttemptServed(id=leg.id, size=len(data)), data[: len(data) // 2])
             wire.transport.loseConnection()
             return
-        first = data if len(data) <= m.MAX_BODY else b""
+        first = data if len(data) <= m.MAX_BODY_BYTES else b""
         wire.say(m.AttemptServed(id=leg.id, size=len(data), shard=0), first)
-        for at in range(0, 0 if first else len(data), m.MAX_BODY):
-            wire.say(m.BodyChunk(id=leg.id), data[at : at + m.MAX_BODY])
+        for at in range(0, 0 if first else len(data), m.MAX_BODY_BYTES):
+            wire.say(m.BodyChunk(id=leg.id), data[at : at + m.MAX_BODY_BYTES])
 
 
 class House:
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1119,8 +1119,10 @@
         """The time at which what a client is told was made; None if nothing came yet."""
         wire = self.make_wire(self.network).connect(21_000 + int(name[1]))
         self.network.advance(0.005)
-        wire.say(m.Hello(version=m.VERSION, role="client"))
-        wire.say(m.SubmitRequest(id=1, product="read", plan="p0", volume=1, timeout_ms=900, key=5, shard=0))
+        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
+        wire.say(
+            m.SubmitRequest(id=1, request_class="read", tenant="p0", volume=1, timeout_ms=900, key=5, shard=0)
+        )
         return wire
 
     def told(self, wire):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -130,15 +130,19 @@
     client = yard.client()
     size = 4 << 20
     client.say(
-        m.SubmitRequest(id=1, product="bind", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size)
+        m.SubmitRequest(
+            id=1, request_class="bind", tenant="p0", volume=1, key=4, timeout_ms=900, shard=0, size=size
+        )
     )
-    for _ in range(size // m.MAX_BODY):
-        client.say(m.BodyChunk(id=1), bytes(m.MAX_BODY))
+    for _ in range(size // m.MAX_BODY_BYTES):
+        client.say(m.BodyChunk(id=1), bytes(m.MAX_BODY_BYTES))
     yard.ask(client, 2, shard=1)
     yard.run(0.3)
     assert client.told(m.RequestServed)[0].id == 2
     connection = next(iter(yard.gateway.nodes.connections.values()))
-    assert connection.transport.on_way_size < 4 * m.MAX_BODY  # the body waits in the spool, not in memory
+    assert (
+        connection.transport.on_way_size < 4 * m.MAX_BODY_BYTES
+    )  # the body waits in the spool, not in memory
     yard.run()
     # Nothing can have run, for the node never had the whole leg: it is denied, not written off.
     assert client.told(m.RequestRejected)[0].id == 1 and yard.stories[-1].legs[0].ending is Ending.UNREACHABLE
@@ -150,19 +154,19 @@
     def stream(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wire.say(m.AttemptServed(id=message.id, size=8 << 20))
-            credit.append(m.WINDOW)
+            credit.append(m.WINDOW_BYTES)
         if isinstance(message, m.WindowUpdate):
-            credit.append(message.bytes)
+            credit.append(message.increment_bytes)
         while sum(credit) > sum(sent) and sum(sent) < 8 << 20:
-            wire.say(m.BodyChunk(id=1), bytes(m.MAX_BODY))
-            sent.append(m.MAX_BODY)
+            wire.say(m.BodyChunk(id=1), bytes(m.MAX_BODY_BYTES))
+            sent.append(m.MAX_BODY_BYTES)
 
     yard = make_yard(stream)
     client = yard.client()
     yard.ask(client, timeout_ms=1000)
     client.transport.pauseProducing()
     yard.run(0.4)
-    assert m.WINDOW <= sum(sent) <= m.WINDOW + 3 * m.MAX_BODY
+    assert m.WINDOW_BYTES <= sum(sent) <= m.WINDOW_BYTES + 3 * m.MAX_BODY_BYTES
     client.transport.resumeProducing()
     yard.run()
     assert sum(len(body) for _, body in client.got) == 8 << 20
@@ -202,7 +206,7 @@
         (lambda y, c: c.say(m.BodyChunk(id=7), b"x"), "never_opened", True),
         (lambda y, c: c.transport.write(b"A" * 5000), "header_limit", True),
         (lambda y, c: c.transport.write(b"[]\r\n"), "bad_message", True),
-        (lambda y, c: (y.ask(c, size=m.MAX_BODY + 5), c.say(m.BodyChunk(id=1), bytes(m.MAX_BODY + 1 - 1)),
+        (lambda y, c: (y.ask(c, size=m.MAX_BODY_BYTES + 5), c.say(m.BodyChunk(id=1), bytes(m.MAX_BODY_BYTES + 1 - 1)),
                        c.say(m.BodyChunk(id=1), bytes(9))), "body_too_long", True),
         (lambda y, c: c.say(m.Hello(version=1, role="client")), "second_hello", True),
     ],
@@ -222,7 +226,7 @@
 def test_a_client_that_sends_a_byte_a_second_is_cut_off(make_yard):
     yard = make_yard(answer)
     slow = yard.client()
-    data = m.encode(m.SubmitRequest(id=1, product="read", plan="p0", volume=1, timeout_ms=99_000))
+    data = m.encode(m.SubmitRequest(id=1, request_class="read", tenant="p0", volume=1, timeout_ms=99_000))
     for i in range(30):
         yard.network.callLater(i, slow.transport.write, data[i : i + 1])
     yard.run(20)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,6 +13,7 @@
 DONE = [
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
+    "wire/errors.py", "wire/framed_protocol.py", "wire/http_client.py", "wire/messages.py", "wire/state.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -22,8 +23,6 @@
 PLAIN = {"part"}  # in a sentence, where it means what it says
 ALIASES = {
     "interface.py": ["FULFILLED"],  # the name that programs of library surface 1 use
-    "nodes/dispatcher.py": ["product"],  # of wire/messages.py, which is not done
-    "nodes/framed_connection.py": ["leg"],  # of wire/messages.py and moves.py
 }
 
 
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -140,8 +140,8 @@
     street = Street()
     now = round(street.network.seconds() * SECOND)
     message = m.SendAttempt(
-        id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=True, effect="keyed",
-        window_ms=0.0, patience_ms=1.0, size=99,
+        id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=True, idempotency="keyed",
+        idempotency_window_ms=0.0, timeout_ms=1.0, size=99,
     )  # fmt: skip
     attempt = street.dispatcher.send(1, 7, message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS)
     street.came(street.dialled[0])
@@ -210,8 +210,8 @@
         reader.feed(read(number))
         body = asked(reader.next(), Kinds(FLAT), 0).body
         message = m.SendAttempt(
-            id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, effect="safe",
-            window_ms=0.0, patience_ms=patience / MS, size=0,
+            id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
+            idempotency_window_ms=0.0, timeout_ms=patience / MS, size=0,
         )  # fmt: skip
         return self.dispatcher.send(number, 7, message, body, patience, SECOND, self, patience)
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -150,15 +150,15 @@
 
 def test_answers_of_a_node_and_what_may_be_missing_from_them():
     done, value = answer([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
-    assert (value, done.size, done.body, done.used, done.elsewhere) == (b"v", 1, 1, 0.37, 4)
+    assert (value, done.size, done.body, done.volume_used, done.elsewhere) == (b"v", 1, 1, 0.37, 4)
     assert done.load == {"inflight": 7.0, "util": 0.61}
     # A figure or report that can't be read is dropped; the value stands.
     for use, load in ((None, None), (b"used=much", b"\xff"), (b"", b"util=" + b"9" * 40)):
         done, value = answer([b"v", use, load])
-        assert (value, done.used, done.elsewhere, done.load) == (b"v", -1.0, 0, {})
+        assert (value, done.volume_used, done.elsewhere, done.load) == (b"v", -1.0, 0, {})
     assert isinstance(answer(Error(b"BUSY"))[0], m.AttemptRejected)
     failed, _ = answer(Error(b"ERR failed used=50"))
-    assert isinstance(failed, m.AttemptFailed) and failed.used == 0.5
+    assert isinstance(failed, m.AttemptFailed) and failed.volume_used == 0.5
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -51,7 +51,7 @@
         host, _, port = address.rpartition(":")
         self.socket = socket.create_connection((host, int(port)), timeout=LONG)
         self.data = b""
-        self.say(m.Hello(version=m.VERSION, role="client"))
+        self.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
 
     def say(self, message, body=b""):
         self.socket.sendall(m.encode(message, body))
@@ -70,9 +70,9 @@
         self.data = self.data[message.body :]
         return message
 
-    def ask(self, number, product="page-read", **more):
-        told = {"plan": "open", "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
-        self.say(m.SubmitRequest(id=number, product=product, **told))
+    def ask(self, number, product="page-read", plan="open", **more):
+        told = {"tenant": plan, "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
+        self.say(m.SubmitRequest(id=number, request_class=product, **told))
 
     def serve_one(self):
         """Asks until a job is fulfilled: a gateway that has just started may not have its list yet."""
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -77,8 +77,8 @@
 
     def send(self, job, node=7, wait=300 * MS, time_out=2 * SECOND):
         message = m.SendAttempt(
-            id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, effect="safe",
-            window_ms=0.0, patience_ms=1.0, size=0,
+            id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
+            idempotency_window_ms=0.0, timeout_ms=1.0, size=0,
         )  # fmt: skip
         return self.dispatcher.send(job, node, message, None, time_out, SECOND, self, wait)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Framing, messages and moves: any bytes, any split, any order."""
+"""Framing, messages and state: any bytes, any split, any order."""
 
 import msgspec
 import pytest
@@ -7,9 +7,9 @@
 
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.wire import messages as m
+from ochrecourse.wire.errors import MalformedMessageError, ProtocolViolationError
 from ochrecourse.wire.framed_protocol import FramedProtocol
 from ochrecourse.wire.state import (
-    ProtocolViolationError,
     ListConnectionState,
     StreamState,
     Role,
@@ -17,7 +17,7 @@
     node_connection_state,
 )
 
-HELLO = m.Hello(version=m.VERSION, role="client")
+HELLO = m.Hello(version=m.PROTOCOL_VERSION, role="client")
 
 
 class Sink:
@@ -37,11 +37,11 @@
 
 class Ear(FramedProtocol):
     def __init__(self):
-        super().__init__(VirtualNetwork(1), Role.ANSWERING, client_connection_state())
+        super().__init__(VirtualNetwork(1), Role.RESPONDER, client_connection_state())
         self.heard = []
 
-    def took(self, message, body, after):
-        self.heard.append((message, body, after))
+    def message_received(self, message, body, state):
+        self.heard.append((message, body, state))
 
 
 def ear():
@@ -60,7 +60,7 @@
     said = [m.encode(HELLO)]
     for number, (trace, body) in enumerate(jobs):
         asked = m.SubmitRequest(
-            id=number, product="p", plan="q", volume=1, timeout_ms=5, size=len(body), trace=trace
+            id=number, request_class="p", tenant="q", volume=1, timeout_ms=5, size=len(body), trace=trace
         )
         said.append(m.encode(asked, body))
     data, end, at, turn = b"".join(said), ear(), 0, 0
@@ -69,7 +69,7 @@
         end.dataReceived(data[at : at + step])
         at, turn = at + step, turn + 1
     assert [(each.trace, body) for each, body, _ in end.heard[1:]] == jobs
-    assert not end.transport.closed and all(after is StreamState.WHOLE for _, _, after in end.heard[1:])
+    assert not end.transport.closed and all(after is StreamState.COMPLETE for _, _, after in end.heard[1:])
 
 
 @settings(max_examples=300, deadline=None)
@@ -79,7 +79,7 @@
     end.dataReceived(m.encode(HELLO))
     end.dataReceived(data)
     if end.transport.closed:
-        assert end.ended_by is not None and end.transport.data.count(b'"m":"fault"') == 1
+        assert end.failure is not None and end.transport.data.count(b'"m":"fault"') == 1
     end.connectionLost()
 
 
@@ -88,36 +88,36 @@
 def test_decoding_raises_nothing_but_its_own_error(line):
     try:
         message = m.decode(line)
-    except m.MalformedMessageError:
+    except MalformedMessageError:
         return
     assert m.decode(m.encode(message)[:-2]) == message
 
 
 def test_what_is_encoded_decodes_to_itself():
-    done = m.AttemptServed(id=3, size=5, load={"rif": 2.0}, used=0.5, elsewhere=7, shard=2)
+    done = m.AttemptServed(id=3, size=5, load={"rif": 2.0}, volume_used=0.5, elsewhere=7, shard=2)
     line, _, body = m.encode(done, b"12345").partition(b"\r\n")
     assert m.decode(line) == done and done.body == 5 and body == b"12345"
 
 
 def test_unknown_fields_are_skipped_and_unknown_messages_told():
     assert m.decode(b'{"m":"leave","id":4,"later":"field"}') == m.CancelRequest(id=4)
-    with pytest.raises(m.MalformedMessageError, match="dance"):
+    with pytest.raises(MalformedMessageError, match="dance"):
         m.decode(b'{"m":"dance"}')
 
 
 def asked(number, **more):
-    return m.SubmitRequest(id=number, product="p", plan="q", volume=1, timeout_ms=5, **more)
+    return m.SubmitRequest(id=number, request_class="p", tenant="q", volume=1, timeout_ms=5, **more)
 
 
-def opened(moves, *messages):
+def opened(state, *messages):
     for side in Role:
-        moves.step(side, HELLO)
+        state.apply(side, HELLO)
     for side, message in messages:
-        moves.step(side, message)
-    return moves
+        state.apply(side, message)
+    return state
 
 
-ASK, ANSWER = Role.ASKING, Role.ANSWERING
+ASK, ANSWER = Role.REQUESTER, Role.RESPONDER
 
 
 @pytest.mark.parametrize(
@@ -158,38 +158,38 @@
     ],
 )
 def test_each_move_is_legal_or_a_named_error(before, side, message, code):
-    moves = opened(client_connection_state(), *before)
+    state = opened(client_connection_state(), *before)
     if code is None:
-        moves.step(side, message)
+        state.apply(side, message)
         return
     with pytest.raises(ProtocolViolationError) as told:
-        moves.step(side, message)
+        state.apply(side, message)
     assert told.value.code == code
 
 
 def test_hello_comes_first_and_names_a_version_that_is_spoken():
     with pytest.raises(ProtocolViolationError, match="before hello"):
-        node_connection_state().step(ASK, m.HealthCheck(id=1))
+        node_connection_state().apply(ASK, m.HealthCheck(id=1))
     with pytest.raises(ProtocolViolationError, match="version 9"):
-        node_connection_state().step(ASK, m.Hello(version=9, role="node"))
+        node_connection_state().apply(ASK, m.Hello(version=9, role="node"))
 
 
 def test_ids_that_are_over_are_forgotten():
-    moves = opened(node_connection_state())
+    state = opened(node_connection_state())
     for number in range(1, 500):
-        moves.step(ASK, m.SendAttempt(id=number, mark="x", product="p", volume=1))
-        moves.step(ANSWER, m.AttemptServed(id=number))
-    assert not moves.standing
+        state.apply(ASK, m.SendAttempt(id=number, idempotency_key="x", request_class="p", volume=1))
+        state.apply(ANSWER, m.AttemptServed(id=number))
+    assert not state.streams
 
 
 def test_a_list_server_tells_lists_only_to_those_who_follow():
-    moves = opened(ListConnectionState())
+    state = opened(ListConnectionState())
     with pytest.raises(ProtocolViolationError, match="nobody asked"):
-        moves.step(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
-    moves.step(ASK, m.WatchEndpoints())
-    moves.step(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
+        state.apply(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
+    state.apply(ASK, m.WatchEndpoints())
+    state.apply(ANSWER, m.EndpointListMessage(kind="full", epoch=1))
     with pytest.raises(ProtocolViolationError, match="no place"):
-        moves.step(ASK, asked(1))
+        state.apply(ASK, asked(1))
 
 
 def test_every_message_has_a_name_of_its_own():
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -79,10 +79,10 @@
     client = yard.client()
     client.say(
         m.SubmitRequest(
-            id=1, product="mark", plan="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000
+            id=1, request_class="mark", tenant="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000
         )
     )
-    for size in (m.MAX_BODY, m.MAX_BODY, 150_000 - 2 * m.MAX_BODY):
+    for size in (m.MAX_BODY_BYTES, m.MAX_BODY_BYTES, 150_000 - 2 * m.MAX_BODY_BYTES):
         yard.run(0.01)
         client.say(m.BodyChunk(id=1), bytes(size))
     yard.run()
@@ -120,7 +120,7 @@
 
 def answer_cancels(wire, message, body):
     if isinstance(message, m.CancelAttempt):
-        wire.say(m.AttemptCancelled(id=message.id, ran="no"))
+        wire.say(m.AttemptCancelled(id=message.id, executed="no"))
 
 
 def fails(wire, message, body):
@@ -316,7 +316,7 @@
     """A change is missing between what is known and what is told: the whole list is asked for."""
     following = Following(tap)
     port = next(iter(following.server.ports))
-    port.say(m.EndpointListMessage(kind="delta", epoch=5), m.encode_list([line(72)]))
+    port.send_message(m.EndpointListMessage(kind="delta", epoch=5), m.encode_list([line(72)]))
     following.network.advance(0.5)
 
 
