--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -25,7 +25,9 @@
 from ochrecourse import interface
 from ochrecourse.interface import Attempt, AttemptEnd, Decisions, Health, ListCall, ListKind, NodeEntry
 from ochrecourse.interface import Outcome, Reply
-from ochrecourse.nodes.dispatcher import Body, Dispatcher, OutgoingAttempt, OpenConnection
+from ochrecourse.nodes.dial_manager import DialSettings
+from ochrecourse.nodes.dispatcher import Dispatcher, DispatcherSettings, NodeNetwork, OpenConnection
+from ochrecourse.nodes.outgoing_attempt import AttemptLimits, Body, OutgoingAttempt
 from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.nodes.outcome import VERDICTS, AttemptEvent, WriteProgress
 from ochrecourse.nodes.health import NodeHealth
@@ -174,16 +176,20 @@
         self.kinds = SettingsIndex(values)
         self.max_open = int(_number(values, "Limits.MaxOpen", 20_000))
         limits = limits or PoolLimits(
-            attempts=int(_number(values, "Limits.Multiplex", 32)),
-            connections=int(_number(values, "Limits.Connections", 4)),
-            dials=int(_number(values, "Limits.Dials", 16)),
-            idle=round(_number(values, "Limits.IdleClose", 15_000) * MS),
+            attempts_per_connection=int(_number(values, "Limits.Multiplex", 32)),
+            connections_per_node=int(_number(values, "Limits.Connections", 4)),
+            concurrent_dials=int(_number(values, "Limits.Dials", 16)),
+            idle_timeout=round(_number(values, "Limits.IdleClose", 15_000) * MS),
         )
         self.addresses: dict[int, tuple[str, int]] = {}
         dial_time = _number(values, "Limits.DialTimeout", 250) / 1000
         slow_dial = min(self.kinds.aims, default=SECOND) * SLOW_DIAL / SECOND
         self.nodes = Dispatcher(
-            name, clock, limits, dial_time, self.addresses.get, open_connection, slow_dial, self._turns_behind
+            name,
+            clock,
+            DispatcherSettings(limits, DialSettings(dial_time, slow_dial)),
+            NodeNetwork(self.addresses.get, open_connection),
+            self._turns_behind,
         )
         self.scheduler = decisions(values, seed, now_ns(clock))
         self.ledger = RequestLog()
@@ -223,7 +229,7 @@
         self.scheduler.list_received(kind, entries, now_ns(self.clock))
         # Guards against an attempt that waits for its connection and is written when its node has long
         # drained.
-        self.nodes.shed(self._ready)
+        self.nodes.cancel_waiting(self._ready)
         self._pull()
 
     def _ready(self, node: int) -> bool:
@@ -293,7 +299,7 @@
             if not unsent:
                 self.scheduler.request_cancelled(job)
             gone = self.tasks[job]
-            if gone.attempt is not None and gone.attempt.handed() is not WriteProgress.WHOLE:
+            if gone.attempt is not None and gone.attempt.write_progress() is not WriteProgress.COMPLETE:
                 self.nodes.cancel(gone.attempt)  # nothing of it runs, and nobody waits for it
             self._over(gone)
             self._pull()
@@ -327,7 +333,7 @@
         """So many more bytes of a job's answer may come from its node."""
         task = self.tasks.get(job)
         if task is not None and task.attempt is not None:
-            self.nodes.grant(task.attempt, size)
+            self.nodes.response_consumed(task.attempt, size)
 
     def drain(self) -> None:
         """Nothing new is taken from now on; `left` is called when all that is held has its answer."""
@@ -362,12 +368,12 @@
             self.ledger.broke_off(task.story)
         self._over(task)
 
-    # --- the nodes' side (nodes.dispatcher.AttemptListener) ---
+    # --- the nodes' side (nodes.outgoing_attempt.AttemptListener) ---
 
-    def written(self, attempt: OutgoingAttempt) -> None:
+    def attempt_written(self, attempt: OutgoingAttempt) -> None:
         self.scheduler.attempt_written(attempt.request_id, now_ns(self.clock))
 
-    def began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None:
+    def response_began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None:
         task = self.tasks[attempt.request_id]
         if answer.size > answer.body:
             task.story.streaming = True
@@ -377,15 +383,17 @@
             task.answer_left = answer.size
             task.asker.fulfilled(task.story.number, answer.size, answer.shard)
 
-    def piece(self, attempt: OutgoingAttempt, data: bytes) -> None:
+    def response_data(self, attempt: OutgoingAttempt, data: bytes) -> None:
         task = self.tasks[attempt.request_id]
         if task.story.closing is RequestOutcome.FULFILLED:
             task.answer_left -= len(data)
             task.asker.piece(task.story.number, data)
         else:
-            self.nodes.grant(attempt, len(data))  # nobody waits: let the node finish
+            self.nodes.response_consumed(attempt, len(data))  # nobody waits: let the node finish
 
-    def ended(self, attempt: OutgoingAttempt, seen: AttemptEvent, answer: m.AnyMessage | None) -> None:
+    def attempt_ended(
+        self, attempt: OutgoingAttempt, seen: AttemptEvent, answer: m.AnyMessage | None
+    ) -> None:
         job = attempt.request_id
         task = self.tasks[job]
         proof = VERDICTS[seen]
@@ -393,10 +401,10 @@
         story, over = self.ledger.ended(job, attempt.message.number, proof.ending, seen.value, now)
         for call in self.legs_over:
             call(story, over)
-        self.reach.ended(attempt.node, proof.ending)
+        self.reach.attempt_ended(attempt.node, proof.ending)
         task.attempt = None
         began, task.began = task.began, 0
-        if task.answer_left and seen is not AttemptEvent.DONE:
+        if task.answer_left and seen is not AttemptEvent.SERVED:
             task.answer_left = 0
             self.ledger.broke_off(story)
             task.asker.broke_off(job)
@@ -408,7 +416,7 @@
             ending=proof.ending,
             # A stream took until it began: how fast its client reads is not the node's doing. Nor is how long
             # its connection took to come up.
-            took=(began or now) - (attempt.on_connection_at or attempt.sent_at),
+            took=(began or now) - (attempt.assigned_at or attempt.sent_at),
             last=story.closing is not None,
             volume_used=told.volume_used if told else -1.0,
             elsewhere=told.elsewhere if told else 0,
@@ -496,7 +504,7 @@
             return
         task = self.tasks[said.request_id]
         request, product = task.request, story.product
-        self.reach.sent(said.node, now)
+        self.reach.attempt_sent(said.node, now)
         left = story.due - now
         time_out = min(said.time_out, left) if said.time_out else left
         message = m.SendAttempt(
@@ -520,9 +528,8 @@
         # the wait. Another goes elsewhere after the time that the settings give a dial.
         alone = request.shard >= 0 and self.holders[request.shard] <= 1
         wait = story.taken + self.kinds.aims[product] - now if alone else None
-        task.attempt = self.nodes.send(
-            said.request_id, said.node, message, request.body, time_out, stall, self, wait, said.write_before
-        )
+        attempt = OutgoingAttempt(said.request_id, said.node, message, request.body, self)
+        task.attempt = self.nodes.send(attempt, AttemptLimits(time_out, stall, wait, said.write_before))
 
     def _answer(self, said: Reply, now: int) -> None:
         denied = said.outcome is Outcome.REJECTED
--- a/ochrecourse/membership/conflicts.py
+++ b/ochrecourse/membership/conflicts.py
@@ -29,14 +29,14 @@
 RECENT = 60 * SECOND  # ns in which changes count as to and fro, and for which a word of a node is news
 CHANGES = 4  # of a node's health in that time: a drain, its end and one return are two
 
-REFUSALS = frozenset((AttemptEvent.REFUSED, AttemptEvent.DIAL_TIMEOUT))
+REFUSALS = frozenset((AttemptEvent.DIAL_REFUSED, AttemptEvent.DIAL_TIMEOUT))
 SILENCES = frozenset(
     (
         AttemptEvent.UNLISTED,
-        AttemptEvent.NO_ROOM,
+        AttemptEvent.NO_CAPACITY,
         AttemptEvent.TIMEOUT,
-        AttemptEvent.TIMEOUT_BEFORE,
-        AttemptEvent.CANCEL_UNANSWERED,
+        AttemptEvent.TIMEOUT_BEFORE_WRITE,
+        AttemptEvent.CANCEL_UNCONFIRMED,
     )
 )
 
@@ -98,9 +98,9 @@
         sight.refusals = 0
         if seen is AttemptEvent.NOT_STORED:
             sight.not_held = at
-        elif seen is AttemptEvent.DONE:
+        elif seen is AttemptEvent.SERVED:
             sight.not_held = -1
-        if seen in (AttemptEvent.DONE, AttemptEvent.FAILED, AttemptEvent.FULL, AttemptEvent.NOT_STORED):
+        if seen in (AttemptEvent.SERVED, AttemptEvent.FAILED, AttemptEvent.REJECTED, AttemptEvent.NOT_STORED):
             sight.spoke = at
 
     def _forgotten(self, sight: _NodeObservation, now: int) -> bool:
--- a/ochrecourse/nodes/framed_connection.py
+++ b/ochrecourse/nodes/framed_connection.py
@@ -1,175 +1,166 @@
-"""One connection to a storage node: attempts out, bodies streamed, answers in. What it all means is said in
-dispatcher.py.
+"""One connection to a storage node by docs/node-protocol.md: attempts out, bodies streamed, responses in.
+
+What a message means for its attempt is said in dispatcher.py.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
 from twisted.internet.interfaces import IPushProducer
-from twisted.internet.protocol import ClientFactory
 from zope.interface import implementer
 
-from ochrecourse.nodes.dispatcher import LINGER, LONGEST, Dispatcher, OutgoingAttempt, OpenConnection
-from ochrecourse.nodes.pool import PooledConnection
-from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent
 from ochrecourse.common.runtime import Network, Timer, stop
+from ochrecourse.nodes.dial import connection_opener
+from ochrecourse.nodes.dispatcher import Dispatcher, OpenConnection
+from ochrecourse.nodes.outcome import ConnectionEnd
+from ochrecourse.nodes.outgoing_attempt import OutgoingAttempt
+from ochrecourse.nodes.pool import PooledConnection
 from ochrecourse.wire import messages as m
 from ochrecourse.wire.framed_protocol import FramedProtocol
-from ochrecourse.wire.state import StreamState, Role, node_connection_state
+from ochrecourse.wire.state import Role, StreamState, node_connection_state
+
+CONFIRMATION_TIMEOUT_S = 2.0  # for a node to confirm a cancel or a close; then its connection is aborted
 
 
 @implementer(IPushProducer)
 class FramedConnection(FramedProtocol):
     """One connection to a node: sends attempts, streams their bodies while the transport takes more, reads
-    answers.
+    responses (nodes.outgoing_attempt.NodeConnection).
     """
 
-    def __init__(self, client: Dispatcher, pooled: PooledConnection) -> None:
-        super().__init__(client.clock, Role.REQUESTER, node_connection_state())
-        self.client = client
+    def __init__(self, dispatcher: Dispatcher, pooled: PooledConnection) -> None:
+        super().__init__(dispatcher.clock, Role.REQUESTER, node_connection_state())
+        self.dispatcher = dispatcher
         self.pooled = pooled
-        self.attempts: dict[int, OutgoingAttempt] = {}
-        self.given_up: dict[int, Timer] = {}  # cancelled, not yet confirmed
-        self.count = 0
-        self.sending: list[OutgoingAttempt] = []  # with bytes still to go, served in turn
-        self.blocked = False
-        self.met = False
+        self.handshake_complete = False
+        self.attempts: dict[int, OutgoingAttempt] = {}  # in flight, by stream id
+        self.cancelled: dict[int, Timer] = {}  # streams whose cancel the node has not confirmed
+        self.last_stream_id = 0
+        self.uploads: list[OutgoingAttempt] = []  # with bytes of a body to send, in turn
+        self.paused = False  # the transport takes no more for now
 
-    def connection_ready(self) -> None:
-        self.transport.registerProducer(self, True)
-        self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.client.name))
+    # --- nodes.outgoing_attempt.NodeConnection ---
 
     def send(self, attempt: OutgoingAttempt) -> None:
-        self.count += 1
-        attempt.id, attempt.connection = self.count, self
-        self.attempts[attempt.id] = attempt
-        first = attempt.body.read(0, m.MAX_BODY_BYTES) if attempt.body and attempt.message.size else b""
-        attempt.message.id = attempt.id
-        attempt.written = len(first)
-        self.send_message(attempt.message, first)
-        if attempt.written < attempt.message.size:
-            self.sending.append(attempt)
-            self.pump()
-
-    def holds(self, attempt: OutgoingAttempt) -> bool:
-        return attempt.id in self.attempts
-
-    def credit(self, attempt: OutgoingAttempt, size: int) -> None:
-        self.send_message(m.WindowUpdate(id=attempt.id, increment_bytes=size))
+        """Sends the attempt with the first bytes of its body."""
+        self.last_stream_id += 1
+        attempt.stream_id, attempt.connection = self.last_stream_id, self
+        self.attempts[attempt.stream_id] = attempt
+        size = attempt.message.size
+        first_bytes = attempt.body.read(0, m.MAX_BODY_BYTES) if attempt.body and size else b""
+        attempt.message.id = attempt.stream_id
+        attempt.written = len(first_bytes)
+        self.send_message(attempt.message, first_bytes)
+        if attempt.written < size:
+            self.uploads.append(attempt)
+            self.send_bodies()
+
+    def cancel(self, attempt: OutgoingAttempt) -> None:
+        """The gateway no longer waits for this attempt: the node is notified, and has a while to confirm."""
+        self.attempts.pop(attempt.stream_id, None)
+        if attempt in self.uploads:
+            self.uploads.remove(attempt)
+        self.send_message(m.CancelAttempt(id=attempt.stream_id))
+        timer = self.clock.callLater(CONFIRMATION_TIMEOUT_S, self.abort)
+        self.cancelled[attempt.stream_id] = timer
+
+    def carries(self, attempt: OutgoingAttempt) -> bool:
+        """Whether the attempt is in flight on this connection."""
+        return attempt.stream_id in self.attempts
+
+    def send_window_update(self, attempt: OutgoingAttempt, increment_bytes: int) -> None:
+        """Lets the node send so many more bytes of the attempt's response."""
+        self.send_message(m.WindowUpdate(id=attempt.stream_id, increment_bytes=increment_bytes))
 
     def close(self) -> None:
-        """Ends the connection once what was written has gone out."""
+        """Ends the connection once everything written has gone out."""
         if self.is_open:
             self.send_message(m.GoAway(reason="idle"))
             self.transport.loseConnection()
-            self.clock.callLater(LINGER, self.abort)
+            self.clock.callLater(CONFIRMATION_TIMEOUT_S, self.abort)
 
-    def pump(self) -> None:
-        """Sends one piece of each body in turn until the transport asks to wait or all is sent."""
-        while self.sending and not self.blocked and self.is_open:
-            attempt = self.sending.pop(0)
-            if attempt.over or attempt.body is None:
+    # --- sending bodies, with back-pressure from the transport (IPushProducer) ---
+
+    def send_bodies(self) -> None:
+        """Sends one chunk of each body in turn until the transport asks to wait or all is sent."""
+        while self.uploads and not self.paused and self.is_open:
+            attempt = self.uploads.pop(0)
+            if attempt.ended or attempt.body is None:
                 continue
-            piece = attempt.body.read(attempt.written, m.MAX_BODY_BYTES)
-            attempt.written += len(piece)
-            self.send_message(m.BodyChunk(id=attempt.id), piece)
+            chunk = attempt.body.read(attempt.written, m.MAX_BODY_BYTES)
+            attempt.written += len(chunk)
+            self.send_message(m.BodyChunk(id=attempt.stream_id), chunk)
             if attempt.written < attempt.message.size:
-                self.sending.append(attempt)
+                self.uploads.append(attempt)
 
     def pauseProducing(self) -> None:
-        self.blocked = True
+        """Twisted's callback: the transport's buffer is full."""
+        self.paused = True
 
     def resumeProducing(self) -> None:
-        self.blocked = False
-        self.pump()
+        """Twisted's callback: the transport takes more."""
+        self.paused = False
+        self.send_bodies()
 
     def stopProducing(self) -> None:
-        self.blocked = True
-
-    def drop(self, attempt: OutgoingAttempt) -> None:
-        """The gateway no longer waits for this attempt: the node hears of it, and has a while to confirm
-        it.
-        """
-        self.attempts.pop(attempt.id, None)
-        if attempt in self.sending:
-            self.sending.remove(attempt)
-        self.send_message(m.CancelAttempt(id=attempt.id))
-        self.given_up[attempt.id] = self.clock.callLater(LINGER, self.abort)
-
-    def message_received(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+        """Twisted's callback: the transport takes nothing more."""
+        self.paused = True
+
+    # --- wire.framed_protocol.FramedProtocol ---
+
+    def connection_ready(self) -> None:
+        """Sends the gateway's hello; the connection counts as open with the node's."""
+        self.transport.registerProducer(self, True)
+        hello = m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.dispatcher.name)
+        self.send_message(hello)
+
+    def message_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
+        """Passes a message on to the dispatcher."""
         if isinstance(message, m.Hello):
-            self.met = True
-            self.client.connection_opened(self)
-            return
-        if isinstance(message, m.GoAway):
-            self.client.connection_leaving(self)
-            return
-        if isinstance(message, m.ErrorNotice):
-            self.client.counts["faults told by nodes"] += 1
+            self.handshake_complete = True
+            self.dispatcher.connection_opened(self)
+        elif isinstance(message, m.GoAway):
+            self.dispatcher.connection_draining(self)
+        elif isinstance(message, m.ErrorNotice):
+            self.dispatcher.counts["faults told by nodes"] += 1
             self.abort()
+        else:
+            self._reply_received(message, body, stream_state)
+
+    def _reply_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
+        stream_id: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
+        last = stream_state in (StreamState.CLOSED, StreamState.REJECTED)
+        if stream_id in self.cancelled:
+            self._late_reply(stream_id, message, last)
             return
-        number: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
-        over = after in (StreamState.CLOSED, StreamState.REJECTED)
-        if number in self.given_up:
-            if not isinstance(message, m.AttemptCancelled):
-                self.client.counts["late answers dropped"] += 1
-            if over:
-                stop(self.given_up.pop(number))
-                self.client.connection_freed(self, number)
-            return
-        attempt = self.attempts[number]
-        if over:
-            del self.attempts[number]
-        if after is StreamState.REJECTED:
-            if attempt in self.sending:
-                self.sending.remove(attempt)
-            self.send_message(m.CancelAttempt(id=number))  # the rest of its body need not be sent
-        self.client.answered(self, attempt, message, body, over)
+        attempt = self.attempts[stream_id]
+        if last:
+            del self.attempts[stream_id]
+        if stream_state is StreamState.REJECTED:
+            if attempt in self.uploads:
+                self.uploads.remove(attempt)
+            self.send_message(m.CancelAttempt(id=stream_id))  # the rest of its body need not be sent
+        self.dispatcher.response_received(attempt, message, body, last)
+
+    def _late_reply(self, stream_id: int, message: m.AnyMessage, last: bool) -> None:
+        """A message for an attempt that was cancelled."""
+        if not isinstance(message, m.AttemptCancelled):
+            self.dispatcher.counts["late answers dropped"] += 1
+        if last:
+            stop(self.cancelled.pop(stream_id))
+            self.dispatcher.connection_freed(self)
 
     def connection_ended(self, mid_message: bool) -> None:
-        for timer in self.given_up.values():
+        """Reports the end of the connection, with the attempts in flight on it."""
+        for timer in self.cancelled.values():
             stop(timer)
-        self.given_up.clear()
-        how = (
-            ConnectionEnd.GARBLED
-            if self.failure
-            else ConnectionEnd.HALF_HEADER
-            if mid_message
-            else ConnectionEnd.BETWEEN
-        )
+        self.cancelled.clear()
+        end = ConnectionEnd.IN_HEADER if mid_message else ConnectionEnd.BETWEEN_MESSAGES
+        if self.failure is not None:
+            end = ConnectionEnd.VIOLATION
         attempts, self.attempts = self.attempts, {}
-        self.client.connection_closed(self, list(attempts.values()), how)
-
-
-class _Dial(ClientFactory):
-    """One dial, bounded in time; its end is reported once."""
-
-    noisy = False
-
-    def __init__(self, client: Dispatcher, pooled: PooledConnection) -> None:
-        self.client = client
-        self.pooled = pooled
-
-    def buildProtocol(self, addr: Any) -> FramedConnection:
-        connection = FramedConnection(self.client, self.pooled)
-        self.client.connections[self.pooled.number] = connection
-        return connection
-
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.client.dial_failed(self.pooled, AttemptEvent.REFUSED)
+        self.dispatcher.connection_closed(self, list(attempts.values()), end)
 
 
 def dialler(network: Network) -> OpenConnection:
-    """What opens connections on a network; the dispatcher bounds the time, the network's own bound only
-    tidies up.
-    """
-
-    def open_connection(
-        dispatcher: Dispatcher, pooled: PooledConnection, address: tuple[str, int]
-    ) -> Callable[[], None] | None:
-        connector = network.connectTCP(address[0], address[1], _Dial(dispatcher, pooled), timeout=LONGEST)
-        return None if connector is None else connector.disconnect
-
-    return open_connection
+    """What opens connections to nodes that speak the framed protocol."""
+    return connection_opener(network, FramedConnection, accept_abandoned=True)
--- a/ochrecourse/nodes/health.py
+++ b/ochrecourse/nodes/health.py
@@ -1,10 +1,10 @@
-"""Which nodes this gateway reaches, from how its dials and attempts go. Free of I/O and clocks.
+"""Which nodes this gateway can reach, from how its dials and attempts end. Free of I/O and clocks.
 
-A node counts as out of reach after several failures in a row with no word from it in between, or while
-several attempts have waited for a word of it for longer than a node at work stays silent. Any word of service
-brings it back. Only failures that a live node would not cause count: refused or silent dials, broken
-connections, and time-outs. The same holds for all nodes together: a few attempts at each may still say that
-none answers.
+A node counts as unreachable after several failures in a row with no reply in between, or while several
+attempts have waited for a reply longer than a healthy node stays silent. Any reply of service makes it
+reachable again. Only failures that a live node would not cause count: refused or silent dials, broken
+connections, and time-outs. The same rule holds for all nodes together: a few attempts at each may still show
+that none replies.
 """
 
 from __future__ import annotations
@@ -14,60 +14,67 @@
 
 from ochrecourse.interface import Ending
 
-IN_A_ROW = 3  # failures; one or two are an accident on any busy day
-UNHEARD = 2  # attempts sent since the last word; one may be a heavy request
-SILENCE = 550_000_000  # ns that a node with attempts may say nothing; over its pauses, well under a second
-SILENT = frozenset((Ending.UNREACHABLE, Ending.RESET, Ending.TIMEOUT))
+MAX_CONSECUTIVE_FAILURES = 3  # one or two are an accident on any busy day
+MIN_UNANSWERED_ATTEMPTS = 2  # since the last reply; one may be a heavy request
+MAX_SILENCE_NS = 550_000_000  # with attempts unanswered; over a node's pauses, well under a second
+FAILURES = frozenset((Ending.UNREACHABLE, Ending.RESET, Ending.TIMEOUT))
 
 
 @dataclass(slots=True)
 class ContactHistory:
-    """Failures in a row, and what was sent since the last word. `since`: when the first of it was."""
+    """Failures in a row, and what was sent since the last reply."""
 
-    failures: int = 0
-    sent: int = 0
-    since: int = 0
+    consecutive_failures: int = 0
+    unanswered_attempts: int = 0
+    unanswered_since: int = 0  # ns, when the first of the unanswered attempts was sent
 
     def attempt_sent(self, now: int) -> None:
-        if not self.sent:
-            self.since = now
-        self.sent += 1
+        """An attempt is sent; `now` in ns."""
+        if not self.unanswered_attempts:
+            self.unanswered_since = now
+        self.unanswered_attempts += 1
 
     def attempt_ended(self, ending: Ending) -> None:
-        if ending in SILENT:
-            self.failures += 1
+        """An attempt ended so."""
+        if ending in FAILURES:
+            self.consecutive_failures += 1
         elif ending is Ending.FULL:
-            # Guards against a hung node that turns away what its queue won't hold: that is no service.
-            self.sent = max(0, self.sent - 1)
+            # Guards against a hung node that rejects what its queue has no room for: that is no service.
+            self.unanswered_attempts = max(0, self.unanswered_attempts - 1)
         else:
-            self.failures = self.sent = 0
+            self.consecutive_failures = self.unanswered_attempts = 0
 
-    def unheard(self, now: int) -> bool:
-        return self.sent >= UNHEARD and now - self.since > SILENCE
+    def is_silent(self, now: int) -> bool:
+        """Whether several attempts have waited too long for a reply; `now` in ns."""
+        enough = self.unanswered_attempts >= MIN_UNANSWERED_ATTEMPTS
+        return enough and now - self.unanswered_since > MAX_SILENCE_NS
 
 
 class NodeHealth:
-    """All nodes that were sent an attempt."""
+    """The contact history of every node that was sent an attempt."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, ContactHistory] = {}
-        self.whole = ContactHistory()
+        self.histories: dict[int, ContactHistory] = {}  # by node
+        self.all_nodes = ContactHistory()
 
-    def sent(self, node: int, now: int) -> None:
-        """An attempt goes to this node."""
-        self.nodes.setdefault(node, ContactHistory()).attempt_sent(now)
-        self.whole.attempt_sent(now)
+    def attempt_sent(self, node: int, now: int) -> None:
+        """An attempt is sent to this node; `now` in ns."""
+        self.histories.setdefault(node, ContactHistory()).attempt_sent(now)
+        self.all_nodes.attempt_sent(now)
 
-    def ended(self, node: int, ending: Ending) -> None:
+    def attempt_ended(self, node: int, ending: Ending) -> None:
         """An attempt at this node ended so."""
-        self.nodes.setdefault(node, ContactHistory()).attempt_ended(ending)
-        self.whole.attempt_ended(ending)
+        self.histories.setdefault(node, ContactHistory()).attempt_ended(ending)
+        self.all_nodes.attempt_ended(ending)
 
-    def reached(self, nodes: Iterable[int], now: int) -> int:
-        """How many of these nodes are not out of reach."""
-        if self.whole.unheard(now):
+    def count_reachable(self, nodes: Iterable[int], now: int) -> int:
+        """How many of these nodes are reachable; `now` in ns."""
+        if self.all_nodes.is_silent(now):
             return 0
-        return sum(self._reached(self.nodes.get(node), now) for node in nodes)
+        return sum(self._is_reachable(node, now) for node in nodes)
 
-    def _reached(self, heard: ContactHistory | None, now: int) -> bool:
-        return heard is None or (heard.failures < IN_A_ROW and not heard.unheard(now))
+    def _is_reachable(self, node: int, now: int) -> bool:
+        history = self.histories.get(node)
+        if history is None:
+            return True
+        return history.consecutive_failures < MAX_CONSECUTIVE_FAILURES and not history.is_silent(now)
--- a/ochrecourse/nodes/pool.py
+++ b/ochrecourse/nodes/pool.py
@@ -1,65 +1,73 @@
-"""Which connection an attempt takes, when one is opened, and when one is closed. Free of I/O and clocks.
-
-Each node has a pool of connections, each carries several attempts. An attempt takes the open connection with
-the fewest attempts; when all are full and the node's cap allows it, one more is dialled. An attempt that
-waits takes the first connection to its node that has room: its own dial, another, or one that an attempt has
-left. Attempts with long bodies, by what was seen of their request class, have connections of their own, at
-most half of a node's: a short answer never waits behind the bytes of a long one. Dials of one gateway are
-bounded in number: after a mass restart the rest wait in order of arrival, so that the nodes meet no storm of
-handshakes. All figures come from the settings; the dispatcher asks, reports what happened, and pulls what to
-do.
+"""Which connection an attempt takes, when one is dialled, and when one is closed. Free of I/O and clocks.
+
+Each node has a pool of connections, and each connection carries several attempts:
+
+- An attempt takes the open connection with the fewest attempts. When all are full, one more is dialled within
+  the node's limit.
+- An attempt that waits takes the first connection to its node with capacity: its own dial, another, or one
+  that an attempt has freed.
+- Attempts with long bodies, as last observed of their request class, have connections of their own, at most
+  half of a node's: a short response never waits behind the bytes of a long one.
+- Concurrent dials of one gateway are bounded, the rest wait in order of arrival: after a mass restart the
+  nodes meet no storm of handshakes.
+
+All limits come from the settings. The dispatcher asks for a placement, reports what happened, and pulls what
+to do.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
 
 
 class PoolLimits(NamedTuple):
-    """What the settings say of connections."""
+    """The limits of a pool, from the settings."""
 
-    attempts: int  # on one connection at once
-    connections: int  # to one node at once
-    dials: int  # of one gateway at once
-    idle: int  # ns without an attempt after which a connection is closed
-    total: int = 0  # to all nodes at once; 0: no such bound
+    attempts_per_connection: int
+    connections_per_node: int
+    concurrent_dials: int  # of one gateway
+    idle_timeout: int  # ns without an attempt after which a connection is closed
+    total_connections: int = 0  # to all nodes; 0: no such bound
 
 
-class State(Enum):
-    """Where a connection stands."""
+class ConnectionStatus(Enum):
+    """The stages of a pooled connection."""
 
     QUEUED = "queued"  # waits for its turn to be dialled
     DIALLING = "dialling"
     OPEN = "open"
-    LEAVING = "leaving"  # finishes its attempts, takes no new ones
+    DRAINING = "draining"  # finishes its attempts, takes no new ones
 
 
 @dataclass(slots=True, eq=False)
 class PooledConnection:
-    """One connection. `waiting` holds the attempts that wait for its dial, in order."""
+    """One connection to a node, as the pool knows it."""
 
     number: int
     node: int
-    long: bool = False  # for attempts with long bodies
-    state: State = State.QUEUED
-    attempts: int = 0
-    idle_since: int = 0
-    dialled_at: int = 0
-    slow: bool = False  # its dial takes longer than usual: no attempt waits for it that has another way
-    waiting: deque[int] = field(default_factory=deque)
-
-
-class Place(NamedTuple):
-    """The answer to `place`: the connection an attempt takes (None: there is no room), whether it may go now,
-    and a connection to another node that is to be closed for it.
+    long_bodies: bool = False  # reserved for attempts with long bodies
+    status: ConnectionStatus = ConnectionStatus.QUEUED
+    attempt_count: int = 0  # attempts that it carries or that wait for its dial
+    idle_since: int = 0  # ns
+    dialled_at: int = 0  # ns
+    slow_dial: bool = False  # its dial takes longer than usual: no attempt joins it
+    waiting: deque[int] = field(default_factory=deque)  # numbers of the attempts that wait for its dial
+
+
+class Placement(NamedTuple):
+    """Where an attempt goes.
+
+    `connection`: None without capacity; `ready`: whether it may be sent now; `evicted`: an idle connection to
+    another node that is to be closed for it.
     """
 
     connection: PooledConnection | None
-    now: bool
-    instead: PooledConnection | None = None
+    ready: bool
+    evicted: PooledConnection | None = None
 
 
 class Pool:
@@ -68,211 +76,225 @@
     def __init__(self, limits: PoolLimits) -> None:
         self.limits = limits
         self.connections: dict[int, dict[int, PooledConnection]] = {}  # by node, by number
-        self.queue: OrderedDict[int, PooledConnection] = OrderedDict()  # to be dialled, in order of arrival
-        self.idle: OrderedDict[int, PooledConnection] = (
-            OrderedDict()
-        )  # open without an attempt, longest first
-        self.dialling = 0
-        self.count = 0
-        self.long: set[str] = set()  # request classes whose last answer was long
-
-    # --- what the dispatcher asks and reports ---
-
-    def answered(self, request_class: str, long: bool) -> None:
-        """An attempt's answer began: whether more of it is to come than one message holds."""
-        if long:
-            self.long.add(request_class)
+        self.dial_queue: OrderedDict[int, PooledConnection] = OrderedDict()  # in order of arrival
+        self.idle: OrderedDict[int, PooledConnection] = OrderedDict()  # open ones, longest idle first
+        self.dial_count = 0  # dials in progress
+        self.last_number = 0
+        self.long_classes: set[str] = set()  # request classes whose last response was long
+
+    # --- placing attempts ---
+
+    def response_began(self, request_class: str, long_body: bool) -> None:
+        """A response began; `long_body`: its body is longer than its first message."""
+        if long_body:
+            self.long_classes.add(request_class)
         else:
-            self.long.discard(request_class)
+            self.long_classes.discard(request_class)
+
+    def place(self, node: int, attempt: int, request_class: str = "", long_body: bool = False) -> Placement:
+        """Places an attempt, which counts on its connection until `attempt_ended`.
 
-    def place(self, node: int, attempt: int, request_class: str = "", long: bool = False) -> Place:
-        """Where an attempt for this node goes. It counts on that connection until `attempt_over`. `long`: its
-        own body is.
+        `long_body`: its own body is long.
         """
         connections = self.connections.setdefault(node, {})
-        apart = self.limits.connections > 1
-        long = apart and (long or request_class in self.long)
-        best: PooledConnection | None = None
-        instead: PooledConnection | None = None
-        count = 0
-        for connection in connections.values():
-            if connection.long is not long:
-                continue
-            count += 1
-            if (
-                connection.state is State.LEAVING
-                or connection.attempts >= self.limits.attempts
-                or connection.slow
-            ):
-                continue
-            if best is None or (connection.state is not State.OPEN, connection.attempts) < (
-                best.state is not State.OPEN,
-                best.attempts,
-            ):
-                best = connection
-        if best is None:
-            of_long = self.limits.connections // 2 if self.long or long else 0
-            if count >= (of_long if long else self.limits.connections - of_long):
-                return Place(None, False)
-            if self.limits.total and self._taken() >= self.limits.total:
-                # Guards against running out of descriptors: a connection that rests makes room.
-                instead = next(iter(self.idle.values()), None)
-                if instead is None:
-                    return Place(None, False)
-                self.leaving(instead)
-            self.count += 1
-            best = connections[self.count] = PooledConnection(self.count, node, long)
-            self.queue[best.number] = best
-        best.attempts += 1
-        self.idle.pop(best.number, None)
-        if best.state is State.OPEN:
-            return Place(best, True)
-        best.waiting.append(attempt)
-        return Place(best, False, instead)
+        separate = self.limits.connections_per_node > 1
+        long_body = separate and (long_body or request_class in self.long_classes)
+        same_kind = [each for each in connections.values() if each.long_bodies is long_body]
+        connection = self._least_loaded(same_kind)
+        evicted: PooledConnection | None = None
+        if connection is None:
+            if len(same_kind) >= self._max_connections(long_body):
+                return Placement(None, False)
+            if self._at_total_limit():
+                # Guards against running out of descriptors: an idle connection makes room.
+                evicted = next(iter(self.idle.values()), None)
+                if evicted is None:
+                    return Placement(None, False)
+                self.drain(evicted)
+            connection = self._queue_dial(node, long_body)
+        connection.attempt_count += 1
+        self.idle.pop(connection.number, None)
+        if connection.status is ConnectionStatus.OPEN:
+            return Placement(connection, True)
+        connection.waiting.append(attempt)
+        return Placement(connection, False, evicted)
 
-    def next_dial(self) -> PooledConnection | None:
-        """The next connection to open, or None while enough dials are under way. Pull until None."""
-        while self.queue and self.dialling < self.limits.dials:
-            _, connection = self.queue.popitem(last=False)
-            if not connection.attempts and self.waits(connection) is None:
-                self.gone(connection)  # it was to help attempts that have left
-                continue
-            connection.state = State.DIALLING
-            self.dialling += 1
-            return connection
-        return None
+    def attempt_ended(self, connection: PooledConnection, attempt: int, now: int) -> bool:
+        """An attempt no longer needs its connection. True if the connection was draining and can be closed.
 
-    def beside(self, connection: PooledConnection) -> bool:
-        """A dial takes longer than usual. True if one more is queued for the attempts that wait there:
-        one for each of them and one to spare, within the caps.
+        A queued connection that no attempt waits for is removed, for its dial would help none.
         """
-        connection.slow = True
-        connections = [
-            each
-            for each in self.connections.get(connection.node, {}).values()
-            if each.long is connection.long
-        ]
-        if self._spare(connections) > 0 or len(connections) >= self.limits.connections:
-            return False
-        if self.limits.total and self._taken() >= self.limits.total:
+        connection.attempt_count -= 1
+        if attempt in connection.waiting:
+            connection.waiting.remove(attempt)
+        if connection.attempt_count:
             return False
-        self.count += 1
-        more = self.connections[connection.node][self.count] = PooledConnection(
-            self.count, connection.node, connection.long
-        )
-        self.queue[more.number] = more
-        return True
-
-    def helps(self, connection: PooledConnection) -> bool:
-        """Whether a dial may still serve an attempt: its own, or one that waits for another to that node
-        while no more than one dial beside theirs is under way.
-        """
-        connections = [
-            each
-            for each in self.connections.get(connection.node, {}).values()
-            if each.long is connection.long
-        ]
-        return bool(connection.waiting) or (
-            self._spare(connections) <= 1 and any(each.waiting for each in connections)
-        )
-
-    def _spare(self, connections: list[PooledConnection]) -> int:
-        """How many more dials are under way than attempts' own."""
-        return sum(each.state in (State.QUEUED, State.DIALLING) and not each.waiting for each in connections)
+        if connection.status is ConnectionStatus.OPEN:
+            self._mark_idle(connection, now)
+        elif connection.status is ConnectionStatus.QUEUED:
+            self.remove(connection)
+        return connection.status is ConnectionStatus.DRAINING
 
-    def waits(self, connection: PooledConnection) -> PooledConnection | None:
-        """The connection to the same node, for attempts of the same kind, on whose dial an attempt waits
-        longest.
-        """
-        for other in self.connections.get(connection.node, {}).values():
-            if other.waiting and other.long is connection.long:
-                return other
-        return None
+    def take_waiting(self, connection: PooledConnection) -> int | None:
+        """Moves an attempt that waits for another connection to the same node to this open one.
 
-    def relieve(self, connection: PooledConnection) -> int | None:
-        """An attempt that waits for another connection to this node and may go on this one now: it counts
-        here from now on. None if there is no such attempt or no room. Pull until None.
+        Returns its number, None without such an attempt or without capacity. Pull until None.
         """
-        if connection.state is not State.OPEN or connection.attempts >= self.limits.attempts:
+        at_limit = connection.attempt_count >= self.limits.attempts_per_connection
+        if connection.status is not ConnectionStatus.OPEN or at_limit:
             return None
-        other = self.waits(connection)
+        other = self._first_with_waiting(connection)
         if other is None:
             return None
         attempt = other.waiting.popleft()
-        other.attempts -= 1
-        connection.attempts += 1
+        other.attempt_count -= 1
+        connection.attempt_count += 1
         self.idle.pop(connection.number, None)
-        if not other.attempts and other.state is State.QUEUED:
-            self.gone(other)
+        if not other.attempt_count and other.status is ConnectionStatus.QUEUED:
+            self.remove(other)
         return attempt
 
+    # --- dials ---
+
+    def next_dial(self) -> PooledConnection | None:
+        """The next connection to dial, None while enough dials are in progress. Pull until None."""
+        while self.dial_queue and self.dial_count < self.limits.concurrent_dials:
+            _, connection = self.dial_queue.popitem(last=False)
+            if not connection.attempt_count and self._first_with_waiting(connection) is None:
+                self.remove(connection)  # it was queued to help attempts that have ended
+                continue
+            connection.status = ConnectionStatus.DIALLING
+            self.dial_count += 1
+            return connection
+        return None
+
+    def hedge_dial(self, connection: PooledConnection) -> bool:
+        """A dial is slow. True if a second one was queued for the attempts that wait there.
+
+        Within the limits there is one dial for each waiting attempt and one to spare.
+        """
+        connection.slow_dial = True
+        same_kind = self._same_kind(connection)
+        if _spare_dials(same_kind) > 0 or len(same_kind) >= self.limits.connections_per_node:
+            return False
+        if self._at_total_limit():
+            return False
+        self._queue_dial(connection.node, connection.long_bodies)
+        return True
+
+    def dial_is_useful(self, connection: PooledConnection) -> bool:
+        """Whether a dial may still serve an attempt.
+
+        It may serve one that waits for it, or one that waits for another connection of its kind to the same
+        node, if no more than one spare dial is in progress.
+        """
+        if connection.waiting:
+            return True
+        same_kind = self._same_kind(connection)
+        return _spare_dials(same_kind) <= 1 and any(each.waiting for each in same_kind)
+
     def opened(self, connection: PooledConnection, now: int) -> list[int]:
-        """A dial succeeded. Returns the attempts that waited for it, in order."""
-        self.dialling -= 1
-        connection.state, connection.slow = State.OPEN, False
+        """A dial succeeded. Returns the numbers of the attempts that waited for it, in order."""
+        self.dial_count -= 1
+        connection.status, connection.slow_dial = ConnectionStatus.OPEN, False
         attempts, connection.waiting = list(connection.waiting), deque()
-        if not connection.attempts:
-            self._rest(connection, now)
+        if not connection.attempt_count:
+            self._mark_idle(connection, now)
         return attempts
 
-    def gone(self, connection: PooledConnection) -> list[int]:
+    # --- ends of connections ---
+
+    def remove(self, connection: PooledConnection) -> list[int]:
         """A connection ended or its dial failed. Returns the attempts that still waited for the dial."""
-        if connection.state is State.DIALLING:
-            self.dialling -= 1
-        self.queue.pop(connection.number, None)
+        if connection.status is ConnectionStatus.DIALLING:
+            self.dial_count -= 1
+        self.dial_queue.pop(connection.number, None)
         self.idle.pop(connection.number, None)
         connections = self.connections.get(connection.node, {})
         connections.pop(connection.number, None)
         if not connections:
             self.connections.pop(connection.node, None)
         attempts, connection.waiting = list(connection.waiting), deque()
-        connection.state = State.LEAVING
+        connection.status = ConnectionStatus.DRAINING
         return attempts
 
-    def leaving(self, connection: PooledConnection) -> bool:
-        """The node is leaving, or the gateway closes: no new attempts. True if the connection can be closed
-        at once.
-        """
-        connection.state = State.LEAVING
+    def drain(self, connection: PooledConnection) -> bool:
+        """No new attempts on this connection. True if it carries none and can be closed at once."""
+        connection.status = ConnectionStatus.DRAINING
         self.idle.pop(connection.number, None)
-        return connection.attempts == 0
-
-    def attempt_over(self, connection: PooledConnection, attempt: int, now: int) -> bool:
-        """An attempt no longer needs its connection. True if the connection was leaving and can be closed
-        now.
-
-        A queued connection that nobody waits for any more is forgotten: its dial would help no attempt.
-        """
-        connection.attempts -= 1
-        if attempt in connection.waiting:
-            connection.waiting.remove(attempt)
-        if connection.attempts:
-            return False
-        if connection.state is State.OPEN:
-            self._rest(connection, now)
-        elif connection.state is State.QUEUED:
-            self.gone(connection)
-        return connection.state is State.LEAVING
+        return connection.attempt_count == 0
 
     def next_idle(self, now: int) -> PooledConnection | None:
-        """The next connection that was idle for too long; it is leaving from now on. Pull until None."""
+        """The next connection that was idle for too long; it drains from now on. Pull until None."""
         for connection in self.idle.values():
-            if connection.idle_since + self.limits.idle > now:
+            if connection.idle_since + self.limits.idle_timeout > now:
                 return None
-            self.leaving(connection)
+            self.drain(connection)
             return connection
         return None
 
-    def next_due(self) -> int | None:
-        """When the next connection will have been idle for too long."""
+    def next_idle_deadline(self) -> int | None:
+        """Clock time (ns) at which the next connection will have been idle for too long; None without one."""
         for connection in self.idle.values():
-            return connection.idle_since + self.limits.idle
+            return connection.idle_since + self.limits.idle_timeout
         return None
 
-    def _taken(self) -> int:
+    # --- inside ---
+
+    def _least_loaded(self, connections: Iterable[PooledConnection]) -> PooledConnection | None:
+        """The connection with capacity that carries the fewest attempts, an open one before any other."""
+        candidates = [
+            each
+            for each in connections
+            if each.status is not ConnectionStatus.DRAINING
+            and each.attempt_count < self.limits.attempts_per_connection
+            and not each.slow_dial
+        ]
+        return min(
+            candidates,
+            key=lambda each: (each.status is not ConnectionStatus.OPEN, each.attempt_count),
+            default=None,
+        )
+
+    def _max_connections(self, long_body: bool) -> int:
+        """How many connections to one node may be of this kind."""
+        limit = self.limits.connections_per_node
+        long_limit = limit // 2 if self.long_classes or long_body else 0
+        return long_limit if long_body else limit - long_limit
+
+    def _at_total_limit(self) -> bool:
+        limit = self.limits.total_connections
+        return limit != 0 and self._active_connections() >= limit
+
+    def _active_connections(self) -> int:
         connections = (connection for each in self.connections.values() for connection in each.values())
-        return sum(connection.state is not State.LEAVING for connection in connections)
+        return sum(connection.status is not ConnectionStatus.DRAINING for connection in connections)
+
+    def _queue_dial(self, node: int, long_bodies: bool) -> PooledConnection:
+        self.last_number += 1
+        connection = PooledConnection(self.last_number, node, long_bodies)
+        self.connections[node][connection.number] = connection
+        self.dial_queue[connection.number] = connection
+        return connection
+
+    def _same_kind(self, connection: PooledConnection) -> list[PooledConnection]:
+        """The connections to the same node for attempts of the same kind, this one among them."""
+        connections = self.connections.get(connection.node, {}).values()
+        return [each for each in connections if each.long_bodies is connection.long_bodies]
+
+    def _first_with_waiting(self, connection: PooledConnection) -> PooledConnection | None:
+        """The oldest connection of the same kind to the same node for whose dial an attempt waits."""
+        for other in self.connections.get(connection.node, {}).values():
+            if other.waiting and other.long_bodies is connection.long_bodies:
+                return other
+        return None
 
-    def _rest(self, connection: PooledConnection, now: int) -> None:
+    def _mark_idle(self, connection: PooledConnection, now: int) -> None:
         connection.idle_since = now
         self.idle[connection.number] = connection
+
+
+def _spare_dials(connections: Iterable[PooledConnection]) -> int:
+    """How many dials are queued or in progress for which no attempt waits."""
+    dialling = (ConnectionStatus.QUEUED, ConnectionStatus.DIALLING)
+    return sum(each.status in dialling and not each.waiting for each in connections)
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -66,7 +66,13 @@
         values = start.values
         idle = float(values.get("Limits.IdleClose", 15_000))
         idle_ns = round(idle * MS / IDLE_PART)
-        limits = PoolLimits(attempts=1, connections=nodes, dials=DIALS, idle=idle_ns, total=nodes)
+        limits = PoolLimits(
+            attempts_per_connection=1,
+            connections_per_node=nodes,
+            concurrent_dials=DIALS,
+            idle_timeout=idle_ns,
+            total_connections=nodes,
+        )
         self.gateway = Gateway(
             values, start.seed, network, dialler(network), start.name, travel=TRAVEL, limits=limits,
             unread_since=unread_since,
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -462,7 +462,7 @@
     here.loop.turn()
     dispatcher = here.service.gateway.nodes
     here.loop.runUntilCurrent()  # the dial begins, and its connection is open in the system at once
-    assert here.service.gateway.ledger.legs == 1 and dispatcher.dials
+    assert here.service.gateway.ledger.legs == 1 and dispatcher.dials.in_progress
     client.sendall(PING)  # the end stands behind bytes, so one turn does not bring it
     client.close()
     end_stands(side)
@@ -478,7 +478,7 @@
     client.sendall(read(1, d=60_000))
     stands(side.transport.fileno(), select.POLLIN)
     here.loop.turn()
-    assert here.service.gateway.nodes.dials
+    assert here.service.gateway.nodes.dials.in_progress
     here.loop.now += 0.15
     here.loop.until(lambda: not here.open)
     here.loop.settle()
--- a/tests/test_conflicts.py
+++ b/tests/test_conflicts.py
@@ -37,16 +37,16 @@
 
 def test_ready_node_that_refuses_is_told_from_the_third_time_and_until_it_speaks():
     view = View(entry(70), entry(71, 1))
-    view.legs(70, AttemptEvent.REFUSED, AttemptEvent.DIAL_TIMEOUT)
+    view.legs(70, AttemptEvent.DIAL_REFUSED, AttemptEvent.DIAL_TIMEOUT)
     assert not view.found()
-    view.legs(70, AttemptEvent.REFUSED)
+    view.legs(70, AttemptEvent.DIAL_REFUSED)
     assert view.found() == [(70, "listed as ready and refuses connections, 3 in a row")]
     assert (
         conflicts(view.entries, view.sightings, T + 2 * SECOND)[0].since == T + SECOND
     )  # the first of the row
-    view.legs(70, AttemptEvent.TIMEOUT, AttemptEvent.NO_ROOM)  # no word of the node: the row stands
+    view.legs(70, AttemptEvent.TIMEOUT, AttemptEvent.NO_CAPACITY)  # no word of the node: the row stands
     assert view.found()
-    view.legs(70, AttemptEvent.FULL)
+    view.legs(70, AttemptEvent.REJECTED)
     assert not view.found()
 
 
@@ -54,11 +54,11 @@
     view = View(entry(70))
     view.legs(
         70,
-        AttemptEvent.REFUSED,
-        AttemptEvent.REFUSED,
+        AttemptEvent.DIAL_REFUSED,
+        AttemptEvent.DIAL_REFUSED,
         AttemptEvent.FAILED,
-        AttemptEvent.REFUSED,
-        AttemptEvent.REFUSED,
+        AttemptEvent.DIAL_REFUSED,
+        AttemptEvent.DIAL_REFUSED,
     )
     assert not view.found()
 
@@ -67,19 +67,19 @@
     view = View(entry(70))
     view.legs(70, AttemptEvent.NOT_STORED)
     assert view.found() == [(70, "says that it does not hold its shard")]
-    view.legs(70, AttemptEvent.FULL)
+    view.legs(70, AttemptEvent.REJECTED)
     assert view.found()
-    view.legs(70, AttemptEvent.DONE)
+    view.legs(70, AttemptEvent.SERVED)
     assert not view.found()
 
 
 @pytest.mark.parametrize(("health", "how"), [(Health.DRAINING, "draining"), (Health.GONE, "gone")])
 def test_node_on_its_way_out_that_answers_is_told_for_a_while(health, how):
     view = View(entry(70))
-    view.legs(70, AttemptEvent.DONE, at=T + SECOND)
+    view.legs(70, AttemptEvent.SERVED, at=T + SECOND)
     view.told(T + 2 * SECOND, entry(70, health=health))
     assert not view.found(T + 3 * SECOND)  # what it said before is no conflict
-    view.legs(70, AttemptEvent.DONE, at=T + 3 * SECOND)
+    view.legs(70, AttemptEvent.SERVED, at=T + 3 * SECOND)
     assert view.found(T + 4 * SECOND) == [(70, f"listed as {how} and answers")]
     assert not view.found(T + 4 * SECOND + RECENT)
 
@@ -108,7 +108,7 @@
     view = View(*(entry(node, node) for node in range(1024)))
     view.told(T + SECOND, entry(5, 5), whole=True)
     assert view.sightings.nodes[6].health is Health.GONE
-    view.legs(6, AttemptEvent.DONE, at=T + 2 * SECOND)
+    view.legs(6, AttemptEvent.SERVED, at=T + 2 * SECOND)
     assert (6, "listed as gone and answers") in view.found(T + 3 * SECOND)
     view.told(T + 3 * SECOND + RECENT, entry(5, 5))
     assert set(view.sightings.nodes) == {5}
@@ -116,6 +116,6 @@
 
 def test_legs_at_nodes_that_no_list_named_leave_nothing():
     view = View(entry(70))
-    view.legs(99, *[AttemptEvent.REFUSED] * 5)
+    view.legs(99, *[AttemptEvent.DIAL_REFUSED] * 5)
     view.told(T + SECOND, entry(98, health=Health.GONE))
     assert set(view.sightings.nodes) == {70} and not view.found()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -653,7 +653,7 @@
         each.send("GET", "/f", seconds=0, Idempotency_Key="k")
     for _ in range(200):
         house.yard.run(0.01)
-        most = max(most, len(house.yard.gateway.nodes.out))
+        most = max(most, len(house.yard.gateway.nodes.in_flight))
     house.yard.run(1)
     got = [each.next()[0] for each in clients]
     assert most == 1 and set(got) == {200, 503} and got.count(200) >= 30
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).parent.parent / "ochrecourse"
 DONE = [
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
-    "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
+    "nodes/dial.py", "nodes/dial_manager.py", "nodes/outgoing_attempt.py", "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
     "wire/errors.py", "wire/framed_protocol.py", "wire/http_client.py", "wire/messages.py", "wire/state.py",
 ]  # fmt: skip
 OLD = re.compile(
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -12,7 +12,9 @@
 from ochrecourse.gateway.gateway import Gateway, Request
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.nodes.dispatcher import Dispatcher
+from ochrecourse.nodes.dial_manager import DialSettings
+from ochrecourse.nodes.dispatcher import Dispatcher, DispatcherSettings, NodeNetwork
+from ochrecourse.nodes.outgoing_attempt import AttemptLimits, OutgoingAttempt
 from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent, WriteProgress
 from ochrecourse.resp import codec
@@ -36,7 +38,7 @@
         values = {**FLAT, "Classes.1.Window": "400", "Classes.1.Aim": "900", "Classes.1.SerialByKey": "false"}
         self.gateway = Gateway(
             values, 7, self.network, lambda dispatcher, line, address: self.dials.append(line), "n0", decisions=Clerk,
-            limits=PoolLimits(attempts=1, connections=9, dials=9, idle=10 * SECOND),
+            limits=PoolLimits(attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=10 * SECOND),
         )  # fmt: skip
         self.gateway.list_came(ListKind.FULL, [NodeEntry(7, 0, 0, Health.READY, 0)], {7: ("h", 1)})
 
@@ -50,14 +52,14 @@
 
     def connect(self):
         """The oldest dial that is under way comes up."""
-        line = next(line for line in self.dials if line.number in self.gateway.nodes.dials)
+        line = next(line for line in self.dials if line.number in self.gateway.nodes.dials.in_progress)
         wire = self.gateway.nodes.connections[line.number] = Wire(line)
         self.gateway.nodes.connection_opened(wire)
         return wire
 
     def reset(self, wire):
         self.gateway.nodes.connection_closed(
-            wire, list(self.gateway.nodes.out.values()), ConnectionEnd.BETWEEN
+            wire, list(self.gateway.nodes.in_flight.values()), ConnectionEnd.BETWEEN_MESSAGES
         )
 
     def first_attempt_breaks(self):
@@ -110,16 +112,18 @@
     world = ShortWindow()
     world.request()
     first = world.connect()
-    busy = world.gateway.nodes.out[1]
+    busy = world.gateway.nodes.in_flight[1]
     world.request()
     second = world.connect()
-    world.gateway.nodes.connection_closed(second, [world.gateway.nodes.out[2]], ConnectionEnd.BETWEEN)
+    world.gateway.nodes.connection_closed(
+        second, [world.gateway.nodes.in_flight[2]], ConnectionEnd.BETWEEN_MESSAGES
+    )
     world.gateway.scheduler.nodes[7].window = 8.0  # a second request has room beside the first
     world.until_dialled(3)
     world.network.now += 0.5
     busy.pooled = None
-    world.gateway.nodes.answered(first, busy, m.AttemptServed(id=0, size=0, body=0), b"", True)
-    world.gateway.nodes.connection_freed(first, -1)
+    world.gateway.nodes.response_received(busy, m.AttemptServed(id=0, size=0, body=0), b"", True)
+    world.gateway.nodes.connection_freed(first)
     assert first.sent == [1]
 
 
@@ -143,25 +147,25 @@
         id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=True, idempotency="keyed",
         idempotency_window_ms=0.0, timeout_ms=1.0, size=99,
     )  # fmt: skip
-    attempt = street.dispatcher.send(1, 7, message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS)
+    limits = AttemptLimits(2 * SECOND, SECOND, None, now + 100 * MS)
+    attempt = street.dispatcher.send(OutgoingAttempt(1, 7, message, None, street), limits)
     street.came(street.dialled[0])
     attempt.written = 50
-    assert attempt.handed() is WriteProgress.PARTIAL
+    assert attempt.write_progress() is WriteProgress.PARTIAL
     street.network.advance(0.11)
-    assert street.ends == [(1, AttemptEvent.LEFT_BEFORE)] and attempt.connection.ended
+    assert street.ends == [(1, AttemptEvent.CANCELLED_BEFORE_WRITE)] and attempt.connection.ended
 
 
 def test_an_attempt_that_was_written_in_time_is_not_ended_by_its_latest_time():
     street = Street()
     now = round(street.network.seconds() * SECOND)
     attempt = street.send(1)
-    other = street.dispatcher.send(
-        2, 7, attempt.message, None, 2 * SECOND, SECOND, street, None, now + 100 * MS
-    )
+    limits = AttemptLimits(2 * SECOND, SECOND, None, now + 100 * MS)
+    other = street.dispatcher.send(OutgoingAttempt(2, 7, attempt.message, None, street), limits)
     for line in list(street.dialled):
         street.came(line)
     street.network.advance(0.2)
-    assert street.ends == [] and other.handed() is WriteProgress.WHOLE
+    assert street.ends == [] and other.write_progress() is WriteProgress.COMPLETE
 
 
 # --- connections that speak the platform's protocol ---
@@ -192,8 +196,15 @@
     def __init__(self):
         self.network = VirtualNetwork(1)
         self.dials, self.ends, self.answers = [], [], []
-        limits = PoolLimits(attempts=1, connections=9, dials=9, idle=10 * SECOND)
-        self.dispatcher = Dispatcher("n0", self.network, limits, 0.25, lambda node: ("h", node), self.open)
+        limits = PoolLimits(
+            attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=10 * SECOND
+        )
+        self.dispatcher = Dispatcher(
+            "n0",
+            self.network,
+            DispatcherSettings(limits, DialSettings(timeout=0.25, min_slow=0.25)),
+            NodeNetwork(lambda node: ("h", node), self.open),
+        )
 
     def open(self, dispatcher, line, address):
         self.dials.append(line)
@@ -213,19 +224,20 @@
             id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
             idempotency_window_ms=0.0, timeout_ms=patience / MS, size=0,
         )  # fmt: skip
-        return self.dispatcher.send(number, 7, message, body, patience, SECOND, self, patience)
+        attempt = OutgoingAttempt(number, 7, message, body, self)
+        return self.dispatcher.send(attempt, AttemptLimits(patience, SECOND, patience))
 
-    def written(self, attempt):
+    def attempt_written(self, attempt):
         """Told of every attempt that has a connection."""
 
-    def began(self, attempt, answer):
+    def response_began(self, attempt, response):
         """Told of every answer."""
 
-    def piece(self, attempt, data):
+    def response_data(self, attempt, data):
         self.answers.append((attempt.request_id, data))
 
-    def ended(self, attempt, seen, answer):
-        self.ends.append((attempt.request_id, seen))
+    def attempt_ended(self, attempt, event, reply):
+        self.ends.append((attempt.request_id, event))
 
 
 @pytest.mark.parametrize("waited", [0.0, 0.2, 1.2])
@@ -402,7 +414,7 @@
     street.dispatcher.cancel(attempt)
     street.network.advance(0)
     assert street.wires[street.dialled[0].number].sent == [] and street.ends == [
-        (1, AttemptEvent.LEFT_BEFORE)
+        (1, AttemptEvent.CANCELLED_BEFORE_WRITE)
     ]
 
 
@@ -411,12 +423,14 @@
     street = Behind()
     street.send(1)
     street.came(street.dialled[0])
-    street.dispatcher.connection_closed(street.wires[street.dialled[0].number], [], ConnectionEnd.BETWEEN)
+    street.dispatcher.connection_closed(
+        street.wires[street.dialled[0].number], [], ConnectionEnd.BETWEEN_MESSAGES
+    )
     street.network.advance(0)
     assert (
-        street.ends == [(1, AttemptEvent.REFUSED)]
-        and not street.dispatcher.out
-        and not street.dispatcher.dials
+        street.ends == [(1, AttemptEvent.DIAL_REFUSED)]
+        and not street.dispatcher.in_flight
+        and not street.dispatcher.dials.in_progress
     )
 
 
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -6,6 +6,7 @@
 stand still; then it calls the timers that came due and reads what came after that, as a loop on sockets does.
 """
 
+import dataclasses
 import json
 from collections import Counter, deque
 
@@ -30,6 +31,7 @@
 from ochrecourse.lab.virtual import VirtualHost, VirtualNetwork, VirtualTransport
 from ochrecourse.nodes import dispatcher
 from ochrecourse.nodes import outcome
+from ochrecourse.nodes.dial import NodeDial
 from ochrecourse.nodes.dispatcher import Dispatcher
 from ochrecourse.service.gateway_service import GatewayService
 from ochrecourse.service.start_settings import parse
@@ -786,7 +788,11 @@
 
 def writes_repeats_behind_their_window(monkeypatch):
     whole = Dispatcher.send
-    monkeypatch.setattr(Dispatcher, "send", lambda self, *told: whole(self, *told[:-1], 0))
+    monkeypatch.setattr(
+        Dispatcher,
+        "send",
+        lambda self, attempt, limits: whole(self, attempt, dataclasses.replace(limits, write_before=0)),
+    )
 
 
 def uses_a_connection_again_at_once(monkeypatch):
@@ -803,21 +809,23 @@
 
 def takes_a_reset_for_proof_that_nothing_ran(monkeypatch):
     monkeypatch.setattr(
-        dispatcher, "event_at_close", lambda written, answering, how: outcome.AttemptEvent.CLOSED_BEFORE
+        dispatcher,
+        "event_on_close",
+        lambda progress, responding, end: outcome.AttemptEvent.CLOSED_BEFORE_WRITE,
     )
 
 
 def takes_half_an_answer_for_proof_that_nothing_ran(monkeypatch):
-    whole = outcome.event_at_close
+    whole = outcome.event_on_close
 
-    def seen(written, answering, how):
+    def seen(progress, responding, end):
         return (
-            outcome.AttemptEvent.CLOSED_BEFORE
-            if how is outcome.ConnectionEnd.HALF_HEADER
-            else whole(written, answering, how)
+            outcome.AttemptEvent.CLOSED_BEFORE_WRITE
+            if end is outcome.ConnectionEnd.IN_HEADER
+            else whole(progress, responding, end)
         )
 
-    monkeypatch.setattr(dispatcher, "event_at_close", seen)
+    monkeypatch.setattr(dispatcher, "event_on_close", seen)
 
 
 def takes_what_begins_like_busy_for_busy(monkeypatch):
@@ -832,11 +840,11 @@
 
 
 def keeps_the_connection_of_an_attempt_that_it_gave_up(monkeypatch):
-    def drop(connection, attempt):
+    def cancel(connection, attempt):
         connection.attempt = None
-        connection.client.connection_freed(connection, -1)
+        connection.client.connection_freed(connection)
 
-    monkeypatch.setattr(RespNodeConnection, "drop", drop)
+    monkeypatch.setattr(RespNodeConnection, "cancel", cancel)
 
 
 def takes_what_came_behind_an_answer_for_the_next_one(monkeypatch):
@@ -863,24 +871,24 @@
 
 
 def writes_what_waited_for_a_node_that_is_not_listed_any_more(monkeypatch):
-    monkeypatch.setattr(Dispatcher, "shed", lambda self, stays: None)
+    monkeypatch.setattr(Dispatcher, "cancel_waiting", lambda self, is_ready: None)
 
 
 def writes_what_its_client_has_left(monkeypatch):
     whole = Dispatcher.cancel
     monkeypatch.setattr(
-        Dispatcher, "cancel", lambda self, attempt: whole(self, attempt) if attempt.id >= 0 else None
+        Dispatcher, "cancel", lambda self, attempt: whole(self, attempt) if attempt.stream_id >= 0 else None
     )
 
 
 def takes_a_connection_that_it_has_given_up(monkeypatch):
     def build(dial, address):
-        connection = dial.client.connections[dial.pooled.number] = RespNodeConnection(
-            dial.client, dial.pooled
+        connection = dial.dispatcher.connections[dial.pooled.number] = RespNodeConnection(
+            dial.dispatcher, dial.pooled
         )
         return connection
 
-    monkeypatch.setattr(node_connection._Dial, "buildProtocol", build)
+    monkeypatch.setattr(NodeDial, "buildProtocol", build)
 
 
 MISTAKES = [
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -18,7 +18,9 @@
 from ochrecourse.interface import AttemptEnd, Ending, Health, ListKind, NodeEntry
 from ochrecourse.interface import Request as SchedulerRequest
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.nodes.dispatcher import Dispatcher
+from ochrecourse.nodes.dial_manager import DialSettings
+from ochrecourse.nodes.dispatcher import Dispatcher, DispatcherSettings, NodeNetwork
+from ochrecourse.nodes.outgoing_attempt import AttemptLimits, OutgoingAttempt
 from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.nodes.outcome import AttemptEvent
 from ochrecourse.common.time_units import MS, SECOND
@@ -31,23 +33,23 @@
 class Wire:
     """A connection to a node that keeps the attempts it was given."""
 
-    met = True
+    handshake_complete = True
 
     def __init__(self, line):
         self.pooled, self.sent, self.ended = line, [], False
 
     def send(self, attempt):
-        attempt.connection, attempt.id = self, 1
+        attempt.connection, attempt.stream_id = self, 1
         attempt.written = attempt.message.size
         self.sent.append(attempt.request_id)
 
-    def drop(self, attempt):
+    def cancel(self, attempt):
         self.ended = True
 
-    def holds(self, attempt):
+    def carries(self, attempt):
         return attempt.request_id in self.sent
 
-    def credit(self, attempt, size):
+    def send_window_update(self, attempt, increment_bytes):
         """Nothing is streamed here."""
 
     def close(self):
@@ -62,9 +64,17 @@
     def __init__(self, dials=64):
         self.network = VirtualNetwork(1)
         self.dialled, self.given_up, self.ends, self.wires = [], [], [], {}
-        limits = PoolLimits(attempts=1, connections=9, dials=dials, idle=10 * SECOND)
+        limits = PoolLimits(
+            attempts_per_connection=1,
+            connections_per_node=9,
+            concurrent_dials=dials,
+            idle_timeout=10 * SECOND,
+        )
         self.dispatcher = Dispatcher(
-            "n0", self.network, limits, 0.25, lambda node: ("h", node), self.open, 0.03
+            "n0",
+            self.network,
+            DispatcherSettings(limits, DialSettings(timeout=0.25, min_slow=0.03)),
+            NodeNetwork(lambda node: ("h", node), self.open),
         )
 
     def open(self, dispatcher, line, address):
@@ -80,24 +90,23 @@
             id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
             idempotency_window_ms=0.0, timeout_ms=1.0, size=0,
         )  # fmt: skip
-        return self.dispatcher.send(job, node, message, None, time_out, SECOND, self, wait)
+        attempt = OutgoingAttempt(job, node, message, None, self)
+        return self.dispatcher.send(attempt, AttemptLimits(time_out, SECOND, wait))
 
     def answer(self, attempt):
         """The node answers; its connection rests."""
         attempt.pooled = None
-        self.dispatcher.answered(
-            attempt.connection, attempt, m.AttemptServed(id=0, size=0, body=0), b"", True
-        )
-        self.dispatcher.connection_freed(attempt.connection, -1)
+        self.dispatcher.response_received(attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
+        self.dispatcher.connection_freed(attempt.connection)
 
-    def written(self, attempt):
+    def attempt_written(self, attempt):
         """Told of every attempt that has a connection."""
 
-    def began(self, attempt, answer):
+    def response_began(self, attempt, response):
         """Told of every answer."""
 
-    def ended(self, attempt, seen, answer):
-        self.ends.append((attempt.request_id, seen))
+    def attempt_ended(self, attempt, event, reply):
+        self.ends.append((attempt.request_id, event))
 
 
 def test_a_leg_takes_the_first_connection_that_comes_up_and_the_late_one_serves_the_next():
@@ -142,7 +151,7 @@
         street.send(job, wait=600 * MS)
         street.network.advance(0.1)
         assert (
-            len(street.dispatcher.dials) <= 8
+            len(street.dispatcher.dials.in_progress) <= 8
         )  # six attempts wait at once; one dial is to spare, one not yet old
     street.send(99, node=8)
     assert street.dialled[-1].node == 8
@@ -155,7 +164,7 @@
         street.send(job, node=job)
         street.network.advance(0.029)
         street.came(street.dialled[-1])
-        street.answer(street.dispatcher.out[job + 1])
+        street.answer(street.dispatcher.in_flight[job + 1])
     street.send(9, node=9)
     street.network.advance(0.05)
     assert len(street.dialled) == 4
@@ -176,7 +185,7 @@
     street.network.advance(0.41)
     assert street.ends[1:] == [(3, AttemptEvent.DIAL_TIMEOUT)]
     street.network.advance(0.3)
-    assert {line.node for line in street.given_up} == {7, 8, 9} and not street.dispatcher.dials
+    assert {line.node for line in street.given_up} == {7, 8, 9} and not street.dispatcher.dials.in_progress
 
 
 class Clerk(Scheduler):
@@ -209,7 +218,7 @@
         self.dialled, self.wires = [], []
         self.gateway = Gateway(
             FLAT, 7, self.network, lambda dispatcher, line, address: self.dialled.append(line), "n0",
-            decisions=Clerk, limits=PoolLimits(attempts=1, connections=9, dials=9, idle=SECOND),
+            decisions=Clerk, limits=PoolLimits(attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=SECOND),
         )  # fmt: skip
         entry = NodeEntry(7, 0, 0, Health.READY, 0)
         self.gateway.list_came(ListKind.FULL, [entry], {7: ("h", 1)})
@@ -236,10 +245,10 @@
     branch = Branch()
     branch.take()
     branch.network.advance(0.2)
-    wire = branch.came(branch.dialled[0])
+    branch.came(branch.dialled[0])
     branch.network.advance(0.02)
-    attempt = next(iter(branch.gateway.nodes.out.values()))
-    branch.gateway.nodes.answered(wire, attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
+    attempt = next(iter(branch.gateway.nodes.in_flight.values()))
+    branch.gateway.nodes.response_received(attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
     assert branch.asker.answers == ["fulfilled"]
     assert branch.scheduler.ends[0].took == pytest.approx(20 * MS, abs=MS)
 
@@ -278,7 +287,7 @@
     branch = Branch()
     before = branch.teaching()
     branch.gateway.leave(branch.take())
-    assert branch.scheduler.ends[0].ending is Ending.MOOT and not branch.gateway.nodes.out
+    assert branch.scheduler.ends[0].ending is Ending.MOOT and not branch.gateway.nodes.in_flight
     assert branch.teaching() == before and not branch.scheduler.requests
     assert branch.came(branch.dialled[0]).sent == []
 
@@ -300,7 +309,7 @@
     street.send(1, time_out=100 * MS)
     street.send(2, node=8, time_out=260 * MS)
     street.network.advance(0.3)
-    assert street.ends == [(1, AttemptEvent.LEFT_BEFORE), (2, AttemptEvent.TIMEOUT_BEFORE)]
+    assert street.ends == [(1, AttemptEvent.CANCELLED_BEFORE_WRITE), (2, AttemptEvent.TIMEOUT_BEFORE_WRITE)]
 
 
 # --- the list ---
@@ -440,4 +449,4 @@
     front, gateway = shop.service.front, shop.service.gateway
     assert not front.fronts and not front.open_ids and not gateway.ledger.open
     shop.run(5.0)
-    assert not gateway.ledger.jobs and not gateway.nodes.out and not gateway.scheduler.requests
+    assert not gateway.ledger.jobs and not gateway.nodes.in_flight and not gateway.scheduler.requests
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -17,7 +17,7 @@
 from ochrecourse.membership import endpoint_cache
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
 from ochrecourse.membership.endpoint_list import BadEndpointListError, EndpointListSnapshot, EndpointList
-from ochrecourse.nodes.pool import Pool, PoolLimits, State
+from ochrecourse.nodes.pool import ConnectionStatus, Pool, PoolLimits
 from ochrecourse.nodes.health import NodeHealth
 from ochrecourse.nodes.outcome import (
     VERDICTS,
@@ -25,8 +25,8 @@
     Executed,
     AttemptEvent,
     WriteProgress,
-    event_at_close,
-    event_at_timeout,
+    event_on_close,
+    event_on_timeout,
 )
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.standins.listserver import ListServer
@@ -39,30 +39,30 @@
     assert set(VERDICTS) == set(AttemptEvent)
     sure = {Ending.UNREACHABLE, Ending.FULL, Ending.MOOT}
     for seen, proof in VERDICTS.items():
-        assert (proof.ending in sure) == (proof.ran is Executed.NO), seen
-        assert (proof.ending is Ending.SERVED) == (seen is AttemptEvent.DONE)
+        assert (proof.ending in sure) == (proof.executed is Executed.NO), seen
+        assert (proof.ending is Ending.SERVED) == (seen is AttemptEvent.SERVED)
 
 
 @pytest.mark.parametrize(
     ("written", "answering", "how", "seen"),
     [
-        (WriteProgress.NOTHING, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_BEFORE),
-        (WriteProgress.PARTIAL, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_DURING),
-        (WriteProgress.WHOLE, False, ConnectionEnd.BETWEEN, AttemptEvent.CLOSED_AFTER),
-        (WriteProgress.WHOLE, False, ConnectionEnd.HALF_HEADER, AttemptEvent.HALF_HEADER),
-        (WriteProgress.WHOLE, True, ConnectionEnd.BETWEEN, AttemptEvent.HALF_BODY),
-        (WriteProgress.WHOLE, False, ConnectionEnd.GARBLED, AttemptEvent.GARBLED),
-        (WriteProgress.PARTIAL, False, ConnectionEnd.GARBLED, AttemptEvent.GARBLED_BEFORE),
+        (WriteProgress.NOTHING, False, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_BEFORE_WRITE),
+        (WriteProgress.PARTIAL, False, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_DURING_WRITE),
+        (WriteProgress.COMPLETE, False, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_AFTER_WRITE),
+        (WriteProgress.COMPLETE, False, ConnectionEnd.IN_HEADER, AttemptEvent.CLOSED_IN_RESPONSE_HEADER),
+        (WriteProgress.COMPLETE, True, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_IN_RESPONSE_BODY),
+        (WriteProgress.COMPLETE, False, ConnectionEnd.VIOLATION, AttemptEvent.VIOLATION),
+        (WriteProgress.PARTIAL, False, ConnectionEnd.VIOLATION, AttemptEvent.VIOLATION_BEFORE_WRITE),
     ],
 )
 def test_the_end_of_a_connection_by_how_far_the_leg_had_come(written, answering, how, seen):
-    assert event_at_close(written, answering, how) is seen
+    assert event_on_close(written, answering, how) is seen
 
 
 def test_a_time_out_proves_that_nothing_ran_only_before_the_last_byte():
-    assert event_at_timeout(WriteProgress.PARTIAL, False) is AttemptEvent.TIMEOUT_BEFORE
-    assert event_at_timeout(WriteProgress.WHOLE, False) is AttemptEvent.TIMEOUT
-    assert event_at_timeout(WriteProgress.WHOLE, True) is AttemptEvent.BROKE_OFF
+    assert event_on_timeout(WriteProgress.PARTIAL, False) is AttemptEvent.TIMEOUT_BEFORE_WRITE
+    assert event_on_timeout(WriteProgress.COMPLETE, False) is AttemptEvent.TIMEOUT
+    assert event_on_timeout(WriteProgress.COMPLETE, True) is AttemptEvent.RESPONSE_ABORTED
 
 
 # --- the pool ---
@@ -70,13 +70,15 @@
 
 @pytest.fixture
 def pool():
-    return Pool(PoolLimits(attempts=2, connections=2, dials=1, idle=SECOND))
+    return Pool(
+        PoolLimits(attempts_per_connection=2, connections_per_node=2, concurrent_dials=1, idle_timeout=SECOND)
+    )
 
 
 def test_legs_fill_connections_up_to_their_caps_then_find_no_room(pool):
     places = [pool.place(70, leg) for leg in range(1, 6)]
     assert [place.connection and place.connection.number for place in places] == [1, 1, 2, 2, None]
-    assert not any(place.now for place in places)
+    assert not any(place.ready for place in places)
 
 
 def test_dials_of_one_gateway_wait_for_each_other(pool):
@@ -92,7 +94,7 @@
     pool.place(70, 1)
     pool.place(70, 2)
     pool.place(71, 3)
-    assert pool.gone(pool.next_dial()) == [1, 2]
+    assert pool.remove(pool.next_dial()) == [1, 2]
     assert pool.next_dial().node == 71 and 70 not in pool.connections
 
 
@@ -100,34 +102,38 @@
     pool.next_dial()
     pool.place(70, 1)
     connection = pool.place(71, 2).connection
-    pool.attempt_over(connection, 2, 0)
+    pool.attempt_ended(connection, 2, 0)
     assert pool.next_dial().node == 70
     assert pool.next_dial() is None and 71 not in pool.connections
 
 
 def test_legs_with_long_bodies_have_connections_of_their_own():
     """Guards against short answers that wait behind the bytes of long ones."""
-    pool = Pool(PoolLimits(attempts=2, connections=4, dials=9, idle=SECOND))
-    pool.answered("export", True)
+    pool = Pool(
+        PoolLimits(attempts_per_connection=2, connections_per_node=4, concurrent_dials=9, idle_timeout=SECOND)
+    )
+    pool.response_began("export", True)
     connections = [
         pool.place(7, i, product).connection
         for i, product in enumerate(["read", "export", "read", "export", "export"])
     ]
-    assert [connection.long for connection in connections] == [False, True, False, True, True] and len(
+    assert [connection.long_bodies for connection in connections] == [False, True, False, True, True] and len(
         {connection.number for connection in connections}
     ) == 3
-    assert pool.place(7, 5, "save", long=True).connection is connections[4]
+    assert pool.place(7, 5, "save", long_body=True).connection is connections[4]
     assert pool.place(7, 6, "export").connection is None and pool.place(7, 7, "read").connection not in (
         None,
         *connections,
     )
-    pool.answered("export", False)
-    assert pool.place(7, 8, "export").connection.long is False
+    pool.response_began("export", False)
+    assert pool.place(7, 8, "export").connection.long_bodies is False
 
 
 def test_one_connection_carries_all():
-    pool = Pool(PoolLimits(attempts=9, connections=1, dials=9, idle=SECOND))
-    pool.answered("export", True)
+    pool = Pool(
+        PoolLimits(attempts_per_connection=9, connections_per_node=1, concurrent_dials=9, idle_timeout=SECOND)
+    )
+    pool.response_began("export", True)
     assert pool.place(7, 1, "export").connection is pool.place(7, 2, "read").connection
 
 
@@ -137,39 +143,44 @@
         connection = pool.place(node, node).connection
         pool.next_dial()
         pool.opened(connection, 0)
-        pool.attempt_over(connection, node, node * MS)
+        pool.attempt_ended(connection, node, node * MS)
         connections.append(connection)
-    assert pool.next_due() == 70 * MS + SECOND
-    assert pool.place(70, 9).now
+    assert pool.next_idle_deadline() == 70 * MS + SECOND
+    assert pool.place(70, 9).ready
     assert pool.next_idle(70 * MS + SECOND) is None
-    assert pool.next_idle(71 * MS + SECOND) is connections[1] and connections[1].state is State.LEAVING
+    assert (
+        pool.next_idle(71 * MS + SECOND) is connections[1]
+        and connections[1].status is ConnectionStatus.DRAINING
+    )
 
 
 def test_a_leaving_connection_takes_no_leg_and_closes_with_its_last(pool):
     connection = pool.place(70, 1).connection
     pool.next_dial()
     pool.opened(connection, 0)
-    assert not pool.leaving(connection)
+    assert not pool.drain(connection)
     assert pool.place(70, 2).connection is not connection
-    assert pool.attempt_over(connection, 1, 0)
+    assert pool.attempt_ended(connection, 1, 0)
 
 
 def test_a_node_is_out_of_reach_after_failures_in_a_row_or_a_silence_and_back_with_a_word():
     reach = NodeHealth()
     for _ in range(3):
-        assert reach.reached([70, 71], SECOND) == 2
-        reach.ended(70, Ending.TIMEOUT)
-    assert reach.reached([70, 71], SECOND) == 1
-    reach.ended(70, Ending.FULL)  # a hung node may still turn away what its queue won't hold
-    assert reach.reached([70, 71], SECOND) == 1
-    reach.ended(70, Ending.ERROR)
-    assert reach.reached([70, 71], SECOND) == 2
-    reach.sent(71, SECOND)
-    assert reach.reached([71], 9 * SECOND) == 1  # one leg may be a heavy job
-    reach.sent(71, 2 * SECOND)
-    assert reach.reached([71], SECOND + 500 * MS) == 1 and reach.reached([71], 2 * SECOND) == 0
-    reach.ended(71, Ending.SERVED)
-    assert reach.reached([71], 2 * SECOND) == 1
+        assert reach.count_reachable([70, 71], SECOND) == 2
+        reach.attempt_ended(70, Ending.TIMEOUT)
+    assert reach.count_reachable([70, 71], SECOND) == 1
+    reach.attempt_ended(70, Ending.FULL)  # a hung node may still turn away what its queue won't hold
+    assert reach.count_reachable([70, 71], SECOND) == 1
+    reach.attempt_ended(70, Ending.ERROR)
+    assert reach.count_reachable([70, 71], SECOND) == 2
+    reach.attempt_sent(71, SECOND)
+    assert reach.count_reachable([71], 9 * SECOND) == 1  # one leg may be a heavy job
+    reach.attempt_sent(71, 2 * SECOND)
+    assert (
+        reach.count_reachable([71], SECOND + 500 * MS) == 1 and reach.count_reachable([71], 2 * SECOND) == 0
+    )
+    reach.attempt_ended(71, Ending.SERVED)
+    assert reach.count_reachable([71], 2 * SECOND) == 1
 
 
 # --- the books ---
