--- a/benchmarks/notices.py
+++ b/benchmarks/notices.py
@@ -16,8 +16,9 @@
 
 from ochrecourse.interface import Health
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.registry_watcher import RegistryWatcher, unix_clock
 from ochrecourse.membership.endpoint_list import EndpointListUpdate
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
@@ -76,12 +77,13 @@
             heard.append(network.seconds())
 
     servers = [("127.0.0.1", end.port) for end in ends]
-    gateway = RegistryWatcher("g0", network, servers, PREFIX, told, None, seed, age_clock(network, 0))
+    context = WatcherContext("g0", network, told, None, seed)
+    gateway = RegistryWatcher(context, servers, PREFIX, unix_clock(network, 0))
     gateway.start()
     network.advance(3 + chance.random())
     noticed = network.seconds() + 0.5
     network.callLater(0.5, store.put, PREFIX + b"2", value(2, "draining"))
-    network.callLater(chance.random(), lambda: BREAKS[name](ends, gateway.choice.at))
+    network.callLater(chance.random(), lambda: BREAKS[name](ends, gateway.selector.current))
     network.advance(0.6)
     while not heard and network.seconds() < noticed + LATEST:
         network.advance(0.5)
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -12,7 +12,8 @@
 
 from benchmarks.notices import PREFIX, value
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.endpoint_list_store import WatcherContext
+from ochrecourse.membership.registry_watcher import RegistryWatcher, unix_clock
 from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
 
@@ -23,12 +24,12 @@
 class Naive(RegistryWatcher):
     """Comes back at once, always to the first server, and reads the whole range anew."""
 
-    def _broke(self, why: str) -> None:
-        self._drop()
-        self.choice.at = 0
-        if not self.stopped and self._timer is None:
-            self.feed.compacted()
-            self._timer = self.network.callLater(0.01, self._connect)
+    def _leave_server(self, reason: str) -> None:
+        self._close_connections()
+        self.selector.current = 0
+        if not self.stopped and self._reconnect_timer is None:
+            self.registry.compacted()
+            self._reconnect_timer = self.network.callLater(0.01, self._connect)
 
 
 def one(job: tuple[str, str, int]) -> tuple[str, str, int, int, float]:
@@ -45,12 +46,11 @@
     for i in range(GATEWAYS):
 
         def told(news: object, i: int = i) -> None:
-            if len(gateways[i].view.lines) == NODES - 10:
+            if len(gateways[i].endpoint_list.entries) == NODES - 10:
                 right.setdefault(i, network.seconds())
 
-        gateways.append(
-            make(f"g{i}", network, servers, PREFIX, told, None, seed * 1000 + i, age_clock(network, 0))
-        )
+        context = WatcherContext(f"g{i}", network, told, None, seed * 1000 + i)
+        gateways.append(make(context, servers, PREFIX, unix_clock(network, 0)))
     for gateway in gateways:
         gateway.start()
     network.advance(4)
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -24,10 +24,11 @@
 from ochrecourse.gateway.gateway import Gateway, RequestObserver
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.interface import Decisions, Health, ListKind
-from ochrecourse.membership.conflicts import NodeObservations, conflicts
-from ochrecourse.membership.registration import Registration
+from ochrecourse.membership.conflicts import NodeObservations, find_conflicts
+from ochrecourse.membership.endpoint_list_store import WatcherContext
+from ochrecourse.membership.registration import Registration, RegistrationSettings
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
-from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.membership.registry_watcher import RegistryWatcher, unix_clock
 from ochrecourse.membership.endpoint_list import EndpointListSnapshot, EndpointListUpdate
 from ochrecourse.nodes.framed_connection import dialler
 from ochrecourse.nodes.outcome import AttemptEvent
@@ -113,7 +114,7 @@
         self.door_listening: Any = None
         self.part: Any = None
         self.purger: Any = None  # of the part's tenants, the one that drops copies
-        since_1970, say = epoch_ms or age_clock(network, epoch), told or (lambda event, **more: None)
+        since_1970, say = epoch_ms or unix_clock(network, epoch), told or (lambda event, **more: None)
         self.say = say
         self._make_part: Callable[[], Any] = partial(self._fleet, record, seed, since_1970, say, log)
         self.given: Any = None  # the part that the next process has taken the place of
@@ -134,18 +135,16 @@
         self, record: Mapping[str, Any], kept: Path | None, seed: int, warn: Callable[[str], None], epoch: int
     ) -> ListServerWatcher | RegistryWatcher:
         """Who tells of nodes: a list server or a registry."""
+        context = WatcherContext(record["gateway"]["name"], self.network, self._news, kept, seed, warn)
         if "registry" in record:
             said = record["registry"]
             servers = [where for each in said["servers"] if (where := address(each)) is not None]
-            since_1970 = age_clock(self.network, epoch)
+            since_1970 = unix_clock(self.network, epoch)
             prefix = said["prefix"].encode()
-            name = record["gateway"]["name"]
-            return RegistryWatcher(
-                name, self.network, servers, prefix, self._news, kept, seed, since_1970, warn
-            )
+            return RegistryWatcher(context, servers, prefix, since_1970)
         where = address(record["list"]["address"])
         assert where is not None  # checked when the settings were read
-        return ListServerWatcher(record["gateway"]["name"], self.network, where, self._news, kept, seed, warn)
+        return ListServerWatcher(context, where)
 
     def _enrolled(self, record: Mapping[str, Any], seed: int) -> Registration | None:
         """This gateway's own entry in the registry, if it is to have one."""
@@ -166,9 +165,8 @@
 
         key, prefix = (said["own"] + own["name"]).encode(), said["own"].encode()
         hears = others if "fleet" in record else None
-        return Registration(
-            self.network, servers, key, value, round(said["lease"] / 1000), seed, prefix, hears
-        )
+        settings = RegistrationSettings(servers, key, round(said["lease"] / 1000), seed, prefix)
+        return Registration(self.network, settings, value, hears)
 
     def _log_file(self) -> FileJournal:
         """What the fleet shares, as it is kept in the folder `gateway.state`."""
@@ -269,7 +267,7 @@
 
     def take_kept(self, copy: EndpointListSnapshot) -> None:
         """A kept list, where it does not come from the folder `gateway.state`."""
-        self._news(self.follower.view.read_back(copy, now_ns(self.network)))
+        self._news(self.follower.endpoint_list.restore_snapshot(copy, now_ns(self.network)))
 
     def kill(self) -> None:
         """Ends everything at once and says nothing, as the end of a process does."""
@@ -320,16 +318,16 @@
         gateway, now = self.gateway, now_ns(self.network)
         ready = [node for node, entry in gateway.entries.items() if entry.health is Health.READY]
         recent = self.watch.look(gateway.ledger.closings, now)
-        age = self.follower.view.age(now)
+        age = self.follower.endpoint_list.age(now)
         return Sight(
             listening=self.listening is not None,
             draining=not gateway.leaving.takes(),
             loop_late=gateway.lateness.worst_since(now - 2 * SECOND),
             has_list=bool(gateway.entries),
             # A list that is followed is as fresh as its connection, however long ago it last changed.
-            list_age=0 if self.follower.line is not None else age or 0,
+            list_age=0 if self.follower.connected else age or 0,
             list_fresh=age is not None,
-            enrolled=self.enrolled is None or self.enrolled.held() or not self.enrolled.lease.lost,
+            enrolled=self.enrolled is None or self.enrolled.is_active() or not self.enrolled.lease.losses,
             nodes_ready=len(ready),
             nodes_reached=gateway.reach.reached(ready, now),
             jobs=recent.jobs,
@@ -352,34 +350,36 @@
     def members(self) -> dict[str, Any]:
         """What this gateway holds of the list of nodes, and how sure of it it is."""
         follower, now = self.follower, now_ns(self.network)
-        age = follower.view.age(now)
+        age = follower.endpoint_list.age(now)
         told: dict[str, Any] = {
             "from": "registry" if isinstance(follower, RegistryWatcher) else "list server",
-            "connected": follower.line is not None,
-            "epoch": follower.view.epoch,
+            "connected": follower.connected,
+            "epoch": follower.endpoint_list.epoch,
             "age_s": None if age is None else round(age / SECOND, 3),
-            "nodes": [msgspec.structs.asdict(line) for _, line in sorted(follower.view.lines.items())],
+            "nodes": [
+                msgspec.structs.asdict(line) for _, line in sorted(follower.endpoint_list.entries.items())
+            ],
             "conflicts": [
                 {
                     "node": each.node,
-                    "what": each.what,
+                    "what": each.description,
                     "for_s": round((now - each.since) / SECOND, 3) if each.since else None,
                 }
-                for each in conflicts(self.gateway.entries, self.sightings, now)
+                for each in find_conflicts(self.gateway.entries, self.sightings, now)
             ],
             "counts": dict(follower.counts),
-            "lease": None if self.enrolled is None else self.enrolled.held(),
+            "lease": None if self.enrolled is None else self.enrolled.is_active(),
         }
         if isinstance(follower, RegistryWatcher):
-            told["not_believed"] = follower.feed.restored
-            told["notes"] = dict(follower.roster.notes)
+            told["not_believed"] = follower.registry.distrust_reason
+            told["notes"] = dict(follower.registrations.problems)
         return told
 
     def accept_members(self) -> bool:
         """An operator says that a registry that went back is right; False if there is nothing to accept."""
-        if not isinstance(self.follower, RegistryWatcher) or not self.follower.feed.restored:
+        if not isinstance(self.follower, RegistryWatcher) or not self.follower.registry.distrust_reason:
             return False
-        self.follower.accept()
+        self.follower.accept_registry()
         return True
 
     def take_over(self, record: Mapping[str, Any]) -> tuple[list[str], list[str]]:
@@ -404,7 +404,7 @@
         """What the metrics page shows, by name."""
         gateway = self.gateway
         now = now_ns(self.network)
-        age = self.follower.view.age(now)
+        age = self.follower.endpoint_list.age(now)
         told: dict[str, float] = {
             "jobs_taken_total": gateway.ledger.taken,
             "jobs_denied_at_door_total": gateway.denied_at_door,
@@ -417,10 +417,10 @@
             "client_connections": len(self.front.fronts),
             "client_connections_limit": self.front.most,
             "nodes_listed": len(gateway.entries),
-            "list_conflicts": len(conflicts(gateway.entries, self.sightings, now)),
+            "list_conflicts": len(find_conflicts(gateway.entries, self.sightings, now)),
             "list_age_seconds": -1.0 if age is None else age / SECOND,
-            "list_epoch": self.follower.view.epoch,
-            "list_gaps_total": self.follower.view.gaps,
+            "list_epoch": self.follower.endpoint_list.epoch,
+            "list_gaps_total": self.follower.endpoint_list.gaps,
             "loop_late_worst_seconds": gateway.lateness.worst / SECOND,
         }
         for closing, count in gateway.ledger.closings.items():
@@ -434,8 +434,8 @@
                 told[f'bgp_standing{{network="{each.setup.network}"}}'] = int(each.fitness.standing)
                 told[f'bgp_changes_total{{network="{each.setup.network}"}}'] = each.fitness.changes
         if self.enrolled is not None:
-            told["registry_lease_held"] = float(self.enrolled.held())
-            told["registry_leases_lost_total"] = self.enrolled.lease.lost
+            told["registry_lease_held"] = float(self.enrolled.is_active())
+            told["registry_leases_lost_total"] = self.enrolled.lease.losses
         if self.part is not None:
             told.update(self.part.figures())
         if self.purger is not None:
@@ -457,10 +457,12 @@
         """What a job's legs said of their nodes."""
         for leg in story.legs:
             if leg.why:
-                self.sightings.leg_over(leg.node, AttemptEvent(leg.why), leg.sent + leg.took)
+                self.sightings.attempt_ended(leg.node, AttemptEvent(leg.why), leg.sent + leg.took)
 
     def _news(self, news: EndpointListUpdate) -> None:
-        self.sightings.listed(news.entries, news.kind is not ListKind.DELTA, now_ns(self.network))
+        self.sightings.endpoint_list_received(
+            news.entries, news.kind is not ListKind.DELTA, now_ns(self.network)
+        )
         self.gateway.list_came(news.kind, news.entries, news.addresses)
         if self.part is not None:
             self.part.nodes_are(self.gateway.entries)
@@ -483,7 +485,7 @@
         if self.part is not None:
             self.part.stop()
         if self.enrolled is not None:
-            self.enrolled.leave()
+            self.enrolled.revoke()
         if self.speaker is None or self.speaker.drain.stage is Stage.SERVING:
             self._gone()
         else:
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -29,6 +29,7 @@
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
 from ochrecourse.membership.endpoint_list import EndpointListUpdate
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.nodes.framed_connection import dialler
 from ochrecourse.common.runtime import Network, now_ns
 from ochrecourse.common.time_units import MS
@@ -151,7 +152,8 @@
         self.client = Client(self.gateway, record_to, {})
         where = address(list_address)
         assert where is not None
-        self.follower = ListServerWatcher(NAME, network, where, self._news, None, own["seed"] ^ 0x5DEECE66D)
+        context = WatcherContext(NAME, network, self._news, None, own["seed"] ^ 0x5DEECE66D)
+        self.follower = ListServerWatcher(context, where)
         self.follower.start()
 
     def _news(self, news: EndpointListUpdate) -> None:
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -162,7 +162,7 @@
 
         def gone() -> None:
             if seat.daemon is daemon:
-                seat.copy = daemon.follower.view.copy(now_ns(self.network))
+                seat.copy = daemon.follower.endpoint_list.snapshot(now_ns(self.network))
                 self.play.add_up(daemon)
                 seat.newest = newest or seat.newest
                 seat.start()
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -197,7 +197,7 @@
             return
         play = self.play
         play.record(r.Killed(t=now_ns(play.network), gateway=self.name))
-        self.copy = self.daemon.follower.view.copy(now_ns(play.network))
+        self.copy = self.daemon.follower.endpoint_list.snapshot(now_ns(play.network))
         play.add_up(self.daemon)
         self.daemon.kill()
         self.daemon = None
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -6,6 +6,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from pathlib import Path
+
+from ochrecourse.common.runtime import Network
 from ochrecourse.fleet.channel import Snapshot, Told
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused as AppendRefused
@@ -25,14 +29,38 @@
 from ochrecourse.gateway.request_body import RequestBody as Spool
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.list_server_watcher import ListServerWatcher as Follower
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.membership.endpoint_list import EndpointList
 from ochrecourse.membership.endpoint_list import EndpointListUpdate as News
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.nodes.framed_connection import dialler
 from ochrecourse.settings.load import Refused, load, resolve
 from ochrecourse.settings.plain import plain_map
 
 SURFACE = 1
 
+
+class Follower(ListServerWatcher):
+    """Deprecated name of `ListServerWatcher`, with the constructor that programs of this surface call."""
+
+    def __init__(
+        self,
+        name: str,
+        network: Network,
+        address: tuple[str, int],
+        told: Callable[[News], None],
+        path: Path | None,
+        seed: int,
+        warn: Callable[[str], None] = lambda text: None,
+    ) -> None:
+        super().__init__(WatcherContext(name, network, told, path, seed, warn), address)
+
+    @property
+    def view(self) -> EndpointList:
+        """Deprecated name of `endpoint_list`."""
+        return self.endpoint_list
+
+
 __all__ = [
     "SURFACE",
     "AppendRefused",
--- a/ochrecourse/membership/conflicts.py
+++ b/ochrecourse/membership/conflicts.py
@@ -1,36 +1,40 @@
-"""Where the list of nodes and what legs say of nodes do not agree: found, and told to operators.
-
-Free of I/O and clocks. One rule for all: the list says whom a leg may go to, legs say how much goes there.
-What legs say changes no entry, for each gateway sees only its own way to a node, and a list that each
-corrects for itself is no list. So:
-
-- ready, and dials are refused: the list stands; the decisions hold back by how the legs ended.
-- ready, and the node says that it does not hold its shard: the same; such a leg did not run.
-- draining or gone, and answers come: legs under way may finish, their answers count, nothing new goes there.
-- two nodes ready for one shard: both are sent to, the decisions choose; a repeat goes by `repeat_group`.
-- a node that changes to and fro: each change holds at once. A drain that is believed late would break its
-  grace, and a return that is believed too early costs a leg that is turned away.
-- a node under its old number with a later start is cold again, and one under a new number with an old shard
-  is another node. A refused dial is no start: a node that is full of connections refuses too.
+"""Where the endpoint list and the outcomes of attempts disagree: detected, and reported to operators.
+
+Free of I/O and clocks. One rule for all: the list says to which nodes attempts may go, attempts say how many
+go there. What attempts show changes no entry, for each gateway sees only its own path to a node, and a list
+that each one corrects for itself is no list. So:
+
+- ready, and connections are refused: the list stands; the scheduler holds back by how the attempts ended.
+- ready, and the node says that it does not store its shard: the same; such an attempt was not executed.
+- draining or gone, and responses arrive: attempts in flight may finish, their responses count, no new ones
+  go there.
+- two nodes ready for one shard: both are used, the scheduler chooses; a retry goes by `repeat_group`.
+- a node whose health flaps: each change is applied at once. A drain that is applied late would break its
+  grace, and a return that is applied too early costs an attempt that is rejected.
+- a node with its old number and a later start is warming up again, and one with a new number and an old shard
+  is another node. A refused connection is no restart: a node that is full of connections refuses too.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from ochrecourse.common.time_units import SECOND
 from ochrecourse.interface import Health, NodeEntry
 from ochrecourse.nodes.outcome import AttemptEvent
-from ochrecourse.common.time_units import SECOND
 
-IN_A_ROW = 3  # refusals; one or two are a node that is just starting, or full for a moment
-RECENT = 60 * SECOND  # ns in which changes count as to and fro, and for which a word of a node is news
-CHANGES = 4  # of a node's health in that time: a drain, its end and one return are two
+MIN_REFUSALS_IN_A_ROW = 3  # one or two are a node that is just starting, or full for a moment
+RECENT_NS = 60 * SECOND  # how long changes count as flapping, and responses as news
+FLAPPING_CHANGES = 4  # of a node's health in that time: a drain, its end and one return are two
 
-REFUSALS = frozenset((AttemptEvent.REFUSED, AttemptEvent.DIAL_TIMEOUT))
-SILENCES = frozenset(
+REFUSAL_EVENTS = frozenset((AttemptEvent.REFUSED, AttemptEvent.DIAL_TIMEOUT))
+RESPONSE_EVENTS = frozenset(
+    (AttemptEvent.DONE, AttemptEvent.FAILED, AttemptEvent.FULL, AttemptEvent.NOT_STORED)
+)
+NEUTRAL_EVENTS = frozenset(  # that say nothing of whether the node accepts connections
     (
         AttemptEvent.UNLISTED,
         AttemptEvent.NO_ROOM,
@@ -42,93 +46,117 @@
 
 
 class Conflict(NamedTuple):
-    """What does not agree about a node; `since` in ns on this host's clock."""
+    """What disagrees about a node, as operators read it; `since` in ns on this host's clock."""
 
     node: int
-    what: str
+    description: str
     since: int
 
 
 @dataclass(slots=True)
 class _NodeObservation:
-    """What was seen of one node."""
+    """What was observed of one node. Times in ns on this host's clock, -1 for never."""
 
-    refusals: int = 0  # in a row, with no word in between
-    refused_since: int = 0
-    not_held: int = -1  # when it last said so, without a job served since
-    spoke: int = -1  # when its process last said anything
+    refusals_in_a_row: int = 0
+    refusing_since: int = 0
+    shard_missing_at: int = -1  # when it last said so, without a request served since
+    responded_at: int = -1
     health: Health = Health.GONE
-    since: int = 0  # when that was told
-    changes: deque[int] = field(default_factory=lambda: deque(maxlen=CHANGES))
+    health_since: int = 0
+    health_changes: deque[int] = field(default_factory=lambda: deque(maxlen=FLAPPING_CHANGES))
+
+    def health_listed(self, health: Health, now: int) -> None:
+        """The list has the node with this health."""
+        if self.health is not health:
+            self.health, self.health_since = health, now
+            self.health_changes.append(now)
+
+    def attempt_ended(self, event: AttemptEvent, at: int) -> None:
+        """An attempt at the node ended so."""
+        if event in NEUTRAL_EVENTS:
+            return
+        if event in REFUSAL_EVENTS:
+            self.refusals_in_a_row += 1
+            if self.refusals_in_a_row == 1:
+                self.refusing_since = at
+            return
+        self.refusals_in_a_row = 0
+        if event is AttemptEvent.NOT_STORED:
+            self.shard_missing_at = at
+        elif event is AttemptEvent.DONE:
+            self.shard_missing_at = -1
+        if event in RESPONSE_EVENTS:
+            self.responded_at = at
+
+    def is_obsolete(self, now: int) -> bool:
+        """Whether the node is gone and nothing was observed of it for a while."""
+        last_observed_at = max(self.health_since, self.responded_at)
+        return self.health is Health.GONE and now - last_observed_at > RECENT_NS
+
+    def conflicts(self, node: int, now: int) -> Iterator[Conflict]:
+        """What disagrees about this node alone."""
+        if self.health is Health.READY:
+            if self.refusals_in_a_row >= MIN_REFUSALS_IN_A_ROW:
+                text = f"listed as ready and refuses connections, {self.refusals_in_a_row} in a row"
+                yield Conflict(node, text, self.refusing_since)
+            if self.shard_missing_at >= 0:
+                yield Conflict(node, "says that it does not hold its shard", self.shard_missing_at)
+        elif self.responded_at > self.health_since and now - self.responded_at < RECENT_NS:
+            listed_as = "draining" if self.health is Health.DRAINING else "gone"
+            yield Conflict(node, f"listed as {listed_as} and answers", self.health_since)
+        if len(self.health_changes) == FLAPPING_CHANGES and now - self.health_changes[0] < RECENT_NS:
+            text = f"changed to and fro, {FLAPPING_CHANGES} times within {RECENT_NS // SECOND} s"
+            yield Conflict(node, text, self.health_changes[0])
 
 
 class NodeObservations:
-    """What the list and the legs said of each node."""
+    """What the list and the attempts showed of each node."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, _NodeObservation] = {}
 
-    def listed(self, entries: Iterable[NodeEntry], whole: bool, now: int) -> None:
-        """A list came; `whole`: nodes that are not in it are gone."""
-        told = {entry.node: entry.health for entry in entries}
-        if whole:
-            told = {**dict.fromkeys(self.nodes, Health.GONE), **told}
-        for node, health in told.items():
-            sight = self.nodes.get(node)
-            if sight is None:
-                if health is not Health.GONE:
-                    self.nodes[node] = _NodeObservation(health=health, since=now)
-            elif sight.health is not health:
-                sight.health, sight.since = health, now
-                sight.changes.append(now)
+    def endpoint_list_received(self, entries: Iterable[NodeEntry], complete: bool, now: int) -> None:
+        """The list was updated; `complete`: nodes that are not in it are gone. `now` in ns."""
+        health_by_node = {entry.node: entry.health for entry in entries}
+        if complete:
+            health_by_node = {**dict.fromkeys(self.nodes, Health.GONE), **health_by_node}
+        for node, health in health_by_node.items():
+            observation = self.nodes.get(node)
+            if observation is not None:
+                observation.health_listed(health, now)
+            elif health is not Health.GONE:
+                self.nodes[node] = _NodeObservation(health=health, health_since=now)
         # Guards against a map that grows with each node that was ever replaced.
-        for node in [each for each, sight in self.nodes.items() if self._forgotten(sight, now)]:
+        obsolete = [node for node, observation in self.nodes.items() if observation.is_obsolete(now)]
+        for node in obsolete:
             del self.nodes[node]
 
-    def leg_over(self, node: int, seen: AttemptEvent, at: int) -> None:
-        """A leg at a node ended so."""
-        sight = self.nodes.get(node)
-        if sight is None or seen in SILENCES:
-            return
-        if seen in REFUSALS:
-            sight.refusals += 1
-            if sight.refusals == 1:
-                sight.refused_since = at
-            return
-        sight.refusals = 0
-        if seen is AttemptEvent.NOT_STORED:
-            sight.not_held = at
-        elif seen is AttemptEvent.DONE:
-            sight.not_held = -1
-        if seen in (AttemptEvent.DONE, AttemptEvent.FAILED, AttemptEvent.FULL, AttemptEvent.NOT_STORED):
-            sight.spoke = at
+    def attempt_ended(self, node: int, event: AttemptEvent, at: int) -> None:
+        """An attempt at a node ended so, at `at` ns. Nodes that no list has named are ignored."""
+        observation = self.nodes.get(node)
+        if observation is not None:
+            observation.attempt_ended(event, at)
 
-    def _forgotten(self, sight: _NodeObservation, now: int) -> bool:
-        return sight.health is Health.GONE and now - max(sight.since, sight.spoke) > RECENT
 
+def find_conflicts(
+    entries: Mapping[int, NodeEntry], observations: NodeObservations, now: int
+) -> list[Conflict]:
+    """What disagrees now, by node. `entries`: the list as the gateway has it; `now` in ns."""
+    found = _shared_shards(entries)
+    for node, observation in observations.nodes.items():
+        found.extend(observation.conflicts(node, now))
+    return sorted(found)
 
-def conflicts(entries: Mapping[int, NodeEntry], sightings: NodeObservations, now: int) -> list[Conflict]:
-    """What does not agree now, by node. `entries`: the list as the gateway holds it."""
-    found = []
-    holders: dict[int, list[int]] = {}
+
+def _shared_shards(entries: Mapping[int, NodeEntry]) -> list[Conflict]:
+    """Shards that more than one ready node stores."""
+    nodes_by_shard: dict[int, list[int]] = {}
     for node, entry in entries.items():
         if entry.health is Health.READY and entry.shard >= 0:
-            holders.setdefault(entry.shard, []).append(node)
-    for node, sight in sightings.nodes.items():
-        if sight.health is Health.READY:
-            if sight.refusals >= IN_A_ROW:
-                text = f"listed as ready and refuses connections, {sight.refusals} in a row"
-                found.append(Conflict(node, text, sight.refused_since))
-            if sight.not_held >= 0:
-                found.append(Conflict(node, "says that it does not hold its shard", sight.not_held))
-        elif sight.spoke > sight.since and now - sight.spoke < RECENT:
-            how = "draining" if sight.health is Health.DRAINING else "gone"
-            found.append(Conflict(node, f"listed as {how} and answers", sight.since))
-        if len(sight.changes) == CHANGES and now - sight.changes[0] < RECENT:
-            text = f"changed to and fro, {CHANGES} times within {RECENT // SECOND} s"
-            found.append(Conflict(node, text, sight.changes[0]))
-    for shard, nodes in holders.items():
+            nodes_by_shard.setdefault(entry.shard, []).append(node)
+    found = []
+    for shard, nodes in nodes_by_shard.items():
         if len(nodes) > 1:
             others = ", ".join(str(node) for node in sorted(nodes)[1:])
             found.append(Conflict(min(nodes), f"holds shard {shard}, and so does {others}", 0))
-    return sorted(found)
+    return found
--- a/ochrecourse/membership/endpoint_cache.py
+++ b/ochrecourse/membership/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The last list of nodes on disk: written after each change, read back after a start."""
+"""The endpoint list cached on disk: written after each update, read after a start."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 import msgspec
 
-from ochrecourse.storage import atomic_file
 from ochrecourse.membership.endpoint_list import EndpointListSnapshot
+from ochrecourse.storage import atomic_file
 
-NAME, VERSION = "nodes", 1
+FILE_KIND = "nodes"
+FORMAT_VERSION = 1
 
 _decoder = msgspec.json.Decoder(EndpointListSnapshot)
 
 
-def save(path: Path, copy: EndpointListSnapshot) -> None:
-    """Raises OSError."""
-    atomic_file.write(path, NAME, VERSION, msgspec.json.encode(copy))
+def save(path: Path, snapshot: EndpointListSnapshot) -> None:
+    """Replaces the cached list. Raises OSError; the old one is then still there."""
+    atomic_file.write(path, FILE_KIND, FORMAT_VERSION, msgspec.json.encode(snapshot))
 
 
 def load(path: Path) -> EndpointListSnapshot | None:
-    """The kept list, None if there is none. Raises atomic_file.DamagedFileError, OSError."""
-    data = atomic_file.read(path, NAME, VERSION)
+    """The cached list, None if there is none. Raises atomic_file.DamagedFileError, OSError."""
+    data = atomic_file.read(path, FILE_KIND, FORMAT_VERSION)
     if data is None:
         return None
     try:
         return _decoder.decode(data)
-    except msgspec.DecodeError as trouble:
-        raise atomic_file.DamagedFileError(f"{path}: {trouble}") from None
+    except msgspec.DecodeError as error:
+        raise atomic_file.DamagedFileError(f"{path}: {error}") from None
--- a/ochrecourse/membership/endpoint_list.py
+++ b/ochrecourse/membership/endpoint_list.py
@@ -1,141 +1,175 @@
-"""What this gateway knows of the list of nodes: versions, gaps, stale copies. Free of I/O and clocks.
+"""The endpoint list as this gateway knows it: versions, gaps, stale snapshots. Free of I/O and clocks.
 
-Lists come in versions (epochs). A change is good only on top of the version before it; after a gap the whole
-list is needed. What comes late or twice changes nothing. Times of starts arrive as ages and are kept on this
-host's clock, so a wall clock that steps does no harm. A copy read from disk after a start may be stale, and
-the clock it was written on may be another one: then every node counts as just started, which is the careful
-side.
+Updates carry a version (epoch). A delta is applied only on top of the version before it; after a gap the
+complete list is needed. Late and duplicate deltas change nothing. Start times arrive as ages and are stored
+on this host's clock, so a wall clock that steps does no harm. A snapshot restored after a start may be stale,
+and it may have been written on another clock: then every node counts as just started, which is the safe
+side for nodes that are warming up.
 """
 
 from __future__ import annotations
 
-from ochrecourse.common.time_units import MS
-
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 import msgspec
 
+from ochrecourse.common.errors import OchrecourseError
+from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import Health, ListKind, NodeEntry
 from ochrecourse.wire.messages import EndpointEntry
 
-HEALTH = {"ready": Health.READY, "draining": Health.DRAINING, "gone": Health.GONE}
+KIND_BY_NAME = {"full": ListKind.FULL, "delta": ListKind.DELTA}
+GONE = "gone"  # the health of an entry that is removed
+HEALTH_BY_NAME = {"ready": Health.READY, "draining": Health.DRAINING, GONE: Health.GONE}
+SAME_START_TOLERANCE_NS = 1 * SECOND
+MAX_PORT = 65535
 
 
-class BadEndpointListError(Exception):
-    """A list that can't be taken; the text says which line of it and why."""
+class BadEndpointListError(OchrecourseError):
+    """A list that can't be applied; the text says which entry of it and why."""
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """What to tell the gateway."""
+    """What the gateway is notified of: the entries that changed, or all of them, and where to connect.
+
+    `addresses` has host and port by node number.
+    """
 
     kind: ListKind
     entries: list[NodeEntry]
     addresses: dict[int, tuple[str, int]]
 
 
-@dataclass(slots=True)
-class EndpointListSnapshot:
-    """What is kept on disk: the list, its version, the clock's time when it was written, and whose it is."""
+class EndpointListSnapshot(msgspec.Struct, rename={"written_at": "written", "entries": "lines"}):
+    """The list as it is cached on disk, where the fields have the names given in `rename`.
+
+    `written_at`: ns on the clock of the host that wrote it. `cluster`: of the registry that the list is from,
+    0 if it is from a list server.
+    """
 
     epoch: int
-    written: int
-    lines: list[EndpointEntry]
+    written_at: int
+    entries: list[EndpointEntry]
     gateway: str = ""
-    cluster: int = 0  # of the registry that told it; 0: a list server did
+    cluster: int = 0
 
 
 class EndpointList:
-    """The list as this gateway holds it."""
+    """The list as this gateway knows it, by node number.
+
+    `epoch` is 0 if there is no list yet or after a gap: then the complete list is to be requested.
+    `started_at`: ns on this host's clock, 0 if long ago. `confirmed_at`: ns when the list was last known to
+    be current, -1 if it never was.
+    """
 
     def __init__(self) -> None:
-        self.epoch = 0  # 0: none yet, or a gap; then the whole list is asked for
-        self.lines: dict[int, EndpointEntry] = {}
-        self.started: dict[int, int] = {}  # ns on this host's clock, 0 if long ago
-        self.heard = -1  # when the last good list came
+        self.epoch = 0
+        self.entries: dict[int, EndpointEntry] = {}
+        self.started_at: dict[int, int] = {}
+        self.confirmed_at = -1
         self.gaps = 0
-        self.repeats = 0
+        self.duplicates = 0
 
-    def list_came(
-        self, kind: str, epoch: int, lines: Sequence[EndpointEntry], now: int
+    def apply_update(
+        self, kind: str, epoch: int, entries: Sequence[EndpointEntry], now: int
     ) -> EndpointListUpdate | None:
-        """Takes a list; None if it tells nothing new. After a gap `epoch` is 0: ask for the whole list.
+        """Applies a complete list or a delta; None if it changes nothing. After a gap `epoch` is 0.
 
-        Raises BadEndpointListError; nothing of such a list is taken.
+        `kind` is "full" or "delta", as list servers write it; `now` in ns. Raises BadEndpointListError;
+        nothing of such a list is applied.
         """
-        addresses = {line.node: address_of(line) for line in lines if line.health != "gone"}
-        entries = [self._entry(line, now) for line in lines]
-        if kind == "full":
-            self.lines.clear()
-            self.started.clear()
-        elif kind != "delta":
+        addresses = {entry.node: address_of(entry) for entry in entries if entry.health != GONE}
+        node_entries = [self._node_entry(entry, now) for entry in entries]
+        list_kind = KIND_BY_NAME.get(kind)
+        if list_kind is None:
             raise BadEndpointListError(f"a list of unknown kind {kind!r}")
-        elif self.epoch and epoch <= self.epoch:
-            self.repeats += 1
+        if list_kind is ListKind.FULL:
+            self.entries.clear()
+            self.started_at.clear()
+        elif not self._is_next(epoch):
             return None
-        elif epoch != self.epoch + 1:
-            self.gaps += 1
-            self.epoch = 0
-            return None
-        for line, entry in zip(lines, entries, strict=True):
-            if line.health == "gone":
-                self.lines.pop(line.node, None)
-                self.started.pop(line.node, None)
-            else:
-                self.lines[line.node] = line
-                self.started[line.node] = entry.started
-        self.epoch, self.heard = epoch, now
-        return EndpointListUpdate(ListKind.FULL if kind == "full" else ListKind.DELTA, entries, addresses)
-
-    def copy(self, now: int) -> EndpointListSnapshot:
-        """The list as it is to be kept; ages are those at `now`."""
-        kept = []
-        for node, line in sorted(self.lines.items()):
-            started = self.started[node]
-            age = (now - started) / MS if started else -1.0
-            kept.append(msgspec.structs.replace(line, started_ms_ago=age))
-        return EndpointListSnapshot(self.epoch, now, kept)
-
-    def read_back(self, copy: EndpointListSnapshot, now: int) -> EndpointListUpdate:
-        """A kept list after a start. Its version is not followed on: the whole list is asked for. Raises
-        BadEndpointListError.
+        for entry, node_entry in zip(entries, node_entries, strict=True):
+            self._store(entry, node_entry.started)
+        self.epoch, self.confirmed_at = epoch, now
+        return EndpointListUpdate(list_kind, node_entries, addresses)
+
+    def snapshot(self, now: int) -> EndpointListSnapshot:
+        """The list as it is to be cached; ages are those at `now`, ns."""
+        entries = []
+        for node, entry in sorted(self.entries.items()):
+            started_at = self.started_at[node]
+            age_ms = (now - started_at) / MS if started_at else -1.0
+            entries.append(msgspec.structs.replace(entry, started_ms_ago=age_ms))
+        return EndpointListSnapshot(self.epoch, now, entries)
+
+    def restore_snapshot(self, snapshot: EndpointListSnapshot, now: int) -> EndpointListUpdate:
+        """Applies a cached list after a start. Its version is not resumed: the complete list is requested.
+
+        `now` in ns. Raises BadEndpointListError.
         """
-        same_clock = 0 <= copy.written <= now
-        entries, addresses = [], {}
-        for line in copy.lines:
-            entry = self._entry(line, copy.written if same_clock else now)
-            if not same_clock:
-                entry.started = now
-            entries.append(entry)
-            addresses[line.node] = address_of(line)
-            self.lines[line.node] = line
-            self.started[line.node] = entry.started
-        return EndpointListUpdate(ListKind.CACHED, entries, addresses)
+        is_same_clock = 0 <= snapshot.written_at <= now
+        node_entries: list[NodeEntry] = []
+        addresses: dict[int, tuple[str, int]] = {}
+        for entry in snapshot.entries:
+            node_entry = self._node_entry(entry, snapshot.written_at if is_same_clock else now)
+            if not is_same_clock:
+                node_entry.started = now
+            node_entries.append(node_entry)
+            addresses[entry.node] = address_of(entry)
+            self.entries[entry.node] = entry
+            self.started_at[entry.node] = node_entry.started
+        return EndpointListUpdate(ListKind.CACHED, node_entries, addresses)
 
     def age(self, now: int) -> int | None:
-        """ns since the last good list; None if none came in this life."""
-        return None if self.heard < 0 else now - self.heard
-
-    def _entry(self, line: EndpointEntry, now: int) -> NodeEntry:
-        health = HEALTH.get(line.health)
+        """ns since the list was last confirmed; None if it never was since the start of this process."""
+        return None if self.confirmed_at < 0 else now - self.confirmed_at
+
+    def _is_next(self, epoch: int) -> bool:
+        """Whether a delta follows the version that is known. Counts duplicates and gaps."""
+        if self.epoch and epoch <= self.epoch:
+            self.duplicates += 1
+            return False
+        if epoch != self.epoch + 1:
+            self.gaps += 1
+            self.epoch = 0
+            return False
+        return True
+
+    def _store(self, entry: EndpointEntry, started_at: int) -> None:
+        if entry.health == GONE:
+            self.entries.pop(entry.node, None)
+            self.started_at.pop(entry.node, None)
+        else:
+            self.entries[entry.node] = entry
+            self.started_at[entry.node] = started_at
+
+    def _node_entry(self, entry: EndpointEntry, now: int) -> NodeEntry:
+        health = HEALTH_BY_NAME.get(entry.health)
         if health is None:
-            raise BadEndpointListError(f"node {line.node} has unknown health {line.health!r}")
-        if not 0 <= line.node < 2**32 or not 0 <= line.zone < 2**16 or not -1 <= line.shard < 2**16:
-            raise BadEndpointListError(f"node {line.node} has a figure out of range")
-        started = 0
-        if line.started_ms_ago >= 0:
-            # Guards against a start that looks new at each list: the first time told for this start is kept.
-            started = max(1, now - round(line.started_ms_ago * MS))
-            known = self.started.get(line.node, 0)
-            if known and abs(known - started) < 1000 * MS:
-                started = known
-        return NodeEntry(line.node, line.zone, line.shard, health, started)
-
-
-def address_of(line: EndpointEntry) -> tuple[str, int]:
-    """Host and port of a line. Raises BadEndpointListError."""
-    host, _, port = line.address.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadEndpointListError(f"node {line.node} has no address of the form host:port: {line.address!r}")
+            raise BadEndpointListError(f"node {entry.node} has unknown health {entry.health!r}")
+        if not 0 <= entry.node < 2**32 or not 0 <= entry.zone < 2**16 or not -1 <= entry.shard < 2**16:
+            raise BadEndpointListError(f"node {entry.node} has a figure out of range")
+        return NodeEntry(entry.node, entry.zone, entry.shard, health, self._start_time(entry, now))
+
+    def _start_time(self, entry: EndpointEntry, now: int) -> int:
+        """When a node started, ns on this host's clock; 0 if long ago."""
+        if entry.started_ms_ago < 0:
+            return 0
+        started_at = max(1, now - round(entry.started_ms_ago * MS))
+        known = self.started_at.get(entry.node, 0)
+        # Guards against a start that looks new in each update: the first time received for it is used.
+        if known and abs(known - started_at) < SAME_START_TOLERANCE_NS:
+            return known
+        return started_at
+
+
+def address_of(entry: EndpointEntry) -> tuple[str, int]:
+    """Host and port of an entry. Raises BadEndpointListError."""
+    host, _, port = entry.address.rpartition(":")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise BadEndpointListError(
+            f"node {entry.node} has no address of the form host:port: {entry.address!r}"
+        )
     return host.strip("[]"), int(port)
--- /dev/null
+++ b/ochrecourse/membership/endpoint_list_store.py
@@ -0,0 +1,102 @@
+"""What the watchers of a list server and of a registry share: the endpoint list and its cache on disk."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+
+from ochrecourse.common.runtime import Network, now_ns
+from ochrecourse.membership import endpoint_cache
+from ochrecourse.membership.endpoint_list import (
+    BadEndpointListError,
+    EndpointList,
+    EndpointListSnapshot,
+    EndpointListUpdate,
+)
+from ochrecourse.storage.atomic_file import DamagedFileError
+from ochrecourse.wire.messages import EndpointEntry
+
+
+def _discard_warning(text: str) -> None:
+    """For watchers whose warnings nobody reads."""
+
+
+@dataclass(frozen=True)
+class WatcherContext:
+    """What a watcher is given.
+
+    `name`: this gateway's. `on_update` is called with each update of the list. `cache_path`: where the last
+    list is cached, None: nowhere. `seed` of the jitter. `warn` gets a line for operators.
+    """
+
+    name: str
+    network: Network
+    on_update: Callable[[EndpointListUpdate], None]
+    cache_path: Path | None
+    seed: int
+    warn: Callable[[str], None] = _discard_warning
+
+
+class EndpointListStore:
+    """The endpoint list, wherever its updates come from.
+
+    `cluster` is the registry's that the list is from, 0 for a list server. `counts`: events by name, as the
+    operators' pages have them.
+    """
+
+    def __init__(self, context: WatcherContext) -> None:
+        self.name = context.name
+        self.network = context.network
+        self.on_update = context.on_update
+        self.cache_path = context.cache_path
+        self.warn = context.warn
+        self.endpoint_list = EndpointList()
+        self.counts: Counter[str] = Counter()
+        self.cluster = 0
+
+    def restore_cached_list(self) -> EndpointListSnapshot | None:
+        """Applies the cached list and returns it; None if there is none that can be used."""
+        if self.cache_path is None:
+            return None
+        try:
+            snapshot = self._load_snapshot(self.cache_path)
+            if snapshot is not None:
+                self.on_update(self.endpoint_list.restore_snapshot(snapshot, now_ns(self.network)))
+            return snapshot
+        except (DamagedFileError, OSError, BadEndpointListError) as error:
+            self.counts["kept lists not read"] += 1
+            self.warn(f"the kept list of nodes is ignored: {error}")
+            return None
+
+    def apply_update(self, kind: str, epoch: int, entries: list[EndpointEntry]) -> bool:
+        """Applies a complete list or a delta, notifies and caches it; True if it changed something.
+
+        Raises BadEndpointListError.
+        """
+        now = now_ns(self.network)
+        update = self.endpoint_list.apply_update(kind, epoch, entries, now)
+        if update is None:
+            return False
+        self.counts["lists"] += 1
+        self.on_update(update)
+        if self.cache_path is not None:
+            self._save_snapshot(self.cache_path, now)
+        return True
+
+    def _load_snapshot(self, path: Path) -> EndpointListSnapshot | None:
+        snapshot = endpoint_cache.load(path)
+        if snapshot is not None and snapshot.gateway not in ("", self.name):
+            # Guards against two gateways whose settings name one file.
+            raise DamagedFileError(f"{path}: it is of gateway {snapshot.gateway!r}, not of {self.name!r}")
+        return snapshot
+
+    def _save_snapshot(self, path: Path, now: int) -> None:
+        snapshot = self.endpoint_list.snapshot(now)
+        snapshot.gateway, snapshot.cluster = self.name, self.cluster
+        try:
+            endpoint_cache.save(path, snapshot)
+        except OSError as error:
+            self.counts["lists not kept"] += 1
+            self.warn(f"the list of nodes could not be kept: {error}")
--- a/ochrecourse/membership/etcd.py
+++ b/ochrecourse/membership/etcd.py
@@ -1,4 +1,4 @@
-"""The published JSON form of the etcd v3 API: bodies to send, answers to read. Free of I/O.
+"""The published JSON form of the etcd v3 API: requests to send, responses to decode. Free of I/O.
 
 Keys and values are base64, 64-bit numbers are strings, fields that are zero are left out. Only what a gateway
 needs is here: range, watch, put under a lease, lease grant, keepalive and revoke.
@@ -8,28 +8,45 @@
 
 import base64
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, NamedTuple, NoReturn
 
 import msgspec
 
-from ochrecourse.membership.registry_state import Change, RangeAsked, Record
+from ochrecourse.common.errors import OchrecourseError
+from ochrecourse.membership.registry_state import RangePage, RangeRequest, RegistryRecord, WatchEvent
 
-RANGE, WATCH, PUT = "/v3/kv/range", "/v3/watch", "/v3/kv/put"
-GRANT, KEEP_ALIVE, REVOKE = "/v3/lease/grant", "/v3/lease/keepalive", "/v3/lease/revoke"
-LONGEST = 1 << 24  # bytes of one message of a stream
-OUT_OF_RANGE = 11  # the gRPC code of a revision that was compacted, or is not there yet
+RANGE_PATH = "/v3/kv/range"
+WATCH_PATH = "/v3/watch"
+PUT_PATH = "/v3/kv/put"
+LEASE_GRANT_PATH = "/v3/lease/grant"
+LEASE_KEEPALIVE_PATH = "/v3/lease/keepalive"
+LEASE_REVOKE_PATH = "/v3/lease/revoke"
 
+METHOD = "POST"
+HEADERS = {"Content-Type": "application/json"}
+OK_STATUS = 200
+UNKNOWN_LEASE_STATUS = 400
+MAX_STREAM_MESSAGE_BYTES = 1 << 24
+GRPC_OUT_OF_RANGE = 11  # a revision that was compacted, or does not exist yet
 
-class BadAnswer(Exception):
-    """An answer that is not of the published form; the text says how."""
 
+class BadResponseError(OchrecourseError):
+    """A response that is not of the published form; the text says how."""
 
-class Compacted(Exception):
-    """The revision that was asked for is no longer there."""
 
+class CompactedError(OchrecourseError):
+    """The revision that was requested is no longer there."""
 
-class Header(msgspec.Struct):
-    """What comes with every answer."""
+
+class EtcdRequest(NamedTuple):
+    """What to POST: a path and a body in JSON."""
+
+    path: str
+    body: bytes
+
+
+class ResponseHeader(msgspec.Struct):
+    """What is in every response."""
 
     cluster_id: int = 0
     member_id: int = 0
@@ -48,26 +65,26 @@
     lease: int = 0
 
 
-class RangeAnswer(msgspec.Struct):
-    """The answer to a range."""
+class RangeResponse(msgspec.Struct):
+    """The response to a range."""
 
-    header: Header
+    header: ResponseHeader
     kvs: list[KeyValue] = []
     more: bool = False
     count: int = 0
 
 
 class Event(msgspec.Struct):
-    """One change of a watch; without a type it is a put."""
+    """One event of a watch; without a type it is a put."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
-class WatchAnswer(msgspec.Struct):
+class WatchResponse(msgspec.Struct):
     """One message of a watch."""
 
-    header: Header = msgspec.field(default_factory=Header)
+    header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
     watch_id: int = 0
     created: bool = False
     canceled: bool = False
@@ -76,168 +93,191 @@
     events: list[Event] = []
 
 
-class Streamed(msgspec.Struct):
-    """How the JSON form wraps each message of a stream."""
+class WatchStreamMessage(msgspec.Struct):
+    """How the JSON form wraps each message of a watch."""
 
-    result: WatchAnswer | None = None
+    result: WatchResponse | None = None
     error: Any = None
 
 
-class Granted(msgspec.Struct):
-    """The answer to a grant or a keepalive; a TTL of 0 or below: the lease is gone. TTL in s."""
+class LeaseResponse(msgspec.Struct, rename={"lease_id": "ID", "ttl_seconds": "TTL"}):
+    """The response to a grant, a keepalive or a put; a time to live of 0 or less: the lease is gone."""
 
-    header: Header = msgspec.field(default_factory=Header)
-    ID: int = 0
-    TTL: int = 0
+    header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
+    lease_id: int = 0
+    ttl_seconds: int = 0
 
 
-class Kept(msgspec.Struct):
-    """How the JSON form wraps a keepalive's answer."""
+class KeepaliveStreamMessage(msgspec.Struct):
+    """How the JSON form wraps the response to a keepalive."""
 
-    result: Granted | None = None
+    result: LeaseResponse | None = None
 
 
-class Failure(msgspec.Struct):
-    """The body of an answer that is no success."""
+class ErrorResponse(msgspec.Struct):
+    """The body of a response that is no success."""
 
     code: int = 0
     message: str = ""
     error: Any = None
 
 
-def _coded(data: bytes) -> str:
-    return base64.b64encode(data).decode()
+# --- requests ---
 
 
-def _plain(text: str) -> bytes:
-    try:
-        return base64.b64decode(text, validate=True)
-    except ValueError:
-        raise BadAnswer(f"not base64: {text[:40]!r}") from None
-
-
-def end_of(prefix: bytes) -> bytes:
-    """The first key after all with this prefix; a prefix of 0xff only has none, which a single 0 says."""
-    for at in range(len(prefix) - 1, -1, -1):
-        if prefix[at] < 0xFF:
-            return prefix[:at] + bytes((prefix[at] + 1,))
+def prefix_range_end(prefix: bytes) -> bytes:
+    """The first key after all with this prefix; for a prefix of 0xff only there is none, written as a 0."""
+    for index in range(len(prefix) - 1, -1, -1):
+        if prefix[index] < 0xFF:
+            return prefix[:index] + bytes((prefix[index] + 1,))
     return b"\0"
 
 
-def range_body(prefix: bytes, asked: RangeAsked, most: int) -> bytes:
-    """A page of at most so many keys, in order of keys."""
-    end = _coded(end_of(prefix))
-    body: dict[str, Any] = {"key": _coded(asked.start), "range_end": end, "limit": str(most)}
-    if asked.revision:
-        body["revision"] = str(asked.revision)
-    return msgspec.json.encode(body)
+def range_request(prefix: bytes, request: RangeRequest, max_keys: int) -> EtcdRequest:
+    """A page of at most `max_keys`, in order of keys."""
+    range_end = _encode_base64(prefix_range_end(prefix))
+    fields = {"key": _encode_base64(request.start_key), "range_end": range_end, "limit": str(max_keys)}
+    if request.revision:
+        fields["revision"] = str(request.revision)
+    return EtcdRequest(RANGE_PATH, msgspec.json.encode(fields))
 
 
-def newest_body(prefix: bytes) -> bytes:
+def newest_record_request(prefix: bytes) -> EtcdRequest:
     """The key under the prefix that changed last, without its value."""
-    return msgspec.json.encode(
-        {
-            "key": _coded(prefix),
-            "range_end": _coded(end_of(prefix)),
-            "limit": "1",
-            "sort_order": "DESCEND",
-            "sort_target": "MOD",
-            "keys_only": True,
-        }
-    )
-
-
-def watch_body(prefix: bytes, revision: int) -> bytes:
-    asked = {
-        "key": _coded(prefix),
-        "range_end": _coded(end_of(prefix)),
-        "start_revision": str(revision),
-        "progress_notify": True,
+    fields = {
+        "key": _encode_base64(prefix),
+        "range_end": _encode_base64(prefix_range_end(prefix)),
+        "limit": "1",
+        "sort_order": "DESCEND",
+        "sort_target": "MOD",
+        "keys_only": True,
     }
-    return msgspec.json.encode({"create_request": asked})
+    return EtcdRequest(RANGE_PATH, msgspec.json.encode(fields))
 
 
-def put_body(key: bytes, value: bytes, lease: int) -> bytes:
-    return msgspec.json.encode({"key": _coded(key), "value": _coded(value), "lease": str(lease)})
+def watch_request(prefix: bytes, start_revision: int) -> EtcdRequest:
+    """The events of all keys under the prefix from a revision on, with progress notifications."""
+    fields = {
+        "key": _encode_base64(prefix),
+        "range_end": _encode_base64(prefix_range_end(prefix)),
+        "start_revision": str(start_revision),
+        "progress_notify": True,
+    }
+    return EtcdRequest(WATCH_PATH, msgspec.json.encode({"create_request": fields}))
 
 
-def grant_body(seconds: int) -> bytes:
-    return msgspec.json.encode({"TTL": str(seconds)})
+def put_request(key: bytes, value: bytes, lease_id: int) -> EtcdRequest:
+    """A key that is deleted with its lease."""
+    fields = {"key": _encode_base64(key), "value": _encode_base64(value), "lease": str(lease_id)}
+    return EtcdRequest(PUT_PATH, msgspec.json.encode(fields))
 
 
-def lease_body(lease: int) -> bytes:
-    """Of a keepalive or a revoke."""
-    return msgspec.json.encode({"ID": str(lease)})
+def lease_grant_request(ttl_seconds: int) -> EtcdRequest:
+    """A new lease."""
+    return EtcdRequest(LEASE_GRANT_PATH, msgspec.json.encode({"TTL": str(ttl_seconds)}))
 
 
-def _decoded(data: bytes, kind: Any) -> Any:
-    try:
-        return msgspec.json.decode(data, type=kind, strict=False)
-    except msgspec.DecodeError as trouble:
-        raise BadAnswer(str(trouble)) from None
+def lease_keepalive_request(lease_id: int) -> EtcdRequest:
+    """The lease extended by its time to live."""
+    return EtcdRequest(LEASE_KEEPALIVE_PATH, msgspec.json.encode({"ID": str(lease_id)}))
 
 
-def failure(status: int, body: bytes) -> None:
-    """Raises Compacted or BadAnswer for an answer that is no success."""
-    try:
-        told = msgspec.json.decode(body, type=Failure, strict=False)
-    except msgspec.DecodeError:
-        raise BadAnswer(f"status {status}") from None
-    if told.code == OUT_OF_RANGE and "compacted" in (told.message or str(told.error)):
-        raise Compacted
-    raise BadAnswer(f"status {status}: {told.message or told.error}")
+def lease_revoke_request(lease_id: int) -> EtcdRequest:
+    """The lease ended, and its keys deleted."""
+    return EtcdRequest(LEASE_REVOKE_PATH, msgspec.json.encode({"ID": str(lease_id)}))
 
 
-def range_answer(status: int, body: bytes) -> tuple[Header, list[Record], bool]:
-    """Header, records and whether there is more. Raises Compacted, BadAnswer."""
-    if status != 200:
-        failure(status, body)
-    answer: RangeAnswer = _decoded(body, RangeAnswer)
-    records = [Record(_plain(kv.key), _plain(kv.value), kv.mod_revision) for kv in answer.kvs]
-    return answer.header, records, answer.more
+# --- responses ---
 
 
-def changes_of(answer: WatchAnswer) -> list[Change]:
-    """The changes of a watch's message, in order. Raises BadAnswer."""
-    told = []
-    for event in answer.events:
+def raise_error_response(status: int, body: bytes) -> NoReturn:
+    """Raises CompactedError or BadResponseError for a response that is no success."""
+    try:
+        response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
+    except msgspec.DecodeError:
+        raise BadResponseError(f"status {status}") from None
+    if response.code == GRPC_OUT_OF_RANGE and "compacted" in (response.message or str(response.error)):
+        raise CompactedError
+    raise BadResponseError(f"status {status}: {response.message or response.error}")
+
+
+def decode_range_response(status: int, body: bytes) -> RangePage:
+    """A page of a range. Raises CompactedError, BadResponseError."""
+    if status != OK_STATUS:
+        raise_error_response(status, body)
+    response: RangeResponse = _decode_json(body, RangeResponse)
+    records = [
+        RegistryRecord(_decode_base64(kv.key), _decode_base64(kv.value), kv.mod_revision)
+        for kv in response.kvs
+    ]
+    return RangePage(response.header.cluster_id, response.header.revision, records, response.more)
+
+
+def watch_events(response: WatchResponse) -> list[WatchEvent]:
+    """The events of a message of a watch, in order. Raises BadResponseError."""
+    events = []
+    for event in response.events:
         if event.type not in ("PUT", "DELETE"):
-            raise BadAnswer(f"an event of type {event.type!r}")
-        value = None if event.type == "DELETE" else _plain(event.kv.value)
-        told.append(Change(_plain(event.kv.key), value, event.kv.mod_revision))
-    return told
+            raise BadResponseError(f"an event of type {event.type!r}")
+        value = None if event.type == "DELETE" else _decode_base64(event.kv.value)
+        events.append(WatchEvent(_decode_base64(event.kv.key), value, event.kv.mod_revision))
+    return events
+
+
+def decode_lease_response(status: int, body: bytes) -> LeaseResponse:
+    """The response to a grant or a put. Raises BadResponseError, CompactedError."""
+    if status != OK_STATUS:
+        raise_error_response(status, body)
+    response: LeaseResponse = _decode_json(body, LeaseResponse)
+    return response
 
 
-def granted(status: int, body: bytes, stream: bool = False) -> Granted:
-    """The answer to a grant, or to a keepalive (`stream`). Raises BadAnswer, Compacted."""
-    if status != 200:
-        failure(status, body)
-    if not stream:
-        answer: Granted = _decoded(body, Granted)
-        return answer
-    kept: Kept = _decoded(body.strip().split(b"\n")[0], Kept)
-    if kept.result is None:
-        raise BadAnswer("a keepalive without a result")
-    return kept.result
+def decode_keepalive_response(status: int, body: bytes) -> LeaseResponse:
+    """The response to a keepalive, of a stream of one message. Raises BadResponseError, CompactedError."""
+    if status != OK_STATUS:
+        raise_error_response(status, body)
+    first_line = body.strip().split(b"\n")[0]
+    message: KeepaliveStreamMessage = _decode_json(first_line, KeepaliveStreamMessage)
+    if message.result is None:
+        raise BadResponseError("a keepalive without a result")
+    return message.result
 
 
-class Stream:
-    """Splits what a watch sends into its messages, in whatever pieces it comes."""
+class WatchStreamDecoder:
+    """Splits the stream of a watch into its messages, in whatever pieces it arrives."""
 
     def __init__(self) -> None:
-        self.data = b""
-
-    def feed(self, data: bytes) -> Iterator[WatchAnswer]:
-        """Raises BadAnswer, Compacted."""
-        self.data += data
-        if len(self.data) > LONGEST:
-            raise BadAnswer(f"a message of more than {LONGEST} bytes")
-        *whole, self.data = self.data.split(b"\n")
-        for line in whole:
+        self._unread = b""
+
+    def feed(self, data: bytes) -> Iterator[WatchResponse]:
+        """The messages that `data` completes. Raises BadResponseError, CompactedError."""
+        self._unread += data
+        if len(self._unread) > MAX_STREAM_MESSAGE_BYTES:
+            # Guards against a server that never ends its message: memory would grow without bound.
+            raise BadResponseError(f"a message of more than {MAX_STREAM_MESSAGE_BYTES} bytes")
+        *lines, self._unread = self._unread.split(b"\n")
+        for line in lines:
             if not line.strip():
                 continue
-            message: Streamed = _decoded(line, Streamed)
+            message: WatchStreamMessage = _decode_json(line, WatchStreamMessage)
             if message.result is None:
-                failure(200, msgspec.json.encode(message.error or {}))
-            else:
-                yield message.result
+                raise_error_response(OK_STATUS, msgspec.json.encode(message.error or {}))
+            yield message.result
+
+
+def _encode_base64(data: bytes) -> str:
+    return base64.b64encode(data).decode()
+
+
+def _decode_base64(text: str) -> bytes:
+    try:
+        return base64.b64decode(text, validate=True)
+    except ValueError:
+        raise BadResponseError(f"not base64: {text[:40]!r}") from None
+
+
+def _decode_json(data: bytes, kind: Any) -> Any:
+    try:
+        return msgspec.json.decode(data, type=kind, strict=False)
+    except msgspec.DecodeError as error:
+        raise BadResponseError(str(error)) from None
--- a/ochrecourse/membership/lease.py
+++ b/ochrecourse/membership/lease.py
@@ -1,8 +1,9 @@
-"""This gateway's own entry in the registry, under a lease. Free of I/O and clocks.
+"""The lease of this gateway's own entry in the registry. Free of I/O and clocks.
 
-The lease is asked for, the entry is put under it, and the lease is kept alive at a third of its time. It
-counts as held until its time has run since the last answer that kept it, by this host's clock: so a registry
-that can't be reached and one that forgot the lease come to the same, and neither stops a gateway serving.
+A lease is granted, the entry is put under it, and keepalives follow at a third of its time to live. The lease
+counts as active until its time to live has passed since the last answer that extended it, by this host's
+clock: so a registry that can't be reached and one that forgot the lease have the same effect, and neither
+stops a gateway serving.
 """
 
 from __future__ import annotations
@@ -11,61 +12,73 @@
 
 from ochrecourse.common.time_units import SECOND
 
+KEEPALIVES_PER_TTL = 3
+
 
 class LeaseAction(Enum):
-    """What is to be asked of the registry next."""
+    """What to request of the registry next."""
 
-    NOTHING = "nothing yet"
-    GRANT = "a lease"
-    PUT = "the entry under the lease"
-    KEEP = "the lease kept alive"
+    WAIT = "wait"
+    GRANT = "grant"
+    PUT = "put"
+    KEEPALIVE = "keepalive"
 
 
 class Lease:
-    """One lease of `seconds`. Times in ns."""
-
-    def __init__(self, seconds: int) -> None:
-        self.seconds = seconds
-        self.id = 0  # 0: none
-        self.put = False
-        self.until = 0  # held until then
-        self.next = 0  # when to ask again
-        self.lost = 0  # times that it ran out or was forgotten
-
-    def wants(self, now: int) -> LeaseAction:
-        """What to ask now; the host asks, and tells what came."""
-        if self.id and now >= self.until:
-            self._forget()
-        if now < self.next:
-            return LeaseAction.NOTHING
-        if not self.id:
+    """One lease of `ttl_seconds`. Times in ns on this host's clock.
+
+    `lease_id` is 0 without a lease. `entry_put`: the entry was put under it. `next_action_at`: no request
+    before that. `losses`: how often a lease with the entry expired or was forgotten by the registry.
+    """
+
+    def __init__(self, ttl_seconds: int) -> None:
+        self.ttl_seconds = ttl_seconds
+        self.lease_id = 0
+        self.entry_put = False
+        self.expires_at = 0
+        self.next_action_at = 0
+        self.losses = 0
+
+    def next_action(self, now: int) -> LeaseAction:
+        """What to request now; the caller sends it and reports the answer."""
+        if self.lease_id and now >= self.expires_at:
+            self._lose()
+        if now < self.next_action_at:
+            return LeaseAction.WAIT
+        if not self.lease_id:
             return LeaseAction.GRANT
-        return LeaseAction.KEEP if self.put else LeaseAction.PUT
-
-    def granted(self, number: int, asked_at: int) -> None:
-        """A lease was given; its time runs from when it was asked for."""
-        self.id, self.put, self.next = number, False, asked_at
-        self.until = asked_at + self.seconds * SECOND
-
-    def was_put(self, asked_at: int) -> None:
-        self.put = True
-        self.next = asked_at + self.seconds * SECOND // 3
-
-    def kept(self, seconds: int, asked_at: int) -> None:
-        """A keepalive was answered; 0 s or less: the registry knows no such lease."""
-        if seconds <= 0:
-            self._forget()
+        return LeaseAction.KEEPALIVE if self.entry_put else LeaseAction.PUT
+
+    def granted(self, lease_id: int, requested_at: int) -> None:
+        """The registry granted a lease; its time to live counts from the request."""
+        self.lease_id, self.entry_put, self.next_action_at = lease_id, False, requested_at
+        self.expires_at = requested_at + self.ttl_seconds * SECOND
+
+    def put_confirmed(self, requested_at: int) -> None:
+        """The entry stands under the lease."""
+        self.entry_put = True
+        self.next_action_at = requested_at + self.ttl_seconds * SECOND // KEEPALIVES_PER_TTL
+
+    def keepalive_received(self, ttl_seconds: int, requested_at: int) -> None:
+        """The registry extended the lease; with a `ttl_seconds` of 0 or less it knows no such lease."""
+        if ttl_seconds <= 0:
+            self._lose()
             return
-        self.until = asked_at + seconds * SECOND
-        self.next = asked_at + seconds * SECOND // 3
+        self.expires_at = requested_at + ttl_seconds * SECOND
+        self.next_action_at = requested_at + ttl_seconds * SECOND // KEEPALIVES_PER_TTL
+
+    def not_found(self) -> None:
+        """The registry knows no such lease."""
+        self._lose()
 
-    def failed(self, now: int, wait: int) -> None:
-        """What was asked for came to nothing; asked again after `wait`."""
-        self.next = now + wait
+    def request_failed(self, now: int, backoff: int) -> None:
+        """A request failed; the next one is due after `backoff` ns."""
+        self.next_action_at = now + backoff
 
-    def held(self, now: int) -> bool:
-        return self.put and now < self.until
+    def is_active(self, now: int) -> bool:
+        """Whether the entry stands in the registry, as far as this gateway knows."""
+        return self.entry_put and now < self.expires_at
 
-    def _forget(self) -> None:
-        self.lost += self.put
-        self.id, self.put, self.next = 0, False, 0
+    def _lose(self) -> None:
+        self.losses += self.entry_put
+        self.lease_id, self.entry_put, self.next_action_at = 0, False, 0
--- a/ochrecourse/membership/registration.py
+++ b/ochrecourse/membership/registration.py
@@ -1,32 +1,53 @@
-"""Carries this gateway's lease to the registry, on a connection of its own."""
+"""Keeps this gateway's entry in the registry under its lease, on a connection of its own.
+
+It also reads the entries of all gateways now and then, if somebody is interested in them.
+"""
 
 from __future__ import annotations
 
 import random
 from collections import Counter
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from twisted.internet.protocol import ClientFactory
 
-from ochrecourse.membership import etcd
-from ochrecourse.membership.lease import Lease, LeaseAction
-from ochrecourse.membership.registry_state import RangeAsked
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import SECOND
-from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
+from ochrecourse.membership import etcd
+from ochrecourse.membership.lease import Lease, LeaseAction
+from ochrecourse.membership.registry_connection import send
+from ochrecourse.membership.registry_state import RangeRequest
+from ochrecourse.wire.http_client import HttpClientProtocol, HttpResponse
 
-PATIENCE = 0.8  # s for an answer
-LOOK = 0.5  # s between looks at what the lease wants; well inside a third of the shortest lease
-OTHERS = 3.0  # s between looks at the others' entries; their addresses change when they are started anew
-PAGE = 100  # entries asked for at once; some tens of KiB, less than what is kept of an answer
-AGAIN = 1.0  # s, the most before another try, by chance
-JSON = {"Content-Type": "application/json"}
+RESPONSE_TIMEOUT_S = 0.8
+TICK_INTERVAL_S = 0.5  # between looks at what is due; well inside a third of the shortest lease
+ENTRIES_INTERVAL_S = 3.0  # between reads of all entries; addresses change when gateways restart
+ENTRIES_PAGE_KEYS = 100  # some tens of KiB, less than what is stored of a response
+MAX_BACKOFF_S = 1.0  # before another attempt, with full jitter
+
+
+@dataclass(frozen=True)
+class RegistrationSettings:
+    """Where the entry stands.
+
+    `servers`: host and port of each of the registry. `prefix`: of the entries of all gateways. `seed` of the
+    jitter.
+    """
+
+    servers: Sequence[tuple[str, int]]
+    key: bytes
+    ttl_seconds: int
+    seed: int
+    prefix: bytes = b""
 
 
 class Registration(ClientFactory):
-    """This gateway's entry. `value` gives what it holds now; `others`, if there, hears now and then of all
-    entries under the same prefix, by key.
+    """This gateway's entry.
+
+    `entry_value` gives the value that is put. `on_entries`, if there, is called now and then with the values
+    of all entries under the prefix, by key.
     """
 
     noisy = False
@@ -34,143 +55,194 @@
     def __init__(
         self,
         network: Network,
-        servers: Sequence[tuple[str, int]],
-        key: bytes,
-        value: Callable[[], bytes],
-        seconds: int,
-        seed: int,
-        prefix: bytes = b"",
-        others: Callable[[dict[bytes, bytes]], None] | None = None,
+        settings: RegistrationSettings,
+        entry_value: Callable[[], bytes],
+        on_entries: Callable[[dict[bytes, bytes]], None] | None = None,
     ) -> None:
         self.network = network
-        self.servers = list(servers)
-        self.key = key
-        self.value = value
-        self.prefix = prefix
-        self.others = others
-        self.lease = Lease(seconds)
-        self.chance = random.Random(seed)
-        self.at = self.chance.randrange(len(self.servers))
+        self.settings = settings
+        self.servers = list(settings.servers)
+        self.entry_value = entry_value
+        self.on_entries = on_entries
+        self.lease = Lease(settings.ttl_seconds)
+        self.random_source = random.Random(settings.seed)
+        self.server_index = self.random_source.randrange(len(self.servers))
         self.counts: Counter[str] = Counter()
-        self.talk: HttpClientProtocol | None = None
-        self.dialling = False
-        self._look: Timer | None = None
-        self._late: Timer | None = None
-        self._found: dict[bytes, bytes] = {}  # entries of the pages so far
-        self._page = prefix  # the key that the next page begins at
-        self._others_at = 0  # ns, no look at the others before this
+        self.http_client: HttpClientProtocol | None = None
+        self.connecting = False
+        self._tick_timer: Timer | None = None
+        self._response_timer: Timer | None = None
+        self._entries: dict[bytes, bytes] = {}  # of the pages so far
+        self._next_page_key = settings.prefix
+        self._entries_due_at = 0  # ns
 
     def start(self) -> None:
-        self._look = self.network.callLater(LOOK * self.chance.random(), self._turn)
+        """The first request is due at a random moment of the interval, so that gateways spread theirs."""
+        self._tick_timer = self.network.callLater(TICK_INTERVAL_S * self.random_source.random(), self._tick)
 
     def stop(self) -> None:
-        """Ends at once; the entry goes when its lease has run out."""
-        stop(self._look)
-        stop(self._late)
-        self._look = self._late = None
-        talk, self.talk = self.talk, None
-        if talk is not None and not talk.lost:
-            talk.leave()
-
-    def leave(self) -> None:
-        """On purpose: the lease is given back, so that the entry goes now."""
-        talk, lease = self.talk, self.lease.id
-        stop(self._look)
-        self._look = None
-        if talk is not None and not talk.lost and talk.then is None and lease:
-            talk.ask("POST", etcd.REVOKE, JSON, etcd.lease_body(lease), lambda answer: self.stop())
+        """Ends at once; the registry deletes the entry when its lease expires."""
+        stop(self._tick_timer)
+        stop(self._response_timer)
+        self._tick_timer = self._response_timer = None
+        self._close_connection()
+
+    def revoke(self) -> None:
+        """Revokes the lease, so that the registry deletes the entry at once, then stops."""
+        stop(self._tick_timer)
+        self._tick_timer = None
+        client, lease_id = self.http_client, self.lease.lease_id
+        if client is not None and not client.lost and client.then is None and lease_id:
+            send(client, etcd.lease_revoke_request(lease_id), lambda response: self.stop())
         else:
             self.stop()
 
-    def held(self) -> bool:
-        return self.lease.held(now_ns(self.network))
+    def is_active(self) -> bool:
+        """Whether the entry stands in the registry, as far as this gateway knows."""
+        return self.lease.is_active(now_ns(self.network))
 
-    def _turn(self) -> None:
-        self._look = self.network.callLater(LOOK, self._turn)
+    # --- requests ---
+
+    def _tick(self) -> None:
+        """Sends the request that is due, if any, or connects for it."""
+        self._tick_timer = self.network.callLater(TICK_INTERVAL_S, self._tick)
         now = now_ns(self.network)
-        wants = self.lease.wants(now)
-        looks = self.others is not None and wants is LeaseAction.NOTHING and now >= self._others_at
-        busy = self.dialling or (self.talk is not None and self.talk.then is not None)
-        if busy or (wants is LeaseAction.NOTHING and not looks):
-            return
-        if self.talk is None or self.talk.lost or self.talk.closing:
-            self.dialling = True
-            host, port = self.servers[self.at]
-            self.network.connectTCP(host, port, self, timeout=PATIENCE)
+        action = self.lease.next_action(now)
+        if self._has_request_in_flight() or (action is LeaseAction.WAIT and not self._entries_due(now)):
             return
-        lease = self.lease.id
-        if looks:
-            body = etcd.range_body(self.prefix, RangeAsked(self._page, 0), PAGE)
-            self._late = self.network.callLater(PATIENCE, self._failed, "no answer in time")
-            self.talk.ask("POST", etcd.RANGE, JSON, body, self._others_came)
-            return
-        path, body = {
-            LeaseAction.GRANT: (etcd.GRANT, etcd.grant_body(self.lease.seconds)),
-            LeaseAction.PUT: (etcd.PUT, etcd.put_body(self.key, self.value(), lease)),
-            LeaseAction.KEEP: (etcd.KEEP_ALIVE, etcd.lease_body(lease)),
-        }[wants]
-        self._late = self.network.callLater(PATIENCE, self._failed, "no answer in time")
-        self.talk.ask("POST", path, JSON, body, lambda answer: self._came(wants, now, answer))
-
-    def _came(self, wants: LeaseAction, asked_at: int, answer: HttpResponse | None) -> None:
-        stop(self._late)
-        self._late = None
+        client = self.http_client
+        if client is None or client.lost or client.closing:
+            self._connect()
+        elif action is LeaseAction.WAIT:
+            self._request_entries_page(client)
+        else:
+            self._request_lease_action(client, action, now)
+
+    def _has_request_in_flight(self) -> bool:
+        return self.connecting or (self.http_client is not None and self.http_client.then is not None)
+
+    def _entries_due(self, now: int) -> bool:
+        return self.on_entries is not None and now >= self._entries_due_at
+
+    def _connect(self) -> None:
+        self.connecting = True
+        host, port = self.servers[self.server_index]
+        self.network.connectTCP(host, port, self, timeout=RESPONSE_TIMEOUT_S)
+
+    def _request_lease_action(self, client: HttpClientProtocol, action: LeaseAction, now: int) -> None:
+        request = self._lease_request(action)
+        self._start_response_timer()
+        send(client, request, lambda response: self._lease_response_received(action, now, response))
+
+    def _lease_request(self, action: LeaseAction) -> etcd.EtcdRequest:
+        if action is LeaseAction.GRANT:
+            return etcd.lease_grant_request(self.lease.ttl_seconds)
+        if action is LeaseAction.PUT:
+            return etcd.put_request(self.settings.key, self.entry_value(), self.lease.lease_id)
+        return etcd.lease_keepalive_request(self.lease.lease_id)
+
+    def _request_entries_page(self, client: HttpClientProtocol) -> None:
+        page = RangeRequest(self._next_page_key, 0)
+        self._start_response_timer()
+        send(
+            client,
+            etcd.range_request(self.settings.prefix, page, ENTRIES_PAGE_KEYS),
+            self._entries_page_received,
+        )
+
+    def _start_response_timer(self) -> None:
+        self._response_timer = self.network.callLater(
+            RESPONSE_TIMEOUT_S, self._request_failed, "no answer in time"
+        )
+
+    # --- responses ---
+
+    def _lease_response_received(
+        self, action: LeaseAction, requested_at: int, response: HttpResponse | None
+    ) -> None:
+        self._stop_response_timer()
         try:
-            if answer is None or not answer.whole:
-                raise etcd.BadAnswer("it broke off")
-            told = etcd.granted(answer.status, answer.body, wants is LeaseAction.KEEP)
-        except (etcd.BadAnswer, etcd.Compacted) as trouble:
-            if wants is LeaseAction.PUT and answer is not None and answer.status == 400:
-                self.lease.kept(0, asked_at)  # the registry knows no such lease
-            self._failed(str(trouble))
+            lease_response = self._decode_lease_response(action, response)
+        except (etcd.BadResponseError, etcd.CompactedError) as error:
+            is_put = action is LeaseAction.PUT
+            if is_put and response is not None and response.status == etcd.UNKNOWN_LEASE_STATUS:
+                self.lease.not_found()
+            self._request_failed(str(error))
             return
-        if wants is LeaseAction.GRANT:
-            self.lease.granted(told.ID, asked_at)
-        elif wants is LeaseAction.PUT:
-            self.lease.was_put(asked_at)
+        if action is LeaseAction.GRANT:
+            self.lease.granted(lease_response.lease_id, requested_at)
+        elif action is LeaseAction.PUT:
+            self.lease.put_confirmed(requested_at)
         else:
-            self.lease.kept(told.TTL, asked_at)
-        stop(self._look)
-        self._look = self.network.callLater(0, self._turn)
-
-    def _others_came(self, answer: HttpResponse | None) -> None:
-        stop(self._late)
-        self._late = None
+            self.lease.keepalive_received(lease_response.ttl_seconds, requested_at)
+        self._tick_now()
+
+    def _decode_lease_response(
+        self, action: LeaseAction, response: HttpResponse | None
+    ) -> etcd.LeaseResponse:
+        """Raises BadResponseError, CompactedError."""
+        if response is None or not response.whole:
+            raise etcd.BadResponseError("it broke off")
+        if action is LeaseAction.KEEPALIVE:
+            return etcd.decode_keepalive_response(response.status, response.body)
+        return etcd.decode_lease_response(response.status, response.body)
+
+    def _entries_page_received(self, response: HttpResponse | None) -> None:
+        self._stop_response_timer()
         try:
-            if answer is None or not answer.whole:
-                raise etcd.BadAnswer("it broke off")
-            _, records, more = etcd.range_answer(answer.status, answer.body)
-        except (etcd.BadAnswer, etcd.Compacted) as trouble:
-            self._page, self._found = self.prefix, {}
-            self._failed(str(trouble))
+            if response is None or not response.whole:
+                raise etcd.BadResponseError("it broke off")
+            page = etcd.decode_range_response(response.status, response.body)
+        except (etcd.BadResponseError, etcd.CompactedError) as error:
+            self._next_page_key, self._entries = self.settings.prefix, {}
+            self._request_failed(str(error))
             return
-        self._found.update((record.key, record.value) for record in records)
-        if more and records:
-            self._page = records[-1].key + b"\0"
+        self._entries.update((record.key, record.value) for record in page.records)
+        if page.more and page.records:
+            self._next_page_key = page.records[-1].key + b"\0"
         else:
-            found, self._page, self._found = self._found, self.prefix, {}
-            self._others_at = now_ns(self.network) + round(OTHERS * SECOND)
-            if self.others is not None:
-                self.others(found)
-        stop(self._look)
-        self._look = self.network.callLater(0, self._turn)
-
-    def _failed(self, why: str) -> None:
-        """Another server is asked, after a while by chance."""
-        self.counts[f"lease: {why}"] += 1
-        talk, self.talk = self.talk, None
-        self.dialling = False
-        stop(self._late)
-        self._late = None
-        if talk is not None and not talk.lost:
-            talk.leave()
-        self.at = (self.at + 1) % len(self.servers)
-        self.lease.failed(now_ns(self.network), round(AGAIN * self.chance.random() * SECOND))
+            self._entries_complete()
+        self._tick_now()
+
+    def _entries_complete(self) -> None:
+        entries, self._entries = self._entries, {}
+        self._next_page_key = self.settings.prefix
+        self._entries_due_at = now_ns(self.network) + round(ENTRIES_INTERVAL_S * SECOND)
+        if self.on_entries is not None:
+            self.on_entries(entries)
+
+    def _tick_now(self) -> None:
+        """The next request may be due already."""
+        stop(self._tick_timer)
+        self._tick_timer = self.network.callLater(0, self._tick)
+
+    def _stop_response_timer(self) -> None:
+        stop(self._response_timer)
+        self._response_timer = None
+
+    # --- failures ---
+
+    def _request_failed(self, reason: str) -> None:
+        """Another server is used, after a backoff with jitter. `reason` names the event to operators."""
+        self.counts[f"lease: {reason}"] += 1
+        self.connecting = False
+        self._stop_response_timer()
+        self._close_connection()
+        self.server_index = (self.server_index + 1) % len(self.servers)
+        backoff = round(MAX_BACKOFF_S * self.random_source.random() * SECOND)
+        self.lease.request_failed(now_ns(self.network), backoff)
+
+    def _close_connection(self) -> None:
+        client, self.http_client = self.http_client, None
+        if client is not None and not client.lost:
+            client.leave()
 
     def buildProtocol(self, addr: Any) -> HttpClientProtocol:
-        self.dialling = False
-        self.talk = HttpClientProtocol(lambda talk: None, lambda talk: None)
-        return self.talk
+        """Twisted: connected."""
+        self.connecting = False
+        self.http_client = HttpClientProtocol(lambda client: None, lambda client: None)
+        return self.http_client
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self._failed("no connection")
+        """Twisted: the server can't be reached."""
+        self._request_failed("no connection")
--- a/ochrecourse/membership/registrations.py
+++ b/ochrecourse/membership/registrations.py
@@ -1,25 +1,28 @@
-"""From the registry's records to lines of the list of nodes. Free of I/O.
+"""From the registry's records to entries of the endpoint list. Free of I/O.
 
 A record's value is JSON: `{"node": 70, "address": "HOST:PORT", "shard": 0, "zone": 0, "health": "ready",
 "started_ms_ago": 0, "written_ms": 1790000000000}`; `written_ms` is the writer's clock since 1970. When a
-node started is worked out once, when its record is first seen with a revision, and kept on this host's clock:
-so a clock that steps later moves nothing. A writer whose clock lies ahead of ours, or more than a day behind,
-tells nothing of time: its node counts as started when it said, or just now, which is the careful side.
+node started is computed once, when its record is first seen with a revision, and stored on this host's clock:
+so a clock that steps later moves nothing. A writer whose clock is ahead of ours, or more than a day behind,
+says nothing of time: its node counts as started when it said, or just now, which is the safe side for nodes
+that are warming up.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
-from ochrecourse.membership.registry_state import Record
 from ochrecourse.common.time_units import MS
+from ochrecourse.membership.registry_state import RegistryRecord
 from ochrecourse.wire.messages import EndpointEntry
 
-LONGEST_AGE = 86_400_000.0  # ms; a record that seems older was written by a clock that is wrong
+MAX_RECORD_AGE_MS = 86_400_000.0  # a record that seems older was written by a clock that is wrong
 
 
 class NodeRecord(msgspec.Struct, kw_only=True):
-    """The value of one key."""
+    """The value of one key, with the names that writers use."""
 
     node: int
     address: str
@@ -30,55 +33,83 @@
     written_ms: float = 0.0
 
 
+class _KnownStart(NamedTuple):
+    """When a node started, ns on this host's clock, by the record of that revision."""
+
+    mod_revision: int
+    started_at: int
+
+
+class _Claim(NamedTuple):
+    """The entry of one node, by the record of that revision."""
+
+    mod_revision: int
+    entry: EndpointEntry
+
+
 class NodeRegistrations:
-    """Lines made of records; `notes` counts records that can't be read, by why."""
+    """Entries of the endpoint list by the registry's records. `problems` counts records that can't be used,
+    by reason.
+    """
 
     def __init__(self) -> None:
-        self.started: dict[bytes, tuple[int, int]] = {}  # by key: revision of its record, ns of the start
-        self.notes: dict[str, int] = {}
+        self.problems: dict[str, int] = {}
+        self._known_starts: dict[bytes, _KnownStart] = {}
 
-    def lines(self, records: dict[bytes, Record], now: int, since_1970: int) -> list[EndpointEntry]:
-        """The list, by node; `now` in ns on this host's clock, `since_1970` the same moment in ms.
+    def endpoint_entries(
+        self, records: dict[bytes, RegistryRecord], now: int, unix_time_ms: int
+    ) -> list[EndpointEntry]:
+        """The entries by node; `now` in ns on this host's clock, `unix_time_ms` the same moment since 1970.
 
-        One record that can't be read costs its node alone. Of two that claim one node the one that changed
+        A record that can't be read costs its node alone. Of two that claim one node the one that changed
         last counts.
         """
-        found: dict[int, tuple[int, EndpointEntry]] = {}
+        claims: dict[int, _Claim] = {}
         for key, record in sorted(records.items()):
             try:
-                said = msgspec.json.decode(record.value, type=NodeRecord)
-            except msgspec.DecodeError as trouble:
-                self._note(f"{key.decode('utf-8', 'replace')}: {trouble}")
+                node_record = msgspec.json.decode(record.value, type=NodeRecord)
+            except msgspec.DecodeError as error:
+                self._count_problem(f"{key.decode('utf-8', 'replace')}: {error}")
                 continue
-            started = self._started(key, record, said, now, since_1970)
-            line = EndpointEntry(
-                node=said.node,
-                address=said.address,
-                shard=said.shard,
-                zone=said.zone,
-                health=said.health,
-                started_ms_ago=(now - started) / MS if started else -1.0,
-            )
-            if said.node in found:
-                self._note(f"two records claim node {said.node}")
-            if said.node not in found or record.changed > found[said.node][0]:
-                found[said.node] = (record.changed, line)
-        for key in self.started.keys() - records.keys():
-            del self.started[key]
-        return [line for _, (_, line) in sorted(found.items())]
-
-    def _started(self, key: bytes, record: Record, said: NodeRecord, now: int, since_1970: int) -> int:
-        if said.started_ms_ago < 0:
+            started_at = self._start_time(key, record, node_record, now, unix_time_ms)
+            self._add_claim(claims, _Claim(record.mod_revision, _entry(node_record, started_at, now)))
+        for key in self._known_starts.keys() - records.keys():
+            del self._known_starts[key]
+        return [claim.entry for _, claim in sorted(claims.items())]
+
+    def _add_claim(self, claims: dict[int, _Claim], claim: _Claim) -> None:
+        node = claim.entry.node
+        if node in claims:
+            self._count_problem(f"two records claim node {node}")
+        if node not in claims or claim.mod_revision > claims[node].mod_revision:
+            claims[node] = claim
+
+    def _start_time(
+        self, key: bytes, record: RegistryRecord, node_record: NodeRecord, now: int, unix_time_ms: int
+    ) -> int:
+        """When a node started, ns on this host's clock; 0 if long ago."""
+        if node_record.started_ms_ago < 0:
             return 0
-        known = self.started.get(key)
-        if known is not None and known[0] == record.changed:
-            return known[1]
-        since_written = since_1970 - said.written_ms
-        if not 0 <= since_written <= LONGEST_AGE:
-            since_written = -said.started_ms_ago
-        started = max(1, now - round((said.started_ms_ago + since_written) * MS))
-        self.started[key] = (record.changed, started)
-        return started
-
-    def _note(self, why: str) -> None:
-        self.notes[why] = self.notes.get(why, 0) + 1
+        known = self._known_starts.get(key)
+        if known is not None and known.mod_revision == record.mod_revision:
+            return known.started_at
+        record_age_ms = unix_time_ms - node_record.written_ms
+        if not 0 <= record_age_ms <= MAX_RECORD_AGE_MS:
+            record_age_ms = -node_record.started_ms_ago  # a wrong clock: the node counts as just started
+        started_at = max(1, now - round((node_record.started_ms_ago + record_age_ms) * MS))
+        self._known_starts[key] = _KnownStart(record.mod_revision, started_at)
+        return started_at
+
+    def _count_problem(self, reason: str) -> None:
+        self.problems[reason] = self.problems.get(reason, 0) + 1
+
+
+def _entry(node_record: NodeRecord, started_at: int, now: int) -> EndpointEntry:
+    return EndpointEntry(
+        node=node_record.node,
+        address=node_record.address,
+        shard=node_record.shard,
+        zone=node_record.zone,
+        health=node_record.health,
+        started_ms_ago=(now - started_at) / MS if started_at else -1.0,
+    )
--- /dev/null
+++ b/ochrecourse/membership/registry_connection.py
@@ -0,0 +1,57 @@
+"""One HTTP connection to a server of a registry."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet.protocol import ClientFactory
+
+from ochrecourse.common.runtime import Network
+from ochrecourse.membership.etcd import HEADERS, METHOD, EtcdRequest
+from ochrecourse.membership.server_selection import RESPONSE_TIMEOUT_S
+from ochrecourse.wire.http_client import HttpClientProtocol, HttpResponse
+
+
+class RegistryConnection(ClientFactory):
+    """A connection that is being opened or open. `http_client` is None until it is open.
+
+    `on_open` is called once it is, `on_lost` when it ended or could not be opened.
+    """
+
+    noisy = False
+
+    def __init__(
+        self,
+        on_open: Callable[[HttpClientProtocol], None],
+        on_lost: Callable[[RegistryConnection], None],
+    ) -> None:
+        self.on_open = on_open
+        self.on_lost = on_lost
+        self.http_client: HttpClientProtocol | None = None
+
+    def open(self, network: Network, address: tuple[str, int]) -> None:
+        """Connects to host and port."""
+        host, port = address
+        network.connectTCP(host, port, self, timeout=RESPONSE_TIMEOUT_S)
+
+    def close(self) -> None:
+        """Ends the connection, if it is open; what is in flight gets no response."""
+        if self.http_client is not None and not self.http_client.lost:
+            self.http_client.leave()
+
+    def buildProtocol(self, addr: Any) -> HttpClientProtocol:
+        """Twisted: connected."""
+        self.http_client = HttpClientProtocol(self.on_open, lambda client: self.on_lost(self))
+        return self.http_client
+
+    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
+        """Twisted: the server can't be reached."""
+        self.on_lost(self)
+
+
+def send(
+    client: HttpClientProtocol, request: EtcdRequest, on_response: Callable[[HttpResponse | None], None]
+) -> None:
+    """Sends a request on a connection that has none in flight; None is the response if it was lost."""
+    client.ask(METHOD, request.path, HEADERS, request.body, on_response)
--- a/ochrecourse/membership/registry_watcher.py
+++ b/ochrecourse/membership/registry_watcher.py
@@ -1,302 +1,264 @@
-"""Follows a registry over HTTP: one connection for calls, one for the watch, several servers to choose from.
+"""Watches a registry over HTTP: one connection for ranges, one for the watch, one for freshness checks.
 
-What is asked and what is believed is decided in `registry`; this module carries it. A look once a second at
-the newest change under the prefix tells a watch that stands still from one that has nothing to tell. Where
-there are several servers the look goes to another one than the watch: a server that lies behind and does not
-know it can't vouch for itself.
+What is requested and what is trusted is decided in `registry_state`; this module carries it, and chooses
+another of several servers after a failure.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Sequence
-from pathlib import Path
-from typing import Any
 
-from twisted.internet.protocol import ClientFactory
-
-from ochrecourse.membership import etcd
-from ochrecourse.membership.server_selection import LAG, LOOK, PATIENCE, ServerSelector, WatchLag
-from ochrecourse.membership.list_server_watcher import EndpointListStore
-from ochrecourse.membership.registry_state import Change, Feed, RangeAsked, Untrusted
-from ochrecourse.membership.registrations import NodeRegistrations
-from ochrecourse.membership.endpoint_list import BadEndpointListError, EndpointListUpdate
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
-from ochrecourse.wire.http_client import HttpResponse, HttpClientProtocol
-
-PAGE = 100  # keys of a page; some tens of KiB
-JSON = {"Content-Type": "application/json"}
-
-
-class _Line(ClientFactory):
-    """One connection to a server."""
-
-    noisy = False
-
-    def __init__(self, up: Callable[[HttpClientProtocol], None], lost: Callable[[], None]) -> None:
-        self.up = up
-        self.lost = lost
-        self.talk: HttpClientProtocol | None = None
+from ochrecourse.membership import etcd
+from ochrecourse.membership.endpoint_list import BadEndpointListError
+from ochrecourse.membership.endpoint_list_store import EndpointListStore, WatcherContext
+from ochrecourse.membership.freshness_check import FreshnessCallbacks, FreshnessCheck
+from ochrecourse.membership.registrations import NodeRegistrations
+from ochrecourse.membership.registry_connection import RegistryConnection, send
+from ochrecourse.membership.registry_state import (
+    RangeRequest,
+    RegistryState,
+    UntrustedRegistryError,
+)
+from ochrecourse.membership.server_selection import RESPONSE_TIMEOUT_S, ServerSelector
+from ochrecourse.wire.http_client import HttpClientProtocol, HttpResponse
 
-    def buildProtocol(self, addr: Any) -> HttpClientProtocol:
-        self.talk = HttpClientProtocol(self.up, lambda talk: self.lost())
-        return self.talk
+RANGE_PAGE_KEYS = 100  # some tens of KiB
 
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.lost()
+ResponseHandler = Callable[[HttpResponse], None]
 
 
 class RegistryWatcher(EndpointListStore):
-    """The gateway's side of the registry; stands where a `Follower` of a list server would.
+    """Watches the nodes' records of a registry. It is used like a `ListServerWatcher`.
 
-    `since_1970` gives ms since 1970, for ages that writers tell by their own clocks. `line` is the watch
-    while it holds, None without one.
+    `servers`: host and port of each. `prefix`: of the nodes' keys. `unix_time_ms` gives ms since 1970, for
+    the ages that writers state by their own clocks.
     """
 
     def __init__(
         self,
-        name: str,
-        network: Network,
+        context: WatcherContext,
         servers: Sequence[tuple[str, int]],
         prefix: bytes,
-        told: Callable[[EndpointListUpdate], None],
-        path: Path | None,
-        seed: int,
-        since_1970: Callable[[], int],
-        warn: Callable[[str], None] = lambda text: None,
+        unix_time_ms: Callable[[], int],
     ) -> None:
-        super().__init__(name, network, told, path, warn)
+        super().__init__(context)
         self.servers = list(servers)
-        self.since_1970 = since_1970
-        self.chance = random.Random(seed)
-        self.choice = ServerSelector(len(self.servers), self.chance.random)
-        self.lag = WatchLag()
-        self.feed = Feed(prefix)
-        self.roster = NodeRegistrations()
-        self.line: HttpClientProtocol | None = None
-        self.calls: _Line | None = None
-        self.watch: _Line | None = None
-        self.other: _Line | None = None  # to another server, for looks
-        self.stream = etcd.Stream()
+        self.unix_time_ms = unix_time_ms
+        self.random_source = random.Random(context.seed)
+        self.selector = ServerSelector(len(self.servers), self.random_source.random)
+        self.registry = RegistryState(prefix)
+        self.registrations = NodeRegistrations()
+        callbacks = FreshnessCallbacks(self._list_confirmed, self._watch_stuck, self._freshness_check_failed)
+        self.freshness = FreshnessCheck(self.network, self.servers, self.selector, self.registry, callbacks)
+        self.watch_client: HttpClientProtocol | None = None  # while the watch is established
         self.stopped = False
-        self._timer: Timer | None = None
-        self._late: Timer | None = None
-        self._look: Timer | None = None
-        self._look_late: Timer | None = None
+        self._range_connection: RegistryConnection | None = None
+        self._watch_connection: RegistryConnection | None = None
+        self._stream_decoder = etcd.WatchStreamDecoder()
+        self._reconnect_timer: Timer | None = None
+        self._response_timer: Timer | None = None
+
+    @property
+    def connected(self) -> bool:
+        """Whether the watch is established."""
+        return self.watch_client is not None
 
     def start(self) -> None:
-        """Hands on the kept list, if a good one is there, then connects."""
-        copy = self.hand_on_kept()
-        if copy is not None and copy.cluster:
-            self.feed.remember(copy.cluster, copy.epoch)
+        """Applies the cached list, if there is a good one, then connects."""
+        snapshot = self.restore_cached_list()
+        if snapshot is not None and snapshot.cluster:
+            self.registry.resume_from(snapshot.cluster, snapshot.epoch)
         self._connect()
 
     def stop(self) -> None:
+        """Closes all connections; there are no others after them."""
         self.stopped = True
-        self._drop()
-        stop(self._timer)
+        self._close_connections()
+        stop(self._reconnect_timer)
 
-    def accept(self) -> None:
-        """An operator says that the registry is right though it went back or is another one."""
-        self.feed.accept()
-        self.choice.stands()
-        self._broke("an operator accepted the registry as it is")
+    def accept_registry(self) -> None:
+        """An operator says that the registry is right though it was rolled back or is another one."""
+        self.registry.accept_registry()
+        self.selector.watch_established()
+        self._leave_server("an operator accepted the registry as it is")
 
     # --- connections ---
 
     def _connect(self) -> None:
-        self._timer = None
-        self.calls = self._dial(self.choice.at, self._ask)
-
-    def _dial(self, at: int, up: Callable[[HttpClientProtocol], None]) -> _Line:
-        line = _Line(up, lambda: self._lost(line))
-        host, port = self.servers[at]
-        self.network.connectTCP(host, port, line, timeout=PATIENCE)
-        return line
-
-    def _lost(self, line: _Line) -> None:
-        if line in (self.calls, self.watch):
-            self._broke("the connection ended")
-        elif line is self.other:
-            self._other_failed()
-
-    def _other_failed(self) -> None:
-        """The server that looks went to is gone or not believed; the next look goes to another, by chance."""
-        self.counts["looks that failed"] += 1
-        other, self.other = self.other, None
-        stop(self._look_late)
-        self._look_late = None
-        if other is not None and other.talk is not None and not other.talk.lost:
-            other.talk.leave()
-        if self.watch is not None:
-            stop(self._look)
-            self._look = self.network.callLater(LAG, self._look_at_newest)
-
-    def _broke(self, why: str) -> None:
-        """Leaves the server at hand; another one, by chance, is asked after a while."""
-        self._drop()
-        if self.stopped or self._timer is not None:
+        self._reconnect_timer = None
+        self._range_connection = self._open_connection(self._send_next_request)
+
+    def _open_connection(self, on_open: Callable[[HttpClientProtocol], None]) -> RegistryConnection:
+        connection = RegistryConnection(on_open, self._connection_lost)
+        connection.open(self.network, self.servers[self.selector.current])
+        return connection
+
+    def _connection_lost(self, connection: RegistryConnection) -> None:
+        if connection in (self._range_connection, self._watch_connection):
+            self._leave_server("the connection ended")
+
+    def _leave_server(self, reason: str) -> None:
+        """Leaves the current server; another one, at random, is used after the backoff.
+
+        `reason` names the event on the operators' pages.
+        """
+        self._close_connections()
+        if self.stopped or self._reconnect_timer is not None:
             return
-        self.counts[f"breaks: {why}"] += 1
-        self.feed.broke()
-        self._timer = self.network.callLater(self.choice.broke(), self._connect)
-
-    def _drop(self) -> None:
-        lines = (self.calls, self.watch, self.other)
-        self.calls = self.watch = self.other = self.line = None
-        for timer in (self._late, self._look, self._look_late):
-            stop(timer)
-        self._late = self._look = self._look_late = None
-        for line in lines:
-            if line is not None and line.talk is not None and not line.talk.lost:
-                line.talk.leave()
-
-    def _untrusted(self, why: str) -> None:
-        """What this server says is not believed. If no other is, an operator must say which is right."""
-        if self.choice.refused():
-            self.warn(f"the registry is not believed: {why}; if it was restored, accept it")
-        self._broke("not believed")
-
-    # --- calls ---
-
-    def _call(self, path: str, body: bytes, then: Callable[[HttpResponse], None]) -> None:
-        line = self.calls
-        if line is None or line.talk is None:
+        self.counts[f"breaks: {reason}"] += 1
+        self.registry.connection_lost()
+        self._reconnect_timer = self.network.callLater(self.selector.server_failed(), self._connect)
+
+    def _close_connections(self) -> None:
+        connections = (self._range_connection, self._watch_connection)
+        self._range_connection = self._watch_connection = self.watch_client = None
+        stop(self._response_timer)
+        self._response_timer = None
+        for connection in connections:
+            if connection is not None:
+                connection.close()
+        self.freshness.stop()
+
+    def _server_distrusted(self, reason: str) -> None:
+        """This server is not trusted. If no other one is, an operator must decide which is right."""
+        if self.selector.server_distrusted():
+            self.warn(f"the registry is not believed: {reason}; if it was restored, accept it")
+        self._leave_server("not believed")
+
+    # --- ranges ---
+
+    def _send_next_request(self, client: HttpClientProtocol | None = None) -> None:
+        """Requests a page of the range, or opens the watch."""
+        request = self.registry.next_request()
+        if isinstance(request, RangeRequest):
+            page_request = etcd.range_request(self.registry.prefix, request, RANGE_PAGE_KEYS)
+            self._send(page_request, self._page_received)
+        elif self._watch_connection is None:
+            self._watch_connection = self._open_connection(self._request_watch)
+            self.freshness.start(self.random_source)
+
+    def _send(self, request: etcd.EtcdRequest, on_success: ResponseHandler) -> None:
+        connection = self._range_connection
+        if connection is None or connection.http_client is None:
             return
-
-        def came(answer: HttpResponse | None) -> None:
-            if self.calls is not line:
-                return
-            stop(self._late)
-            self._late = None
-            if answer is None or not answer.whole:
-                self._broke("an answer broke off")
-                return
-            try:
-                then(answer)
-            except etcd.Compacted:
-                self.feed.compacted()
-                self._ask()
-            except etcd.BadAnswer as trouble:
-                self.counts["bad answers"] += 1
-                self.warn(f"the registry's answer is not understood: {trouble}")
-                self._broke("a bad answer")
-            except Untrusted as trouble:
-                self._untrusted(str(trouble))
-
-        self._late = self.network.callLater(PATIENCE, self._too_late)
-        line.talk.ask("POST", path, JSON, body, came)
-
-    def _too_late(self) -> None:
-        self._late = None
-        self._broke("no answer in time")
-
-    def _ask(self, talk: HttpClientProtocol | None = None) -> None:
-        """Asks for what the feed wants next."""
-        asked = self.feed.asks()
-        if isinstance(asked, RangeAsked):
-            self._call(etcd.RANGE, etcd.range_body(self.feed.prefix, asked, PAGE), self._page_came)
-        elif self.watch is None:
-            self.watch = self._dial(self.choice.at, self._watch_up)
-            self._look = self.network.callLater(LOOK * self.chance.random(), self._look_at_newest)
-
-    def _page_came(self, answer: HttpResponse) -> None:
-        header, records, more = etcd.range_answer(answer.status, answer.body)
-        changes = self.feed.page_came(header.cluster_id, header.revision, records, more)
-        if changes is not None:
-            self._tell(changes, first=True)
-        self._ask()
-
-    def _look_at_newest(self) -> None:
-        self._look = None
-        self._look_late = self.network.callLater(PATIENCE, self._other_failed)
-        if self.other is None:
-            self.other = self._dial(self.choice.another(), self._look_up)
-        elif self.other.talk is not None and self.other.talk.then is None:
-            self._look_up(self.other.talk)
-
-    def _look_up(self, talk: HttpClientProtocol) -> None:
-        talk.ask("POST", etcd.RANGE, JSON, etcd.newest_body(self.feed.prefix), self._newest_came)
-
-    def _newest_came(self, answer: HttpResponse | None) -> None:
-        stop(self._look_late)
-        self._look_late = None
-        try:
-            if answer is None or not answer.whole:
-                raise etcd.BadAnswer("it broke off")
-            header, records, _ = etcd.range_answer(answer.status, answer.body)
-            self.feed.watch_began(header.cluster_id, header.revision)  # believed or not, as for a watch
-        except (etcd.BadAnswer, etcd.Compacted, Untrusted):
-            self._other_failed()
+        self._response_timer = self.network.callLater(RESPONSE_TIMEOUT_S, self._response_timed_out)
+        send(
+            connection.http_client,
+            request,
+            lambda response: self._response_received(connection, response, on_success),
+        )
+
+    def _response_received(
+        self, connection: RegistryConnection, response: HttpResponse | None, on_success: ResponseHandler
+    ) -> None:
+        if self._range_connection is not connection:
+            return
+        stop(self._response_timer)
+        self._response_timer = None
+        if response is None or not response.whole:
+            self._leave_server("an answer broke off")
             return
-        wait = self.lag.saw(records[0].changed if records else 0, self.feed.known)
-        if not self.lag.newest:
-            self.view.heard = now_ns(self.network)
-        then = self._still_behind if self.lag.newest else self._look_at_newest
-        self._look = self.network.callLater(wait, then)
-
-    def _still_behind(self) -> None:
-        self._look = None
-        if self.lag.behind(self.feed.known):
-            self._broke("the watch stands still")
-        else:
-            self._look = self.network.callLater(LOOK, self._look_at_newest)
+        try:
+            on_success(response)
+        except etcd.CompactedError:
+            self.registry.compacted()
+            self._send_next_request()
+        except etcd.BadResponseError as error:
+            self.counts["bad answers"] += 1
+            self.warn(f"the registry's answer is not understood: {error}")
+            self._leave_server("a bad answer")
+        except UntrustedRegistryError as error:
+            self._server_distrusted(str(error))
+
+    def _response_timed_out(self) -> None:
+        self._response_timer = None
+        self._leave_server("no answer in time")
+
+    def _page_received(self, response: HttpResponse) -> None:
+        page = etcd.decode_range_response(response.status, response.body)
+        events = self.registry.page_received(page)
+        if events is not None:
+            self._apply_records()
+        self._send_next_request()
 
     # --- the watch ---
 
-    def _watch_up(self, talk: HttpClientProtocol) -> None:
-        asked = self.feed.asks()
-        if isinstance(asked, RangeAsked):
+    def _request_watch(self, client: HttpClientProtocol) -> None:
+        request = self.registry.next_request()
+        if isinstance(request, RangeRequest):
             return
-        self.stream = etcd.Stream()
-        talk.piece = lambda data: self._streamed(talk, data)
-        body = etcd.watch_body(self.feed.prefix, asked.revision)
-        talk.ask("POST", etcd.WATCH, JSON, body, lambda answer: self._stream_over(talk))
+        self._stream_decoder = etcd.WatchStreamDecoder()
+        client.piece = lambda data: self._watch_data_received(client, data)
+        watch_request = etcd.watch_request(self.registry.prefix, request.start_revision)
+        send(client, watch_request, lambda response: self._watch_ended(client))
+
+    def _is_current_watch(self, client: HttpClientProtocol) -> bool:
+        return self._watch_connection is not None and self._watch_connection.http_client is client
 
-    def _streamed(self, talk: HttpClientProtocol, data: bytes) -> None:
-        if self.watch is None or self.watch.talk is not talk:
+    def _watch_data_received(self, client: HttpClientProtocol, data: bytes) -> None:
+        if not self._is_current_watch(client):
             return
         try:
-            for message in self.stream.feed(data):
-                if message.canceled:
-                    if not message.compact_revision:
-                        raise etcd.BadAnswer(f"a watch that was cancelled: {message.cancel_reason}")
-                    raise etcd.Compacted
-                if message.created:
-                    self.feed.watch_began(message.header.cluster_id, message.header.revision)
-                    self.line = talk
-                    self.choice.stands()
-                if message.events:
-                    told = self.feed.changes_came(message.header.cluster_id, etcd.changes_of(message))
-                    self._tell(told, first=False)
-        except etcd.Compacted:
-            self.feed.compacted()
-            self._broke("compacted")
-        except etcd.BadAnswer as trouble:
+            for message in self._stream_decoder.feed(data):
+                self._watch_message_received(client, message)
+        except etcd.CompactedError:
+            self.registry.compacted()
+            self._leave_server("compacted")
+        except etcd.BadResponseError as error:
             self.counts["bad answers"] += 1
-            self.warn(f"the registry's stream is not understood: {trouble}")
-            self._broke("a bad stream")
-        except Untrusted as trouble:
-            self._untrusted(str(trouble))
-
-    def _stream_over(self, talk: HttpClientProtocol) -> None:
-        if self.watch is not None and self.watch.talk is talk:
-            self._broke("the watch ended")
-
-    def _tell(self, changes: list[Change], first: bool) -> None:
-        """The whole list goes on after each change: it is small, and a list that is whole has no gaps."""
-        if not changes and not first:
-            return
-        self.cluster = self.feed.cluster
-        lines = self.roster.lines(self.feed.records, now_ns(self.network), self.since_1970())
+            self.warn(f"the registry's stream is not understood: {error}")
+            self._leave_server("a bad stream")
+        except UntrustedRegistryError as error:
+            self._server_distrusted(str(error))
+
+    def _watch_message_received(self, client: HttpClientProtocol, message: etcd.WatchResponse) -> None:
+        """Raises CompactedError, BadResponseError, UntrustedRegistryError."""
+        if message.canceled:
+            if not message.compact_revision:
+                raise etcd.BadResponseError(f"a watch that was cancelled: {message.cancel_reason}")
+            raise etcd.CompactedError
+        header = message.header
+        if message.created:
+            self.registry.verify_server(header.cluster_id, header.revision)
+            self.watch_client = client
+            self.selector.watch_established()
+        if message.events:
+            events = etcd.watch_events(message)
+            if self.registry.events_received(header.cluster_id, events):
+                self._apply_records()
+
+    def _watch_ended(self, client: HttpClientProtocol) -> None:
+        if self._is_current_watch(client):
+            self._leave_server("the watch ended")
+
+    # --- freshness checks ---
+
+    def _list_confirmed(self) -> None:
+        self.endpoint_list.confirmed_at = now_ns(self.network)
+
+    def _watch_stuck(self) -> None:
+        self._leave_server("the watch stands still")
+
+    def _freshness_check_failed(self) -> None:
+        self.counts["looks that failed"] += 1
+
+    # --- the list ---
+
+    def _apply_records(self) -> None:
+        """Applies the complete list after each change: it is small, and a complete list has no gaps."""
+        self.cluster = self.registry.cluster_id
+        now = now_ns(self.network)
+        entries = self.registrations.endpoint_entries(self.registry.records, now, self.unix_time_ms())
         try:
-            self.take("full", self.feed.known, lines)
-        except BadEndpointListError as trouble:
+            self.apply_update("full", self.registry.known_revision, entries)
+        except BadEndpointListError as error:
             self.counts["bad lists"] += 1
-            self.warn(f"the registry's list is not taken: {trouble}")
+            self.warn(f"the registry's list is not taken: {error}")
 
 
-def age_clock(network: Network, epoch: int) -> Callable[[], int]:
-    """ms since 1970 by a clock whose zero is `epoch` s after it."""
+def unix_clock(network: Network, epoch: int) -> Callable[[], int]:
+    """Gives ms since 1970 by the network's clock, whose zero is `epoch` s after 1970."""
     return lambda: round(now_ns(network) / MS) + epoch * 1000
--- a/ochrecourse/membership/server_selection.py
+++ b/ochrecourse/membership/server_selection.py
@@ -1,75 +1,84 @@
-"""Which server of a registry is asked and when, and what a look at another says of the watch. Free of I/O.
+"""Which server of a registry is used and when, and whether the watch keeps up with the others. Free of I/O.
 
-After a break another server is taken, by chance, after a wait that is drawn and doubles: gateways that lost
-the same server at the same moment come back spread over servers and time. A watch that stands makes the next
-wait short again.
+After a failure another server is chosen at random, after a backoff with full jitter that doubles: gateways
+that lost the same server at the same moment reconnect spread over servers and time. An established watch
+resets the backoff.
 
-A look asks another server for the newest change under the prefix. What is newer there than what is known here
-may be on its way; if it still is not here a moment later, the watch's server lies behind or holds it back.
+A freshness check reads the newest revision under the prefix from another server. If that revision is newer
+than what is known here, its watch event may be on its way; if it is still missing a moment later, the watch's
+server is behind or withholds it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-PATIENCE = 0.8  # s for an answer; more than a busy registry takes, less than half of a drain's grace
-LOOK = 1.0  # s between looks at the newest change; with PATIENCE well inside a drain's grace of 2 s
-LAG = 0.3  # s that a watch may be behind what a look saw
-FIRST_WAIT = 0.5  # s, the most before the first try to come back, by chance: many must not come at once
-LONGEST_WAIT = 2.0  # s
-ROUNDS = 2  # times that each server may be disbelieved before an operator is told
+RESPONSE_TIMEOUT_S = 0.8  # more than a busy registry takes, less than half of a drain's grace
+FRESHNESS_CHECK_INTERVAL_S = 1.0  # with RESPONSE_TIMEOUT_S well inside a drain's grace of 2 s
+MAX_WATCH_LAG_S = 0.3  # that a watch may be behind what a freshness check saw
+INITIAL_BACKOFF_S = 0.5  # the most before the first reconnect: many gateways must not arrive at once
+MAX_BACKOFF_S = 2.0
+DISTRUST_ROUNDS = 2  # times that each server may be distrusted before an operator is notified
 
 
 class ServerSelector:
-    """The server at hand among `count`, and the wait after a break. `chance` gives numbers from 0 to 1."""
-
-    def __init__(self, count: int, chance: Callable[[], float]) -> None:
-        self.count = count
-        self.chance = chance
-        self.at = int(chance() * count)
-        self.wait = FIRST_WAIT
-        self.disbelieved = 0  # servers in a row
-        self.told = False
-
-    def another(self) -> int:
-        """A server other than the one at hand, by chance; that one if there is no other."""
-        if self.count == 1:
-            return self.at
-        return (self.at + 1 + int(self.chance() * (self.count - 1))) % self.count
-
-    def broke(self) -> float:
-        """The server at hand is left; s until the next one is to be asked."""
-        self.at = self.another()
-        spent, self.wait = self.wait * self.chance(), min(LONGEST_WAIT, self.wait * 2)
-        return spent
-
-    def stands(self) -> None:
-        """A watch stands: the server is believed, and a break from now on is a first one."""
-        self.wait = FIRST_WAIT
-        self.disbelieved = 0
-        self.told = False
-
-    def refused(self) -> bool:
-        """The server at hand is not believed. True if an operator is to be told now: no other is either."""
-        self.disbelieved += 1
-        if self.told or self.disbelieved < ROUNDS * self.count:
+    """The index of the current server among `server_count`, and the backoff after a failure.
+
+    `random_fraction` gives numbers from 0 to 1.
+    """
+
+    def __init__(self, server_count: int, random_fraction: Callable[[], float]) -> None:
+        self.server_count = server_count
+        self.random_fraction = random_fraction
+        self.current = int(random_fraction() * server_count)
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.distrusted_in_a_row = 0
+        self.operator_notified = False
+
+    def pick_other(self) -> int:
+        """A random server other than the current one; the current one if there is no other."""
+        if self.server_count == 1:
+            return self.current
+        return (self.current + 1 + int(self.random_fraction() * (self.server_count - 1))) % self.server_count
+
+    def server_failed(self) -> float:
+        """Makes another server the current one; returns s until it is to be used."""
+        self.current = self.pick_other()
+        delay_s = self.backoff_s * self.random_fraction()
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
+        return delay_s
+
+    def watch_established(self) -> None:
+        """The current server is trusted and watched: the backoff and the count of distrust start anew."""
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.distrusted_in_a_row = 0
+        self.operator_notified = False
+
+    def server_distrusted(self) -> bool:
+        """The current server is not trusted. True if an operator is to be notified: no other is either."""
+        self.distrusted_in_a_row += 1
+        if self.operator_notified or self.distrusted_in_a_row < DISTRUST_ROUNDS * self.server_count:
             return False
-        self.told = True
+        self.operator_notified = True
         return True
 
 
 class WatchLag:
-    """Whether a watch keeps up with what looks at other servers see. Revisions as the registry gives them."""
+    """Whether the watch keeps up with what freshness checks of other servers see.
 
-    def __init__(self) -> None:
-        self.newest = 0  # that a look saw and that was not known here then; 0: nothing is waited for
-
-    def saw(self, newest: int, known: int) -> float:
-        """A look's answer; s until `behind` is to be asked, or until the next look if nothing is awaited."""
-        self.newest = newest if newest > known else 0
-        return LAG if self.newest else LOOK
+    `awaited_revision`: the newest one that a check saw and that was not known here then; 0: none is awaited.
+    """
 
-    def behind(self, known: int) -> bool:
-        """Whether what was waited for is still not here."""
-        late, self.newest = self.newest > known, 0
-        return late
+    def __init__(self) -> None:
+        self.awaited_revision = 0
+
+    def newest_revision_seen(self, newest: int, known: int) -> float:
+        """A check's result; returns s until `is_behind` is due, or the next check if nothing is awaited."""
+        self.awaited_revision = newest if newest > known else 0
+        return MAX_WATCH_LAG_S if self.awaited_revision else FRESHNESS_CHECK_INTERVAL_S
+
+    def is_behind(self, known: int) -> bool:
+        """Whether the awaited revision is still missing. It is no longer awaited afterwards."""
+        is_missing = self.awaited_revision > known
+        self.awaited_revision = 0
+        return is_missing
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,6 +13,9 @@
 DONE = [
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
+    "membership/endpoint_list.py", "membership/endpoint_cache.py", "membership/endpoint_list_store.py", "membership/list_server_watcher.py", "membership/registry_state.py",
+    "membership/registry_connection.py", "membership/registry_watcher.py", "membership/freshness_check.py", "membership/registrations.py", "membership/registration.py",
+    "membership/server_selection.py", "membership/lease.py", "membership/etcd.py", "membership/conflicts.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -17,13 +17,19 @@
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.membership import etcd
 from ochrecourse.membership import endpoint_cache
-from ochrecourse.membership.server_selection import LAG, LOOK, ServerSelector, WatchLag
-from ochrecourse.membership.registration import Registration
+from ochrecourse.membership.server_selection import (
+    FRESHNESS_CHECK_INTERVAL_S,
+    MAX_WATCH_LAG_S,
+    ServerSelector,
+    WatchLag,
+)
+from ochrecourse.membership.registration import Registration, RegistrationSettings
 from ochrecourse.membership.lease import Lease, LeaseAction
-from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
-from ochrecourse.membership.registry_state import Change, RangeAsked, Record
+from ochrecourse.membership.registry_watcher import RegistryWatcher, unix_clock
+from ochrecourse.membership.registry_state import RangePage, RangeRequest, RegistryRecord, WatchEvent
 from ochrecourse.membership.registrations import NodeRegistrations
 from ochrecourse.membership.endpoint_list import EndpointListSnapshot
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.common.time_units import SECOND
 from ochrecourse.standins.registry import Endpoint, Store
@@ -54,18 +60,16 @@
     def gateway(self, number, path=None):
         heard = self.lists[number] = []
         servers = [("127.0.0.1", end.port) for end in self.ends]
-        clock = age_clock(self.network, 1_790_000_000)
-        made = RegistryWatcher(
+        clock = unix_clock(self.network, 1_790_000_000)
+        context = WatcherContext(
             "g0",
             self.network,
-            servers,
-            PREFIX,
-            lambda news: heard.append((now_ns(self.network), news)),
+            lambda update: heard.append((now_ns(self.network), update)),
             path,
             self.seed * 1000 + number,
-            clock,
             self.warnings.append,
         )
+        made = RegistryWatcher(context, servers, PREFIX, clock)
         made.start()
         return made
 
@@ -101,10 +105,12 @@
 BREAKS = {
     "nothing": lambda town: None,
     "all connections cut": lambda town: [end.cut() for end in town.ends],
-    "a server ends": lambda town: town.ends[town.gateways[0].choice.at].stop(),
-    "a server is silent": lambda town: setattr(town.ends[town.gateways[0].choice.at], "silent", True),
-    "streams are held back": lambda town: setattr(town.ends[town.gateways[0].choice.at], "held_back", True),
-    "a server lies behind": lambda town: town.ends[town.gateways[0].choice.at].freeze(),
+    "a server ends": lambda town: town.ends[town.gateways[0].selector.current].stop(),
+    "a server is silent": lambda town: setattr(town.ends[town.gateways[0].selector.current], "silent", True),
+    "streams are held back": lambda town: setattr(
+        town.ends[town.gateways[0].selector.current], "held_back", True
+    ),
+    "a server lies behind": lambda town: town.ends[town.gateways[0].selector.current].freeze(),
     "compaction in a break": lambda town: (
         [end.cut() for end in town.ends],
         town.store.put(b"/other", b"x"),
@@ -115,7 +121,7 @@
 
 @pytest.mark.parametrize("trouble", BREAKS)
 @pytest.mark.parametrize("before", [True, False])
-def test_a_drain_is_known_within_two_seconds_whatever_breaks_round_it(trouble, before):
+def test_a_drain_is_known_within_two_seconds_whatever_fails_around_it(trouble, before):
     """Rule 3 gives two seconds from the notice; seeds vary where in a look or a wait the break falls."""
     for seed in range(1, 16):
         town = Town(seed=seed)
@@ -138,7 +144,7 @@
         assert heard[0] - told < limit * SECOND, (seed, (heard[0] - told) / SECOND, town.gateways[0].counts)
 
 
-def test_no_list_is_told_twice_and_progress_before_its_change_loses_nothing():
+def test_no_list_is_notified_twice_and_progress_before_its_event_loses_nothing():
     town = Town()
     for end in town.ends:
         end.progress_first = True
@@ -146,14 +152,14 @@
     for i in range(20):
         town.put(1, "ready" if i % 2 else "draining")
         if i % 3 == 0:
-            town.ends[town.gateways[0].choice.at].cut()
+            town.ends[town.gateways[0].selector.current].cut()
         town.run(0.9)
     assert town.seen() == town.right()
     lists = [tuple((e.node, e.health) for e in news.entries) for _, news in town.lists[0]]
     assert all(a != b for a, b in pairwise(lists))
 
 
-def test_a_registry_of_another_cluster_is_told_to_an_operator_and_taken_when_accepted():
+def test_a_registry_of_another_cluster_is_reported_to_an_operator_and_used_when_accepted():
     town = Town()
     town.run(1)
     before = town.seen()
@@ -163,7 +169,7 @@
         end.cut()
     town.run(20)
     assert town.seen() == before and any("if it was restored, accept it" in text for text in town.warnings)
-    town.gateways[0].accept()
+    town.gateways[0].accept_registry()
     town.run(3)
     assert town.seen() == town.right() != before
 
@@ -178,7 +184,7 @@
         end.start()
         end.calls.clear()
     town.run(6)
-    assert all(town.seen(i) == town.right() and town.gateways[i].line is not None for i in range(190))
+    assert all(town.seen(i) == town.right() and town.gateways[i].connected for i in range(190))
     calls = sorted(at for end in town.ends for at, _ in end.calls)
     fullest = max(
         sum(at <= other < at + SECOND // 10 for other in calls[i : i + 400]) for i, at in enumerate(calls)
@@ -186,7 +192,7 @@
     assert fullest <= 190  # of three or more calls each; at once they would be two hundred dials in a few ms
 
 
-def test_a_gateway_that_starts_without_a_registry_has_its_kept_list(tmp_path):
+def test_a_gateway_that_starts_without_a_registry_has_its_cached_list(tmp_path):
     town = Town()
     first = town.gateway(7, tmp_path / "nodes")
     town.run(1)
@@ -195,7 +201,7 @@
         end.stop()
     town.gateway(8, tmp_path / "nodes")
     town.run(3)
-    assert town.seen(8) == town.right() and town.gateways[0].line is None
+    assert town.seen(8) == town.right() and not town.gateways[0].connected
     for end in town.ends:
         end.start()
     town.put(1, "draining")
@@ -203,15 +209,15 @@
     assert town.seen(8) == town.right()
 
 
-def test_answers_that_are_not_understood_are_told_and_another_server_is_asked(monkeypatch):
+def test_responses_that_are_not_understood_are_reported_and_another_server_is_used(monkeypatch):
     town = Town(servers=2)
     whole = Endpoint.header
     monkeypatch.setattr(
         Endpoint,
         "header",
-        lambda self: {"revision": "x"} if self.member == town.gateways[0].choice.at else whole(self),
+        lambda self: {"revision": "x"} if self.member == town.gateways[0].selector.current else whole(self),
     )
-    bad = town.gateways[0].choice.at
+    bad = town.gateways[0].selector.current
     monkeypatch.setattr(
         Endpoint, "header", lambda self: {"revision": "x"} if self.member == bad else whole(self)
     )
@@ -223,48 +229,43 @@
     town = Town()
     town.store.put(PREFIX + b"1", b"{")
     town.run(1)
-    assert set(town.seen()) == {0, 2, 3, 4} and town.gateways[0].roster.notes
+    assert set(town.seen()) == {0, 2, 3, 4} and town.gateways[0].registrations.problems
 
 
 # --- without sockets ---
 
 
-def test_bodies_are_of_the_published_form():
-    assert json.loads(etcd.range_body(b"/n/", RangeAsked(b"/n/5\0", 7), 50)) == {
+def test_request_bodies_are_of_the_published_form():
+    assert json.loads(etcd.range_request(b"/n/", RangeRequest(b"/n/5\0", 7), 50).body) == {
         "key": "L24vNQA=",
         "range_end": "L24w",
         "limit": "50",
         "revision": "7",
     }
-    assert json.loads(etcd.watch_body(b"/n/", 8)) == {
+    assert json.loads(etcd.watch_request(b"/n/", 8).body) == {
         "create_request": {"key": "L24v", "range_end": "L24w", "start_revision": "8", "progress_notify": True}
     }
-    assert json.loads(etcd.put_body(b"k", b"v", 5)) == {"key": "aw==", "value": "dg==", "lease": "5"}
-    assert etcd.end_of(b"a\xff") == b"b" and etcd.end_of(b"\xff\xff") == b"\0"
+    assert json.loads(etcd.put_request(b"k", b"v", 5).body) == {"key": "aw==", "value": "dg==", "lease": "5"}
+    assert etcd.prefix_range_end(b"a\xff") == b"b" and etcd.prefix_range_end(b"\xff\xff") == b"\0"
 
 
-def test_answers_with_numbers_as_text_and_fields_left_out_are_read():
+def test_responses_with_numbers_as_text_and_fields_left_out_are_decoded():
     body = b'{"header":{"cluster_id":"14841639068965178418","revision":"9"},"kvs":[{"key":"L24vNQ==","mod_revision":"8"}],"count":"1"}'
-    header, records, more = etcd.range_answer(200, body)
-    assert (header.cluster_id, header.revision, records, more) == (
-        14841639068965178418,
-        9,
-        [Record(b"/n/5", b"", 8)],
-        False,
-    )
+    page = etcd.decode_range_response(200, body)
+    assert page == RangePage(14841639068965178418, 9, [RegistryRecord(b"/n/5", b"", 8)], False)
     assert (
-        etcd.granted(200, b'{"ID":"7","TTL":"10"}').TTL == 10
-        and etcd.granted(200, b'{"result":{"ID":"7"}}\n', True).TTL == 0
+        etcd.decode_lease_response(200, b'{"ID":"7","TTL":"10"}').ttl_seconds == 10
+        and etcd.decode_keepalive_response(200, b'{"result":{"ID":"7"}}\n').ttl_seconds == 0
     )
 
 
 @pytest.mark.parametrize(("status", "body", "wrong"), [
-    (400, b'{"error":"etcdserver: mvcc: required revision has been compacted","code":11}', etcd.Compacted), (400, b'{"code":11,"message":"mvcc: required revision is a future revision"}', etcd.BadAnswer),
-    (503, b"<html>", etcd.BadAnswer), (200, b"{", etcd.BadAnswer), (200, b'{"kvs":[]}', etcd.BadAnswer), (200, b'{"header":{},"kvs":[{"key":"!"}]}', etcd.BadAnswer),
+    (400, b'{"error":"etcdserver: mvcc: required revision has been compacted","code":11}', etcd.CompactedError), (400, b'{"code":11,"message":"mvcc: required revision is a future revision"}', etcd.BadResponseError),
+    (503, b"<html>", etcd.BadResponseError), (200, b"{", etcd.BadResponseError), (200, b'{"kvs":[]}', etcd.BadResponseError), (200, b'{"header":{},"kvs":[{"key":"!"}]}', etcd.BadResponseError),
 ])  # fmt: skip
-def test_answers_that_are_none_are_told(status, body, wrong):
+def test_error_responses_are_raised_as_typed_errors(status, body, wrong):
     with pytest.raises(wrong):
-        etcd.range_answer(status, body)
+        etcd.decode_range_response(status, body)
 
 
 STREAM = b'{"result":{"header":{"revision":"5"},"created":true}}\n{"result":{"header":{"revision":"6"},"events":[{"kv":{"key":"YQ==","value":"MQ==","mod_revision":"6"}},{"type":"DELETE","kv":{"key":"Yg==","mod_revision":"6"}}]}}\n'
@@ -273,48 +274,52 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.integers(1, 60), min_size=1))
 def test_a_stream_is_the_same_in_any_pieces(cuts):
-    stream, got, at, turn = etcd.Stream(), [], 0, 0
+    stream, got, at, turn = etcd.WatchStreamDecoder(), [], 0, 0
     while at < len(STREAM):
         got += stream.feed(STREAM[at : at + cuts[turn % len(cuts)]])
         at, turn = at + cuts[turn % len(cuts)], turn + 1
     assert [each.created for each in got] == [True, False]
-    assert etcd.changes_of(got[1]) == [Change(b"a", b"1", 6), Change(b"b", None, 6)]
+    assert etcd.watch_events(got[1]) == [WatchEvent(b"a", b"1", 6), WatchEvent(b"b", None, 6)]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=80))
-def test_any_line_of_a_stream_is_read_or_told(line):
+def test_any_line_of_a_stream_is_decoded_or_raised_as_a_typed_error(line):
     try:
-        for message in etcd.Stream().feed(line + b"\n"):
-            etcd.changes_of(message)
-    except (etcd.BadAnswer, etcd.Compacted):
+        for message in etcd.WatchStreamDecoder().feed(line + b"\n"):
+            etcd.watch_events(message)
+    except (etcd.BadResponseError, etcd.CompactedError):
         pass
 
 
 def record(node, changed, **more):
-    return Record(PREFIX + b"%d" % node, value(node, **more), changed)
+    return RegistryRecord(PREFIX + b"%d" % node, value(node, **more), changed)
 
 
-def test_when_a_node_started_is_worked_out_once_and_wrong_clocks_count_as_careful():
-    roster, now = NodeRegistrations(), 100 * SECOND
+def test_start_times_are_computed_once_and_wrong_clocks_count_as_just_started():
+    registrations, now = NodeRegistrations(), 100 * SECOND
     told = {"started_ms_ago": 1000.0, "written_ms": 5_000.0}
     right = {b"1": record(1, 3, **told)}
-    assert roster.lines(right, now, 9_000)[0].started_ms_ago == 5000.0
+    assert registrations.endpoint_entries(right, now, 9_000)[0].started_ms_ago == 5000.0
     assert (
-        roster.lines(right, now + SECOND, 1)[0].started_ms_ago == 6000.0
+        registrations.endpoint_entries(right, now + SECOND, 1)[0].started_ms_ago == 6000.0
     )  # a clock that stepped moves nothing
     assert (
-        NodeRegistrations().lines({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago == 0.0
+        NodeRegistrations().endpoint_entries({b"1": record(1, 3, **told)}, now, 4_000)[0].started_ms_ago
+        == 0.0
     )  # written in the future
-    assert NodeRegistrations().lines({b"1": record(1, 3, **told)}, now, 10**12)[0].started_ms_ago == 0.0
-    assert NodeRegistrations().lines({b"1": record(1, 3)}, now, 9_000)[0].started_ms_ago == -1.0
+    assert (
+        NodeRegistrations().endpoint_entries({b"1": record(1, 3, **told)}, now, 10**12)[0].started_ms_ago
+        == 0.0
+    )
+    assert NodeRegistrations().endpoint_entries({b"1": record(1, 3)}, now, 9_000)[0].started_ms_ago == -1.0
 
 
 def test_of_two_records_for_one_node_the_later_one_counts():
-    roster = NodeRegistrations()
+    registrations = NodeRegistrations()
     both = {b"x": record(1, 9, health="draining"), b"y": record(1, 4)}
-    lines = roster.lines(both, SECOND, 0)
-    assert [line.health for line in lines] == ["draining"] and roster.notes
+    lines = registrations.endpoint_entries(both, SECOND, 0)
+    assert [line.health for line in lines] == ["draining"] and registrations.problems
 
 
 # --- this gateway's own entry ---
@@ -323,7 +328,8 @@
 def enrolled(town, number=0, seconds=6, others=None):
     servers = [("127.0.0.1", end.port) for end in town.ends]
     key, seed = b"/g/g%03d" % number if others else b"/g/g%d" % number, town.seed * 100 + number
-    made = Registration(town.network, servers, key, lambda: b"me", seconds, seed, b"/g/", others)
+    settings = RegistrationSettings(servers, key, seconds, seed, b"/g/")
+    made = Registration(town.network, settings, lambda: b"me", others)
     for end in town.ends:
         end.lease_time = seconds
     made.start()
@@ -335,19 +341,19 @@
     return {key for key in town.store.at(town.store.revision) if key.startswith(b"/g/")}
 
 
-def test_an_entry_stands_while_its_gateway_does_and_goes_after_its_lease_with_it():
+def test_an_entry_stands_while_its_gateway_does_and_is_deleted_when_its_lease_expires():
     town = Town(gateways=0)
     mine = enrolled(town)
     for _ in range(40):
         town.run(1)
         assert entries(town) == {b"/g/g0"}
-    assert mine.held() and not mine.lease.lost
+    assert mine.is_active() and not mine.lease.losses
     mine.stop()
     town.run(7)
     assert not entries(town)
 
 
-def test_the_others_entries_are_heard_of_page_by_page_and_anew():
+def test_the_entries_of_all_gateways_are_read_page_by_page_and_again():
     town = Town(gateways=0)
     heard = []
     for number in range(130):
@@ -359,66 +365,66 @@
     assert count + 2 <= len(heard) <= count + 3
 
 
-def test_leaving_on_purpose_takes_the_entry_along_at_once():
+def test_revoking_the_lease_deletes_the_entry_at_once():
     town = Town(gateways=0)
     mine = enrolled(town)
     town.run(3)
-    mine.leave()
+    mine.revoke()
     town.run(0.1)
     assert not entries(town)
 
 
-def test_a_lease_that_the_registry_forgot_is_noticed_and_taken_anew():
+def test_a_lease_that_the_registry_forgot_is_noticed_and_replaced():
     town = Town(gateways=0)
     mine = enrolled(town)
     town.run(3)
     town.store.revoke(next(iter(town.store.leases)))
     assert not entries(town)
     town.run(4)
-    assert entries(town) == {b"/g/g0"} and mine.lease.lost == 1 and mine.held()
+    assert entries(town) == {b"/g/g0"} and mine.lease.losses == 1 and mine.is_active()
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_registry_that_is_away_costs_the_lease_and_it_comes_back(seed):
+def test_an_unreachable_registry_costs_the_lease_and_it_is_granted_again(seed):
     town = Town(gateways=0, seed=seed)
     mine = enrolled(town)
     town.run(3 + seed / 7)
     for end in town.ends:
         end.stop()
     town.run(5)
-    assert mine.held() or mine.lease.until <= now_ns(town.network)
+    assert mine.is_active() or mine.lease.expires_at <= now_ns(town.network)
     town.run(5)
-    assert not mine.held()
+    assert not mine.is_active()
     for end in town.ends:
         end.start()
     town.run(4)
-    assert mine.held() and entries(town) == {b"/g/g0"}
+    assert mine.is_active() and entries(town) == {b"/g/g0"}
 
 
 def test_a_silent_server_is_left_for_another_before_the_lease_runs_out():
     town = Town(gateways=0)
     mine = enrolled(town)
     town.run(3)
-    town.ends[mine.at].silent = True
+    town.ends[mine.server_index].silent = True
     for _ in range(20):
         town.run(1)
-        assert mine.held()
+        assert mine.is_active()
 
 
-def test_a_lease_counts_from_when_it_was_asked_for():
+def test_a_lease_counts_from_when_it_was_requested():
     lease = Lease(9)
-    assert lease.wants(0) is LeaseAction.GRANT and not lease.held(0)
+    assert lease.next_action(0) is LeaseAction.GRANT and not lease.is_active(0)
     lease.granted(5, 1 * SECOND)
-    assert lease.wants(2 * SECOND) is LeaseAction.PUT and not lease.held(2 * SECOND)
-    lease.was_put(2 * SECOND)
+    assert lease.next_action(2 * SECOND) is LeaseAction.PUT and not lease.is_active(2 * SECOND)
+    lease.put_confirmed(2 * SECOND)
     assert (
-        lease.held(2 * SECOND)
-        and lease.wants(4 * SECOND) is LeaseAction.NOTHING
-        and lease.wants(5 * SECOND) is LeaseAction.KEEP
+        lease.is_active(2 * SECOND)
+        and lease.next_action(4 * SECOND) is LeaseAction.WAIT
+        and lease.next_action(5 * SECOND) is LeaseAction.KEEPALIVE
     )
-    lease.kept(9, 5 * SECOND)
-    assert lease.held(14 * SECOND - 1) and not lease.held(14 * SECOND)
-    assert lease.wants(14 * SECOND) is LeaseAction.GRANT and lease.lost == 1
+    lease.keepalive_received(9, 5 * SECOND)
+    assert lease.is_active(14 * SECOND - 1) and not lease.is_active(14 * SECOND)
+    assert lease.next_action(14 * SECOND) is LeaseAction.GRANT and lease.losses == 1
 
 
 # --- a daemon with a registry ---
@@ -484,7 +490,7 @@
     second = Daemon(again, play.network, [], play.warnings.append, lambda: None)
     second.follow()
     play.network.advance(0.5)
-    second.enrolled.chance.random = lambda: 0.9  # it writes the entry late in its second
+    second.enrolled.random_source.random = lambda: 0.9  # it writes the entry late in its second
     at = "{}:{}".format(*second.listen(second._open))
     first.hand_over()
     for _ in range(3000):
@@ -502,36 +508,36 @@
     assert not daemon.sight().enrolled and daemon.ready() == (True, "ready")
 
 
-def test_waits_double_are_drawn_and_start_anew_once_a_watch_stands():
-    choice = ServerSelector(3, iter([0.5] * 99).__next__)
-    assert [choice.broke() for _ in range(5)] == [0.25, 0.5, 1.0, 1.0, 1.0]
-    choice.stands()
-    assert choice.broke() == 0.25
+def test_backoff_doubles_has_jitter_and_is_reset_by_an_established_watch():
+    selector = ServerSelector(3, iter([0.5] * 99).__next__)
+    assert [selector.server_failed() for _ in range(5)] == [0.25, 0.5, 1.0, 1.0, 1.0]
+    selector.watch_established()
+    assert selector.server_failed() == 0.25
 
 
-def test_another_server_is_never_the_one_at_hand_and_each_is_taken_at_times():
+def test_another_server_is_never_the_current_one_and_each_is_picked_at_times():
     chance = random.Random(1)
-    choice, seen = ServerSelector(4, chance.random), set()
+    selector, seen = ServerSelector(4, chance.random), set()
     for _ in range(200):
-        at, other = choice.at, choice.another()
+        at, other = selector.current, selector.pick_other()
         assert other != at and 0 <= other < 4
-        choice.broke()
-        seen.add(choice.at)
-    assert seen == {0, 1, 2, 3} and ServerSelector(1, chance.random).another() == 0
+        selector.server_failed()
+        seen.add(selector.current)
+    assert seen == {0, 1, 2, 3} and ServerSelector(1, chance.random).pick_other() == 0
 
 
-def test_an_operator_is_told_once_when_no_server_is_believed_and_again_after_one_was():
-    choice = ServerSelector(3, random.Random(1).random)
-    assert [choice.refused() for _ in range(9)] == [False] * 5 + [True] + [False] * 3
-    choice.stands()
-    assert [choice.refused() for _ in range(6)] == [False] * 5 + [True]
+def test_an_operator_is_notified_once_when_no_server_is_trusted_and_again_after_one_was():
+    selector = ServerSelector(3, random.Random(1).random)
+    assert [selector.server_distrusted() for _ in range(9)] == [False] * 5 + [True] + [False] * 3
+    selector.watch_established()
+    assert [selector.server_distrusted() for _ in range(6)] == [False] * 5 + [True]
 
 
-def test_a_watch_is_behind_only_if_what_was_seen_does_not_come_in_time():
+def test_a_watch_is_behind_only_if_the_awaited_revision_is_not_received_in_time():
     lag = WatchLag()
-    assert lag.saw(5, 5) == LOOK and not lag.behind(5)
-    assert lag.saw(7, 5) == LAG and not lag.behind(7)
-    assert lag.saw(7, 5) == LAG and lag.behind(6)
+    assert lag.newest_revision_seen(5, 5) == FRESHNESS_CHECK_INTERVAL_S and not lag.is_behind(5)
+    assert lag.newest_revision_seen(7, 5) == MAX_WATCH_LAG_S and not lag.is_behind(7)
+    assert lag.newest_revision_seen(7, 5) == MAX_WATCH_LAG_S and lag.is_behind(6)
 
 
 @pytest.mark.parametrize("change", ["older", "another cluster"])
@@ -548,15 +554,19 @@
         town.store.cluster = 5
     again = town.gateway(8, tmp_path / "nodes")
     town.run(15)
-    assert set(town.seen(8).values()) == {Health.DRAINING} and again.feed.restored and len(town.lists[8]) == 1
-    again.accept()
+    assert (
+        set(town.seen(8).values()) == {Health.DRAINING}
+        and again.registry.distrust_reason
+        and len(town.lists[8]) == 1
+    )
+    again.accept_registry()
     town.run(4)
-    assert town.seen(8) == town.right() and again.line is not None
+    assert town.seen(8) == town.right() and again.connected
 
 
-def test_a_kept_list_of_a_list_server_says_nothing_of_a_registry(tmp_path):
+def test_a_cached_list_of_a_list_server_says_nothing_of_a_registry(tmp_path):
     town = Town()
     endpoint_cache.save(tmp_path / "nodes", EndpointListSnapshot(99, 7, [], "g0"))
     late = town.gateway(8, tmp_path / "nodes")
     town.run(2)
-    assert town.seen(8) == town.right() and not late.feed.restored
+    assert town.seen(8) == town.right() and not late.registry.distrust_reason
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry feed against a reference registry: breaks, compaction, servers that are behind, restores."""
+"""The registry's state against a reference registry: breaks, compaction, servers that are behind, restores."""
 
 import copy
 import pickle
@@ -10,13 +10,14 @@
 from minicheck import Protocol, check_safety
 
 from ochrecourse.membership.registry_state import (
-    Change,
-    Feed,
-    RangeAsked,
-    Record,
-    Stage,
-    Untrusted,
-    WatchAsked,
+    RangePage,
+    RangeRequest,
+    RegistryRecord,
+    RegistryState,
+    SyncPhase,
+    UntrustedRegistryError,
+    WatchEvent,
+    WatchRequest,
 )
 
 pytestmark = pytest.mark.long
@@ -34,12 +35,12 @@
 
     def put(self, key, value):
         self.revision += 1
-        self.log.append(Change(key, value, self.revision))
+        self.log.append(WatchEvent(key, value, self.revision))
 
     def at(self, revision):
         held = {}
         for change in self.log:
-            if change.changed <= revision:
+            if change.mod_revision <= revision:
                 held[change.key] = change
         return {key: change for key, change in held.items() if change.value is not None}
 
@@ -48,18 +49,18 @@
         if revision and revision < self.compacted:
             return None
         held = sorted((key, each) for key, each in self.at(revision or self.revision).items() if key >= start)
-        records = [Record(key, each.value, each.changed) for key, each in held[:most]]
-        return CLUSTER, self.revision, records, len(held) > most
+        records = [RegistryRecord(key, each.value, each.mod_revision) for key, each in held[:most]]
+        return RangePage(CLUSTER, self.revision, records, len(held) > most)
 
     def since(self, revision):
-        return [change for change in self.log if change.changed >= revision]
+        return [change for change in self.log if change.mod_revision >= revision]
 
 
 class Reader:
-    """A feed, what it told put together, and a connection to one server at a time."""
+    """A registry's state, the events that it returned put together, and a connection to one server at a time."""
 
     def __init__(self):
-        self.feed = Feed(b"n/")
+        self.registry = RegistryState(b"n/")
         self.copy = {}
         self.watching = -1  # the next revision of the stream, -1 without one
 
@@ -69,42 +70,47 @@
                 assert change.key in self.copy, "told twice that it is gone"
                 del self.copy[change.key]
             else:
-                assert self.copy.get(change.key) != (change.value, change.changed), "told twice"
-                self.copy[change.key] = (change.value, change.changed)
+                assert self.copy.get(change.key) != (change.value, change.mod_revision), "told twice"
+                self.copy[change.key] = (change.value, change.mod_revision)
 
     def go(self, server):
         """One exchange with a server."""
-        asked = self.feed.asks()
+        asked = self.registry.next_request()
         try:
-            if isinstance(asked, RangeAsked):
-                page = server.page(asked.start, asked.revision)
+            if isinstance(asked, RangeRequest):
+                page = server.page(asked.start_key, asked.revision)
                 if page is None:
-                    self.feed.compacted()
+                    self.registry.compacted()
                 else:
-                    self.take(self.feed.page_came(*page))
+                    self.take(self.registry.page_received(page))
             elif self.watching < 0:
-                if asked.revision <= server.compacted:
-                    self.feed.compacted()
+                if asked.start_revision <= server.compacted:
+                    self.registry.compacted()
                 else:
-                    self.feed.watch_began(CLUSTER, server.revision)
-                    self.watching = asked.revision
+                    self.registry.verify_server(CLUSTER, server.revision)
+                    self.watching = asked.start_revision
             else:
                 changes = server.since(self.watching)[:1]
                 if changes:
-                    self.watching = changes[0].changed + 1
-                    self.take(self.feed.changes_came(CLUSTER, changes))
-        except Untrusted:
+                    self.watching = changes[0].mod_revision + 1
+                    self.take(self.registry.events_received(CLUSTER, changes))
+        except UntrustedRegistryError:
             self.lose()
 
     def lose(self):
         self.watching = -1
-        self.feed.broke()
+        self.registry.connection_lost()
 
     def right(self, store):
         """What is held is what the store held at the revision that is known."""
-        held = {key: (each.value, each.changed) for key, each in store.at(self.feed.known).items()}
+        held = {
+            key: (each.value, each.mod_revision)
+            for key, each in store.at(self.registry.known_revision).items()
+        }
         return (
-            self.copy == held == {key: (each.value, each.changed) for key, each in self.feed.records.items()}
+            self.copy
+            == held
+            == {key: (each.value, each.mod_revision) for key, each in self.registry.records.items()}
         )
 
 
@@ -148,10 +154,10 @@
     def it_holds_what_was_true_at_the_revision_that_it_knows_and_never_goes_back(self):
         if not hasattr(self, "reader"):
             return
-        feed = self.reader.feed
-        assert feed.known >= self.known
-        self.known = feed.known
-        if feed.known:
+        registry = self.reader.registry
+        assert registry.known_revision >= self.known
+        self.known = registry.known_revision
+        if registry.known_revision:
             assert self.reader.right(self.store)
 
     @rule()
@@ -196,7 +202,7 @@
 
 def explored(make, depth):
     start = World()
-    start.reader.feed = make(b"n/")
+    start.reader.registry = make(b"n/")
 
     def successors(state):
         data, level, _ = state
@@ -205,38 +211,38 @@
         after = []
         for i, (name, _) in enumerate(pickle.loads(data).moves()):
             world = pickle.loads(data)
-            before, wrong = world.reader.feed.known, ""
+            before, wrong = world.reader.registry.known_revision, ""
             try:
                 world.moves()[i][1]()
             except AssertionError as trouble:
                 wrong = str(trouble)
-            if world.reader.feed.known < before:
+            if world.reader.registry.known_revision < before:
                 wrong = "it went back"
-            world.reader.feed.counts = dict.fromkeys(world.reader.feed.counts, 0)
+            world.reader.registry.counts = dict.fromkeys(world.reader.registry.counts, 0)
             after.append((name, (pickle.dumps(world), level + 1, wrong)))
         return after
 
     def right(fields):
         world = pickle.loads(fields["world"])
-        return not world.reader.feed.known or world.reader.right(world.store)
+        return not world.reader.registry.known_revision or world.reader.right(world.store)
 
     return Protocol(
-        name="feed", candidate=False, fields=("world", "level", "wrong"), initial=(pickle.dumps(start), 0, ""), transitions=successors,
+        name="registry", candidate=False, fields=("world", "level", "wrong"), initial=(pickle.dumps(start), 0, ""), transitions=successors,
         invariants={"right at its revision": right, "no change twice, never back": lambda fields: not fields["wrong"]},
     )  # fmt: skip
 
 
-def test_no_interleaving_shows_what_never_was_or_tells_a_change_twice():
-    result = check_safety(explored(Feed, 6), max_states=500_000)
+def test_no_interleaving_shows_what_never_was_or_applies_an_event_twice():
+    result = check_safety(explored(RegistryState, 6), max_states=500_000)
     assert all(each["holds"] for each in result["properties"].values()), result["properties"]
 
 
-class Hasty(Feed):
+class Hasty(RegistryState):
     """A seeded mistake: a watch begins at the revision that the server told, not at what is known here."""
 
-    def watch_began(self, cluster, revision):
-        super().watch_began(cluster, revision)
-        self.known = revision
+    def verify_server(self, cluster, revision):
+        super().verify_server(cluster, revision)
+        self.known_revision = revision
 
 
 def test_the_checker_finds_a_watch_that_begins_too_late():
@@ -247,79 +253,84 @@
 # --- one by one ---
 
 
-def reading(records=(), revision=5):
-    feed = Feed(b"n/")
-    told = feed.page_came(CLUSTER, revision, list(records), False)
-    return feed, told
+def read_registry(records=(), revision=5):
+    registry = RegistryState(b"n/")
+    events = registry.page_received(RangePage(CLUSTER, revision, list(records), False))
+    return registry, events
 
 
-def test_a_range_is_pinned_to_its_first_page_and_told_whole():
-    feed = Feed(b"n/")
-    assert feed.asks() == RangeAsked(b"n/", 0)
-    assert feed.page_came(CLUSTER, 5, [Record(b"n/a", b"1", 2)], True) is None
-    assert feed.asks() == RangeAsked(b"n/a\0", 5)
-    assert feed.page_came(CLUSTER, 9, [Record(b"n/b", b"1", 4)], False) == [
-        Change(b"n/a", b"1", 2),
-        Change(b"n/b", b"1", 4),
+def test_a_range_is_pinned_to_its_first_page_and_applied_completely():
+    registry = RegistryState(b"n/")
+    assert registry.next_request() == RangeRequest(b"n/", 0)
+    assert registry.page_received(RangePage(CLUSTER, 5, [RegistryRecord(b"n/a", b"1", 2)], True)) is None
+    assert registry.next_request() == RangeRequest(b"n/a\0", 5)
+    assert registry.page_received(RangePage(CLUSTER, 9, [RegistryRecord(b"n/b", b"1", 4)], False)) == [
+        WatchEvent(b"n/a", b"1", 2),
+        WatchEvent(b"n/b", b"1", 4),
     ]
-    assert feed.asks() == WatchAsked(
+    assert registry.next_request() == WatchRequest(
         6
     )  # after the first page's revision, whatever the second one's server had
 
 
-def test_a_break_between_pages_begins_the_range_anew():
-    feed = Feed(b"n/")
-    feed.page_came(CLUSTER, 5, [Record(b"n/a", b"1", 2)], True)
-    feed.broke()
-    assert feed.asks() == RangeAsked(b"n/", 0) and feed.records == {}
+def test_a_lost_connection_between_pages_restarts_the_range():
+    registry = RegistryState(b"n/")
+    registry.page_received(RangePage(CLUSTER, 5, [RegistryRecord(b"n/a", b"1", 2)], True))
+    registry.connection_lost()
+    assert registry.next_request() == RangeRequest(b"n/", 0) and registry.records == {}
 
 
 @pytest.mark.parametrize(("cluster", "revision", "why"), [(8, 9, "cluster"), (CLUSTER, 4, "behind")])
-def test_a_server_that_is_behind_or_of_another_cluster_is_not_believed(cluster, revision, why):
-    feed, _ = reading([Record(b"n/a", b"1", 2)])
-    with pytest.raises(Untrusted, match=why):
-        feed.watch_began(cluster, revision)
-    assert why in feed.restored and feed.records and feed.asks() == WatchAsked(6)
-    feed.watch_began(CLUSTER, 5)
-    assert not feed.restored
+def test_a_server_that_is_behind_or_of_another_cluster_is_not_trusted(cluster, revision, why):
+    registry, _ = read_registry([RegistryRecord(b"n/a", b"1", 2)])
+    with pytest.raises(UntrustedRegistryError, match=why):
+        registry.verify_server(cluster, revision)
+    assert why in registry.distrust_reason and registry.records and registry.next_request() == WatchRequest(6)
+    registry.verify_server(CLUSTER, 5)
+    assert not registry.distrust_reason
 
 
 def test_a_page_from_a_server_behind_the_first_pages_is_not_mixed_in():
-    feed = Feed(b"n/")
-    feed.page_came(CLUSTER, 5, [Record(b"n/a", b"1", 2)], True)
-    with pytest.raises(Untrusted):
-        feed.page_came(CLUSTER, 4, [], False)
-    assert feed.asks() == RangeAsked(b"n/", 0) and not feed.records
+    registry = RegistryState(b"n/")
+    registry.page_received(RangePage(CLUSTER, 5, [RegistryRecord(b"n/a", b"1", 2)], True))
+    with pytest.raises(UntrustedRegistryError):
+        registry.page_received(RangePage(CLUSTER, 4, [], False))
+    assert registry.next_request() == RangeRequest(b"n/", 0) and not registry.records
+
+
+def test_repeats_and_older_events_do_nothing_even_after_a_key_was_deleted():
+    registry, _ = read_registry([RegistryRecord(b"n/a", b"1", 2)])
+    assert registry.events_received(CLUSTER, [WatchEvent(b"n/a", None, 6)]) == [WatchEvent(b"n/a", None, 6)]
+    assert registry.events_received(CLUSTER, [WatchEvent(b"n/a", b"1", 2), WatchEvent(b"n/a", None, 6)]) == []
+    assert (
+        registry.events_received(CLUSTER, [WatchEvent(b"n/a", b"3", 7)]) == [WatchEvent(b"n/a", b"3", 7)]
+        and registry.known_revision == 7
+    )
+    assert registry.counts["repeats"] == 2
 
 
-def test_repeats_and_older_changes_do_nothing_even_after_a_key_went():
-    feed, _ = reading([Record(b"n/a", b"1", 2)])
-    assert feed.changes_came(CLUSTER, [Change(b"n/a", None, 6)]) == [Change(b"n/a", None, 6)]
-    assert feed.changes_came(CLUSTER, [Change(b"n/a", b"1", 2), Change(b"n/a", None, 6)]) == []
+def test_after_a_compaction_the_difference_becomes_events():
+    registry, _ = read_registry([RegistryRecord(b"n/a", b"1", 2), RegistryRecord(b"n/b", b"1", 3)])
+    registry.compacted()
     assert (
-        feed.changes_came(CLUSTER, [Change(b"n/a", b"3", 7)]) == [Change(b"n/a", b"3", 7)] and feed.known == 7
+        registry.phase is SyncPhase.RANGE and registry.records
+    )  # what is known holds until the range is whole
+    events = registry.page_received(
+        RangePage(CLUSTER, 9, [RegistryRecord(b"n/b", b"2", 8), RegistryRecord(b"n/c", b"1", 9)], False)
     )
-    assert feed.counts["repeats"] == 2
-
-
-def test_after_a_compaction_the_difference_is_told():
-    feed, _ = reading([Record(b"n/a", b"1", 2), Record(b"n/b", b"1", 3)])
-    feed.compacted()
-    assert feed.stage is Stage.READING and feed.records  # what is known holds until the range is whole
-    told = feed.page_came(CLUSTER, 9, [Record(b"n/b", b"2", 8), Record(b"n/c", b"1", 9)], False)
-    assert told == [Change(b"n/a", None, 9), Change(b"n/b", b"2", 8), Change(b"n/c", b"1", 9)]
-
-
-def test_a_restored_registry_is_taken_only_when_an_operator_says_so():
-    feed, _ = reading([Record(b"n/a", b"1", 2), Record(b"n/b", b"1", 3)])
-    feed.compacted()
-    with pytest.raises(Untrusted):
-        feed.page_came(9, 2, [Record(b"n/a", b"1", 2)], False)
-    assert set(feed.records) == {b"n/a", b"n/b"}
-    feed.accept()
-    assert feed.asks() == RangeAsked(b"n/", 0) and set(feed.records) == {b"n/a", b"n/b"}
-    assert feed.page_came(9, 2, [Record(b"n/a", b"1", 2)], False) == [
-        Change(b"n/b", None, 2),
-        Change(b"n/a", b"1", 2),
+    assert events == [WatchEvent(b"n/a", None, 9), WatchEvent(b"n/b", b"2", 8), WatchEvent(b"n/c", b"1", 9)]
+
+
+def test_a_restored_registry_is_accepted_only_when_an_operator_says_so():
+    registry, _ = read_registry([RegistryRecord(b"n/a", b"1", 2), RegistryRecord(b"n/b", b"1", 3)])
+    registry.compacted()
+    with pytest.raises(UntrustedRegistryError):
+        registry.page_received(RangePage(9, 2, [RegistryRecord(b"n/a", b"1", 2)], False))
+    assert set(registry.records) == {b"n/a", b"n/b"}
+    registry.accept_registry()
+    assert registry.next_request() == RangeRequest(b"n/", 0) and set(registry.records) == {b"n/a", b"n/b"}
+    assert registry.page_received(RangePage(9, 2, [RegistryRecord(b"n/a", b"1", 2)], False)) == [
+        WatchEvent(b"n/b", None, 2),
+        WatchEvent(b"n/a", b"1", 2),
     ]
-    assert feed.cluster == 9 and feed.asks() == WatchAsked(3)
+    assert registry.cluster_id == 9 and registry.next_request() == WatchRequest(3)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -17,6 +17,7 @@
 from ochrecourse.membership import endpoint_cache
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
 from ochrecourse.membership.endpoint_list import BadEndpointListError, EndpointListSnapshot, EndpointList
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.nodes.pool import Pool, PoolLimits, State
 from ochrecourse.nodes.health import NodeHealth
 from ochrecourse.nodes.outcome import (
@@ -260,27 +261,31 @@
     )
 
 
-def test_changes_are_taken_in_order_and_a_gap_asks_for_the_whole_list():
-    view = EndpointList()
-    view.list_came("full", 5, [listed(70), listed(71)], SECOND)
-    news = view.list_came("delta", 6, [listed(71, "draining")], SECOND)
-    assert news.kind is ListKind.DELTA and news.entries[0].health is Health.DRAINING
-    assert view.list_came("delta", 6, [listed(71)], SECOND) is None and view.repeats == 1
+def test_deltas_are_applied_in_order_and_a_gap_requests_the_complete_list():
+    endpoint_list = EndpointList()
+    endpoint_list.apply_update("full", 5, [listed(70), listed(71)], SECOND)
+    update = endpoint_list.apply_update("delta", 6, [listed(71, "draining")], SECOND)
+    assert update.kind is ListKind.DELTA and update.entries[0].health is Health.DRAINING
     assert (
-        view.list_came("delta", 8, [listed(70, "gone")], SECOND) is None
-        and view.gaps == 1
-        and view.epoch == 0
+        endpoint_list.apply_update("delta", 6, [listed(71)], SECOND) is None and endpoint_list.duplicates == 1
     )
     assert (
-        view.list_came("delta", 9, [listed(70, "gone")], SECOND) is None
+        endpoint_list.apply_update("delta", 8, [listed(70, "gone")], SECOND) is None
+        and endpoint_list.gaps == 1
+        and endpoint_list.epoch == 0
+    )
+    assert (
+        endpoint_list.apply_update("delta", 9, [listed(70, "gone")], SECOND) is None
     )  # still none until the whole list came
-    assert view.list_came("full", 9, [listed(71)], SECOND).kind is ListKind.FULL and set(view.lines) == {71}
+    assert endpoint_list.apply_update("full", 9, [listed(71)], SECOND).kind is ListKind.FULL and set(
+        endpoint_list.entries
+    ) == {71}
 
 
-def test_the_same_start_told_twice_is_one_start():
-    view = EndpointList()
-    first = view.list_came("full", 1, [listed(70, age=500)], 10 * SECOND).entries[0].started
-    again = view.list_came("full", 2, [listed(70, age=1520)], 11 * SECOND).entries[0].started
+def test_the_same_start_received_twice_is_one_start():
+    endpoint_list = EndpointList()
+    first = endpoint_list.apply_update("full", 1, [listed(70, age=500)], 10 * SECOND).entries[0].started
+    again = endpoint_list.apply_update("full", 2, [listed(70, age=1520)], 11 * SECOND).entries[0].started
     assert first == again == 9500 * MS or first == 9500 * MS
 
 
@@ -288,27 +293,27 @@
     EndpointEntry(node=70, address="nowhere"), EndpointEntry(node=70, address="h:99999"), EndpointEntry(node=70, address="h:1", health="ill"),
     EndpointEntry(node=-1, address="h:1"), EndpointEntry(node=1, address="h:1", zone=70_000),
 ])  # fmt: skip
-def test_a_list_with_a_wrong_line_is_not_taken_at_all(bad):
-    view = EndpointList()
+def test_a_list_with_a_wrong_entry_is_not_applied_at_all(bad):
+    endpoint_list = EndpointList()
     with pytest.raises(BadEndpointListError):
-        view.list_came("full", 1, [listed(71), bad], SECOND)
-    assert not view.lines and view.epoch == 0
+        endpoint_list.apply_update("full", 1, [listed(71), bad], SECOND)
+    assert not endpoint_list.entries and endpoint_list.epoch == 0
 
 
-def test_a_kept_list_from_another_clock_makes_every_node_new():
-    view = EndpointList()
-    view.list_came("full", 3, [listed(70), listed(71, age=100)], 50 * SECOND)
-    copy = view.copy(60 * SECOND)
-    same = EndpointList().read_back(copy, 61 * SECOND)
+def test_a_cached_list_from_another_clock_makes_every_node_new():
+    endpoint_list = EndpointList()
+    endpoint_list.apply_update("full", 3, [listed(70), listed(71, age=100)], 50 * SECOND)
+    snapshot = endpoint_list.snapshot(60 * SECOND)
+    same = EndpointList().restore_snapshot(snapshot, 61 * SECOND)
     assert [entry.started for entry in same.entries] == [0, 50 * SECOND - 100 * MS]
-    other = EndpointList().read_back(copy, 5 * SECOND)
+    other = EndpointList().restore_snapshot(snapshot, 5 * SECOND)
     assert [entry.started for entry in other.entries] == [
         5 * SECOND,
         5 * SECOND,
     ] and other.kind is ListKind.CACHED
 
 
-def test_a_kept_list_survives_and_a_damaged_one_is_told(tmp_path):
+def test_a_cached_list_survives_and_a_damaged_one_is_reported(tmp_path):
     path = tmp_path / "g0.nodes"
     assert endpoint_cache.load(path) is None
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
@@ -326,7 +331,7 @@
             endpoint_cache.load(path)
 
 
-def test_a_kept_list_that_is_cut_or_changed_anywhere_is_never_taken(tmp_path):
+def test_a_cached_list_that_is_truncated_or_changed_anywhere_is_never_used(tmp_path):
     path = tmp_path / "g0.nodes"
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
     whole = path.read_bytes()
@@ -341,18 +346,19 @@
     (b"ochrecourse nodes 9 0 00000000\n", "a newer version, 9"), (b"ochrecourse nodes 0 0 00000000\n", "another version, 0"),
     (b"ochrecourse webdav-tree 1 0 00000000\n", "holds webdav-tree"), (b"words\n", "not a file of ours"),
 ])  # fmt: skip
-def test_a_kept_file_of_another_kind_or_version_is_told_in_one_line(tmp_path, head, told):
+def test_a_file_of_another_kind_or_version_is_reported_in_one_line(tmp_path, head, told):
     path = tmp_path / "g0.nodes"
     path.write_bytes(head)
     with pytest.raises(atomic_file.DamagedFileError, match=told):
         endpoint_cache.load(path)
 
 
-def test_another_gateways_kept_list_is_not_taken(tmp_path):
-    path, network, warnings, news = tmp_path / "g0.nodes", VirtualNetwork(3), [], []
+def test_another_gateways_cached_list_is_not_used(tmp_path):
+    path, network, warnings, updates = tmp_path / "g0.nodes", VirtualNetwork(3), [], []
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)], "g9"))
-    ListServerWatcher("g0", network, ("127.0.0.1", 1), news.append, path, 1, warnings.append).start()
-    assert not news and "of gateway 'g9', not of 'g0'" in warnings[0]
+    context = WatcherContext("g0", network, updates.append, path, 1, warnings.append)
+    ListServerWatcher(context, ("127.0.0.1", 1)).start()
+    assert not updates and "of gateway 'g9', not of 'g0'" in warnings[0]
 
 
 @pytest.mark.parametrize("step", ["open", "write", "fsync", "replace"])
@@ -391,30 +397,30 @@
 
 
 @pytest.fixture
-def followed():
-    """A list server and a follower of it on a virtual network, and the news that came."""
-    network, news = VirtualNetwork(3), []
+def watched():
+    """A list server and a watcher of it on a virtual network, and the updates that it received."""
+    network, updates = VirtualNetwork(3), []
     server = ListServer(network, 1, 0.01, lambda record: None)
     server.put(listed(70), 0)
     server.put(listed(71), 0)
     port = network.listenTCP(0, server).getHost().port
-    follower = ListServerWatcher("g0", network, ("127.0.0.1", port), news.append, None, 9)
-    follower.start()
+    watcher = ListServerWatcher(WatcherContext("g0", network, updates.append, None, 9), ("127.0.0.1", port))
+    watcher.start()
     network.advance(0.1)
-    return network, server, follower, news
+    return network, server, watcher, updates
 
 
-def test_a_break_during_a_drain_notice_costs_less_than_a_second(followed):
-    network, server, follower, news = followed
+def test_a_break_during_a_drain_notice_costs_less_than_a_second(watched):
+    network, server, watcher, updates = watched
     server.change(listed(71, "draining"), 0)
     server.break_all()  # the notice is on its way
     network.advance(0.6)
-    assert news[-1].entries[0].health is Health.DRAINING and follower.counts["breaks"] == 1
-    assert follower.view.lines[71].health == "draining"
+    assert updates[-1].entries[0].health is Health.DRAINING and watcher.counts["breaks"] == 1
+    assert watcher.endpoint_list.entries[71].health == "draining"
 
 
-def test_after_more_changes_than_are_kept_the_whole_list_comes(followed):
-    network, server, follower, news = followed
+def test_after_more_changes_than_are_kept_the_complete_list_is_received(watched):
+    network, server, watcher, updates = watched
     server.gone = True
     server.break_all()
     network.advance(1)
@@ -423,28 +429,32 @@
     server.change(listed(71, "draining"), 0)
     server.gone = False
     network.advance(3)
-    assert news[-1].kind is ListKind.FULL and follower.view.epoch == server.epoch
-    assert follower.view.lines[71].health == "draining"
+    assert updates[-1].kind is ListKind.FULL and watcher.endpoint_list.epoch == server.epoch
+    assert watcher.endpoint_list.entries[71].health == "draining"
 
 
-def test_a_list_server_that_tells_nonsense_is_left_and_asked_again(followed):
-    network, server, follower, _ = followed
+def test_a_list_server_that_sends_nonsense_is_left_and_used_again(watched):
+    network, server, watcher, _ = watched
     server.change(EndpointEntry(node=72, address="nowhere"), 0)
     network.advance(1)
-    assert follower.counts["breaks"] >= 1 and set(follower.view.lines) == {70, 71}
+    assert watcher.counts["breaks"] >= 1 and set(watcher.endpoint_list.entries) == {70, 71}
     server.lines.pop(72)
     server.epoch += 300
     network.advance(5)
-    assert follower.view.epoch == server.epoch
+    assert watcher.endpoint_list.epoch == server.epoch
 
 
-def test_a_follower_starts_with_the_kept_list_and_ignores_a_damaged_one(tmp_path):
+def test_a_watcher_starts_with_the_cached_list_and_ignores_a_damaged_one(tmp_path):
     path, told, warned = tmp_path / "n", [], []
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
-    ListServerWatcher("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
+    ListServerWatcher(
+        WatcherContext("g0", VirtualNetwork(1), told.append, path, 1, warned.append), ("h", 1)
+    ).start()
     assert told[0].kind is ListKind.CACHED and not warned
     path.write_bytes(b"rubbish")
-    ListServerWatcher("g0", VirtualNetwork(1), ("h", 1), told.append, path, 1, warned.append).start()
+    ListServerWatcher(
+        WatcherContext("g0", VirtualNetwork(1), told.append, path, 1, warned.append), ("h", 1)
+    ).start()
     assert len(told) == 1 and "not a file of ours" in warned[0]
 
 
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -23,6 +23,7 @@
 from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
+from ochrecourse.membership.endpoint_list_store import WatcherContext
 from ochrecourse.membership.list_server_watcher import ListServerWatcher
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.standins.listserver import ListServer
@@ -296,7 +297,8 @@
             self.server.put(line(node), 0)
         port = self.network.listenTCP(0, self.server).getHost().port
         tap.place(port, "list server", "gateway", Framed)
-        self.follower = ListServerWatcher("g0", self.network, ("127.0.0.1", port), self.news.append, None, 9)
+        context = WatcherContext("g0", self.network, self.news.append, None, 9)
+        self.follower = ListServerWatcher(context, ("127.0.0.1", port))
         self.follower.start()
         self.network.advance(0.1)
 
