--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -67,7 +67,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.log"
         first = FileJournal(path, *JOURNAL)
-        first.restart(kept_module._encode(Held(each)) for each in entries("b", count, channels))
+        first.rewrite(kept_module._encode(Held(each)) for each in entries("b", count, channels))
         first.close()
         size, began = path.stat().st_size, time.process_time()
         again = FileJournal(path, *JOURNAL)
@@ -116,8 +116,8 @@
     parts: dict[str, Part] = {}
     for index, name in enumerate("ab"):
         journal = MemoryJournal()
-        journal.kept = [kept_module._encode(Life(7))]
-        journal.kept += [kept_module._encode(Held(e)) for e in entries(name, count // 2, channels)]
+        journal.stored = [kept_module._encode(Life(7))]
+        journal.stored += [kept_module._encode(Held(e)) for e in entries(name, count // 2, channels)]
         other, port = ("b", 20_001) if name == "a" else ("a", 20_000)
         said = {
             "name": "f", "listen": "", "peers": [{"name": other, "address": f"127.0.0.1:{port}"}],
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -185,7 +185,7 @@
     first = median_ms(append)
     return (
         f"{len(a.log.chains):6} lives held; append and its merge at one peer {first:8.3f} ms; "
-        f"beat {median_ms(beat, more):8.3f} ms; journal {sum(map(len, a.journal.kept)) / 1024:8.0f} KB; "
+        f"beat {median_ms(beat, more):8.3f} ms; journal {sum(map(len, a.journal.stored)) / 1024:8.0f} KB; "
         f"row {len(a.frontier.told())} bytes"
     )
 
--- a/ochrecourse/fleet/kept.py
+++ b/ochrecourse/fleet/kept.py
@@ -1,6 +1,6 @@
 """The log as it outlives its process: each entry is written down, an append also synced before its answer.
 
-Where records are kept is handed in (`durable.journal.Journal`). What can't be read any more ends what is
+Where records are kept is handed in (`storage.journal.Journal`). What can't be read any more ends what is
 recovered. Every start is a new life, so a number that an older copy of the journal gives out a second time is
 never the same writer's: life, then number. Free of I/O, clock and chance.
 """
@@ -26,13 +26,13 @@
 class Anew(Protocol):
     """What is to take a journal's place."""
 
-    def add(self, record: bytes) -> int: ...
+    def append(self, record: bytes) -> int: ...
 
     def sync(self) -> None: ...
 
-    def finish(self) -> None: ...
+    def commit(self) -> None: ...
 
-    def drop(self) -> None: ...
+    def abort(self) -> None: ...
 
 
 class Records(Protocol):
@@ -46,9 +46,9 @@
 
     def sync(self) -> None: ...
 
-    def restart(self, records: Iterable[bytes]) -> None: ...
+    def rewrite(self, records: Iterable[bytes]) -> None: ...
 
-    def anew(self) -> Anew: ...
+    def begin_rewrite(self) -> Anew: ...
 
     def close(self) -> None: ...
 
@@ -69,10 +69,10 @@
             record = next(self.rest, None)
             if record is None:
                 for late in self.since:
-                    self.anew.add(late)
-                self.anew.finish()
+                    self.anew.append(late)
+                self.anew.commit()
                 return True
-            size = self.anew.add(record)
+            size = self.anew.append(record)
             most -= size
             self.unsynced += size
         if self.unsynced > SYNCED:
@@ -197,7 +197,7 @@
                 self._renewal = None
         except OSError as error:
             self._renewal = None  # the old one goes on; again when as much more could be left out
-            renewal.anew.drop()
+            renewal.anew.abort()
             self._note(error)
 
     def begin(self, wall_ms: int, chance: int, outlived: int = 0) -> int:
@@ -226,7 +226,7 @@
         in place later, it would be over the other's."""
         self.given = True
         if self._renewal is not None:
-            self._renewal.anew.drop()
+            self._renewal.anew.abort()
             self._renewal = None
         self.journal.close()
 
@@ -287,7 +287,7 @@
             return
         self._spent = -self.log.freed
         try:
-            self._renewal = Renewal(self.journal.anew(), self._all())
+            self._renewal = Renewal(self.journal.begin_rewrite(), self._all())
         except OSError as error:
             self._note(error)
 
@@ -313,9 +313,9 @@
             raise OSError("the journal is another process's")
         if not self._sound:
             if self._renewal is not None:
-                self._renewal.anew.drop()
+                self._renewal.anew.abort()
                 self._renewal = None
-            self.journal.restart(self._all())  # guards against a gap, or a number with two bodies
+            self.journal.rewrite(self._all())  # guards against a gap, or a number with two bodies
             self._sound, self._spent, self._forgot = True, -self.log.freed, self.log.forgot
         for record in records:
             data = _encode(record)
--- a/ochrecourse/fleet/part.py
+++ b/ochrecourse/fleet/part.py
@@ -116,7 +116,7 @@
     """One gateway in its fleet. `said`: the record's part `fleet`, spans in ms.
 
     `epoch_ms`: the wall clock, ms since 1970; `say` takes a line of the log. Raises OSError and
-    durable.journal.BadJournal where the journal is not to be had.
+    storage.journal.JournalError where the journal is not to be had.
     """
 
     def __init__(
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -271,7 +271,7 @@
         )  # fmt: skip
         purger.copies = gateway.copies = copies
     part.lodge(purger)
-    damaged = [*part.kept.notes, *getattr(part.kept.journal, "notes", ())]
+    damaged = [*part.kept.notes, *getattr(part.kept.journal, "damage_reports", ())]
     if own is not None and (damaged or not purger.wrote()):
         # Guards against an edge that no longer knows what it took: a disk that is lost, or that broke off.
         purges.disk_is_new(part.log.life)
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -100,7 +100,7 @@
         self.sole = ProcessLock(Path(own["state"]) / f"{own['name']}.lock") if own["state"] else None
         if "webdav" in record:
             if self.sole is not None:
-                self.sole.take()
+                self.sole.acquire()
             if tree is None:
                 tree = (
                     FileJournal(Path(own["state"]) / f"{own['name']}.tree", *TREE)
@@ -108,7 +108,7 @@
                     else MemoryJournal()
                 )
             names = Kept(tree, lambda: uuid.uuid4().urn, now_ns(network), epoch)
-            for note in tree.notes if isinstance(tree, FileJournal) else ():
+            for note in tree.damage_reports if isinstance(tree, FileJournal) else ():
                 warn(note)
             self.door = door_of(record, self.gateway, network, names, access)
         self.door_listening: Any = None
@@ -122,7 +122,7 @@
             self.part = self._make_part()
         elif "fleet" in record and log is None and own["state"]:
             # Guards against a program that can't read the journal and finds so when it was given up for it.
-            self._log_file().look()
+            self._log_file().check_readable()
         self.watch = Watch()
         setup = setup_of(record)
         self.speaker: Speaker | None = None
@@ -192,7 +192,7 @@
 
         own = record["gateway"]
         if self.sole is not None:
-            self.sole.take()
+            self.sole.acquire()
         if log is None:
             log = self._log_file() if own["state"] else MemoryJournal()
         said, rules = dict(record["fleet"]), record["rules"]
@@ -202,7 +202,7 @@
         part = Part(said, self.gateway, self.network, log, seed ^ 0x2545F491, epoch_ms, say,
                     own["zone"], len(zones), round(rules["cold_time"] * MS), zones)  # fmt: skip
         self.gateway.clock = Awake(self.network, part)
-        for note in log.notes if isinstance(log, FileJournal) else ():
+        for note in log.damage_reports if isinstance(log, FileJournal) else ():
             say("fleet journal", note=note)
         if {"copies", "purges"} & record["fleet"].keys():
             from ochrecourse.fleet.purger import lodge
@@ -255,7 +255,7 @@
             self.given, self.part = self.part, None
             self.given.give()
             if self.sole is not None:
-                self.sole.free()
+                self.sole.release()
 
     def rejoin(self, listen: Callable[[str, int, Any, str], Any]) -> None:
         """The next process ended before it served: takes this gateway's place in the fleet again. Raises
@@ -274,7 +274,7 @@
         if self.part is not None:
             self.part.kill()
         if self.sole is not None:
-            self.sole.free()
+            self.sole.release()
         if self.speaker is not None:
             self.speaker.kill()
         for port in (self.listening, self.door_listening):
@@ -500,7 +500,7 @@
 
     def _over(self) -> None:
         if self.sole is not None:
-            self.sole.free()
+            self.sole.release()
         self.gone()
 
 
--- a/ochrecourse/lab/fleet_disk.py
+++ b/ochrecourse/lab/fleet_disk.py
@@ -9,7 +9,7 @@
 
 
 class Disk:
-    """Keeps records as `durable.journal.InFile` does (durable.journal.Journal), and fails as files do."""
+    """Keeps records as `storage.journal.FileJournal` does, and fails as files do."""
 
     def __init__(self) -> None:
         self.kept: list[bytes] = []
@@ -34,7 +34,7 @@
             raise OSError("input/output error")
         self.synced = len(self.kept)
 
-    def restart(self, records: Iterable[bytes]) -> None:
+    def rewrite(self, records: Iterable[bytes]) -> None:
         kept = list(records)
         if self.full or self.fails:
             raise OSError("no space left on the device" if self.full else "input/output error")
@@ -55,18 +55,18 @@
     def size(self) -> int:
         return sum(map(len, self.kept))
 
-    def anew(self) -> Aside:
+    def begin_rewrite(self) -> Aside:
         return Aside(self)
 
 
 class Aside:
-    """A journal that is written beside the one in use, on the same disk (durable.journal.Anew)."""
+    """A journal that is written beside the one in use, on the same disk (storage.journal.JournalRewrite)."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
         self.written: list[bytes] = []
 
-    def add(self, record: bytes) -> int:
+    def append(self, record: bytes) -> int:
         if self.disk.full:
             raise OSError("no space left on the device")
         self.written.append(record)
@@ -76,8 +76,8 @@
         if self.disk.fails:
             raise OSError("input/output error")
 
-    def finish(self) -> None:
-        self.disk.restart(self.written)
+    def commit(self) -> None:
+        self.disk.rewrite(self.written)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.written = []
--- a/ochrecourse/storage/atomic_file.py
+++ b/ochrecourse/storage/atomic_file.py
@@ -1,9 +1,9 @@
-"""Small files that are whole or not there: written aside, synced, renamed; read back only with the right
-checksum.
+"""Small files that are complete or not there: written to a temporary file, synced, renamed; read only with
+the right checksum.
 
-Format: one line `ochrecourse NAME VERSION LENGTH CRC32` in ASCII, then LENGTH bytes. A crash at any point
-leaves the old file or the new one. Not promised: that the newest write survives a power cut before `write`
-has returned.
+Format: one line `ochrecourse KIND VERSION LENGTH CRC32` in ASCII, then LENGTH bytes. A crash at any point
+leaves the old file or the new one. Not guaranteed: that the newest write survives a power failure before
+`write` has returned.
 """
 
 from __future__ import annotations
@@ -13,45 +13,66 @@
 import zlib
 from pathlib import Path
 
+from ochrecourse.common.errors import OchrecourseError
 
-class DamagedFileError(Exception):
+MAGIC = "ochrecourse"
+HEADER_FIELDS = 5
+
+
+class DamagedFileError(OchrecourseError):
     """The file is there but is not what was written; the text says what is wrong with it."""
 
 
-def write(path: Path, name: str, version: int, data: bytes) -> None:
+def write(path: Path, kind: str, version: int, data: bytes) -> None:
     """Puts `data` in place of the file's old content. Raises OSError."""
-    aside = path.with_name(f"{path.name}.new")
-    head = f"ochrecourse {name} {version} {len(data)} {zlib.crc32(data):08x}\n".encode()
-    with open(aside, "wb") as file:
-        file.write(head + data)
+    temporary = temporary_path(path)
+    header = f"{MAGIC} {kind} {version} {len(data)} {zlib.crc32(data):08x}\n".encode()
+    with open(temporary, "wb") as file:
+        file.write(header + data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(aside, path)
-    folder = os.open(path.parent, os.O_RDONLY)
-    try:
-        with contextlib.suppress(OSError):  # not every file system syncs folders
-            os.fsync(folder)
-    finally:
-        os.close(folder)
+    replace(temporary, path)
 
 
-def read(path: Path, name: str, version: int) -> bytes | None:
+def read(path: Path, kind: str, version: int) -> bytes | None:
     """The file's content, or None if there is no file. Raises DamagedFileError, OSError."""
     try:
-        whole = path.read_bytes()
+        content = path.read_bytes()
     except FileNotFoundError:
         return None
-    head, _, data = whole.partition(b"\n")
-    words = head.decode("ascii", "replace").split(" ")
-    if len(words) != 5 or words[0] != "ochrecourse":
-        raise DamagedFileError(f"{path}: not a file of ours")
-    if words[1] != name:
-        raise DamagedFileError(f"{path}: holds {words[1]}, not {name}")
-    if words[2] != str(version):
-        age = "a newer" if words[2].isdigit() and int(words[2]) > version else "another"
-        raise DamagedFileError(f"{path}: is of {age} version, {words[2]}; this program reads {version}")
-    if words[3] != str(len(data)):
-        raise DamagedFileError(f"{path}: {len(data)} bytes of {words[3]}")
-    if words[4] != f"{zlib.crc32(data):08x}":
+    header, _, data = content.partition(b"\n")
+    fields = header.decode("ascii", "replace").split(" ")
+    _check_header(path, fields, kind, version)
+    length, checksum = fields[3:]
+    if length != str(len(data)):
+        raise DamagedFileError(f"{path}: {len(data)} bytes of {length}")
+    if checksum != f"{zlib.crc32(data):08x}":
         raise DamagedFileError(f"{path}: the checksum does not match")
     return data
+
+
+def temporary_path(path: Path) -> Path:
+    """Where the next content of a file is written before it replaces the old one."""
+    return path.with_name(f"{path.name}.new")
+
+
+def replace(temporary: Path, path: Path) -> None:
+    """Renames a complete and synced file to `path`, and syncs the directory. Raises OSError."""
+    os.replace(temporary, path)
+    directory = os.open(path.parent, os.O_RDONLY)
+    try:
+        with contextlib.suppress(OSError):  # not every file system syncs directories
+            os.fsync(directory)
+    finally:
+        os.close(directory)
+
+
+def _check_header(path: Path, fields: list[str], kind: str, version: int) -> None:
+    """Raises DamagedFileError for a file of another kind or version."""
+    if len(fields) != HEADER_FIELDS or fields[0] != MAGIC:
+        raise DamagedFileError(f"{path}: not a file of ours")
+    if fields[1] != kind:
+        raise DamagedFileError(f"{path}: holds {fields[1]}, not {kind}")
+    if fields[2] != str(version):
+        age = "a newer" if fields[2].isdigit() and int(fields[2]) > version else "another"
+        raise DamagedFileError(f"{path}: is of {age} version, {fields[2]}; this program reads {version}")
--- a/ochrecourse/storage/journal.py
+++ b/ochrecourse/storage/journal.py
@@ -1,8 +1,9 @@
 """An append-only file of records, for state that must outlive its process.
 
-Format: a line `ochrecourse NAME VERSION` in ASCII, then the records as `frames` has them. Once `append` has
-returned, a record outlives the process; `sync` and `restart` make it outlive a power cut too. A record that
-is cut short or damaged ends what is read; the file as it was is then put aside, never overwritten.
+Format: a line `ochrecourse NAME VERSION` in ASCII, then the records as in `record_frames`. Once `append` has
+returned, a record outlives the process; `sync` and `rewrite` make it outlive a power failure too. A record
+that is truncated or damaged ends what is read; the file as it was then stays under another name, and is never
+overwritten.
 """
 
 from __future__ import annotations
@@ -13,242 +14,269 @@
 from pathlib import Path
 from typing import Protocol
 
-from ochrecourse.storage.record_frames import FrameReader, framed
+from ochrecourse.common.errors import OchrecourseError
+from ochrecourse.storage import atomic_file
+from ochrecourse.storage.record_frames import FrameReader, encode_frame
 
+CLOSED = -1  # in place of a file descriptor
+MAX_HEADER_BYTES = 200
 
-class Anew(Protocol):
-    """What is to take a journal's place, written while the journal goes on; dropped, it never was."""
 
-    def add(self, record: bytes) -> int:
-        """Returns how many bytes that took. Raises OSError."""
+class JournalError(OchrecourseError):
+    """The file is not a journal of this kind; the text says what it is."""
+
+
+class JournalRewrite(Protocol):
+    """New content of a journal, written while the journal goes on; it counts once it is committed."""
+
+    def append(self, record: bytes) -> int:
+        """Adds a record to the new content; returns how many bytes that took. Raises OSError."""
 
     def sync(self) -> None:
-        """So that the end has little left to do. Raises OSError."""
+        """Syncs what was appended so far, so that `commit` has little left to do. Raises OSError."""
 
-    def finish(self) -> None:
-        """Puts it in place of all that was kept, all at once. Raises OSError."""
+    def commit(self) -> None:
+        """Replaces the journal's content, all at once. Raises OSError."""
 
-    def drop(self) -> None: ...
+    def abort(self) -> None:
+        """Discards the new content."""
 
 
 class Journal(Protocol):
-    """Where records are kept. `version`: what it is, and what the next `restart` makes it."""
+    """Where records are stored. `version`: its format's, and what the next rewrite is written in."""
 
     version: int
 
-    def records(self) -> Iterator[bytes]: ...
+    def records(self) -> Iterator[bytes]:
+        """All records that can be read, in order. Raises JournalError, OSError."""
 
     def append(self, record: bytes) -> None:
-        """Raises OSError, and then keeps nothing of the record."""
+        """Adds a record. Raises OSError, and then nothing of the record is stored."""
 
     def sync(self) -> None:
-        """What was appended survives a power cut. Raises OSError: then it may or may not, and nothing more
-        can be appended before `restart`."""
+        """What was appended survives a power failure. Raises OSError: then it may or may not, and nothing
+        more can be appended before a rewrite.
+        """
 
-    def restart(self, records: Iterable[bytes]) -> None:
-        """Puts these in place of all that was kept, all at once. Raises OSError."""
+    def rewrite(self, records: Iterable[bytes]) -> None:
+        """Replaces the content by these records, all at once. Raises OSError."""
 
-    def anew(self) -> Anew:
-        """The same by and by. Raises OSError."""
+    def begin_rewrite(self) -> JournalRewrite:
+        """The same in steps. Raises OSError."""
 
     def close(self) -> None:
         """Nothing more is written."""
 
 
 class MemoryJournal:
-    """For runs that keep nothing, and for lives that follow each other in one process."""
+    """For runs that store nothing, and for incarnations that follow each other in one process."""
 
     def __init__(self) -> None:
-        self.kept: list[bytes] = []
+        self.stored: list[bytes] = []
         self.version = 1
 
     def records(self) -> Iterator[bytes]:
-        return iter(list(self.kept))
+        """All records, in order."""
+        return iter(list(self.stored))
 
     def append(self, record: bytes) -> None:
-        self.kept.append(record)
+        """Adds a record."""
+        self.stored.append(record)
 
     def sync(self) -> None:
-        pass
+        """Memory has nothing to sync."""
 
-    def restart(self, records: Iterable[bytes]) -> None:
-        self.kept = list(records)
+    def rewrite(self, records: Iterable[bytes]) -> None:
+        """Replaces the content by these records."""
+        self.stored = list(records)
 
-    def anew(self) -> Anew:
-        return _AnewInMemory(self)
+    def begin_rewrite(self) -> JournalRewrite:
+        """New content that is not yet the journal's."""
+        return _MemoryJournalRewrite(self)
 
     def close(self) -> None:
-        pass
+        """The records stay, for the next one who reads them."""
+
 
+class _MemoryJournalRewrite:
+    """New content of a journal in memory."""
 
-class _AnewInMemory:
     def __init__(self, journal: MemoryJournal) -> None:
         self.journal = journal
         self.records: list[bytes] = []
 
-    def add(self, record: bytes) -> int:
+    def append(self, record: bytes) -> int:
         self.records.append(record)
         return len(record)
 
     def sync(self) -> None:
-        pass
+        """Memory has nothing to sync."""
 
-    def finish(self) -> None:
-        self.journal.restart(self.records)
+    def commit(self) -> None:
+        self.journal.rewrite(self.records)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.records = []
 
 
-class JournalError(Exception):
-    """The file is not a journal of this kind; the text says what it is."""
-
-
 class FileJournal:
-    """Records in one file. `version` to `newest` are read; a new file is in `version`, one that is there
-    stays in its own until that is set. `notes` say what was found damaged, a line each.
+    """Records in one file.
+
+    Versions from `version` to `newest_version` can be read; a new file is in `version`, an existing one stays
+    in its own until that is set. `damage_reports` have a line for each damage that was found. `size`: bytes
+    of the file. `broken`: after a failure that only a rewrite can repair.
     """
 
-    def __init__(self, path: Path, name: str, version: int, newest: int = 0) -> None:
+    def __init__(self, path: Path, name: str, version: int, newest_version: int = 0) -> None:
         self.path = path
         self.name = name
         self.version = version
-        self.newest = max(version, newest)
-        self.notes: list[str] = []
-        self.file = -1
+        self.newest_version = max(version, newest_version)
+        self.damage_reports: list[str] = []
         self.size = 0
         self.broken = False
+        self._descriptor = CLOSED
+
+    # --- reading ---
 
     def records(self) -> Iterator[bytes]:
-        """All whole records. Raises JournalError, OSError."""
+        """All records up to the first that is damaged. Raises JournalError, OSError."""
         try:
             with open(self.path, "rb") as file:
-                head = file.readline(200)
-                self._read_head(head)
-                row = FrameReader(file.read)
-                yield from row.records()
-                if not row.sound:
-                    self._damaged(len(head) + row.at, row.count, os.fstat(file.fileno()).st_size)
+                header = file.readline(MAX_HEADER_BYTES)
+                self._check_header(header)
+                reader = FrameReader(file.read)
+                yield from reader.records()
+                if not reader.intact:
+                    self._preserve_damaged_file(len(header), reader, os.fstat(file.fileno()).st_size)
         except FileNotFoundError:
             return
 
-    def look(self) -> None:
-        """Whether the file that is there, if one is, can be read here. Raises JournalError, OSError."""
+    def check_readable(self) -> None:
+        """Checks that this program can read the file, if there is one. Raises JournalError, OSError."""
         with contextlib.suppress(FileNotFoundError), open(self.path, "rb") as file:
-            self._read_head(file.readline(200))
+            self._check_header(file.readline(MAX_HEADER_BYTES))
 
-    def head_of(self, version: int) -> bytes:
+    def header(self, version: int) -> bytes:
+        """The first line of a file of that version."""
         return f"ochrecourse {self.name} {version}\n".encode()
 
-    def _read_head(self, head: bytes) -> None:
+    def _check_header(self, header: bytes) -> None:
         """Raises JournalError: nothing of another's or of a newer program's file is read or changed."""
-        for version in range(self.version, self.newest + 1):
-            if head == self.head_of(version):
+        for version in range(self.version, self.newest_version + 1):
+            if header == self.header(version):
                 self.version = version
                 return
-        said = head.decode("ascii", "replace").strip()
-        wanted = self.head_of(self.newest).decode().strip()
-        what, _, version_said = said.rpartition(" ")
-        text = f"{self.path}: begins with {said!r}, not {wanted!r}"
-        if what == f"ochrecourse {self.name}" and version_said.isdigit() and int(version_said) > self.newest:
+        found = header.decode("ascii", "replace").strip()
+        expected = self.header(self.newest_version).decode().strip()
+        found_kind, _, found_version = found.rpartition(" ")
+        text = f"{self.path}: begins with {found!r}, not {expected!r}"
+        is_same_kind = found_kind == f"ochrecourse {self.name}"
+        if is_same_kind and found_version.isdigit() and int(found_version) > self.newest_version:
             text += ": a newer program keeps it; start that one"
         raise JournalError(text)
 
-    def _damaged(self, at: int, count: int, whole: int) -> None:
-        aside = self.path.with_name(f"{self.path.name}.damaged")
+    def _preserve_damaged_file(self, header_size: int, reader: FrameReader, file_size: int) -> None:
+        """Guards against the loss of what might still be read of a damaged file: a rewrite replaces it."""
+        preserved = self.path.with_name(f"{self.path.name}.damaged")
         with contextlib.suppress(FileExistsError):
-            os.link(self.path, aside)  # a second name: the file stays whatever `restart` does with the first
-        self.notes.append(
-            f"{self.path}: record {count + 1} at byte {at} is cut short or damaged; the last "
-            f"{whole - at} bytes are left out, the file is kept as {aside.name}"
+            os.link(self.path, preserved)  # a second name: the file stays when the first one is replaced
+        damaged_at = header_size + reader.bytes_read
+        self.damage_reports.append(
+            f"{self.path}: record {reader.records_read + 1} at byte {damaged_at} is cut short or damaged; "
+            f"the last {file_size - damaged_at} bytes are left out, the file is kept as {preserved.name}"
         )
 
+    # --- writing ---
+
     def append(self, record: bytes) -> None:
+        """Adds a record. Raises OSError, and then nothing of the record is stored."""
         if self.broken:
             raise OSError("the journal could not be mended after a write that failed")
-        data = framed(record)
+        frame = encode_frame(record)
         try:
-            written = os.write(self.file, data)
-            if written != len(data):
-                raise OSError(f"{written} of {len(data)} bytes were written")
+            written = os.write(self._descriptor, frame)
+            if written != len(frame):
+                raise OSError(f"{written} of {len(frame)} bytes were written")
         except OSError:
-            try:
-                os.ftruncate(self.file, self.size)
-            except OSError:
-                self.broken = True  # half a record may stand at the end: nothing may come behind it
+            self._remove_partial_frame()
             raise
-        self.size += len(data)
+        self.size += len(frame)
 
     def sync(self) -> None:
+        """What was appended survives a power failure. Raises OSError."""
         try:
-            os.fdatasync(self.file)
+            os.fdatasync(self._descriptor)
         except OSError:
             self.broken = True  # the system may have dropped what it could not write, and says so only once
             raise
 
-    def restart(self, records: Iterable[bytes]) -> None:
-        anew = self.anew()
+    def rewrite(self, records: Iterable[bytes]) -> None:
+        """Replaces the content by these records, all at once. Raises OSError."""
+        rewrite = self.begin_rewrite()
         for record in records:
-            anew.add(record)
-        anew.finish()
+            rewrite.append(record)
+        rewrite.commit()
 
-    def anew(self) -> _AnewInFile:
-        return _AnewInFile(self)
+    def begin_rewrite(self) -> _FileJournalRewrite:
+        """New content in a temporary file. Raises OSError."""
+        return _FileJournalRewrite(self)
 
-    def put_in_place(self, aside: Path) -> None:
-        """A whole and synced file takes this one's place."""
-        os.replace(aside, self.path)
-        folder = os.open(self.path.parent, os.O_RDONLY)
-        try:
-            with contextlib.suppress(OSError):  # not every file system syncs folders
-                os.fsync(folder)
-        finally:
-            os.close(folder)
+    def replace_file(self, temporary: Path) -> None:
+        """Puts a complete and synced file in place of this one. Raises OSError."""
+        atomic_file.replace(temporary, self.path)
         self.close()
-        self.file = os.open(self.path, os.O_WRONLY | os.O_APPEND)
-        self.size = os.fstat(self.file).st_size
+        self._descriptor = os.open(self.path, os.O_WRONLY | os.O_APPEND)
+        self.size = os.fstat(self._descriptor).st_size
         self.broken = False
 
     def close(self) -> None:
-        if self.file >= 0:
-            os.close(self.file)
-            self.file = -1
+        """Nothing more is written."""
+        if self._descriptor != CLOSED:
+            os.close(self._descriptor)
+            self._descriptor = CLOSED
 
+    def _remove_partial_frame(self) -> None:
+        try:
+            os.ftruncate(self._descriptor, self.size)
+        except OSError:
+            self.broken = True  # guards against records behind a partial frame, which nobody could read
 
-class _AnewInFile:
-    """A file beside the journal's; what was left of one is overwritten by the next."""
+
+class _FileJournalRewrite:
+    """New content in a file beside the journal's; what is left of an earlier one is overwritten."""
 
     def __init__(self, journal: FileJournal) -> None:
         self.journal = journal
-        self.aside = journal.path.with_name(f"{journal.path.name}.new")
-        self.file = open(self.aside, "wb")  # noqa: SIM115 - it stays open over many turns
-        self._put(journal.head_of(journal.version))
+        self.temporary = atomic_file.temporary_path(journal.path)
+        self.file = open(self.temporary, "wb")  # noqa: SIM115 - it stays open over many calls
+        self._write(journal.header(journal.version))
 
-    def _put(self, data: bytes) -> int:
-        try:
-            return self.file.write(data)
-        except OSError:
-            self.drop()
-            raise
-
-    def add(self, record: bytes) -> int:
-        return self._put(framed(record))
+    def append(self, record: bytes) -> int:
+        return self._write(encode_frame(record))
 
     def sync(self) -> None:
         try:
             self.file.flush()
             os.fdatasync(self.file.fileno())
         except OSError:
-            self.drop()
+            self.abort()
             raise
 
-    def finish(self) -> None:
+    def commit(self) -> None:
         self.sync()
         self.file.close()
-        self.journal.put_in_place(self.aside)
+        self.journal.replace_file(self.temporary)
 
-    def drop(self) -> None:
-        with contextlib.suppress(OSError):  # what is in the buffer may find no room
+    def abort(self) -> None:
+        with contextlib.suppress(OSError):  # there may be no space for what is in the buffer
             self.file.close()
         with contextlib.suppress(OSError):
-            os.unlink(self.aside)
+            os.unlink(self.temporary)
+
+    def _write(self, data: bytes) -> int:
+        try:
+            return self.file.write(data)
+        except OSError:
+            self.abort()
+            raise
--- a/ochrecourse/storage/process_lock.py
+++ b/ochrecourse/storage/process_lock.py
@@ -1,7 +1,7 @@
-"""One process at a time keeps a gateway's state: a lock that goes with its holder, however that ends.
+"""One process at a time uses a gateway's state: a lock that is released with its process, however that ends.
 
-A journal is written anew at each start. A second process that opened it would put a new file in place of the
-one that the first goes on writing to, and what the first answers from then on would be gone at its end.
+A journal is rewritten at each start. A second process that opened it would replace the file that the first
+one goes on writing to, and what the first one confirms from then on would be lost at its end.
 """
 
 from __future__ import annotations
@@ -12,34 +12,39 @@
 
 from ochrecourse.storage.journal import JournalError
 
+CLOSED = -1  # in place of a file descriptor
+OWNER_ONLY = 0o600
+
 
 class ProcessLock:
-    """The right to write what is kept under one name. The file is never removed: a lock on a file that
-    another process has just unlinked would be no lock."""
+    """The right to write the state that is stored under one name.
+
+    The file is never removed: a lock on a file that another process has just unlinked would be no lock.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.file = -1
+        self._descriptor = CLOSED
 
-    def take(self) -> None:
-        """Raises JournalError where another process has it, OSError where the file is not to be had."""
-        if self.file >= 0:
+    def acquire(self) -> None:
+        """Raises JournalError if another process has the lock, OSError if the file can't be opened."""
+        if self._descriptor != CLOSED:
             return
-        file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(file)
+            os.close(descriptor)
             raise JournalError(
                 f"{self.path}: another process runs with this state; end it first, or start with --take-over"
             ) from None
         except OSError:
-            os.close(file)
+            os.close(descriptor)
             raise
-        self.file = file
+        self._descriptor = descriptor
 
-    def free(self) -> None:
-        """Another process may have it."""
-        if self.file >= 0:
-            os.close(self.file)
-            self.file = -1
+    def release(self) -> None:
+        """Another process may have the lock."""
+        if self._descriptor != CLOSED:
+            os.close(self._descriptor)
+            self._descriptor = CLOSED
--- a/ochrecourse/webdav/kept.py
+++ b/ochrecourse/webdav/kept.py
@@ -3,7 +3,7 @@
 A change is a record of what was asked with all that it needs (times, keys, tokens), so reading the records
 makes the same tree again, entity tags and versions included; one that was refused is refused again. `Kept` is
 the one place where tree and locks are changed. At a start the records become one snapshot. Where they are
-kept is handed in (`durable.journal.Journal`).
+kept is handed in (`storage.journal.Journal`).
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     def append(self, record: bytes) -> None: ...
 
-    def restart(self, records: Iterator[bytes]) -> None: ...
+    def rewrite(self, records: Iterator[bytes]) -> None: ...
 
 
 class Unreadable(Exception):
@@ -302,7 +302,7 @@
         self._shift((epoch - self.epoch) * SECOND)
         self.tree.keys += NEW_LIFE
         self.tree.forget_changes()
-        self.journal.restart(_encoder.encode(each) for each in self._snapshot())
+        self.journal.rewrite(_encoder.encode(each) for each in self._snapshot())
         self.expire(now)
 
     def _shift(self, by: int) -> None:
--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -153,7 +153,7 @@
             named[0].append()
         else:  # killed and begun anew, its journal kept or lost
             if what == "lose":
-                named[0].journal.kept = []
+                named[0].journal.stored = []
             named[0].start()
         self.check()
 
@@ -192,14 +192,14 @@
         self.cut.clear()
 
     def _copy(self, one, two, number):
-        self.older[one.name].append(list(one.journal.kept))
+        self.older[one.name].append(list(one.journal.stored))
 
     def _kill(self, one, two, number):
         one.up = False
         if number % 4 in (1, 2) and self._kept_by(one):
             self.lost.add(one.name)  # nothing is promised where all that count lose their disks at once
             copies = self.older[one.name]
-            one.journal.kept = list(copies[number % len(copies)]) if number % 4 == 2 and copies else []
+            one.journal.stored = list(copies[number % len(copies)]) if number % 4 == 2 and copies else []
             one.log = Log(one.name, 0, Bounds())
             left = {
                 (e.stream, e.seq) for g in self.gateways.values() if g is not one for e in g.log.all_entries()
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -343,7 +343,7 @@
     b.kept.merge(a.log.missing({}, 10_000, 1 << 30), WALL + 6000)
     assert b.log.vector() == a.log.vector() and b.log.dump("d") == a.log.dump("d")
     for journal in (a.journal, b.journal):
-        journal.restart(list(Kept(journal, "z", Bounds(), WALL, 1)._all()))
+        journal.rewrite(list(Kept(journal, "z", Bounds(), WALL, 1)._all()))
         again = Kept(journal, "z", Bounds(), WALL, 1)
         assert again.notes == [] and again.log.vector() == a.log.vector()
     assert again.log.dump("c") == a.log.dump("c")  # b never held what the snapshot stands for
@@ -444,7 +444,7 @@
     def full(record):
         raise OSError(28, "No space left on device")
 
-    first._renewal.anew.add = full
+    first._renewal.anew.append = full
     first.work(100)
     assert not first.busy and first.notes == [
         "journal of the fleet can't be written: [Errno 28] No space left on device"
@@ -462,7 +462,7 @@
 
     class Disk(MemoryJournal):
         def sync(self):
-            synced.append(len(self.kept))
+            synced.append(len(self.stored))
 
     disk, b = Disk(), Away("b")
     a = Kept(disk, "a", Bounds(), WALL, 1)
@@ -472,7 +472,7 @@
     assert not synced
     a.sync()
     a.sync()
-    assert synced == [len(disk.kept)]
+    assert synced == [len(disk.stored)]
 
 
 # --- the shipped part ---
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -498,13 +498,13 @@
 
 def test_a_state_has_one_writer_and_is_free_with_its_end(tmp_path):
     one, other = ProcessLock(tmp_path / "g0.lock"), ProcessLock(tmp_path / "g0.lock")
-    one.take()
-    one.take()
+    one.acquire()
+    one.acquire()
     with pytest.raises(JournalError, match="another process runs with this state"):
-        other.take()
-    one.free()
-    one.free()
-    other.take()
+        other.acquire()
+    one.release()
+    one.release()
+    other.acquire()
 
 
 def test_a_part_that_gave_its_journal_writes_no_more(tmp_path):
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -43,7 +43,7 @@
         """`disk`: what its journal is put back to."""
         gateway = self.gateways[name]
         if disk is not None:
-            gateway.journal.kept = list(disk)
+            gateway.journal.stored = list(disk)
         gateway.start()
         for _ in range(rounds):
             self.round()
@@ -217,8 +217,8 @@
     world.cut |= {("b", "a"), ("b", "c")}
     b.append()  # nobody hears of it
     unseen = b.log.events("x")[-1]
-    disk = list(b.journal.kept)
-    b.journal.kept = []
+    disk = list(b.journal.stored)
+    b.journal.stored = []
     world.cut.clear()
     del world.answered[unseen.stream, unseen.seq]
     world.restart("b")
@@ -435,7 +435,7 @@
         gateway.up = False
     for name in "ab":
         gateway = world.gateways[name]
-        gateway.journal.kept = []
+        gateway.journal.stored = []
         gateway.start()
     for _ in range(12):
         world.round()
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -418,10 +418,10 @@
 def test_every_start_is_a_new_life_also_with_an_older_journal_or_a_clock_put_back():
     journal = MemoryJournal()
     first = kept(journal)
-    copy = list(journal.kept)
+    copy = list(journal.stored)
     entry = first.append("x", 1, 1000)
     lives = [first.log.life, kept(journal, wall=0).log.life]
-    journal.kept = copy  # the disk was put back
+    journal.stored = copy  # the disk was put back
     again = kept(journal, wall=2000, chance=1)
     other = again.append("x", 2, 1000)
     assert entry.stream != other.stream
@@ -464,7 +464,7 @@
         journal = FileJournal(path, "fleet", 1)
         again = kept(journal, wall=2000)
         assert again.log.vector()[first.log.name, first.log.life] == (4 if end == len(data) else 3), end
-        assert len(journal.notes) == (whole < end < len(data)), end
+        assert len(journal.damage_reports) == (whole < end < len(data)), end
         again.append("x", "goes on", 2000)
         journal.close()
         (tmp_path / "a.log.damaged").unlink(missing_ok=True)
@@ -486,10 +486,10 @@
         if self.unsynced:
             raise OSError(5, "Input/output error")
 
-    def restart(self, records):
+    def rewrite(self, records):
         if self.full:
             raise OSError(28, "No space left on device")
-        super().restart(records)
+        super().rewrite(records)
 
 
 @pytest.mark.parametrize("how", ["full", "unsynced"])
@@ -529,7 +529,7 @@
     journal = MemoryJournal()
     first = kept(journal)
     first.append("x", 1, 0)
-    journal.kept.append(b"\xc1nothing")
+    journal.stored.append(b"\xc1nothing")
     first.append("x", 2, 0)
     again = kept(journal, wall=2000)
     assert len(again.log.events("x")) == 1
@@ -540,7 +540,7 @@
 def test_a_sync_that_failed_allows_no_append_before_the_file_is_written_anew(tmp_path, monkeypatch):
     """Guards against a system that drops what it could not write and says so only once."""
     journal = FileJournal(tmp_path / "j", "fleet", 1)
-    journal.restart([b"one"])
+    journal.rewrite([b"one"])
     journal.append(b"two")
     journal.sync()
 
@@ -553,7 +553,7 @@
             journal.sync()
     with pytest.raises(OSError, match="could not be mended"):
         journal.append(b"three")
-    journal.restart([b"one", b"two"])
+    journal.rewrite([b"one", b"two"])
     journal.append(b"three")
     journal.sync()
     journal.close()
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -226,10 +226,10 @@
             raise OSError(28, "No space left on device")
         super().append(record)
 
-    def restart(self, records):
+    def rewrite(self, records):
         if self.full:
             raise OSError(28, "No space left on device")
-        super().restart(records)
+        super().rewrite(records)
 
 
 def test_a_full_disk_refuses_appends_and_nothing_else(make_fleet):
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1143,7 +1143,7 @@
     if damage == "lost":
         building.disks["g1"] = MemoryJournal()
     elif damage == "broken off":
-        building.disks["g1"].kept[-2:] = [b"?"]
+        building.disks["g1"].stored[-2:] = [b"?"]
     ways = [way for other in ("g0", "g1", "g3") for way in (("g2", other), (other, "g2"))]
     for here, there in ways:
         building.network.set_way(here, there, Way(cut=True))
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -131,7 +131,7 @@
     monkeypatch.undo()
     put(kept, ("c",), 3)
     again = FileJournal(tmp_path / "g0.tree", "webdav-tree", 1)
-    assert seen(life(again)) == seen(kept) and not again.notes
+    assert seen(life(again)) == seen(kept) and not again.damage_reports
 
 
 def test_nothing_is_written_behind_half_a_record(tmp_path, monkeypatch):
@@ -171,7 +171,7 @@
             assert got[0][0][2] == 0 and len(got[0]) == 1  # not even the snapshot was whole: an empty tree
             got = states[0]
         found.append(states.index(got))
-        assert cut == len(data) or bool(journal.notes) == (cut not in boundaries(data))
+        assert cut == len(data) or bool(journal.damage_reports) == (cut not in boundaries(data))
         path.with_name("t.damaged").unlink(missing_ok=True)
     assert found == sorted(found) and found[-1] == len(NAMES)
 
@@ -192,7 +192,7 @@
         path.write_bytes(wrong)
         journal = FileJournal(path, "webdav-tree", 1)
         got = seen(life(journal))
-        assert journal.notes and path.with_name("t.damaged").read_bytes() == bytes(wrong)
+        assert journal.damage_reports and path.with_name("t.damaged").read_bytes() == bytes(wrong)
         assert got in states[:-1] or len(got[0]) == 1
         path.with_name("t.damaged").unlink()
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -16,6 +16,7 @@
     "membership/endpoint_list.py", "membership/endpoint_cache.py", "membership/endpoint_list_store.py", "membership/list_server_watcher.py", "membership/registry_state.py",
     "membership/registry_connection.py", "membership/registry_watcher.py", "membership/freshness_check.py", "membership/registrations.py", "membership/registration.py",
     "membership/server_selection.py", "membership/lease.py", "membership/etcd.py", "membership/conflicts.py",
+    "storage/journal.py", "storage/record_frames.py", "storage/atomic_file.py", "storage/process_lock.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
