--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -32,6 +32,15 @@
     return code, len(asked.read_text().split()) if asked.exists() else 0
 
 
+def test_policy_names_every_module_of_the_decisions():
+    """Guards against a rule in a file that the deploy file does not declare."""
+    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    modules = (ROOT / "ochrecourse" / "scheduler").glob("*.py")
+    assert named == sorted(
+        f"ochrecourse/scheduler/{each.name}" for each in modules if each.stem != "__init__"
+    )
+
+
 @pytest.mark.parametrize("old", [None, "an older list\n"])
 def test_build_fails_where_the_install_failed_and_is_tried_again(tmp_path, old):
     # Guards against an environment without the libraries that passes for built: `run` would then end at its first import.
