--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -177,14 +177,16 @@
     gateway = Gateway(plain_map(resolve(SETTINGS, "bench")), 1, reactor, dialler(reactor), "bench")
     entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(ports))]
     where = {70 + i: ("127.0.0.1", port) for i, port in enumerate(ports)}
-    gateway.list_came(ListKind.FULL, entries, where)
+    gateway.endpoint_list_received(ListKind.FULL, entries, where)
     return reactor.listenTCP(0, ClientConnectionFactory(gateway, reactor, 100), interface="127.0.0.1")
 
 
 def decisions_alone() -> float:
     """CPU time a job of `decide.py` fed with the same jobs in the same order, one leg each, answered at once."""
     host = Scheduler(plain_map(resolve(SETTINGS, "bench")), 1, 0)
-    host.list_came(ListKind.FULL, [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(NODES)], 0)
+    host.endpoint_list_received(
+        ListKind.FULL, [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(NODES)], 0
+    )
     now, began, waiting = 0, 0.0, []
     for number in range(1, JOBS + JOBS // 5 + 1):
         if number == JOBS // 5:
--- a/benchmarks/rush.py
+++ b/benchmarks/rush.py
@@ -97,7 +97,7 @@
     for seat in play.seats:
         seat.start()
         if not shared:
-            seat.daemon.gateway.copies.__class__ = Alone
+            seat.daemon.gateway.object_cache.__class__ = Alone
         seat.start = lambda: None  # type: ignore[method-assign]
     play.network.callLater(2.0, say)
     play.run()
@@ -114,7 +114,7 @@
     before = [legs[n] for n in range(-round(BEFORE * 4), -4)]
     after = [legs[n] for n in range(-4, round(AFTER * 4))]
     gateways = [seat.daemon.gateway for seat in play.seats]
-    counts = [gateway.copies.counts for gateway in gateways]
+    counts = [gateway.object_cache.counts for gateway in gateways]
     told = {
         "legs a second before": 4 * statistics.mean(before),
         "legs in the busiest quarter of a second, as a second": 4.0 * max(after),
--- a/ochrecourse/bgp/speaker.py
+++ b/ochrecourse/bgp/speaker.py
@@ -321,7 +321,7 @@
     def _woke(self) -> None:
         self._timer = None
         now = self.now()
-        self.lateness.timer_came(self._due, now)
+        self.lateness.timer_fired(self._due, now)
         if now >= self._look_at:
             self.look()
         else:
--- a/ochrecourse/bgp/watch.py
+++ b/ochrecourse/bgp/watch.py
@@ -34,9 +34,9 @@
 
     def look(self, closings: Mapping[RequestOutcome, int], now: int) -> Recent:
         """Takes the counters as they are now."""
-        bad = closings.get(RequestOutcome.WRITTEN_OFF, 0) + closings.get(RequestOutcome.TOO_LATE, 0)
-        good = closings.get(RequestOutcome.FULFILLED, 0)
-        whole = bad + good + closings.get(RequestOutcome.DENIED, 0)
+        bad = closings.get(RequestOutcome.FAILED, 0) + closings.get(RequestOutcome.TOO_LATE, 0)
+        good = closings.get(RequestOutcome.SERVED, 0)
+        whole = bad + good + closings.get(RequestOutcome.REJECTED, 0)
         self.looks.append((now, whole, bad, good))
         while self.looks[0][0] < now - SPAN:
             self.looks.popleft()
--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -54,7 +54,7 @@
                 take_back(reactor, daemon, sockets, lambda: handover.step is HandoverStep.NONE)
 
         def _hand_over(self) -> None:
-            why = handover.ask(self, daemon.gateway.leaving.takes())
+            why = handover.ask(self, daemon.gateway.shutdown.accepts_requests())
             if why:
                 self._say({"error": f"the sockets are not handed over: {why}"})
                 return
@@ -99,7 +99,7 @@
 
     from ochrecourse.storage.journal import JournalError
 
-    if not alone() or not daemon.gateway.leaving.takes():
+    if not alone() or not daemon.gateway.shutdown.accepts_requests():
         return
     try:
         daemon.rejoin(sockets.listen)
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -83,33 +83,33 @@
         self.log = log
         self.sampling = sampling
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
-        well = story.closing is RequestOutcome.FULFILLED and len(story.legs) <= 1  # without one: from a copy
-        if not self.sampling.writes(well, now_ns(gateway.clock)):
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
+        well = story.outcome is RequestOutcome.SERVED and len(story.attempts) <= 1  # without one: from a copy
+        if not self.sampling.should_log(well, now_ns(gateway.clock)):
             return
-        kinds = gateway.kinds
+        kinds = gateway.settings_index
         dropped = self.sampling.take_dropped()
         self.log.info(
             "job",
             job=story.number,
             trace=story.trace,
-            product=kinds.names[story.product],
-            plan=kinds.plan_names[story.plan],
+            product=kinds.class_names[story.request_class],
+            plan=kinds.tenant_names[story.tenant],
             volume=story.volume,
             units=story.units,
-            ending=story.closing.value if story.closing else "open",
+            ending=story.outcome.value if story.outcome else "open",
             why=story.why(),
-            ms=round((story.answered - story.taken) / MS, 3),
-            left_ms=round((story.due - story.answered) / MS, 3),
+            ms=round((story.answered_at - story.received_at) / MS, 3),
+            left_ms=round((story.answer_by - story.answered_at) / MS, 3),
             legs=[
                 {
                     "node": leg.node,
-                    "after_ms": round((leg.sent - story.taken) / MS, 3),
+                    "after_ms": round((leg.sent_at - story.received_at) / MS, 3),
                     "ms": round(leg.took / MS, 3),
                     "ending": leg.ending.value if leg.ending else "out",
-                    "why": leg.why,
+                    "why": leg.reason,
                 }
-                for leg in story.legs
+                for leg in story.attempts
             ],
             **({"lines_left_out": dropped} if dropped else {}),
         )
@@ -124,5 +124,5 @@
         self.clock = clock
 
     def __call__(self, **fields: Any) -> None:
-        if self.sampling.writes(fields["how"] in ("fulfilled", "done"), now_ns(self.clock)):
+        if self.sampling.should_log(fields["how"] in ("fulfilled", "done"), now_ns(self.clock)):
             self.log.info("request", **fields)
--- a/ochrecourse/cli/serve.py
+++ b/ochrecourse/cli/serve.py
@@ -83,7 +83,7 @@
             return
         taken, left = daemon.take_over(again)
         sampling.rate = again["log"]["sample"]
-        sampling.depth = max(1.0, sampling.rate)
+        sampling.burst = max(1.0, sampling.rate)
         if any(each.startswith("log.level") for each in taken):
             import structlog
 
@@ -183,7 +183,7 @@
 
     def too_late() -> None:
         """Guards against a running process that hangs: it takes the connection and never answers."""
-        if daemon.listening is None and daemon.gateway.leaving.takes():
+        if daemon.listening is None and daemon.gateway.shutdown.accepts_requests():
             missing = "list of nodes came" if sockets.taken else "answer came from the running gateway"
             not_taken(f"no {missing} within {START_TIME:g} s")
 
@@ -207,12 +207,12 @@
     door = daemon.door
     CycleCollector(
         reactor,
-        lambda: not daemon.gateway.ledger.open,
+        lambda: not daemon.gateway.request_log.open,
         lambda: daemon.front.closed + (door.closed if door is not None else 0),
     )
     reactor.run(installSignalHandlers=False)
     if not trouble_at_start:
-        log.info("left", jobs=daemon.gateway.ledger.taken, log_lines_dropped=aside.dropped)
+        log.info("left", jobs=daemon.gateway.request_log.received, log_lines_dropped=aside.dropped)
     aside.close()
     for why in trouble_at_start:
         click.echo(f"ochrecourse: {why}", err=True)
--- a/ochrecourse/common/event_loop_lag.py
+++ b/ochrecourse/common/event_loop_lag.py
@@ -19,27 +19,27 @@
     """The lateness of one loop."""
 
     def __init__(self) -> None:
-        self.now_late = 0  # ns, of the turn that the loop is in
+        self.current_lag = 0  # ns, of the turn that the loop is in
         self.recent: deque[tuple[int, int]] = deque(maxlen=KEPT)  # when, how late
         self.worst = 0
 
-    def timer_came(self, due: int, now: int) -> bool:
+    def timer_fired(self, due: int, now: int) -> bool:
         """A timer due at `due` was called at `now`. True if jobs read in this turn may have waited unread."""
         late = now - due
         if late <= TRIFLE:
             return False
-        self.now_late = max(self.now_late, late)
+        self.current_lag = max(self.current_lag, late)
         self.recent.append((now, late))
         self.worst = max(self.worst, late)
         return True
 
-    def turned(self) -> None:
+    def iteration_finished(self) -> None:
         """The loop has turned once more: what is read from now on has just come."""
-        self.now_late = 0
+        self.current_lag = 0
 
-    def sent_at(self, read_at: int) -> int:
+    def earliest_arrival(self, read_at: int) -> int:
         """The earliest time at which a job read at `read_at` can have come in."""
-        return read_at - self.now_late
+        return read_at - self.current_lag
 
     def worst_since(self, since: int) -> int:
         """The worst lateness since a time, of what is remembered; 0 if there was none."""
--- a/ochrecourse/common/request_records.py
+++ b/ochrecourse/common/request_records.py
@@ -11,10 +11,10 @@
 class RequestOutcome(Enum):
     """How a job ended for its client."""
 
-    FULFILLED = "fulfilled"
-    DENIED = "denied"
-    WRITTEN_OFF = "written off"
-    CLIENT_GONE = "client gone"
+    SERVED = "fulfilled"
+    REJECTED = "denied"
+    FAILED = "written off"
+    CLIENT_CLOSED = "client gone"
     TOO_LATE = "too late"  # the answer was ready when the client had already given up; it was not sent
 
 
@@ -24,10 +24,10 @@
 
     number: int
     node: int
-    sent: int
+    sent_at: int
     took: int = -1  # -1: still out
     ending: Ending | None = None
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
@@ -40,22 +40,22 @@
     """
 
     number: int
-    product: int
-    plan: int
+    request_class: int
+    tenant: int
     volume: int
     units: float
-    taken: int
-    due: int
-    latest: int
+    received_at: int
+    answer_by: int
+    latest_answer_at: int
     trace: str = ""
-    legs: list[AttemptRecord] = field(default_factory=list)
-    closing: RequestOutcome | None = None
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    outcome: RequestOutcome | None = None
     streaming: bool = False
-    answered: int = -1
-    out: int = 0
+    answered_at: int = -1
+    attempts_out: int = 0
 
     def why(self) -> str:
         """In one phrase, what led to the end: the last leg's, or that none was ever sent."""
-        if self.closing is RequestOutcome.FULFILLED:
+        if self.outcome is RequestOutcome.SERVED:
             return "answered"
-        return self.legs[-1].why if self.legs else "no leg was sent"
+        return self.attempts[-1].reason if self.attempts else "no leg was sent"
--- a/ochrecourse/fleet/held.py
+++ b/ochrecourse/fleet/held.py
@@ -55,16 +55,16 @@
 class Desk(Protocol):
     """What the gateway does for its copies (gateway.Gateway)."""
 
-    def fulfil(self, job: int) -> bool:
+    def answer_from_cache(self, job: int) -> bool:
         """Books the one answer of a job without a leg; False if nobody waits for it any more."""
 
-    def send_on(self, job: int, asker: ResponseHandler) -> None:
+    def forward(self, job: int, asker: ResponseHandler) -> None:
         """The job goes to the nodes after all; this asker hears of it."""
 
-    def finish(self, job: int, whole: bool) -> None:
+    def finish_cached(self, job: int, whole: bool) -> None:
         """All of a job's answer was handed on, or it broke off."""
 
-    def grant(self, job: int, size: int) -> None:
+    def grant_credit(self, job: int, size: int) -> None:
         """So many more bytes may come from the node."""
 
 
@@ -127,29 +127,29 @@
         self.barred = False  # nobody joins, and it is not held
         self.records = True  # its pieces are kept, so its size is within the bound
 
-    def fulfilled(self, job: int, size: int, shard: int) -> None:
+    def served(self, job: int, size: int, shard: int) -> None:
         self.copies.fetch_began(self, size, shard)
-        self.asker.fulfilled(job, size, shard)
+        self.asker.served(job, size, shard)
         self.copies.fetch_grew(self)
 
-    def piece(self, job: int, data: bytes) -> None:
+    def body_chunk(self, job: int, data: bytes) -> None:
         if not self.records:
-            self.asker.piece(job, data)
+            self.asker.body_chunk(job, data)
             return
         self.copies.fetch_got(self, data)
-        self.asker.piece(job, data)
+        self.asker.body_chunk(job, data)
         self.copies.fetch_grew(self)
 
-    def broke_off(self, job: int) -> None:
-        self.asker.broke_off(job)
+    def aborted(self, job: int) -> None:
+        self.asker.aborted(job)
         self.copies.fetch_over(self)
 
-    def denied(self, job: int, come_back: int) -> None:
-        self.asker.denied(job, come_back)
+    def rejected(self, job: int, retry_after: int) -> None:
+        self.asker.rejected(job, retry_after)
         self.copies.fetch_over(self)
 
-    def written_off(self, job: int) -> None:
-        self.asker.written_off(job)
+    def failed(self, job: int) -> None:
+        self.asker.failed(job)
         self.copies.fetch_over(self)
 
 
@@ -214,24 +214,26 @@
 
     # --- what the gateway tells (gateway.Copies) ---
 
-    def came(
+    def request_received(
         self, job: int, request: Request, write: bool, due: int, asker: ResponseHandler
     ) -> ResponseHandler | None:
         """A job that was taken: who hears of it from the nodes, or None if it needs no leg for now."""
         if write:
             self._write(job, (request.volume, request.key))
             return asker
-        if request.product not in self.products or request.shard < 0:
+        if request.request_class not in self.products or request.shard < 0:
             return asker
         self.turn += 1
         return self._came(_Waiting(job, request, due, asker, self.turn))
 
     def _came(self, read: _Waiting) -> ResponseHandler | None:
         job, request, due, asker, _ = read
-        key = Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
-        if not self.may(request.volume, request.plan):
+        key = Key(
+            request.request_class, request.tenant, request.volume, request.key, request.shard, request.units
+        )
+        if not self.may(request.volume, request.tenant):
             return self._apart(key, read)
-        mark = self._mark(request.volume, request.plan)
+        mark = self._mark(request.volume, request.tenant)
         copy = self.held.get(key)
         if copy is not None and copy.mark == mark:
             if len(self.readers) >= READERS:
@@ -268,7 +270,7 @@
         self.counts.not_sure += not shares
         return None if shares else read.asker
 
-    def left(self, job: int) -> bool:
+    def request_cancelled(self, job: int) -> bool:
         """A job's client no longer waits. True if no leg of the job was ever sent."""
         fetch = self.waits.pop(job, None)
         if fetch is not None:
@@ -282,12 +284,12 @@
             self.fetch_over(own)
         return False
 
-    def goes_on(self, job: int) -> bool:
+    def wants_response(self, job: int) -> bool:
         """Whether an answer that has begun is wanted although its own client left: it is being recorded."""
         fetch = self.fetching.get(job)
         return fetch is not None and fetch.records and fetch.copy is not None
 
-    def room(self, job: int, size: int) -> bool:
+    def response_consumed(self, job: int, size: int) -> bool:
         """A client took so many bytes; True if the node need not be told."""
         if (reader := self.readers.get(job)) is not None:
             reader.owed = max(0, reader.owed - size)
@@ -296,7 +298,7 @@
         fetch = self.fetching.get(job)
         return fetch is not None and fetch.records
 
-    def over(self, job: int, certain: bool) -> None:
+    def request_finished(self, job: int, certain: bool) -> None:
         """A job is over, and no leg of it is out; `certain`: it took effect, or surely did not."""
         if (fetch := self.fetching.get(job)) is not None:
             self.fetch_over(fetch)
@@ -328,7 +330,7 @@
         assert fetch.copy is not None  # a piece comes after its answer began
         fetch.copy.pieces.append(data)
         fetch.copy.got += len(data)
-        self.desk.grant(fetch.job, len(data))
+        self.desk.grant_credit(fetch.job, len(data))
 
     def fetch_grew(self, fetch: Fetch) -> None:
         """More of an answer is here: to those who read with it; once it is whole it may be held."""
@@ -364,11 +366,11 @@
         waiting.sort(key=lambda each: (each.due, each.job))
         for each in waiting:
             if plain:
-                self.desk.send_on(each.job, each.asker)
+                self.desk.forward(each.job, each.asker)
                 continue
             asker = self._came(each)
             if asker is not None:
-                self.desk.send_on(each.job, asker)
+                self.desk.forward(each.job, asker)
 
     def _joins(self, fetch: Fetch, read: _Waiting) -> bool:
         """Has a job share the answer of a fetch that is under way; False if that may come too late for it."""
@@ -412,13 +414,13 @@
 
     def _read(self, reader: _Reader) -> None:
         job, copy = reader.job, reader.copy
-        if not self.desk.fulfil(job):
-            self.desk.finish(job, True)
+        if not self.desk.answer_from_cache(job):
+            self.desk.finish_cached(job, True)
             return
         self.readers[job] = reader
         if reader.fetch is not None:
             reader.fetch.readers[job] = reader
-        reader.asker.fulfilled(job, copy.size, copy.shard)
+        reader.asker.served(job, copy.size, copy.shard)
         self._pump(reader)
 
     def _pump(self, reader: _Reader) -> None:
@@ -438,12 +440,12 @@
             reader.next += 1
             last = self._whole(reader)
             reader.owed = 0 if last else len(data)
-            reader.asker.piece(reader.job, data)
+            reader.asker.body_chunk(reader.job, data)
         reader.busy = False
         if self.readers.get(reader.job) is reader and self._whole(reader):
             del self.readers[reader.job]
             self._forget(reader)
-            self.desk.finish(reader.job, True)
+            self.desk.finish_cached(reader.job, True)
 
     def _whole(self, reader: _Reader) -> bool:
         copy = reader.copy
@@ -459,8 +461,8 @@
         if self.readers.pop(reader.job, None) is None:
             return
         self._forget(reader)
-        self.desk.finish(reader.job, False)
-        reader.asker.broke_off(reader.job)
+        self.desk.finish_cached(reader.job, False)
+        reader.asker.aborted(reader.job)
 
     # --- purges and writes ---
 
--- a/ochrecourse/fleet/part.py
+++ b/ochrecourse/fleet/part.py
@@ -85,10 +85,10 @@
     """What is needed of a gateway."""
 
     name: str
-    ledger: RequestLog
-    legs_over: list[Callable[[RequestRecord, AttemptRecord], None]]
+    request_log: RequestLog
+    attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]]
 
-    def bounds_came(self, bounds: Mapping[int, float]) -> None: ...
+    def node_rates_received(self, bounds: Mapping[int, float]) -> None: ...
 
 
 class Entered(msgspec.Struct):
@@ -205,8 +205,8 @@
         if "zones" in said:
             given = {**said["zones"], "clock_bound": said["clock_bound"]}
             self.zones = Zones(given, zones, own, zone, len(self.addresses) + 1, names)
-            self.watch = ZoneWatch(self.zones, gateway.ledger, cold, self.wall_ms, self.beat)
-            gateway.legs_over.append(self._leg_over)
+            self.watch = ZoneWatch(self.zones, gateway.request_log, cold, self.wall_ms, self.beat)
+            gateway.attempt_observers.append(self._leg_over)
         cold_limit = self.zones.figure["cold"] if self.zones is not None else 0.0
         self.terms = Terms(names, len(self.addresses) + 1, said["clock_bound"], cold_limit)
         self.lodge(self.terms)  # before what rests on them
@@ -264,12 +264,12 @@
         as they are until `share`."""
         self.stop()
         self.kept.give()
-        if self._leg_over in self.gateway.legs_over:
-            self.gateway.legs_over.remove(self._leg_over)
+        if self._leg_over in self.gateway.attempt_observers:
+            self.gateway.attempt_observers.remove(self._leg_over)
 
     def share(self, share: float) -> None:
         """Of what this gateway might begin at bounded nodes, that share is left to this process."""
-        self.gateway.bounds_came({node: bound * share for node, bound in self._bounds.items()})
+        self.gateway.node_rates_received({node: bound * share for node, bound in self._bounds.items()})
 
     def _close(self) -> None:
         self.stopped, self.overdue = True, float("inf")
@@ -739,7 +739,7 @@
                 bounds[node] = min(bound, bounds.get(node, bound))
         if bounds != self._bounds:
             self._bounds = bounds
-            self.gateway.bounds_came(bounds)
+            self.gateway.node_rates_received(bounds)
 
     def _look_at_links(self, now: int) -> None:
         for link in list(self.links):
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -269,7 +269,7 @@
         copies = Copies(
             gateway, figures["products"], most, largest, purger.may, lambda: now_ns(clock)
         )  # fmt: skip
-        purger.copies = gateway.copies = copies
+        purger.copies = gateway.object_cache = copies
     part.lodge(purger)
     damaged = [*part.kept.notes, *getattr(part.kept.journal, "notes", ())]
     if own is not None and (damaged or not purger.wrote()):
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -25,9 +25,9 @@
 
 
 class Books(Protocol):
-    """Where the jobs are that are not over (gateway.ledger.Ledger)."""
+    """Where the jobs are that are not over (gateway.request_log.RequestLog)."""
 
-    jobs: dict[int, RequestRecord]
+    requests: dict[int, RequestRecord]
 
 
 class ZoneWatch:
@@ -74,7 +74,7 @@
             self.silent.discard((story.number, leg.number))
             if leg.ending is Ending.TIMEOUT:
                 return  # counted when it had been silent for too long
-        usual = self.pace.get(story.product, 0.0)
+        usual = self.pace.get(story.request_class, 0.0)
         if self._late(now):
             # Guards against a gateway whose own loop is slow: its timers ran before it read what had come.
             if leg.ending in (Ending.TIMEOUT, Ending.UNREACHABLE):
@@ -84,7 +84,7 @@
             return
         self.zones.leg_over(leg.node, leg.ending, leg.took, usual, now, story.units)
         if leg.ending is Ending.SERVED:
-            self.pace[story.product] = usual + (leg.took - usual) * SMOOTH if usual else float(leg.took)
+            self.pace[story.request_class] = usual + (leg.took - usual) * SMOOTH if usual else float(leg.took)
 
     def _late(self, now: int) -> bool:
         """Whether this process runs late: its last turn came late, or the next one is overdue."""
@@ -98,16 +98,16 @@
         self.turned = now
         if self._late(now):
             return  # what seems silent may lie unread at this process's own door
-        for story in self.books.jobs.values():
-            usual = self.pace.get(story.product)
-            if usual is None or not story.out:
+        for story in self.books.requests.values():
+            usual = self.pace.get(story.request_class)
+            if usual is None or not story.attempts_out:
                 continue
             longest = max(LEAST_SILENT, SILENT * usual)
-            for leg in story.legs:
+            for leg in story.attempts:
                 at = (story.number, leg.number)
-                if leg.ending is None and now - leg.sent > longest and at not in self.silent:
+                if leg.ending is None and now - leg.sent_at > longest and at not in self.silent:
                     self.silent.add(at)
-                    self.zones.leg_over(leg.node, Ending.TIMEOUT, now - leg.sent, usual, now, story.units)
+                    self.zones.leg_over(leg.node, Ending.TIMEOUT, now - leg.sent_at, usual, now, story.units)
 
     def sight(self, now: int) -> bytes | None:
         return self.zones.sight(now)
--- a/ochrecourse/gateway/client_connection.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -79,7 +79,7 @@
             return
         spool = RequestBody(asked.size)
         spool.write(body)
-        if spool.whole():
+        if spool.is_complete():
             self._take(asked, now, spool)
             return
         upload = self.uploads[asked.id] = _Upload(asked, now, spool)
@@ -91,7 +91,7 @@
         if upload is None:
             return  # refused before its body was whole
         upload.spool.write(body)
-        if upload.spool.whole():
+        if upload.spool.is_complete():
             del self.uploads[number]
             stop(upload.timer)
             self._take(upload.asked, upload.read_at, upload.spool)
@@ -104,8 +104,8 @@
     def _take(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
         timeout = asked.timeout_ms * MS
         request = Request(
-            product=asked.product,
-            plan=asked.plan,
+            request_class=asked.product,
+            tenant=asked.plan,
             volume=asked.volume,
             timeout=round(timeout) if abs(timeout) < 1e18 else 0,
             read_at=read_at,
@@ -116,10 +116,10 @@
             trace=asked.trace[:TRACE],
             body=spool if spool.size else None,
         )
-        job = self.gateway.next_number()
+        job = self.gateway.next_request_id()
         self.jobs[job], self.numbers[asked.id] = asked.id, job
         try:
-            self.gateway.take(request, self)
+            self.gateway.submit(request, self)
         except BadRequestError as trouble:
             spool.close()
             self._forget(job)
@@ -137,7 +137,7 @@
         job = self.numbers.get(number)
         if job is not None:
             self._forget(job)
-            self.gateway.leave(job)
+            self.gateway.cancel(job)
         if after not in (StreamState.CLOSED, None):
             self.say(m.RequestCancelled(id=number))
 
@@ -149,15 +149,15 @@
 
     # --- the answer (gateway.Asker) ---
 
-    def fulfilled(self, job: int, size: int, shard: int) -> None:
+    def served(self, job: int, size: int, shard: int) -> None:
         self.say(m.RequestServed(id=self.jobs[job], size=size, shard=shard))
         if not size:
             self._forget(job)
 
-    def piece(self, job: int, data: bytes) -> None:
+    def body_chunk(self, job: int, data: bytes) -> None:
         number = self.jobs.get(job)
         if number is None:
-            self.gateway.room(job, len(data))
+            self.gateway.response_consumed(job, len(data))
             return
         self.say(m.BodyChunk(id=number), data)
         if number not in self.moves.standing:
@@ -165,17 +165,17 @@
         elif self.blocked:
             self.owed[job] = self.owed.get(job, 0) + len(data)
         else:
-            self.gateway.room(job, len(data))
+            self.gateway.response_consumed(job, len(data))
 
-    def broke_off(self, job: int) -> None:
+    def aborted(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
             self.say(m.RequestFailed(id=number))
 
-    def denied(self, job: int, come_back: int) -> None:
+    def rejected(self, job: int, retry_after: int) -> None:
         if (number := self._forget(job)) is not None:
-            self.say(m.RequestRejected(id=number, come_back_ms=come_back / MS))
+            self.say(m.RequestRejected(id=number, come_back_ms=retry_after / MS))
 
-    def written_off(self, job: int) -> None:
+    def failed(self, job: int) -> None:
         if (number := self._forget(job)) is not None:
             self.say(m.RequestFailed(id=number))
 
@@ -188,7 +188,7 @@
         self.blocked = False
         owed, self.owed = self.owed, {}
         for job, size in owed.items():
-            self.gateway.room(job, size)
+            self.gateway.response_consumed(job, size)
 
     def stopProducing(self) -> None:
         self.blocked = True
@@ -205,7 +205,7 @@
         self.uploads.clear()
         jobs, self.jobs, self.numbers = list(self.jobs), {}, {}
         for job in jobs:
-            self.gateway.leave(job)
+            self.gateway.cancel(job)
 
 
 class ClientConnectionFactory(Factory):
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -126,7 +126,7 @@
         setup = setup_of(record)
         self.speaker: Speaker | None = None
         if setup is not None:
-            held = self.gateway.tasks
+            held = self.gateway.in_flight
             self.speaker = Speaker(network, setup, self.sight, self._leave, lambda: len(held), say, seed)
             self.speaker.gone.append(self._gone)
 
@@ -319,33 +319,33 @@
         """What this gateway sees of itself now."""
         gateway, now = self.gateway, now_ns(self.network)
         ready = [node for node, entry in gateway.entries.items() if entry.health is Health.READY]
-        recent = self.watch.look(gateway.ledger.closings, now)
+        recent = self.watch.look(gateway.request_log.outcomes, now)
         age = self.follower.view.age(now)
         return Sight(
             listening=self.listening is not None,
-            draining=not gateway.leaving.takes(),
-            loop_late=gateway.lateness.worst_since(now - 2 * SECOND),
+            draining=not gateway.shutdown.accepts_requests(),
+            loop_late=gateway.event_loop_lag.worst_since(now - 2 * SECOND),
             has_list=bool(gateway.entries),
             # A list that is followed is as fresh as its connection, however long ago it last changed.
             list_age=0 if self.follower.line is not None else age or 0,
             list_fresh=age is not None,
             enrolled=self.enrolled is None or self.enrolled.held() or not self.enrolled.lease.lost,
             nodes_ready=len(ready),
-            nodes_reached=gateway.reach.reached(ready, now),
+            nodes_reached=gateway.node_health.reached(ready, now),
             jobs=recent.jobs,
             written_off=recent.written_off,
             lately=recent.lately,
             fulfilled=recent.fulfilled,
-            open_share=gateway.ledger.open / gateway.max_open,
+            open_share=gateway.request_log.open / gateway.max_open,
         )
 
     def ready(self) -> tuple[bool, str]:
         """Whether new jobs are of any use here, and why not."""
-        if not self.gateway.leaving.takes():
+        if not self.gateway.shutdown.accepts_requests():
             return False, "leaving"
         if not self.gateway.entries:
             return False, "no list of nodes"
-        if self.gateway.ledger.open >= self.gateway.max_open:
+        if self.gateway.request_log.open >= self.gateway.max_open:
             return False, "no room for more jobs"
         return True, "ready"
 
@@ -406,12 +406,12 @@
         now = now_ns(self.network)
         age = self.follower.view.age(now)
         told: dict[str, float] = {
-            "jobs_taken_total": gateway.ledger.taken,
-            "jobs_denied_at_door_total": gateway.denied_at_door,
-            "jobs_open": gateway.ledger.open,
+            "jobs_taken_total": gateway.request_log.received,
+            "jobs_denied_at_door_total": gateway.rejected_on_arrival,
+            "jobs_open": gateway.request_log.open,
             "jobs_open_limit": gateway.max_open,
-            "legs_total": gateway.ledger.legs,
-            "legs_further_total": gateway.ledger.further,
+            "legs_total": gateway.request_log.attempts,
+            "legs_further_total": gateway.request_log.retries,
             "legs_out": len(gateway.nodes.out),
             "node_connections": gateway.nodes.open_connections(),
             "client_connections": len(self.front.fronts),
@@ -421,11 +421,11 @@
             "list_age_seconds": -1.0 if age is None else age / SECOND,
             "list_epoch": self.follower.view.epoch,
             "list_gaps_total": self.follower.view.gaps,
-            "loop_late_worst_seconds": gateway.lateness.worst / SECOND,
+            "loop_late_worst_seconds": gateway.event_loop_lag.worst / SECOND,
         }
-        for closing, count in gateway.ledger.closings.items():
+        for closing, count in gateway.request_log.outcomes.items():
             told[f'jobs_total{{ending="{closing.value}"}}'] = count
-        for ending, count in gateway.ledger.endings.items():
+        for ending, count in gateway.request_log.endings.items():
             told[f'leg_endings_total{{ending="{ending.value}"}}'] = count
         if self.speaker is not None:
             for held in self.speaker.peers:
@@ -453,24 +453,24 @@
                 told[f'events_total{{what="{what}"}}'] = count
         return told
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
         """What a job's legs said of their nodes."""
-        for leg in story.legs:
-            if leg.why:
-                self.sightings.leg_over(leg.node, AttemptEvent(leg.why), leg.sent + leg.took)
+        for leg in story.attempts:
+            if leg.reason:
+                self.sightings.leg_over(leg.node, AttemptEvent(leg.reason), leg.sent_at + leg.took)
 
     def _news(self, news: EndpointListUpdate) -> None:
         self.sightings.listed(news.entries, news.kind is not ListKind.DELTA, now_ns(self.network))
-        self.gateway.list_came(news.kind, news.entries, news.addresses)
+        self.gateway.endpoint_list_received(news.kind, news.entries, news.addresses)
         if self.part is not None:
             self.part.nodes_are(self.gateway.entries)
 
     def _leave(self) -> None:
-        if self.gateway.leaving.takes():
+        if self.gateway.shutdown.accepts_requests():
             self.front.say_bye()
             if self.door is not None:
                 self.door.say_bye()
-            self.gateway.left.append(self._left)
+            self.gateway.on_drained.append(self._left)
             self.gateway.drain()
 
     def _left(self) -> None:
--- a/ochrecourse/gateway/graceful_shutdown.py
+++ b/ochrecourse/gateway/graceful_shutdown.py
@@ -25,24 +25,24 @@
     def __init__(self) -> None:
         self.stage = ShutdownStage.SERVING
         self.began = 0
-        self.latest = 0  # by then every client has its answer or has given up
+        self.finish_by = 0  # by then every client has its answer or has given up
 
     def begin(self, now: int, latest_due: int) -> bool:
         """Starts to leave; False if that was done before. `latest_due`: when the last client gives up."""
         if self.stage is not ShutdownStage.SERVING:
             return False
-        self.stage, self.began, self.latest = ShutdownStage.LEAVING, now, max(now, latest_due)
+        self.stage, self.began, self.finish_by = ShutdownStage.LEAVING, now, max(now, latest_due)
         return True
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new jobs are taken."""
         return self.stage is ShutdownStage.SERVING
 
-    def look(self, now: int, open_jobs: int, legs_out: int) -> bool:
+    def check_finished(self, now: int, open_jobs: int, legs_out: int) -> bool:
         """Called whenever something ended; True once, when the gateway may stop."""
         if self.stage is not ShutdownStage.LEAVING:
             return False
-        if (open_jobs or legs_out) and now < self.latest:
+        if (open_jobs or legs_out) and now < self.finish_by:
             return False
         self.stage = ShutdownStage.LEFT
         return True
--- a/ochrecourse/gateway/log_sampling.py
+++ b/ochrecourse/gateway/log_sampling.py
@@ -15,21 +15,21 @@
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
-        self.depth = max(1.0, rate)
-        self.store = self.depth
-        self.at = 0
+        self.burst = max(1.0, rate)
+        self.tokens = self.burst
+        self.refilled_at = 0
         self.dropped = 0
 
-    def writes(self, well: bool, now: int) -> bool:
+    def should_log(self, well: bool, now: int) -> bool:
         """Whether this job gets a line; `well`: fulfilled by its first leg."""
-        if self.at:
-            self.store = min(self.depth, self.store + self.rate * (now - self.at) / SECOND)
-        self.at = now
-        floor = self.depth / 2 if well else 0.0
-        if self.store - 1 < floor:
+        if self.refilled_at:
+            self.tokens = min(self.burst, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
+        self.refilled_at = now
+        floor = self.burst / 2 if well else 0.0
+        if self.tokens - 1 < floor:
             self.dropped += 1
             return False
-        self.store -= 1
+        self.tokens -= 1
         return True
 
     def take_dropped(self) -> int:
--- a/ochrecourse/gateway/request_body.py
+++ b/ochrecourse/gateway/request_body.py
@@ -17,21 +17,21 @@
 
     def __init__(self, size: int) -> None:
         self.size = size
-        self.came = 0
+        self.bytes_received = 0
         self._data = bytearray()
         large = size > KEPT_IN_MEMORY
         self._file: IO[bytes] | None = tempfile.TemporaryFile() if large else None  # noqa: SIM115
 
     def write(self, piece: bytes) -> None:
-        self.came += len(piece)
+        self.bytes_received += len(piece)
         if self._file is None:
             self._data += piece
         else:
             self._file.seek(0, 2)
             self._file.write(piece)
 
-    def whole(self) -> bool:
-        return self.came >= self.size
+    def is_complete(self) -> bool:
+        return self.bytes_received >= self.size
 
     def read(self, at: int, most: int) -> bytes:
         if self._file is None:
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -113,19 +113,19 @@
     def __init__(self, gateway: Gateway, record: r.Recorder, traces: dict[int, str]) -> None:
         self.gateway, self.record, self.traces = gateway, record, traces
 
-    def fulfilled(self, job: int, size: int, shard: int) -> None:
+    def served(self, job: int, size: int, shard: int) -> None:
         self._told(job, "fulfilled")
 
-    def piece(self, job: int, data: bytes) -> None:
-        self.gateway.room(job, len(data))
+    def body_chunk(self, job: int, data: bytes) -> None:
+        self.gateway.response_consumed(job, len(data))
 
-    def broke_off(self, job: int) -> None:
+    def aborted(self, job: int) -> None:
         self._told(job, "written_off")
 
-    def denied(self, job: int, come_back: int) -> None:
+    def rejected(self, job: int, retry_after: int) -> None:
         self._told(job, "denied")
 
-    def written_off(self, job: int) -> None:
+    def failed(self, job: int) -> None:
         self._told(job, "written_off")
 
     def _told(self, job: int, how: str) -> None:
@@ -155,9 +155,9 @@
         self.follower.start()
 
     def _news(self, news: EndpointListUpdate) -> None:
-        self.gateway.list_came(news.kind, news.entries, news.addresses)
+        self.gateway.endpoint_list_received(news.kind, news.entries, news.addresses)
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
         self.stories.append(story)
 
     def begin(self) -> None:
@@ -169,8 +169,8 @@
         body = RequestBody(round(call.units * product.unit_bytes) if product.writes else 0)
         body.write(bytes(body.size))
         request = Request(
-            product=product.name,
-            plan=self.day.plans[call.volume.plan].name,
+            request_class=product.name,
+            tenant=self.day.plans[call.volume.plan].name,
             volume=call.volume.number,
             timeout=round(product.timeout_ms * MS),
             read_at=now_ns(self.network),
@@ -180,16 +180,17 @@
             trace=f"{call.number}.0",
             body=body if body.size else None,
         )
-        job = self.gateway.next_number()
+        job = self.gateway.next_request_id()
         self.client.traces[job] = request.trace
         self.record(
             r.Asked(
-                t=request.read_at, gateway=NAME, conn=1, id=job, trace=request.trace, product=request.product,
-                plan=request.plan, volume=request.volume, key=request.key, units=request.units,
+                t=request.read_at, gateway=NAME, conn=1, id=job, trace=request.trace,
+                product=request.request_class,
+                plan=request.tenant, volume=request.volume, key=request.key, units=request.units,
                 timeout=request.timeout, retry=False,
             )
         )  # fmt: skip
-        self.gateway.take(request, self.client)
+        self.gateway.submit(request, self.client)
 
     def stop(self) -> None:
         self.gateway.stop()
@@ -202,7 +203,7 @@
     def __init__(self) -> None:
         self.stories: list[RequestRecord] = []
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
         self.stories.append(story)
 
 
@@ -244,8 +245,8 @@
     """How each job ended, by its trace."""
     told = {}
     for story in stories:
-        legs = tuple((leg.ending.value if leg.ending else "out", leg.why) for leg in story.legs)
-        ending = story.closing.value if story.closing else "open"
+        legs = tuple((leg.ending.value if leg.ending else "out", leg.reason) for leg in story.attempts)
+        ending = story.outcome.value if story.outcome else "open"
         told[story.trace] = Told(story.trace, ending, story.why(), legs)
     return told
 
--- a/ochrecourse/lab/fleet_play.py
+++ b/ochrecourse/lab/fleet_play.py
@@ -129,10 +129,10 @@
             self.seen.by_bin[at] += size
             self.seen.writes_by_bin[at] += 1
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
         """When legs were sent where; those that never came to their node are known here alone."""
-        for leg in story.legs:
-            at = int((leg.sent / SECOND - self.began) / BIN)
+        for leg in story.attempts:
+            at = int((leg.sent_at / SECOND - self.began) / BIN)
             self.seen.legs.setdefault(leg.node, Counter())[at] += 1
 
     def _add_links(self) -> None:
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -50,7 +50,7 @@
         for seat in self.seats:
             if seat.daemon is not None:
                 bounds = {node: asked.get(seat.index, 0.0) for node, asked in parts.items()}
-                seat.daemon.gateway.bounds_came(bounds)
+                seat.daemon.gateway.node_rates_received(bounds)
 
 
 class ToldPlay(FleetPlay):
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -287,11 +287,11 @@
 
     def add_up(self, daemon: Daemon) -> None:
         """Takes a gateway's figures into the sums before it goes."""
-        ledger = daemon.gateway.ledger
-        self.played.legs += ledger.legs
-        self.played.further += ledger.further
+        ledger = daemon.gateway.request_log
+        self.played.legs += ledger.attempts
+        self.played.further += ledger.retries
         told = {
-            **{f"gateway: {closing.value}": count for closing, count in ledger.closings.items()},
+            **{f"gateway: {closing.value}": count for closing, count in ledger.outcomes.items()},
             **{f"gateway: leg {ending.value}": count for ending, count in ledger.endings.items()},
             **{f"gateway: {name}": count for name, count in daemon.gateway.nodes.counts.items()},
             **{f"gateway: {name}": count for name, count in daemon.front.counts.items()},
--- a/ochrecourse/resp/client_connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -114,7 +114,7 @@
         self._count_waiting(-self.waiting_size)
         self.waiting.clear()
         jobs, self.jobs = list(self.jobs), {}
-        self.gateway.leave_all(jobs)
+        self.gateway.cancel_all(jobs)
 
     def _stop_timers(self) -> None:
         stop(self.watch)
@@ -221,10 +221,10 @@
     def _ask(self, slot: _Slot, request: Request) -> None:
         # The time that a request waits for those before it on its connection does not count.
         request.read_at = now_ns(self.clock)
-        job = self.gateway.next_number()
+        job = self.gateway.next_request_id()
         self.jobs[job] = slot
         try:
-            self.gateway.take(request, self)
+            self.gateway.submit(request, self)
         except BadRequestError as trouble:
             del self.jobs[job]
             if trouble.code == "late_body":
@@ -368,20 +368,20 @@
 
     # --- the answer (gateway.Asker) ---
 
-    def fulfilled(self, job: int, size: int, shard: int) -> None:
+    def served(self, job: int, size: int, shard: int) -> None:
         if not size:
-            self.piece(job, b"")
+            self.body_chunk(job, b"")
 
-    def piece(self, job: int, data: bytes) -> None:
+    def body_chunk(self, job: int, data: bytes) -> None:
         self._over(job, bulk(data))
 
-    def broke_off(self, job: int) -> None:
+    def aborted(self, job: int) -> None:
         self._over(job, b"-ERR failed\r\n")
 
-    def denied(self, job: int, come_back: int) -> None:
-        self._over(job, b"-BUSY %d\r\n" % -(-come_back // MS) if come_back else b"-BUSY\r\n")
+    def rejected(self, job: int, retry_after: int) -> None:
+        self._over(job, b"-BUSY %d\r\n" % -(-retry_after // MS) if retry_after else b"-BUSY\r\n")
 
-    def written_off(self, job: int) -> None:
+    def failed(self, job: int) -> None:
         self._over(job, b"-ERR failed\r\n")
 
     def _over(self, job: int, answer: bytes) -> None:
--- a/ochrecourse/resp/commands.py
+++ b/ochrecourse/resp/commands.py
@@ -93,8 +93,8 @@
     )  # fmt: skip
     # Guards against growth: were the request held by the command too, each job would stay as a cycle.
     return Request(
-        product=product_name,
-        plan=plan_name,
+        request_class=product_name,
+        tenant=plan_name,
         volume=int(volume, 16),
         timeout=round(float(wait) * MS),
         read_at=read_at,
--- a/ochrecourse/resp/server.py
+++ b/ochrecourse/resp/server.py
@@ -182,9 +182,9 @@
         stop(self._last_words)
         self._sweep = self._last_words = None
 
-    def job_over(self, gateway: Gateway, story: RequestRecord) -> None:
+    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
         """A job whose answer came too late to be of use."""
-        if story.closing is not RequestOutcome.TOO_LATE:
+        if story.outcome is not RequestOutcome.TOO_LATE:
             return
         for front in [each for each in self.fronts if story.number in each.jobs]:
             front.too_late(story.number)
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -140,9 +140,9 @@
         if self.leaving:
             return
         self.leaving = True
-        self.log(f"leaving; {self.gateway.ledger.open} jobs open")
+        self.log(f"leaving; {self.gateway.request_log.open} jobs open")
         # Clients use the connections they have while these are open, and find nobody here once it has ended.
-        self.gateway.last = now_ns(self.network) + round((self.kill - SPARE) * SECOND)
+        self.gateway.answer_by = now_ns(self.network) + round((self.kill - SPARE) * SECOND)
         self.network.callLater(max(GOING, self.kill - SPARE - CLOSING), self._close_door)
 
     def _close_door(self) -> None:
@@ -168,7 +168,7 @@
         self.over()
 
     def _told(self, news: EndpointListUpdate) -> None:
-        self.gateway.list_came(news.kind, news.entries, news.addresses)
+        self.gateway.endpoint_list_received(news.kind, news.entries, news.addresses)
 
     def _warn(self, text: str) -> None:
         self.log(text)
--- a/ochrecourse/webdav/door.py
+++ b/ochrecourse/webdav/door.py
@@ -147,7 +147,7 @@
             if asked.method == "PUT":
                 entry, tokens = door.methods.begin(asked, now)
                 door.methods.may_put(asked, entry, tokens, -1 if length is None else length, now)
-                if not door.gateway.leaving.takes():
+                if not door.gateway.shutdown.accepts_requests():
                     raise Reply(503, "this gateway is leaving", {"Retry-After": "1"})
         except Reply as reply:
             return reply
@@ -287,8 +287,8 @@
         """Asks the gateway for the job of this request. Raises Reply."""
         door, job = self.door, self._job(asked, size)
         request = g.Request(
-            product=job.product,
-            plan=job.plan,
+            request_class=job.product,
+            tenant=job.plan,
             volume=job.volume,
             timeout=round(job.timeout * SECOND),
             read_at=self.came,
@@ -299,23 +299,23 @@
             trace=self.trace,
             body=body if size else None,
         )
-        self.job = door.gateway.next_number()
+        self.job = door.gateway.next_request_id()
         if body is None:
             self.registerProducer(self, True)
         try:
-            door.gateway.take(request, self)
+            door.gateway.submit(request, self)
         except g.BadRequestError as trouble:
             self.job = None
             raise Reply(408 if trouble.code == "late_body" else 403, str(trouble)) from None
 
     # --- the job's answer (gateway.Asker) ---
 
-    def fulfilled(self, job: int, size: int, shard: int) -> None:
+    def served(self, job: int, size: int, shard: int) -> None:
         if self.staged is None:
             if size != self.whole_size:
                 # The node holds other bytes under this key: its length would never be reached, or be overrun.
                 self._ended(502, "the node holds something else", 0, "not as kept")
-                self.door.gateway.leave(job)
+                self.door.gateway.cancel(job)
             return  # its bytes come
         staged, self.staged, self.job = self.staged, None, None
         content = Content(self.door.key_of(staged), shard, self.size, "", self.kind)
@@ -331,9 +331,9 @@
         self.door.over(self.number, status)
         self.answer(status, "", {"ETag": entry.tag}, "fulfilled")
 
-    def piece(self, job: int, data: bytes) -> None:
+    def body_chunk(self, job: int, data: bytes) -> None:
         if self.finished or self._disconnected or self.job is None:
-            self.door.gateway.room(job, len(data))
+            self.door.gateway.response_consumed(job, len(data))
             return
         at, end = self.at, self.at + len(data)
         self.at = end
@@ -350,31 +350,31 @@
             self.job = None
             self.unregisterProducer()
             self.end("fulfilled")
-            self.door.gateway.room(job, len(data))
+            self.door.gateway.response_consumed(job, len(data))
             if end < self.whole_size:
-                self.door.gateway.leave(job)  # what lies beyond the last range is read by nobody
+                self.door.gateway.cancel(job)  # what lies beyond the last range is read by nobody
         elif self.blocked:
             self.owed += len(data)
         else:
-            self.door.gateway.room(job, len(data))
+            self.door.gateway.response_consumed(job, len(data))
 
-    def broke_off(self, job: int) -> None:
+    def aborted(self, job: int) -> None:
         self.job = None
         if not self.finished and not self._disconnected:
             self.how = "cut"
             self._give_way(504)
             self.channel.loseConnection()  # the length that was told is not reached: the client can tell
 
-    def denied(self, job: int, come_back: int) -> None:
-        self._ended(503, "turned away; trying again is harmless", come_back, "denied")
+    def rejected(self, job: int, retry_after: int) -> None:
+        self._ended(503, "turned away; trying again is harmless", retry_after, "denied")
 
-    def written_off(self, job: int) -> None:
+    def failed(self, job: int) -> None:
         self._ended(504, "not served in time; whether it had an effect is not known", 0, "written off")
 
-    def _ended(self, status: int, text: str, come_back: int, how: str) -> None:
+    def _ended(self, status: int, text: str, retry_after: int, how: str) -> None:
         self.job, self.staged = None, None
         self._forget_body()
-        after = {"Retry-After": str(max(1, -(-come_back // SECOND)))} if status == 503 else {}
+        after = {"Retry-After": str(max(1, -(-retry_after // SECOND)))} if status == 503 else {}
         self.answer(status, text, after, how)
         self.door.over(self.number, status)
 
@@ -393,7 +393,7 @@
         self.how = self.how or "client left"
         if self.job is not None and not keep:
             job, self.job = self.job, None
-            door.gateway.leave(job)
+            door.gateway.cancel(job)
         if self.running is not None:
             self._give_way(503)
         door.log(self)
@@ -405,7 +405,7 @@
         self.blocked = False
         owed, self.owed = self.owed, 0
         if owed and self.job is not None:
-            self.door.gateway.room(self.job, owed)
+            self.door.gateway.response_consumed(self.job, owed)
         if self.members is not None:
             self._send_members()
 
@@ -475,7 +475,7 @@
 
     def _closing(self) -> None:
         """While the gateway leaves, each answer ends its connection."""
-        if not self.door.gateway.leaving.takes():
+        if not self.door.gateway.shutdown.accepts_requests():
             self.setHeader("Connection", "close")
             self.channel.persistent = False
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -241,9 +241,9 @@
         self.nodes = [ScriptedNode(self.network, script) for script in scripts]
         entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(scripts))]
         where = {70 + i: ("127.0.0.1", node.port) for i, node in enumerate(self.nodes)}
-        self.gateway.list_came(ListKind.FULL, entries, where)
+        self.gateway.endpoint_list_received(ListKind.FULL, entries, where)
 
-    def job_over(self, gateway, story):
+    def request_finished(self, gateway, story):
         self.stories.append(story)
 
     def client(self):
--- a/tests/test_alike.py
+++ b/tests/test_alike.py
@@ -26,9 +26,9 @@
     daemon_says, more = alike.on_virtual_clock(scenario, through_daemon=True)
     assert not broken and not more
     assert library_says == daemon_says and len(library_says) == len(scenario.jobs)
-    endings = {story.closing.value for story in library_says}
+    endings = {story.outcome.value for story in library_says}
     assert endings == {"fulfilled", "denied", "written off"}
-    assert {leg.ending.value for story in library_says for leg in story.legs} >= {
+    assert {leg.ending.value for story in library_says for leg in story.attempts} >= {
         "fulfilled",
         "timeout",
         "error",
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -426,17 +426,17 @@
 
 def test_a_second_without_a_fulfilled_job_is_barren_and_one_job_ends_it():
     watch, told = Watch(), []
-    books = {RequestOutcome.FULFILLED: 5, RequestOutcome.DENIED: 0, RequestOutcome.WRITTEN_OFF: 0}
+    books = {RequestOutcome.SERVED: 5, RequestOutcome.REJECTED: 0, RequestOutcome.FAILED: 0}
     for i in range(30):
-        books[RequestOutcome.DENIED] += 4
-        books[RequestOutcome.WRITTEN_OFF] += i % 2
+        books[RequestOutcome.REJECTED] += 4
+        books[RequestOutcome.FAILED] += i % 2
         told.append(watch.look(books, i * SECOND // 10))
     assert (
         (told[-1].lately, told[-1].fulfilled) == (45, 0)
         and told[-1].jobs == 131
         and round(told[-1].written_off, 2) == 0.11
     )
-    books[RequestOutcome.FULFILLED] += 1
+    books[RequestOutcome.SERVED] += 1
     assert watch.look(books, 3 * SECOND).fulfilled == 1
 
 
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -130,7 +130,7 @@
 
     @property
     def open(self):
-        return self.service.gateway.ledger.open
+        return self.service.gateway.request_log.open
 
     def end(self):
         for each in self.sockets:
@@ -223,9 +223,9 @@
     client.close()
     end_stands(side)
     here.loop.until(lambda: not side.up)
-    assert not here.open and here.service.gateway.ledger.taken <= 32
+    assert not here.open and here.service.gateway.request_log.received <= 32
     here.loop.settle()
-    assert here.service.gateway.ledger.taken <= 32 and not here.front.commands
+    assert here.service.gateway.request_log.received <= 32 and not here.front.commands
 
 
 @pytest.mark.parametrize("how", ["close", "half"])
@@ -378,13 +378,13 @@
     here.say(client, read(1, d=60_000))
     here.loop.until(lambda: len(here.node.commands) == 1)
     here.loop.settle()
-    assert here.open == 1 and here.service.gateway.ledger.legs == 1
+    assert here.open == 1 and here.service.gateway.request_log.attempts == 1
     client.sendall(PING)  # the end stands behind bytes, so one turn does not bring it
     client.close()
     end_stands(side)
     here.loop.now += 0.1  # more than the further attempt waits, and less than it needs to be in time
     here.loop.settle()
-    assert not here.open and here.service.gateway.ledger.legs == 1 and len(here.node.commands) == 1
+    assert not here.open and here.service.gateway.request_log.attempts == 1 and len(here.node.commands) == 1
 
 
 def test_an_answer_that_is_read_before_the_end_of_a_client_in_a_long_turn_sends_nothing_of_it_on(shop):
@@ -397,15 +397,15 @@
     here.say(client, read(1, d=60_000))
     here.loop.until(lambda: len(here.node.commands) == 2)
     here.loop.settle()
-    assert here.service.gateway.ledger.legs == 2
+    assert here.service.gateway.request_log.attempts == 2
     client.close()
     end_stands(side)
     here.loop.now += 0.1
     # As in a turn that took long before it came to the node's answer, and has not come to the end so far.
     here.service.gateway._pull()
-    assert here.service.gateway.ledger.legs == 2
+    assert here.service.gateway.request_log.attempts == 2
     here.loop.settle()
-    assert here.service.gateway.ledger.legs == 2 and here.open == 1
+    assert here.service.gateway.request_log.attempts == 2 and here.open == 1
 
 
 class Slow:
@@ -442,7 +442,7 @@
     client, side = here.client()
     here.say(client, before)
     here.loop.settle()
-    sent = here.service.gateway.ledger.legs
+    sent = here.service.gateway.request_log.attempts
     assert sent == bool(before)
     assert here.service.gateway.scheduler.next_due() > (here.loop.now + 0.2) * SECOND  # no timer sees to it
     slow.theirs.send(b"x")
@@ -450,7 +450,7 @@
     client.close()
     end_stands(side)
     here.loop.settle()
-    assert here.service.gateway.ledger.legs == sent and not here.open
+    assert here.service.gateway.request_log.attempts == sent and not here.open
 
 
 def test_an_attempt_that_waits_for_its_connection_is_not_written_for_a_client_that_left_in_a_long_turn(shop):
@@ -462,7 +462,7 @@
     here.loop.turn()
     dispatcher = here.service.gateway.nodes
     here.loop.runUntilCurrent()  # the dial begins, and its connection is open in the system at once
-    assert here.service.gateway.ledger.legs == 1 and dispatcher.dials
+    assert here.service.gateway.request_log.attempts == 1 and dispatcher.dials
     client.sendall(PING)  # the end stands behind bytes, so one turn does not bring it
     client.close()
     end_stands(side)
@@ -494,7 +494,7 @@
     client.sendall(read(1, d=60_000))
     stands(side.transport.fileno(), select.POLLIN)
     here.loop.turn()
-    assert here.service.gateway.ledger.legs == 1
+    assert here.service.gateway.request_log.attempts == 1
 
 
 def test_what_may_stand_unread_is_as_old_as_the_third_last_poll_that_came_back_at_once():
@@ -535,22 +535,22 @@
         else:
             peer.transport.write(end)
     shop.run(5)
-    assert len(shop.node.commands) == 1 and shop.service.gateway.ledger.legs == 1
+    assert len(shop.node.commands) == 1 and shop.service.gateway.request_log.attempts == 1
 
 
 def test_requests_of_a_client_that_left_do_not_take_each_others_place():
     """Guards against a waiting request that begins because another one of the same departure is reported first."""
     shop = Shop(reply=lambda words: None)
-    ledger = shop.service.gateway.ledger
+    ledger = shop.service.gateway.request_log
     client = shop.client()
     client.say(b"".join(read(i, d=60_000) for i in range(1, 33)))
     while not ledger.open:
         shop.run(0.00001)
-    begun = ledger.legs
+    begun = ledger.attempts
     assert begun and ledger.open == 32 and not shop.node.commands  # connections are not up yet
     next(iter(shop.service.front.fronts)).transport.abortConnection()
     shop.run(1)
-    assert ledger.legs == begun and not ledger.open and not shop.node.commands
+    assert ledger.attempts == begun and not ledger.open and not shop.node.commands
 
 
 def test_an_id_belongs_to_the_request_that_holds_it_now():
--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -305,7 +305,7 @@
             assert self.shop.over == [1], "it did not end before its kill"
         else:
             self.network.advance(LAST)
-            assert not self.shop.service.gateway.ledger.open
+            assert not self.shop.service.gateway.request_log.open
         self.shutdowns_are_noted()
         self.no_attempt_begins_after_its_client_left()
         self.what_is_held_is_counted()
@@ -392,11 +392,11 @@
 
 
 def leaves_only_what_was_sent_on(monkeypatch):
-    whole = Gateway.leave_all
+    whole = Gateway.cancel_all
     monkeypatch.setattr(
         Gateway,
-        "leave_all",
-        lambda self, jobs: whole(self, [job for job in jobs if self.tasks[job].attempt is not None]),
+        "cancel_all",
+        lambda self, jobs: whole(self, [job for job in jobs if self.in_flight[job].attempt is not None]),
     )
 
 
@@ -410,7 +410,7 @@
         front.commands.feed(data)
         while (words := front.commands.next()) is not None:
             if len(words) > 1:
-                front.gateway.take(asked(words, front.factory.kinds, now_ns(front.clock)), front)
+                front.gateway.submit(asked(words, front.factory.kinds, now_ns(front.clock)), front)
 
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -683,7 +683,7 @@
     ]
     for kind in kinds:
         house.open().send("GET", "/f", seconds=0.01, **kind)
-    assert house.yard.gateway.ledger.open == 5 and not house.door.waiting
+    assert house.yard.gateway.request_log.open == 5 and not house.door.waiting
 
 
 # --- bodies that break ---
@@ -754,7 +754,7 @@
         status, headers, _ = client.ask("GET", "/f", seconds=1)
         assert status == 502 and "etag" not in headers
     house.store.objects[key] = b"0123456789"
-    assert client.ask("GET", "/f")[2] == b"0123456789" and house.yard.gateway.ledger.open == 0
+    assert client.ask("GET", "/f")[2] == b"0123456789" and house.yard.gateway.request_log.open == 0
 
 
 def test_a_body_that_comes_after_its_clients_time_is_told_so_and_runs_nothing(house, client):
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -245,9 +245,9 @@
 
 def ends(watch, ending, sent, now, node=2, number=1):
     story = RequestRecord(number, 0, 0, 1, 1.0, sent, now + SECOND, now + SECOND, "t")
-    watch.books.take(story)
-    watch.books.send(number, 0, node, sent)
-    leg = story.legs[0]
+    watch.books.add(story)
+    watch.books.attempt_sent(number, 0, node, sent)
+    leg = story.attempts[0]
     leg.ending, leg.took = ending, now - sent
     watch.leg_over(story, leg, now)
     return watch.zones.own.nodes.get(node)
@@ -307,9 +307,9 @@
 
 class Beside:
     def __init__(self, name):
-        self.name, self.ledger, self.legs_over, self.bounds = name, RequestLog(), [], {}
+        self.name, self.request_log, self.attempt_observers, self.bounds = name, RequestLog(), [], {}
 
-    def bounds_came(self, bounds):
+    def node_rates_received(self, bounds):
         self.bounds = dict(bounds)
 
 
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -59,11 +59,11 @@
             self.gateway, ["read"], most, largest, lambda volume, plan: self.may,
             lambda: now_ns(self.yard.network),
         )  # fmt: skip
-        self.gateway.copies = self.copies
+        self.gateway.object_cache = self.copies
 
     @property
     def legs(self):
-        return self.gateway.ledger.legs
+        return self.gateway.request_log.attempts
 
     def ask(self, wire, number, key=5, **more):
         self.yard.ask(wire, number, key=key, **more)
@@ -93,11 +93,11 @@
     yard.yard.network.advance(0.005)
     assert yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
     # It counts as other jobs do, and its story is told once.
-    assert yard.gateway.ledger.closings[RequestOutcome.FULFILLED] == 2 and not yard.gateway.tasks
-    assert [(each.closing, len(each.legs)) for each in yard.yard.stories] == [
-        (RequestOutcome.FULFILLED, n) for n in (1, 0)
+    assert yard.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not yard.gateway.in_flight
+    assert [(each.outcome, len(each.attempts)) for each in yard.yard.stories] == [
+        (RequestOutcome.SERVED, n) for n in (1, 0)
     ]
-    assert yard.gateway.ledger.open == 0 and not yard.gateway.ledger.jobs
+    assert yard.gateway.request_log.open == 0 and not yard.gateway.request_log.requests
 
 
 def test_what_makes_two_reads_the_same(make):
@@ -119,11 +119,11 @@
     for wire in wires:
         yard.ask(wire, 1)
         yard.yard.run(0.01)
-    assert yard.legs == 1 and yard.gateway.ledger.open == 4
+    assert yard.legs == 1 and yard.gateway.request_log.open == 4
     held.pop()()
     yard.yard.run(0.3)
     assert [yard.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
-    assert yard.gateway.ledger.closings[RequestOutcome.FULFILLED] == 4 and not yard.gateway.tasks
+    assert yard.gateway.request_log.outcomes[RequestOutcome.SERVED] == 4 and not yard.gateway.in_flight
     assert yard.read(wires[0], 2) == BIG and yard.legs == 1
 
 
@@ -160,7 +160,10 @@
     held.pop()()
     yard.yard.run(0.3)
     assert [yard.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
-    assert yard.gateway.ledger.closings[RequestOutcome.CLIENT_GONE] == 1 and yard.gateway.ledger.open == 0
+    assert (
+        yard.gateway.request_log.outcomes[RequestOutcome.CLIENT_CLOSED] == 1
+        and yard.gateway.request_log.open == 0
+    )
 
 
 def test_nodes_that_never_answer_leave_each_job_its_one_answer_in_time(make):
@@ -171,7 +174,7 @@
         yard.yard.run(0.1)
     yard.yard.run(2.0)
     ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
-    assert ends == [1, 1, 1] and yard.gateway.ledger.open == 0 and not yard.copies.waits
+    assert ends == [1, 1, 1] and yard.gateway.request_log.open == 0 and not yard.copies.waits
 
 
 def test_an_answer_that_breaks_off_is_no_copy_and_ends_those_who_shared_it(make):
@@ -191,9 +194,9 @@
     wires[0].transport.loseConnection()
     yard.yard.run(0.1)
     assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
-    closings = yard.gateway.ledger.closings
-    assert closings[RequestOutcome.WRITTEN_OFF] == 2 and not closings[RequestOutcome.FULFILLED]
-    assert not yard.copies.held and not yard.gateway.tasks and not yard.copies.readers
+    closings = yard.gateway.request_log.outcomes
+    assert closings[RequestOutcome.FAILED] == 2 and not closings[RequestOutcome.SERVED]
+    assert not yard.copies.held and not yard.gateway.in_flight and not yard.copies.readers
 
 
 def test_a_write_drops_the_copy_and_bars_the_fetch_under_way(make):
@@ -327,7 +330,7 @@
     slow = len(yard.copies.readers)
     assert 30 < slow < 39  # each has one piece written at most, however much it asked for
     assert yard.copies.drop(ALL) == 1 and not yard.copies.readers
-    assert yard.gateway.ledger.closings[RequestOutcome.WRITTEN_OFF] == slow and not yard.gateway.tasks
+    assert yard.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not yard.gateway.in_flight
     wire.transport.resumeProducing()
     yard.yard.run(0.5)
     assert len(wire.told(m.RequestFailed)) == slow
@@ -349,10 +352,12 @@
     copies = Copies(Desk(), ["read"], 1 << 22, 4000, lambda volume, plan: True, lambda: 0)
 
     def read(job, key):
-        through = copies.came(job, Request("read", "p", 1, SECOND, 0, key, 1.0, 0), False, 9, Asker())
+        through = copies.request_received(
+            job, Request("read", "p", 1, SECOND, 0, key, 1.0, 0), False, 9, Asker()
+        )
         if through is not None:
-            through.fulfilled(job, 3, 0)
-            through.piece(job, b"old")
+            through.served(job, 3, 0)
+            through.body_chunk(job, b"old")
         return through is not None
 
     assert all(read(key, key) for key in range(600)) and not read(600, 1)
@@ -383,7 +388,7 @@
 def test_a_drain_waits_for_those_who_share_a_fetch(make):
     held, left = [], []
     yard = make(serving(lambda: b"lesson", hold=held))
-    yard.gateway.left.append(lambda: left.append(1))
+    yard.gateway.on_drained.append(lambda: left.append(1))
     wires = [yard.yard.client() for _ in range(2)]
     for wire in wires:
         yard.ask(wire, 1)
@@ -402,7 +407,7 @@
     copies = Copies(
         gateway, ["read"], 1 << 20, 400_000, lambda volume, plan: True, lambda: now_ns(house.yard.network)
     )
-    gateway.copies = copies
+    gateway.object_cache = copies
     client, whole = house.open(), bytes(range(256)) * 600  # longer than two frames
     client.send("PUT", "/song", whole)
     assert client.next()[0] == 201
@@ -419,7 +424,7 @@
     client.send("PUT", "/song", b"another")
     assert client.next()[0] == 204
     client.send("GET", "/song")
-    assert client.next()[2] == b"another" and not gateway.tasks and not copies.readers
+    assert client.next()[2] == b"another" and not gateway.in_flight and not copies.readers
 
 
 def test_without_copies_the_gateway_is_as_it_was_and_never_loads_the_room():
@@ -433,19 +438,19 @@
     def __init__(self):
         self.answered, self.over, self.sent = {}, {}, {}
 
-    def fulfil(self, job):
+    def answer_from_cache(self, job):
         assert job not in self.answered
         self.answered[job] = "copy or shared"
         return True
 
-    def send_on(self, job, asker):
+    def forward(self, job, asker):
         self.sent[job] = asker
 
-    def finish(self, job, whole):
+    def finish_cached(self, job, whole):
         assert job not in self.over
         self.over[job] = whole
 
-    def grant(self, job, size):
+    def grant_credit(self, job, size):
         pass
 
 
@@ -453,19 +458,19 @@
     def __init__(self):
         self.got, self.told = b"", []
 
-    def fulfilled(self, job, size, shard):
+    def served(self, job, size, shard):
         self.told.append("fulfilled")
 
-    def piece(self, job, data):
+    def body_chunk(self, job, data):
         self.got += data
 
-    def broke_off(self, job):
+    def aborted(self, job):
         self.told.append("broke off")
 
-    def denied(self, job, come_back):
+    def rejected(self, job, retry_after):
         self.told.append("denied")
 
-    def written_off(self, job):
+    def failed(self, job):
         self.told.append("written off")
 
 
@@ -505,7 +510,7 @@
         asker, job = Asker(), self.number
         self.asked[job] = (volume, key, self.now, asker)
         request = Request("read", "p", volume, SECOND, self.now, key, 1.0, 0)
-        if (through := self.copies.came(job, request, False, self.now + 50, asker)) is not None:
+        if (through := self.copies.request_received(job, request, False, self.now + 50, asker)) is not None:
             self.out[job] = (through, self.now)
         self._tick()
 
@@ -514,9 +519,9 @@
         self._tick()
         self.number += 1
         request = Request("mark", "p", volume, SECOND, self.now, key, 1.0, 0)
-        self.copies.came(self.number, request, True, self.now + 50, Asker())
+        self.copies.request_received(self.number, request, True, self.now + 50, Asker())
         self.written[volume, key] = self.now
-        self.copies.over(self.number, True)
+        self.copies.request_finished(self.number, True)
         self._tick()
 
     @rule()
@@ -530,22 +535,26 @@
         job = list(self.out)[which % len(self.out)]
         asker, began = self.out.pop(job)
         if how == "denied":
-            asker.denied(job, 0)
+            asker.rejected(job, 0)
         else:
             data = b"%d" % began
-            asker.fulfilled(job, len(data), 0)
+            asker.served(job, len(data), 0)
             if how == "fulfilled":
-                asker.piece(job, data)
+                asker.body_chunk(job, data)
             else:
-                asker.broke_off(job)
-        self.copies.over(job, True)
+                asker.aborted(job)
+        self.copies.request_finished(job, True)
         self._tick()
 
     @rule(which=st.integers(0, 50))
     def leave(self, which):
         if self.asked:
             job = list(self.asked)[which % len(self.asked)]
-            if job not in self.desk.over and not self.asked[job][3].told and self.copies.left(job):
+            if (
+                job not in self.desk.over
+                and not self.asked[job][3].told
+                and self.copies.request_cancelled(job)
+            ):
                 self.desk.over[job] = False
         self._tick()
 
@@ -611,13 +620,20 @@
 class JoinsAcross(Copies):
     """The mistake of a join that knows nothing of the purge between."""
 
-    def came(self, job, request, write, due, asker):
+    def request_received(self, job, request, write, due, asker):
         fetch = self.fetches.get(
-            Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
+            Key(
+                request.request_class,
+                request.tenant,
+                request.volume,
+                request.key,
+                request.shard,
+                request.units,
+            )
         )
         if fetch is not None and self._joins(fetch, _Waiting(job, request, due, asker, 0)):
             return None
-        return super().came(job, request, write, due, asker)
+        return super().request_received(job, request, write, due, asker)
 
 
 class HoldsAcross(Copies):
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -45,10 +45,10 @@
     def __init__(self, name):
         self.name = name
         self.bounds = []
-        self.ledger = RequestLog()
-        self.legs_over = []
+        self.request_log = RequestLog()
+        self.attempt_observers = []
 
-    def bounds_came(self, bounds):
+    def node_rates_received(self, bounds):
         self.bounds.append(dict(bounds))
 
 
@@ -502,11 +502,11 @@
     assert zones.nodes == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
 
     def leg(job, node, sent, ended=None, ending=Ending.SERVED):
-        if job not in books.jobs:
-            books.take(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
-        story = books.send(job, len(books.jobs[job].legs), node, sent)
+        if job not in books.requests:
+            books.add(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
+        story = books.attempt_sent(job, len(books.requests[job].attempts), node, sent)
         if ended is not None:
-            watch.leg_over(*books.ended(job, story.legs[-1].number, ending, "", ended), ended)
+            watch.leg_over(*books.attempt_ended(job, story.attempts[-1].number, ending, "", ended), ended)
         return story
 
     now = 100 * SECOND
@@ -519,7 +519,7 @@
     for beat in range(3):
         watch.turn(now + 300 * MS + beat * 250 * MS)
     assert zones.own.nodes[2].run == 1
-    watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
+    watch.leg_over(*books.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
     assert zones.own.nodes[2].run == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
     assert zones.own.nodes[2].run == 2
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -51,16 +51,16 @@
     def __init__(self):
         self.sent = {}
 
-    def fulfil(self, job):
+    def answer_from_cache(self, job):
         return True
 
-    def send_on(self, job, asker):
+    def forward(self, job, asker):
         self.sent[job] = asker
 
-    def finish(self, job, whole):
+    def finish_cached(self, job, whole):
         pass
 
-    def grant(self, job, size):
+    def grant_credit(self, job, size):
         pass
 
 
@@ -70,17 +70,17 @@
     def __init__(self, world, edge, volume):
         self.world, self.edge, self.volume, self.asked, self.got = world, edge, volume, world.true, None
 
-    def fulfilled(self, job, size, shard):
+    def served(self, job, size, shard):
         pass
 
-    def piece(self, job, data):
+    def body_chunk(self, job, data):
         self.got = int(data)
         self.world.answered.append((self, self.world.true, self.got))
 
-    def broke_off(self, job):
+    def aborted(self, job):
         pass
 
-    denied = written_off = broke_off
+    rejected = failed = aborted
 
 
 class Edge:
@@ -195,7 +195,7 @@
         world.jobs += 1
         reader, job = Reader(world, self, volume), world.jobs
         request = Request("read", "p", volume, SECOND, 0, 1, 1.0, 0)
-        through = self.copies.came(job, request, False, 1 << 60, reader)
+        through = self.copies.request_received(job, request, False, 1 << 60, reader)
         if through is not None:
             self.out[job] = (through, world.true)
         return reader
@@ -203,9 +203,9 @@
     def end(self, job):
         asker, began = self.out.pop(job)
         data = b"%d" % began
-        asker.fulfilled(job, len(data), 0)
-        asker.piece(job, data)
-        self.copies.over(job, True)
+        asker.served(job, len(data), 0)
+        asker.body_chunk(job, data)
+        self.copies.request_finished(job, True)
         for other, through in self.desk.sent.items():
             self.out[other] = (through, self.world.true)
         self.desk.sent.clear()
@@ -986,16 +986,18 @@
 class JoinsAcross(Copies):
     """The mistake of a fetch that is joined across the moment."""
 
-    def came(self, job, request, write, due, asker):
-        key = Key(request.product, request.plan, request.volume, request.key, request.shard, request.units)
+    def request_received(self, job, request, write, due, asker):
+        key = Key(
+            request.request_class, request.tenant, request.volume, request.key, request.shard, request.units
+        )
         fetch = self.fetches.get(key)
         if (
             fetch is not None
-            and self.may(request.volume, request.plan)
+            and self.may(request.volume, request.tenant)
             and self._joins(fetch, _Waiting(job, request, due, asker, 0))
         ):
             return None
-        return super().came(job, request, write, due, asker)
+        return super().request_received(job, request, write, due, asker)
 
 
 class HoldsAcross(Copies):
@@ -1104,7 +1106,7 @@
             epoch_ms=lambda: round(CLOSE.timestamp() * 1000) - 1000 * BEFORE_CLOSE + self.ms(),
         )  # fmt: skip
         daemon.start()
-        daemon.gateway.list_came(
+        daemon.gateway.endpoint_list_received(
             ListKind.FULL, [NodeEntry(70, 0, 0, Health.READY, 0)], {70: ("127.0.0.1", self.node.port)}
         )
         self.daemons[name] = daemon
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
     yard.ask(client)
     yard.run()
     assert [type(each).__name__ for each, _ in client.got] == ["Hello", "RequestServed", "BodyChunk"]
-    assert client.got[2][1] == b"data" and yard.stories[0].closing is RequestOutcome.FULFILLED
+    assert client.got[2][1] == b"data" and yard.stories[0].outcome is RequestOutcome.SERVED
 
 
 def test_a_silent_node_gets_an_answer_before_the_clients_timeout(make_yard):
@@ -36,7 +36,9 @@
     yard.ask(client, product="bind", key=5, timeout_ms=700)
     yard.run(0.701)
     assert [type(each) for each, _ in client.got[1:]] == [m.RequestFailed]
-    assert yard.stories[0].legs[0].ending is Ending.TIMEOUT and yard.nodes[0].wires[0].told(m.CancelAttempt)
+    assert yard.stories[0].attempts[0].ending is Ending.TIMEOUT and yard.nodes[0].wires[0].told(
+        m.CancelAttempt
+    )
 
 
 def test_a_second_answer_breaks_the_nodes_connection_and_reaches_no_client(make_yard):
@@ -82,8 +84,8 @@
     }
     assert told == {1: m.RequestFailed, 2: m.RequestServed}
     assert yard.nodes[0].wires[0].told(m.ErrorNotice)[0].code == code
-    first = next(story for story in yard.stories if story.product == 2)
-    assert first.legs[0].ending is Ending.RESET
+    first = next(story for story in yard.stories if story.request_class == 2)
+    assert first.attempts[0].ending is Ending.RESET
 
 
 def test_answers_one_byte_at_a_time_are_whole(make_yard):
@@ -118,7 +120,7 @@
     client = yard.client()
     yard.ask(client, product="bind", key=9, timeout_ms=600)
     yard.run(5)
-    assert yard.nodes[0].wires[0].lost and not yard.gateway.tasks
+    assert yard.nodes[0].wires[0].lost and not yard.gateway.in_flight
 
 
 def test_a_node_that_stops_reading_stalls_only_its_own_leg(make_yard):
@@ -141,7 +143,10 @@
     assert connection.transport.on_way_size < 4 * m.MAX_BODY  # the body waits in the spool, not in memory
     yard.run()
     # Nothing can have run, for the node never had the whole leg: it is denied, not written off.
-    assert client.told(m.RequestRejected)[0].id == 1 and yard.stories[-1].legs[0].ending is Ending.UNREACHABLE
+    assert (
+        client.told(m.RequestRejected)[0].id == 1
+        and yard.stories[-1].attempts[0].ending is Ending.UNREACHABLE
+    )
 
 
 def test_a_long_answer_keeps_to_its_window_while_the_client_does_not_read(make_yard):
@@ -166,7 +171,7 @@
     client.transport.resumeProducing()
     yard.run()
     assert sum(len(body) for _, body in client.got) == 8 << 20
-    assert yard.stories[0].closing is RequestOutcome.FULFILLED
+    assert yard.stories[0].outcome is RequestOutcome.SERVED
 
 
 def test_an_answer_that_breaks_off_is_told_as_written_off(make_yard):
@@ -185,8 +190,8 @@
         "RequestFailed",
     ]
     assert (
-        yard.stories[0].closing is RequestOutcome.WRITTEN_OFF
-        and yard.stories[0].legs[0].ending is Ending.RESET
+        yard.stories[0].outcome is RequestOutcome.FAILED
+        and yard.stories[0].attempts[0].ending is Ending.RESET
     )
 
 
@@ -260,7 +265,7 @@
     client.say(m.CancelRequest(id=1))
     yard.run()
     assert [type(each) for each, _ in client.got[1:]] == [m.RequestCancelled]
-    assert yard.stories[0].closing is RequestOutcome.CLIENT_GONE and not yard.gateway.tasks
+    assert yard.stories[0].outcome is RequestOutcome.CLIENT_CLOSED and not yard.gateway.in_flight
 
 
 def test_clients_that_vanish_leave_their_jobs(make_yard):
@@ -271,9 +276,9 @@
     yard.run(0.05)
     client.transport.abortConnection()
     yard.run()
-    assert [story.closing for story in yard.stories] == [
-        RequestOutcome.CLIENT_GONE
-    ] * 5 and not yard.gateway.tasks
+    assert [story.outcome for story in yard.stories] == [
+        RequestOutcome.CLIENT_CLOSED
+    ] * 5 and not yard.gateway.in_flight
 
 
 def test_a_loop_that_stood_still_gives_no_answer_after_the_clients_timeout(make_yard):
@@ -282,11 +287,11 @@
     client = yard.client()
     yard.run(0.1)
     now = round(yard.network.seconds() * SECOND)
-    assert yard.gateway.lateness.timer_came(now - 300 * MS, now)
+    assert yard.gateway.event_loop_lag.timer_fired(now - 300 * MS, now)
     yard.ask(client, 1, product="bind", key=3, timeout_ms=600)
     yard.run(0.31)
     assert client.told(m.RequestFailed)[0].id == 1  # in time even if it was sent 300 ms before it was read
-    yard.gateway.lateness.turned()
+    yard.gateway.event_loop_lag.iteration_finished()
     yard.ask(client, 2, product="bind", key=4, timeout_ms=600)
     yard.run(0.31)
     assert len(client.told(m.RequestFailed)) == 1
@@ -296,7 +301,7 @@
     yard = make_yard(silent)
     client = yard.client()
     left = []
-    yard.gateway.left.append(lambda: left.append(yard.network.seconds()))
+    yard.gateway.on_drained.append(lambda: left.append(yard.network.seconds()))
     yard.ask(client, 1, product="bind", key=2, timeout_ms=800)
     yard.run(0.1)
     yard.gateway.drain()
@@ -324,10 +329,10 @@
     client = yard.client()
     yard.ask(client, product="bind", key=1)
     yard.run()
-    assert client.told(m.RequestRejected) and yard.stories[0].legs[0].ending is Ending.UNREACHABLE
+    assert client.told(m.RequestRejected) and yard.stories[0].attempts[0].ending is Ending.UNREACHABLE
     mute = make_node(yard.network, silent, hello=False)
     yard.gateway.addresses[70] = ("127.0.0.1", mute.port)
     yard.run(5)
     yard.ask(client, 2, product="bind", key=1)
     yard.run()
-    assert yard.stories[1].legs[0].why.startswith("the dial, the node's hello")
+    assert yard.stories[1].attempts[0].reason.startswith("the dial, the node's hello")
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -107,7 +107,7 @@
         client.settimeout(60)
         client.connect(("127.0.0.1", loop.port))
         client.sendall(b"".join(read(number, d=60_000) for number in range(30)))
-        loop.until(lambda: len(loop.node.commands) == 30 and not loop.service.gateway.ledger.open)
+        loop.until(lambda: len(loop.node.commands) == 30 and not loop.service.gateway.request_log.open)
         (front,) = loop.front.fronts
         assert front.transport._tempDataLen or front.transport.dataBuffer, "the kernel could not take it all"
         stands, seconds = loop.reactor.seconds(), loop.reactor.seconds
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -38,13 +38,15 @@
             values, 7, self.network, lambda dispatcher, line, address: self.dials.append(line), "n0", decisions=Clerk,
             limits=PoolLimits(attempts=1, connections=9, dials=9, idle=10 * SECOND),
         )  # fmt: skip
-        self.gateway.list_came(ListKind.FULL, [NodeEntry(7, 0, 0, Health.READY, 0)], {7: ("h", 1)})
+        self.gateway.endpoint_list_received(
+            ListKind.FULL, [NodeEntry(7, 0, 0, Health.READY, 0)], {7: ("h", 1)}
+        )
 
     def now(self):
         return round(self.network.seconds() * SECOND)
 
     def request(self):
-        self.gateway.take(
+        self.gateway.submit(
             Request("mark", "p0", 5, 2 * SECOND, self.now(), key=9, shard=0, units=2.0), self.asker
         )
 
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -730,7 +730,7 @@
             self.network.advance(WAY)
         else:
             self.network.advance(LAST)
-            assert not self.world.service.gateway.ledger.open
+            assert not self.world.service.gateway.request_log.open
         attempted = self.by_request()
         self.nothing_is_written_to_a_connection_that_ends()
         self.attempts_begin_in_time()
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -490,7 +490,7 @@
     for _ in range(3000):
         play.network.advance(0.01)
         assert entry() in (old, at)
-    assert entry() == at and not first.gateway.leaving.takes()
+    assert entry() == at and not first.gateway.shutdown.accepts_requests()
 
 
 def test_a_lost_lease_makes_the_address_the_last_choice_and_stops_nothing(served):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -239,7 +239,7 @@
         bad.say(BAD[code])
     shop.run(2.9)
     assert bad.got.startswith(b"-ERR " + code.encode()) and bad.got.count(b"\r\n") == 1 and bad.ended
-    assert not shop.node.commands and not shop.service.gateway.ledger.jobs
+    assert not shop.node.commands and not shop.service.gateway.request_log.requests
     usual.say(read(5))
     shop.run(0.5)
     assert usual.got == b"+PONG\r\n" + value(5)
@@ -315,7 +315,7 @@
     shop.network.now += 30
     shop.run(0.1)
     assert client.got == b"-ERR failed\r\n" * 2 and not client.ended
-    assert not shop.service.front.open_ids and not shop.service.gateway.ledger.jobs
+    assert not shop.service.front.open_ids and not shop.service.gateway.request_log.requests
     client.say(b"*1\r\n$4\r\nPING\r\n")
     shop.run(0.1)
     assert client.got.endswith(b"+PONG\r\n")
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -212,13 +212,13 @@
             decisions=Clerk, limits=PoolLimits(attempts=1, connections=9, dials=9, idle=SECOND),
         )  # fmt: skip
         entry = NodeEntry(7, 0, 0, Health.READY, 0)
-        self.gateway.list_came(ListKind.FULL, [entry], {7: ("h", 1)})
+        self.gateway.endpoint_list_received(ListKind.FULL, [entry], {7: ("h", 1)})
         self.scheduler = self.gateway.scheduler
         self.asker = Nobody()
 
     def take(self):
         now = round(self.network.seconds() * SECOND)
-        return self.gateway.take(Request("read", "p0", 5, 2 * SECOND, now, shard=0, units=2.0), self.asker)
+        return self.gateway.submit(Request("read", "p0", 5, 2 * SECOND, now, shard=0, units=2.0), self.asker)
 
     def came(self, line):
         wire = Wire(line)
@@ -240,7 +240,7 @@
     branch.network.advance(0.02)
     attempt = next(iter(branch.gateway.nodes.out.values()))
     branch.gateway.nodes.answered(wire, attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
-    assert branch.asker.answers == ["fulfilled"]
+    assert branch.asker.answers == ["served"]
     assert branch.scheduler.ends[0].took == pytest.approx(20 * MS, abs=MS)
 
 
@@ -249,7 +249,7 @@
     """Guards against giving up a dial where nobody else has the data, and against staying where others have it."""
     branch = Branch()
     entries = [NodeEntry(7 + i, 0, 0, Health.READY, 0) for i in range(holders)]
-    branch.gateway.list_came(ListKind.FULL, entries, {entry.node: ("h", 1) for entry in entries})
+    branch.gateway.endpoint_list_received(ListKind.FULL, entries, {entry.node: ("h", 1) for entry in entries})
     branch.take()
     branch.network.advance(0.27)  # the settings give a dial 250 ms, the job is promised 300 ms
     assert [end.ending for end in branch.scheduler.ends] == ends
@@ -264,7 +264,7 @@
     before = branch.teaching()
     branch.network.advance(0.1)
     left = [NodeEntry(7, 0, 0, health, 0)] if kind is ListKind.DELTA or health is Health.DRAINING else []
-    branch.gateway.list_came(kind, [*left, NodeEntry(8, 0, 0, Health.READY, 0)], {8: ("h", 2)})
+    branch.gateway.endpoint_list_received(kind, [*left, NodeEntry(8, 0, 0, Health.READY, 0)], {8: ("h", 2)})
     assert [end.ending for end in branch.scheduler.ends] == [Ending.MOOT] and branch.teaching() == before
     late = branch.dialled[0]
     assert branch.came(late).sent == []
@@ -277,7 +277,7 @@
     """Guards against attempts sent for nobody, and against bursts of leaving clients that look like a shut node."""
     branch = Branch()
     before = branch.teaching()
-    branch.gateway.leave(branch.take())
+    branch.gateway.cancel(branch.take())
     assert branch.scheduler.ends[0].ending is Ending.MOOT and not branch.gateway.nodes.out
     assert branch.teaching() == before and not branch.scheduler.requests
     assert branch.came(branch.dialled[0]).sent == []
@@ -438,6 +438,6 @@
     rude.transport.abortConnection()
     shop.run(0.05)
     front, gateway = shop.service.front, shop.service.gateway
-    assert not front.fronts and not front.open_ids and not gateway.ledger.open
+    assert not front.fronts and not front.open_ids and not gateway.request_log.open
     shop.run(5.0)
-    assert not gateway.ledger.jobs and not gateway.nodes.out and not gateway.scheduler.requests
+    assert not gateway.request_log.requests and not gateway.nodes.out and not gateway.scheduler.requests
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -181,47 +181,44 @@
 
 def test_a_job_is_answered_once_and_never_after_its_client_gave_up():
     books = RequestLog()
-    books.take(story(1))
-    books.take(story(2))
-    assert books.answer(1, RequestOutcome.DENIED, 500) and not books.answer(
-        1, RequestOutcome.WRITTEN_OFF, 501
-    )
+    books.add(story(1))
+    books.add(story(2))
+    assert books.settle(1, RequestOutcome.REJECTED, 500) and not books.settle(1, RequestOutcome.FAILED, 501)
     assert (
-        books.answer(2, RequestOutcome.WRITTEN_OFF, 1001) is None
-        and books.closings[RequestOutcome.TOO_LATE] == 1
+        books.settle(2, RequestOutcome.FAILED, 1001) is None and books.outcomes[RequestOutcome.TOO_LATE] == 1
     )
-    assert books.open == 0 and books.answer(3, RequestOutcome.DENIED, 0) is None
+    assert books.open == 0 and books.settle(3, RequestOutcome.REJECTED, 0) is None
 
 
 def test_a_job_with_a_leg_out_stays_in_the_books_until_it_ends():
     books = RequestLog()
-    books.take(one := story())
-    books.send(1, 0, 70, 10)
-    books.answer(1, RequestOutcome.CLIENT_GONE, 20)
-    assert not books.forget(one) and books.send(1, 1, 70, 30) is None
-    books.ended(1, 0, Ending.TIMEOUT, "why", 40)
-    assert books.forget(one) and not books.forget(one) and not books.jobs
+    books.add(one := story())
+    books.attempt_sent(1, 0, 70, 10)
+    books.settle(1, RequestOutcome.CLIENT_CLOSED, 20)
+    assert not books.remove_finished(one) and books.attempt_sent(1, 1, 70, 30) is None
+    books.attempt_ended(1, 0, Ending.TIMEOUT, "why", 40)
+    assert books.remove_finished(one) and not books.remove_finished(one) and not books.requests
 
 
 @pytest.mark.parametrize("call", [
-    lambda books: books.take(story()),
-    lambda books: books.send(1, 2, 70, 0),
-    lambda books: books.ended(1, 0, Ending.ERROR, "", 0),
-    lambda books: books.ended(9, 0, Ending.ERROR, "", 0),
+    lambda books: books.add(story()),
+    lambda books: books.attempt_sent(1, 2, 70, 0),
+    lambda books: books.attempt_ended(1, 0, Ending.ERROR, "", 0),
+    lambda books: books.attempt_ended(9, 0, Ending.ERROR, "", 0),
 ])  # fmt: skip
 def test_what_is_not_booked_is_told(call):
     books = RequestLog()
-    books.take(story())
+    books.add(story())
     with pytest.raises(UnknownRequestError):
         call(books)
 
 
 def test_an_answer_that_breaks_off_counts_as_written_off():
     books = RequestLog()
-    books.take(one := story())
-    books.answer(1, RequestOutcome.FULFILLED, 5)
-    books.broke_off(one)
-    assert books.closings[RequestOutcome.FULFILLED] == 0 and books.closings[RequestOutcome.WRITTEN_OFF] == 1
+    books.add(one := story())
+    books.settle(1, RequestOutcome.SERVED, 5)
+    books.response_aborted(one)
+    assert books.outcomes[RequestOutcome.SERVED] == 0 and books.outcomes[RequestOutcome.FAILED] == 1
 
 
 # --- lateness, leaving, sampling ---
@@ -229,26 +226,35 @@
 
 def test_jobs_read_after_a_stall_are_taken_to_have_waited_for_it():
     late = EventLoopLag()
-    assert not late.timer_came(100 * MS, 102 * MS) and late.sent_at(102 * MS) == 102 * MS
-    assert late.timer_came(200 * MS, 500 * MS) and late.sent_at(500 * MS) == 200 * MS
-    late.turned()
-    assert late.sent_at(501 * MS) == 501 * MS and late.worst_since(400 * MS) == 300 * MS
+    assert not late.timer_fired(100 * MS, 102 * MS) and late.earliest_arrival(102 * MS) == 102 * MS
+    assert late.timer_fired(200 * MS, 500 * MS) and late.earliest_arrival(500 * MS) == 200 * MS
+    late.iteration_finished()
+    assert late.earliest_arrival(501 * MS) == 501 * MS and late.worst_since(400 * MS) == 300 * MS
     assert late.worst_since(600 * MS) == 0
 
 
 def test_a_gateway_leaves_with_its_last_job_or_its_last_client():
     leaving = GracefulShutdown()
-    assert leaving.takes() and leaving.begin(100, 500) and not leaving.begin(101, 900) and not leaving.takes()
-    assert not leaving.look(200, 1, 0) and not leaving.look(200, 0, 1)
-    assert leaving.look(500, 1, 1) and leaving.stage is ShutdownStage.LEFT and not leaving.look(501, 0, 0)
+    assert (
+        leaving.accepts_requests()
+        and leaving.begin(100, 500)
+        and not leaving.begin(101, 900)
+        and not leaving.accepts_requests()
+    )
+    assert not leaving.check_finished(200, 1, 0) and not leaving.check_finished(200, 0, 1)
+    assert (
+        leaving.check_finished(500, 1, 1)
+        and leaving.stage is ShutdownStage.LEFT
+        and not leaving.check_finished(501, 0, 0)
+    )
 
 
 def test_jobs_that_went_wrong_find_room_in_a_flooded_log():
     sampling = LogSampler(10)
-    assert sum(sampling.writes(True, 1) for _ in range(50)) == 5
-    assert sum(sampling.writes(False, 1) for _ in range(50)) == 5
+    assert sum(sampling.should_log(True, 1) for _ in range(50)) == 5
+    assert sum(sampling.should_log(False, 1) for _ in range(50)) == 5
     assert sampling.take_dropped() == 90 and sampling.take_dropped() == 0
-    assert sampling.writes(False, 1 + SECOND)
+    assert sampling.should_log(False, 1 + SECOND)
 
 
 # --- the list of nodes ---
--- a/tests/transcripts/test_capacity.py
+++ b/tests/transcripts/test_capacity.py
@@ -17,14 +17,14 @@
     """
     yard = yard_of(tap, make_yard, answer)
     client = yard.client()
-    yard.gateway.bounds_came({70: 2.0})  # units a second: three in the 1.5 s of the rule
+    yard.gateway.node_rates_received({70: 2.0})  # units a second: three in the 1.5 s of the rule
     for number in (1, 2, 3):
         yard.ask(client, number, units=2.0, timeout_ms=400)
         yard.run(0.6)
     yard.ask(client, 4, units=2.0, timeout_ms=400)
     yard.run(0.1)
     tap.note(yard.network, "the zone returns, and its nodes are bounded no more")
-    yard.gateway.bounds_came({})
+    yard.gateway.node_rates_received({})
     yard.ask(client, 5, units=2.0, timeout_ms=400)
     yard.run(0.5)
     assert tap.text(test_shard_that_only_a_left_zone_holds.__doc__) == snapshot(extension_class=Approved)
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -177,7 +177,7 @@
     yard.ask(client, 1, product="mark", key=1, shard=0)
     yard.run(0.01)
     tap.note(yard.network, "the list says that node 70 drains")
-    yard.gateway.list_came(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.DRAINING, 0)], {})
+    yard.gateway.endpoint_list_received(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.DRAINING, 0)], {})
     for number in (2, 3, 4):
         yard.ask(client, number, product="mark", key=number, shard=-1)
     yard.run()
@@ -404,12 +404,12 @@
     """A command whose time is over when the loop reads it, after a standstill, has an error line; its connection goes on."""
     shop = shop_of(tap)
     client = shop.client()
-    lateness = shop.service.gateway.lateness
+    lateness = shop.service.gateway.event_loop_lag
     now = round(shop.network.seconds() * SECOND)
-    lateness.timer_came(now - SECOND, now)
+    lateness.timer_fired(now - SECOND, now)
     client.say(read(1, d=500))
     shop.run(0.05)
-    lateness.turned()
+    lateness.iteration_finished()
     client.say(read(2))
     shop.run(0.5)
 
