--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,6 +1,8 @@
-"""Ten lines that embed the library: a gateway and its list on a virtual clock, one job and its end.
+"""Ten lines that embed the library: a gateway and its endpoint list on a virtual clock, one request and
+its outcome.
 
-The nodes and the list server are stand-ins of this project; for real ones hand in a reactor of Twisted.
+The storage nodes and the list server are emulators of this project; for real ones hand in a reactor of
+Twisted.
 """
 
 from ochrecourse import library
@@ -17,14 +19,14 @@
 
 # The ten lines.
 class Printer:
-    def job_over(self, gateway: library.Gateway, story: library.JobStory) -> None:
-        print(f"job {story.trace}: {story.closing.value}, legs {len(story.legs)}")
+    def request_finished(self, gateway: library.Gateway, record: library.RequestRecord) -> None:
+        print(f"job {record.trace}: {record.outcome.value}, legs {len(record.attempts)}")
 
 
 gateway = library.Gateway(values, 1, network, library.dialler(network), "mine", observers=[Printer()])
-told = lambda news: gateway.list_came(news.kind, news.entries, news.addresses)  # noqa: E731
-library.Follower("mine", network, where, told, None, 1).start()
+listed = lambda update: gateway.endpoint_list_received(update.kind, update.entries, update.addresses)  # noqa: E731
+library.ListServerWatcher("mine", network, where, listed, None, 1).start()
 network.advance(0.5)
 request = library.Request("page-read", "gold", 1, 10**9, round(network.now * 1e9), shard=0, trace="a")
-gateway.take(request, Client(gateway, nowhere, {1: "a"}))
+gateway.submit(request, Client(gateway, nowhere, {1: "a"}))
 network.advance(1.0)
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -1,33 +1,38 @@
-"""What programs of one's own may rely on: the gateway as a library, by these names. See docs/library.md.
+"""The gateway as a library: the names that other programs may rely on. See docs/library.md.
 
 `SURFACE` counts up when one of these names changes its meaning or goes; names that are added leave it. What
 is not named here may change with any version.
+
+The first part of `__all__` holds the current names. The rest are the names of earlier versions: they work as
+before and issue a `DeprecationWarning` where a program calls one or reads a field by one. Nothing behind this
+module knows them.
 """
 
 from __future__ import annotations
 
+import warnings
+from collections.abc import Callable, Mapping, Sequence
+from enum import Enum
+from pathlib import Path
+from typing import Any, ClassVar, Protocol, cast
+
+from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
+from ochrecourse.common.runtime import Clock, Network
 from ochrecourse.fleet.channel import Snapshot, Told
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused as AppendRefused
 from ochrecourse.fleet.part import Part, Tenant
-from ochrecourse.gateway.gateway import (
-    ResponseHandler as Asker,
-    BadRequestError as BadRequest,
-    Gateway,
-    RequestObserver as Observer,
-    Request,
-)
-from ochrecourse.common.request_records import (
-    RequestOutcome as Closing,
-    RequestRecord as JobStory,
-    AttemptRecord as LegStory,
-)
-from ochrecourse.gateway.request_body import RequestBody as Spool
-from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
+from ochrecourse.gateway import gateway as current
+from ochrecourse.gateway.gateway import BadRequestError, RequestObserver, ResponseHandler
+from ochrecourse.gateway.request_body import RequestBody
+from ochrecourse.interface import Decisions, Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.membership.list_server_watcher import ListServerWatcher as Follower
-from ochrecourse.membership.endpoint_list import EndpointListUpdate as News
+from ochrecourse.membership.endpoint_list import EndpointListUpdate
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.nodes.dispatcher import OpenConnection
 from ochrecourse.nodes.framed_connection import dialler
+from ochrecourse.nodes.pool import PoolLimits
+from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.settings.load import Refused, load, resolve
 from ochrecourse.settings.plain import plain_map
 
@@ -37,9 +42,12 @@
     "SURFACE",
     "AppendRefused",
     "Asker",
+    "AttemptRecord",
     "BadRequest",
+    "BadRequestError",
     "Closing",
     "Ending",
+    "EndpointListUpdate",
     "Entry",
     "Follower",
     "Gateway",
@@ -47,12 +55,18 @@
     "JobStory",
     "LegStory",
     "ListKind",
+    "ListServerWatcher",
     "News",
     "NodeEntry",
     "Observer",
     "Part",
     "Refused",
     "Request",
+    "RequestBody",
+    "RequestObserver",
+    "RequestOutcome",
+    "RequestRecord",
+    "ResponseHandler",
     "Snapshot",
     "Spool",
     "Stamp",
@@ -64,3 +78,299 @@
     "plain_map",
     "resolve",
 ]
+
+CALLER = 3  # stack level of the program that uses an old name: above the warning and the alias
+
+
+def _warn(old: str, new: str, further: int = 0) -> None:
+    """Issues the warning on the line of the program that used `old`; `further`: calls between it and here."""
+    warnings.warn(f"{old} is deprecated, use {new}", DeprecationWarning, stacklevel=CALLER + further)
+
+
+class _RenamedField:
+    """A field that is still read and written by its old name."""
+
+    def __init__(self, new: str) -> None:
+        self.new = new
+        self.old = ""
+
+    def __set_name__(self, owner: type, name: str) -> None:
+        self.old = f"{owner.__name__}.{name}"
+
+    def __get__(self, instance: object, owner: type | None = None) -> Any:
+        if instance is None:
+            return self
+        _warn(self.old, self.new)
+        return getattr(instance, self.new)
+
+    def __set__(self, instance: object, value: object) -> None:
+        _warn(self.old, self.new)
+        setattr(instance, self.new, value)
+
+
+def _new_keywords(owner: str, old_to_new: Mapping[str, str], named: dict[str, Any]) -> dict[str, Any]:
+    """The keywords of a call by their new names. An old name wins, for `dataclasses.replace` gives both."""
+    for old, new in old_to_new.items():
+        if old in named:
+            _warn(f"{owner}({old}=)", f"{new}=", further=1)
+            named[new] = named.pop(old)
+    return named
+
+
+# --- the gateway and its requests ---
+
+
+class Request(current.Request):
+    """A request of a client; see `gateway.Request`. `product` and `plan` are the old names of two fields."""
+
+    __slots__ = ()
+    _old_to_new: ClassVar[Mapping[str, str]] = {"product": "request_class", "plan": "tenant"}
+
+    product = _RenamedField("request_class")
+    plan = _RenamedField("tenant")
+
+    def __init__(self, *values: Any, **named: Any) -> None:
+        super().__init__(*values, **_new_keywords("Request", self._old_to_new, named))
+
+
+class Asker(Protocol):
+    """The old form of `ResponseHandler`, which `Gateway.take` still accepts.
+
+    Exactly one of `fulfilled`, `denied` and `written_off` is called, if any client is left. After `fulfilled`
+    come the pieces of the answer's body; `broke_off` says that the rest will not come.
+    """
+
+    def fulfilled(self, job: int, size: int, shard: int) -> None:
+        """The answer begins: its bytes, and the shard that holds the object."""
+
+    def piece(self, job: int, data: bytes) -> None:
+        """More of the answer's body."""
+
+    def broke_off(self, job: int) -> None:
+        """The rest of an answer that had begun will not come."""
+
+    def denied(self, job: int, come_back: int) -> None:
+        """The request is rejected; a retry may succeed after `come_back` ns, 0: not known."""
+
+    def written_off(self, job: int) -> None:
+        """The request failed."""
+
+
+class _AskerHandler:
+    """Calls an `Asker` as the `ResponseHandler` that the gateway knows."""
+
+    __slots__ = ("asker",)
+
+    def __init__(self, asker: Asker) -> None:
+        self.asker = asker
+
+    def served(self, job: int, size: int, shard: int) -> None:
+        """The answer begins."""
+        self.asker.fulfilled(job, size, shard)
+
+    def body_chunk(self, job: int, data: bytes) -> None:
+        """More of the answer's body."""
+        self.asker.piece(job, data)
+
+    def aborted(self, job: int) -> None:
+        """The rest of the answer will not come."""
+        self.asker.broke_off(job)
+
+    def rejected(self, job: int, come_back: int) -> None:
+        """The request is rejected."""
+        self.asker.denied(job, come_back)
+
+    def failed(self, job: int) -> None:
+        """The request failed."""
+        self.asker.written_off(job)
+
+
+class Gateway(current.Gateway):
+    """One host; see `gateway.Gateway`. Accepts the old calls, and observers of the old form."""
+
+    def __init__(
+        self,
+        values: Mapping[str, str],
+        seed: int,
+        clock: Clock,
+        open_connection: OpenConnection,
+        name: str,
+        travel: int = 0,
+        observers: Sequence[RequestObserver | Observer] = (),
+        decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler,
+        limits: PoolLimits | None = None,
+        unread_since: Callable[[], int] | None = None,
+    ) -> None:
+        super().__init__(
+            values, seed, clock, open_connection, name, travel, _current_observers(observers), decisions,
+            limits, unread_since
+        )  # fmt: skip
+
+    def list_came(
+        self, kind: ListKind, entries: Sequence[NodeEntry], addresses: Mapping[int, tuple[str, int]]
+    ) -> None:
+        """Old name of `endpoint_list_received`."""
+        _warn("Gateway.list_came", "Gateway.endpoint_list_received")
+        self.endpoint_list_received(kind, entries, addresses)
+
+    def take(self, request: current.Request, asker: Asker | ResponseHandler) -> int:
+        """Old name of `submit`; accepts an `Asker` too. Raises BadRequestError."""
+        _warn("Gateway.take", "Gateway.submit")
+        if not hasattr(asker, "served"):
+            return self.submit(request, _AskerHandler(asker))
+        return self.submit(request, cast("ResponseHandler", asker))
+
+    def leave(self, job: int) -> None:
+        """Old name of `cancel`."""
+        _warn("Gateway.leave", "Gateway.cancel")
+        self.cancel(job)
+
+    def room(self, job: int, size: int) -> None:
+        """Old name of `response_consumed`; `size` in bytes."""
+        _warn("Gateway.room", "Gateway.response_consumed")
+        self.response_consumed(job, size)
+
+
+BadRequest = BadRequestError  # the same class, so that either name catches what `submit` raises
+
+
+class Spool(RequestBody):
+    """Old name of `RequestBody`; `size` in bytes."""
+
+    came = _RenamedField("bytes_received")
+
+    def __init__(self, size: int) -> None:
+        _warn("Spool", "RequestBody")
+        super().__init__(size)
+
+    def whole(self) -> bool:
+        """Old name of `is_complete`."""
+        _warn("Spool.whole", "RequestBody.is_complete")
+        return self.is_complete()
+
+
+# --- the records of finished requests ---
+
+
+class Closing(Enum):
+    """How a request ended, by the old names; the values are those of `RequestOutcome`."""
+
+    FULFILLED = "fulfilled"
+    DENIED = "denied"
+    WRITTEN_OFF = "written off"
+    CLIENT_GONE = "client gone"
+    TOO_LATE = "too late"
+
+
+class LegStory(AttemptRecord):
+    """An `AttemptRecord` whose fields have their old names too."""
+
+    __slots__ = ()
+    _old_to_new: ClassVar[Mapping[str, str]] = {"sent": "sent_at", "why": "reason"}
+
+    sent = _RenamedField("sent_at")
+    why = _RenamedField("reason")
+
+    def __init__(self, *values: Any, **named: Any) -> None:
+        super().__init__(*values, **_new_keywords("LegStory", self._old_to_new, named))
+
+
+class JobStory(RequestRecord):
+    """A `RequestRecord` whose fields have their old names too."""
+
+    __slots__ = ()
+    _old_to_new: ClassVar[Mapping[str, str]] = {
+        "product": "request_class",
+        "plan": "tenant",
+        "taken": "received_at",
+        "due": "answer_by",
+        "latest": "latest_answer_at",
+        "legs": "attempts",
+        "closing": "outcome",
+        "answered": "answered_at",
+        "out": "attempts_out",
+    }
+
+    product = _RenamedField("request_class")
+    plan = _RenamedField("tenant")
+    taken = _RenamedField("received_at")
+    due = _RenamedField("answer_by")
+    latest = _RenamedField("latest_answer_at")
+    legs = _RenamedField("attempts")
+    answered = _RenamedField("answered_at")
+    out = _RenamedField("attempts_out")
+
+    def __init__(self, *values: Any, **named: Any) -> None:
+        super().__init__(*values, **_new_keywords("JobStory", self._old_to_new, named))
+        if isinstance(self.outcome, Closing):
+            self.outcome = RequestOutcome(self.outcome.value)
+
+    @property
+    def closing(self) -> Closing | None:
+        """The outcome by its old name; None while the request is open."""
+        _warn("JobStory.closing", "outcome")
+        return None if self.outcome is None else Closing(self.outcome.value)
+
+
+class Observer(Protocol):
+    """The old form of `RequestObserver`, which a `Gateway` still accepts."""
+
+    def job_over(self, gateway: Gateway, story: JobStory) -> None:
+        """A request is over; its record is final."""
+
+
+class _JobOverObserver:
+    """Calls an `Observer` as the `RequestObserver` that the gateway knows."""
+
+    def __init__(self, observer: Observer) -> None:
+        self.observer = observer
+
+    def request_finished(self, gateway: current.Gateway, record: RequestRecord) -> None:
+        """Hands on the record, which does not change any more, under its old names."""
+        self.observer.job_over(cast("Gateway", gateway), _job_story(record))
+
+
+def _job_story(record: RequestRecord) -> JobStory:
+    attempts = [
+        LegStory(each.number, each.node, each.sent_at, each.took, each.ending, each.reason)
+        for each in record.attempts
+    ]
+    return JobStory(
+        record.number, record.request_class, record.tenant, record.volume, record.units, record.received_at,
+        record.answer_by, record.latest_answer_at, record.trace, attempts, record.outcome, record.streaming,
+        record.answered_at, record.attempts_out
+    )  # fmt: skip
+
+
+def _current_observers(observers: Sequence[RequestObserver | Observer]) -> Sequence[RequestObserver]:
+    """The same sequence if all have the current form, for its owner may add to it later."""
+    if all(hasattr(each, "request_finished") for each in observers):
+        return cast("Sequence[RequestObserver]", observers)
+    _warn("Observer.job_over", "RequestObserver.request_finished", further=1)
+    return [
+        cast("RequestObserver", each) if hasattr(each, "request_finished")
+        else cast("RequestObserver", _JobOverObserver(each))
+        for each in observers
+    ]  # fmt: skip
+
+
+# --- the endpoint list ---
+
+News = EndpointListUpdate
+
+
+class Follower(ListServerWatcher):
+    """Old name of `ListServerWatcher`."""
+
+    def __init__(
+        self,
+        name: str,
+        network: Network,
+        address: tuple[str, int],
+        told: Callable[[EndpointListUpdate], None],
+        path: Path | None,
+        seed: int,
+        warn: Callable[[str], None] = lambda text: None,
+    ) -> None:
+        _warn("Follower", "ListServerWatcher")
+        super().__init__(name, network, address, told, path, seed, warn)
