--- a/ochrecourse/common/event_loop_lag.py
+++ b/ochrecourse/common/event_loop_lag.py
@@ -11,7 +11,7 @@
 
 from collections import deque
 
-TRIFLE = 5_000_000  # ns of lateness that every loop shows now and then; less is taken as none
+NEGLIGIBLE_LAG = 5_000_000  # ns of lateness that every loop shows now and then; less is taken as none
 KEPT = 64  # the last so many late timers are remembered, for what is shown to operators
 
 
@@ -26,7 +26,7 @@
     def timer_fired(self, due: int, now: int) -> bool:
         """A timer due at `due` was called at `now`. True if jobs read in this turn may have waited unread."""
         late = now - due
-        if late <= TRIFLE:
+        if late <= NEGLIGIBLE_LAG:
             return False
         self.current_lag = max(self.current_lag, late)
         self.recent.append((now, late))
--- a/ochrecourse/fleet/held.py
+++ b/ochrecourse/fleet/held.py
@@ -23,7 +23,7 @@
 from cachetools import LRUCache
 
 from ochrecourse.fleet.calendar import Scope
-from ochrecourse.gateway.gateway import ResponseHandler, Request
+from ochrecourse.common.requests import Request, ResponseHandler
 
 OVERHEAD = 512  # bytes that a copy costs beside its pieces, as measured on 64-bit CPython
 READERS = 256  # answers on their way to clients that take them slowly; one more read goes to the nodes
@@ -212,7 +212,7 @@
         self.epochs: dict[Scope, int] = {}
         self.doomed: deque[dict[Key, None]] = deque()
 
-    # --- what the gateway tells (gateway.Copies) ---
+    # --- what the gateway tells (common.object_cache.ObjectCache) ---
 
     def request_received(
         self, job: int, request: Request, write: bool, due: int, asker: ResponseHandler
--- a/ochrecourse/fleet/part.py
+++ b/ochrecourse/fleet/part.py
@@ -30,9 +30,8 @@
 from ochrecourse.fleet.shared import Common
 from ochrecourse.fleet.terms import Terms
 from ochrecourse.fleet.zones import Zones
-from ochrecourse.fleet.zonewatch import ZoneWatch
+from ochrecourse.fleet.zonewatch import OpenRequests, ZoneWatch
 from ochrecourse.common.request_records import RequestRecord, AttemptRecord
-from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import NodeEntry
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS, SECOND
@@ -85,10 +84,13 @@
     """What is needed of a gateway."""
 
     name: str
-    request_log: RequestLog
     attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]]
 
-    def node_rates_received(self, bounds: Mapping[int, float]) -> None: ...
+    @property
+    def request_log(self) -> OpenRequests:
+        """Its requests that are not over."""
+
+    def node_rates_received(self, rates: Mapping[int, float]) -> None: ...
 
 
 class Entered(msgspec.Struct):
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -18,7 +18,7 @@
 from ochrecourse.fleet.held import STEP, Copies
 from ochrecourse.fleet.part import Part
 from ochrecourse.fleet.purges import DAY, Purges
-from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.common.object_cache import CachingGateway
 from ochrecourse.common.runtime import Clock, now_ns
 
 MATES = 3  # gateways before and behind it whose clocks one asks for, of its site if there are more
@@ -238,7 +238,7 @@
 
 
 def lodge(
-    part: Part, record: Mapping[str, Any], gateway: Gateway, clock: Clock, say: Callable[..., None]
+    part: Part, record: Mapping[str, Any], gateway: CachingGateway, clock: Clock, say: Callable[..., None]
 ) -> Purger | None:
     """Lodges what the settings' `fleet.copies`, `fleet.purges` and `sites` ask for; None if nothing."""
     said, name = record["fleet"], record["gateway"]["name"]
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -24,8 +24,8 @@
 LATE = LEAST_SILENT // 2  # by which a beat is late here, and with it all answers; then silence is no evidence
 
 
-class Books(Protocol):
-    """Where the jobs are that are not over (gateway.request_log.RequestLog)."""
+class OpenRequests(Protocol):
+    """The requests of a gateway that are not over (gateway.request_log.RequestLog)."""
 
     requests: dict[int, RequestRecord]
 
@@ -37,7 +37,7 @@
     name = "zones"
 
     def __init__(
-        self, zones: Zones, books: Books, cold: int, wall_ms: Callable[[], int], beat: int = 0
+        self, zones: Zones, books: OpenRequests, cold: int, wall_ms: Callable[[], int], beat: int = 0
     ) -> None:
         self.zones = zones
         self.books = books
--- a/ochrecourse/gateway/client_connection.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -14,7 +14,8 @@
 from twisted.internet.protocol import Factory
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import BadRequestError, Gateway, Request
+from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.common.requests import BadRequestError, Request
 from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -203,7 +203,7 @@
         zones = record["zones"]
         part = Part(said, self.gateway, self.network, log, seed ^ 0x2545F491, epoch_ms, say,
                     own["zone"], len(zones), round(rules["cold_time"] * MS), zones)  # fmt: skip
-        self.gateway.clock = Awake(self.network, part)
+        self.gateway.use_clock(Awake(self.network, part))
         for note in log.notes if isinstance(log, FileJournal) else ():
             say("fleet journal", note=note)
         if {"copies", "purges"} & record["fleet"].keys():
--- /dev/null
+++ b/ochrecourse/gateway/request_executor.py
@@ -0,0 +1,226 @@
+"""Carries out a scheduler's decisions about requests: attempts at nodes, and the one answer of each request.
+
+Free of I/O: the clock and what opens connections are handed in.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from collections import Counter
+from collections.abc import Callable
+
+from ochrecourse import interface
+from ochrecourse.common.object_cache import ObjectCache
+from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
+from ochrecourse.common.requests import Request, ResponseHandler
+from ochrecourse.common.runtime import Clock, now_ns
+from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.graceful_shutdown import GracefulShutdown
+from ochrecourse.gateway.request_log import RequestLog
+from ochrecourse.gateway.settings_index import SettingsIndex
+from ochrecourse.interface import Attempt, AttemptEnd, Decisions, Outcome, Reply
+from ochrecourse.nodes.dispatcher import Dispatcher, OutgoingAttempt
+from ochrecourse.nodes.health import NodeHealth
+from ochrecourse.nodes.outcome import VERDICTS, AttemptEvent
+from ochrecourse.wire import messages as m
+
+
+class InFlightRequest:
+    """A request from its submission until it is over: what the gateway needs to carry it out."""
+
+    __slots__ = ("attempt", "handler", "record", "request", "response_began_at", "response_bytes_left")
+
+    def __init__(self, request: Request, handler: ResponseHandler, record: RequestRecord) -> None:
+        self.request = request
+        self.handler = handler
+        self.record = record
+        self.attempt: OutgoingAttempt | None = None
+        self.response_bytes_left = 0
+        self.response_began_at = 0  # ns, when the answer of the attempt that is out began to stream
+
+
+class RequestExecutor(ABC):
+    """The requests of one host that are not over, and what carries them out.
+
+    `Gateway` (gateway.py) submits and cancels requests and pulls the scheduler's decisions.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        idempotency_prefix: str,
+        settings_index: SettingsIndex,
+        nodes: Dispatcher,
+        scheduler: Decisions,
+    ) -> None:
+        """`idempotency_prefix`: of this incarnation; no other incarnation of any gateway may have it."""
+        self.clock = clock
+        self.idempotency_prefix = idempotency_prefix
+        self.settings_index = settings_index
+        self.nodes = nodes
+        self.scheduler = scheduler
+        self.request_log = RequestLog()
+        self.shutdown = GracefulShutdown()
+        self.in_flight: dict[int, InFlightRequest] = {}
+        self.on_drained: list[Callable[[], None]] = []  # called when the graceful shutdown is complete
+        # Called with each attempt that ended.
+        self.attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]] = []
+        self.ready_nodes_by_shard: Counter[int] = Counter()
+        self.node_health = NodeHealth()
+        self.object_cache: ObjectCache | None = None
+
+    @abstractmethod
+    def _pull(self) -> None:
+        """Carries out what the scheduler decides now."""
+
+    @abstractmethod
+    def _finish(self, in_flight: InFlightRequest) -> None:
+        """Forgets a request if it is over and none of its attempts is out."""
+
+    # --- the scheduler's side ---
+
+    def _to_scheduler(self, record: RequestRecord, request: Request, now: int) -> None:
+        scheduled = interface.Request(
+            record.number, record.request_class, record.tenant, request.volume, request.key, request.units,
+            request.shard, request.gateways, record.answer_by
+        )  # fmt: skip
+        self.scheduler.request_received(scheduled, now)
+        self._pull()
+
+    def _send(self, decision: Attempt, now: int) -> None:
+        request_id = decision.request_id
+        record = self.request_log.attempt_sent(request_id, decision.number, decision.node, now)
+        if record is None:
+            return
+        in_flight = self.in_flight[request_id]
+        request, class_number, index = in_flight.request, record.request_class, self.settings_index
+        self.node_health.sent(decision.node, now)
+        time_left = record.answer_by - now
+        timeout = min(decision.time_out, time_left) if decision.time_out else time_left
+        message = m.SendAttempt(
+            id=0,
+            mark=f"{self.idempotency_prefix}/{request_id}",
+            product=request.request_class,
+            volume=request.volume,
+            key=request.key,
+            units=request.units,
+            shard=request.shard,
+            number=decision.number,
+            write=index.writes[class_number],
+            effect=index.idempotency[class_number],
+            window_ms=index.idempotency_windows_ms[class_number],
+            patience_ms=round(timeout / MS, 3),
+            size=request.body.size if request.body else 0,
+            trace=request.trace,
+        )
+        stall = record.answer_by - record.received_at
+        # A request whose data one node alone holds has no other way: a dial that may serve it in time is
+        # worth the wait. Another goes elsewhere after the time that the settings give a dial.
+        alone = request.shard >= 0 and self.ready_nodes_by_shard[request.shard] <= 1
+        wait = record.received_at + index.latency_objectives[class_number] - now if alone else None
+        in_flight.attempt = self.nodes.send(
+            request_id, decision.node, message, request.body, timeout, stall, self, wait,
+            decision.write_before
+        )  # fmt: skip
+
+    def _reply(self, decision: Reply, now: int) -> None:
+        rejected = decision.outcome is Outcome.REJECTED
+        outcome = RequestOutcome.REJECTED if rejected else RequestOutcome.FAILED
+        record = self.request_log.settle(decision.request_id, outcome, now)
+        in_flight = self.in_flight.get(decision.request_id)
+        if in_flight is None:
+            return
+        if record is not None and rejected:
+            in_flight.handler.rejected(decision.request_id, decision.retry_after)
+        elif record is not None:
+            in_flight.handler.failed(decision.request_id)
+        self._finish(in_flight)
+
+    def grant_credit(self, request_id: int, size: int) -> None:
+        """`size` more bytes of a request's answer may be sent by its node."""
+        in_flight = self.in_flight.get(request_id)
+        if in_flight is not None and in_flight.attempt is not None:
+            self.nodes.grant(in_flight.attempt, size)
+
+    # --- for the object cache, where there is one (common.object_cache.CachingGateway) ---
+
+    def answer_from_cache(self, request_id: int) -> bool:
+        """Records the answer of a request that needs no attempt; False if it is too late for one."""
+        return self.request_log.settle(request_id, RequestOutcome.SERVED, now_ns(self.clock)) is not None
+
+    def forward(self, request_id: int, handler: ResponseHandler) -> None:
+        """A request that waited for another's answer goes to the nodes, and its answer to this handler."""
+        in_flight = self.in_flight[request_id]
+        in_flight.handler = handler
+        self._to_scheduler(in_flight.record, in_flight.request, now_ns(self.clock))
+
+    def finish_cached(self, request_id: int, complete: bool) -> None:
+        """Ends a request that needed no attempt: all of its answer was handed on, or the rest will not
+        follow.
+        """
+        in_flight = self.in_flight[request_id]
+        if not complete:
+            self.request_log.response_aborted(in_flight.record)
+        self._finish(in_flight)
+
+    # --- the nodes' side (nodes.dispatcher.AttemptListener) ---
+
+    def written(self, attempt: OutgoingAttempt) -> None:
+        """An attempt has its connection."""
+        self.scheduler.attempt_written(attempt.request_id, now_ns(self.clock))
+
+    def began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None:
+        """The answer of an attempt begins."""
+        in_flight = self.in_flight[attempt.request_id]
+        request_id = in_flight.record.number
+        if answer.size > answer.body:
+            in_flight.record.streaming = True
+            in_flight.response_began_at = now_ns(self.clock)
+            self.scheduler.stream_began(request_id)
+        if self.request_log.settle(request_id, RequestOutcome.SERVED, now_ns(self.clock)) is not None:
+            in_flight.response_bytes_left = answer.size
+            in_flight.handler.served(request_id, answer.size, answer.shard)
+
+    def piece(self, attempt: OutgoingAttempt, data: bytes) -> None:
+        """More of the answer's body."""
+        in_flight = self.in_flight[attempt.request_id]
+        if in_flight.record.outcome is RequestOutcome.SERVED:
+            in_flight.response_bytes_left -= len(data)
+            in_flight.handler.body_chunk(in_flight.record.number, data)
+        else:
+            self.nodes.grant(attempt, len(data))  # nobody waits: let the node finish
+
+    def ended(self, attempt: OutgoingAttempt, event: AttemptEvent, answer: m.AnyMessage | None) -> None:
+        """An attempt ended, once and for all."""
+        request_id = attempt.request_id
+        in_flight = self.in_flight[request_id]
+        ending = VERDICTS[event].ending
+        now = now_ns(self.clock)
+        number = attempt.message.number
+        record, attempt_record = self.request_log.attempt_ended(request_id, number, ending, event.value, now)
+        for observe in self.attempt_observers:
+            observe(record, attempt_record)
+        self.node_health.ended(attempt.node, ending)
+        in_flight.attempt = None
+        began_at, in_flight.response_began_at = in_flight.response_began_at, 0
+        if in_flight.response_bytes_left and event is not AttemptEvent.DONE:
+            in_flight.response_bytes_left = 0
+            self.request_log.response_aborted(record)
+            in_flight.handler.aborted(request_id)
+        reply = answer if isinstance(answer, m.NodeReply) else None
+        end = AttemptEnd(
+            request_id=request_id,
+            number=number,
+            node=attempt.node,
+            ending=ending,
+            # A stream took until it began: how fast its client reads is not the node's doing. Nor is how long
+            # its connection took to open.
+            took=(began_at or now) - (attempt.on_connection_at or attempt.sent_at),
+            last=record.outcome is not None,
+            volume_used=reply.used if reply else -1.0,
+            elsewhere=reply.elsewhere if reply else 0,
+            load=reply.load if reply else {},
+        )
+        self.scheduler.attempt_ended(end, now)
+        self._finish(in_flight)
+        self._pull()
--- /dev/null
+++ b/ochrecourse/gateway/settings_index.py
@@ -0,0 +1,61 @@
+"""What a gateway itself reads of the plain map of settings: request classes and tenants by name, and limits.
+
+Everything else in the map is the scheduler's.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from ochrecourse.common.time_units import MS
+from ochrecourse.nodes.pool import PoolLimits
+
+DEFAULT_MAX_OPEN_REQUESTS = 20_000
+DEFAULT_DIAL_TIMEOUT_MS = 250.0
+
+
+class SettingsIndex:
+    """Request classes and tenants by name, and what nodes need of a request class.
+
+    Lists are indexed by the number of a class or tenant, which is its place in the settings.
+    """
+
+    def __init__(self, values: Mapping[str, str]) -> None:
+        class_count = int(values.get("Classes.count", "0"))
+        classes = range(class_count)
+        self.class_names = [values.get(f"Classes.{i}.Name", str(i)) for i in classes]
+        self.classes = {name: i for i, name in enumerate(self.class_names)}
+        tenant_count = int(values.get("Policies.count", "0"))
+        self.tenant_names = [values.get(f"Policies.{i}.Name", str(i)) for i in range(tenant_count)]
+        self.tenants = {name: i for i, name in enumerate(self.tenant_names)}
+        writes = values.get("FamilyInfo.Writes", "").split(",")
+        self.writes = [i < len(writes) and writes[i] == "true" for i in classes]
+        self.idempotency = [values.get(f"Classes.{i}.Effect", "safe") for i in classes]
+        self.idempotency_windows_ms = [number(values, f"Classes.{i}.Window", 0.0) for i in classes]
+        objectives_ms = [number(values, f"Classes.{i}.Aim", 0.0) for i in classes]
+        self.latency_objectives = [round(each * MS) for each in objectives_ms]  # ns
+
+
+def number(values: Mapping[str, str], name: str, default: float) -> float:
+    """A number of the plain map."""
+    return float(values.get(name, default))
+
+
+def pool_limits(values: Mapping[str, str]) -> PoolLimits:
+    """Limits of connections to nodes."""
+    return PoolLimits(
+        attempts=int(number(values, "Limits.Multiplex", 32)),
+        connections=int(number(values, "Limits.Connections", 4)),
+        dials=int(number(values, "Limits.Dials", 16)),
+        idle=round(number(values, "Limits.IdleClose", 15_000) * MS),
+    )
+
+
+def max_open_requests(values: Mapping[str, str]) -> int:
+    """How many requests may be open at once; one more is rejected."""
+    return int(number(values, "Limits.MaxOpen", DEFAULT_MAX_OPEN_REQUESTS))
+
+
+def dial_timeout(values: Mapping[str, str]) -> float:
+    """Seconds after which a dial is given up, where no request needs it any longer."""
+    return number(values, "Limits.DialTimeout", DEFAULT_DIAL_TIMEOUT_MS) / 1000
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -18,7 +18,8 @@
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import audit
 from ochrecourse.gateway.daemon import Daemon
-from ochrecourse.gateway.gateway import Gateway, Request
+from ochrecourse.common.requests import Request
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.lab.day import BadDay, Day, Volume, check, gateway_record
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -17,13 +17,15 @@
 from typing import Any, ClassVar, Protocol, cast
 
 from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
+from ochrecourse.common import requests
+from ochrecourse.common.requests import BadRequestError, ResponseHandler
 from ochrecourse.common.runtime import Clock, Network
 from ochrecourse.fleet.channel import Snapshot, Told
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused as AppendRefused
 from ochrecourse.fleet.part import Part, Tenant
 from ochrecourse.gateway import gateway as current
-from ochrecourse.gateway.gateway import BadRequestError, RequestObserver, ResponseHandler
+from ochrecourse.gateway.gateway import RequestObserver
 from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.interface import Decisions, Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
@@ -120,8 +122,8 @@
 # --- the gateway and its requests ---
 
 
-class Request(current.Request):
-    """A request of a client; see `gateway.Request`. `product` and `plan` are the old names of two fields."""
+class Request(requests.Request):
+    """A request of a client; `product` and `plan` are the old names of two of its fields."""
 
     __slots__ = ()
     _old_to_new: ClassVar[Mapping[str, str]] = {"product": "request_class", "plan": "tenant"}
@@ -164,25 +166,25 @@
     def __init__(self, asker: Asker) -> None:
         self.asker = asker
 
-    def served(self, job: int, size: int, shard: int) -> None:
+    def served(self, request_id: int, size: int, shard: int) -> None:
         """The answer begins."""
-        self.asker.fulfilled(job, size, shard)
+        self.asker.fulfilled(request_id, size, shard)
 
-    def body_chunk(self, job: int, data: bytes) -> None:
+    def body_chunk(self, request_id: int, data: bytes) -> None:
         """More of the answer's body."""
-        self.asker.piece(job, data)
+        self.asker.piece(request_id, data)
 
-    def aborted(self, job: int) -> None:
+    def aborted(self, request_id: int) -> None:
         """The rest of the answer will not come."""
-        self.asker.broke_off(job)
+        self.asker.broke_off(request_id)
 
-    def rejected(self, job: int, come_back: int) -> None:
+    def rejected(self, request_id: int, retry_after: int) -> None:
         """The request is rejected."""
-        self.asker.denied(job, come_back)
+        self.asker.denied(request_id, retry_after)
 
-    def failed(self, job: int) -> None:
+    def failed(self, request_id: int) -> None:
         """The request failed."""
-        self.asker.written_off(job)
+        self.asker.written_off(request_id)
 
 
 class Gateway(current.Gateway):
@@ -213,7 +215,7 @@
         _warn("Gateway.list_came", "Gateway.endpoint_list_received")
         self.endpoint_list_received(kind, entries, addresses)
 
-    def take(self, request: current.Request, asker: Asker | ResponseHandler) -> int:
+    def take(self, request: requests.Request, asker: Asker | ResponseHandler) -> int:
         """Old name of `submit`; accepts an `Asker` too. Raises BadRequestError."""
         _warn("Gateway.take", "Gateway.submit")
         if not hasattr(asker, "served"):
--- a/ochrecourse/resp/client_connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Protocol
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import BadRequestError, Request
+from ochrecourse.common.requests import BadRequestError, Request
 from ochrecourse.common.runtime import Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
 from ochrecourse.resp.lingering_close import LingeringClose
@@ -366,7 +366,7 @@
         self.closing = LingeringClose(self.transport, self.clock, self.blocked, self.factory.hurry)
         self.factory.bound_lingering()
 
-    # --- the answer (gateway.Asker) ---
+    # --- the answer (common.requests.ResponseHandler) ---
 
     def served(self, job: int, size: int, shard: int) -> None:
         if not size:
--- a/ochrecourse/resp/commands.py
+++ b/ochrecourse/resp/commands.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Mapping
 
-from ochrecourse.gateway.gateway import Request
+from ochrecourse.common.requests import Request
 from ochrecourse.common.time_units import MS
 from ochrecourse.resp.codec import Breach, Error, Reply, command
 from ochrecourse.wire import messages as m
--- a/ochrecourse/webdav/door.py
+++ b/ochrecourse/webdav/door.py
@@ -18,7 +18,7 @@
 from twisted.web.http import HTTPChannel, HTTPFactory, Request
 from zope.interface import implementer
 
-from ochrecourse.gateway import gateway as g
+from ochrecourse.common import requests
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.webdav import bodies
@@ -286,7 +286,7 @@
     def _ask(self, asked: Asked, size: int, key: int, shard: int, body: PutBody | None) -> None:
         """Asks the gateway for the job of this request. Raises Reply."""
         door, job = self.door, self._job(asked, size)
-        request = g.Request(
+        request = requests.Request(
             request_class=job.product,
             tenant=job.plan,
             volume=job.volume,
@@ -304,11 +304,11 @@
             self.registerProducer(self, True)
         try:
             door.gateway.submit(request, self)
-        except g.BadRequestError as trouble:
+        except requests.BadRequestError as trouble:
             self.job = None
             raise Reply(408 if trouble.code == "late_body" else 403, str(trouble)) from None
 
-    # --- the job's answer (gateway.Asker) ---
+    # --- the job's answer (common.requests.ResponseHandler) ---
 
     def served(self, job: int, size: int, shard: int) -> None:
         if self.staged is None:
@@ -617,7 +617,7 @@
 
     def __init__(
         self,
-        gateway: g.Gateway,
+        gateway: requests.RequestGateway,
         network: Network,
         products: list[ProductRule],
         volumes: list[VolumeRule],
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.fleet.calendar import Scope
 from ochrecourse.fleet.held import OVERHEAD, READERS, Copies, Key, _Waiting
-from ochrecourse.gateway.gateway import Request
+from ochrecourse.common.requests import Request
 from ochrecourse.common.request_records import RequestOutcome
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.common.time_units import SECOND
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -25,7 +25,7 @@
 from ochrecourse.fleet.purger import Purger
 from ochrecourse.fleet.purges import Purges
 from ochrecourse.gateway.daemon import Daemon
-from ochrecourse.gateway.gateway import Request
+from ochrecourse.common.requests import Request
 from ochrecourse.interface import Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
 from ochrecourse.common.time_units import MS, SECOND
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -10,8 +10,8 @@
 
 from ochrecourse import library
 from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
+from ochrecourse.common import requests
 from ochrecourse.common.time_units import MS, SECOND
-from ochrecourse.gateway import gateway
 from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.interface import Outcome, Reply
 from ochrecourse.lab.days import quiet
@@ -199,7 +199,7 @@
     with pytest.warns(DeprecationWarning):
         job = one_node.gateway.take(one_node.request(), handler)
     reply = Reply(job, Outcome.FAILED, 0)
-    one_node.gateway._answer(reply, one_node.now())
+    one_node.gateway._reply(reply, one_node.now())
     assert handler.calls == [("written_off", 1)]
 
 
@@ -277,7 +277,7 @@
     ]
     assert all(each.filename == __file__ for each in issued)
     assert request == library.Request("read", "p0", 5, SECOND, 9)
-    assert isinstance(request, gateway.Request) and (request.request_class, request.tenant) == ("read", "p0")
+    assert isinstance(request, requests.Request) and (request.request_class, request.tenant) == ("read", "p0")
 
 
 def test_request_keeps_its_positional_order():
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -9,7 +9,8 @@
 from test_standing import Clerk, Nobody, Street, Wire
 
 from ochrecourse.common.time_units import MS, SECOND
-from ochrecourse.gateway.gateway import Gateway, Request
+from ochrecourse.common.requests import Request
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.nodes.dispatcher import Dispatcher
@@ -83,7 +84,7 @@
     world = ShortWindow()
     world.first_attempt_breaks()
     world.network.advance(0.4)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
     assert world.connect().sent == []
 
 
@@ -104,7 +105,7 @@
     world.network.now += 0.5  # no timer was called meanwhile
     assert world.connect().sent == []
     world.network.advance(0)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
 
 
 def test_a_connection_that_another_attempt_leaves_takes_no_repeat_whose_window_has_passed():
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -118,7 +118,7 @@
         assert again == [*words[:3], words[3].replace(b"d=480", b"d=123"), *words[4:]]
         assert (request.key, request.volume, request.timeout) == (0x7F3A9C21E0B4D655, 0x3B4D60021, 480 * MS)
         assert (request.units, request.shard, request.gateways, request.read_at) == (2.0, 5, 3, 5)
-    assert request.product == "mark" and request.plan == "p0" and request.body.size == 4
+    assert request.request_class == "mark" and request.tenant == "p0" and request.body.size == 4
 
 
 @pytest.mark.parametrize(
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,7 +14,8 @@
 from test_service import FLAT, PING, Shop, listed, read
 
 from ochrecourse.scheduler.scheduler import Scheduler
-from ochrecourse.gateway.gateway import Gateway, Request
+from ochrecourse.common.requests import Request
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.interface import AttemptEnd, Ending, Health, ListKind, NodeEntry
 from ochrecourse.interface import Request as SchedulerRequest
 from ochrecourse.lab.virtual import VirtualNetwork
