--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -50,11 +50,11 @@
                 self._say(answer(daemon, line))
 
         def connectionLost(self, reason: Any = None) -> None:
-            if handover.lost(self):
+            if handover.successor_lost(self):
                 take_back(reactor, daemon, sockets, lambda: handover.step is HandoverStep.NONE)
 
         def _hand_over(self) -> None:
-            why = handover.ask(self, daemon.gateway.shutdown.accepts_requests())
+            why = handover.offer(self, daemon.gateway.shutdown.accepts_requests())
             if why:
                 self._say({"error": f"the sockets are not handed over: {why}"})
                 return
@@ -63,7 +63,7 @@
             self._say({"sockets": list(sockets.ports)})
 
         def _release(self) -> None:
-            if not handover.released(self):
+            if not handover.release(self):
                 self._say({"error": "the sockets were not handed over"})
                 return
             sockets.keep("fleet")
@@ -71,7 +71,7 @@
             self._say({"released": True})
 
         def _accepts(self) -> None:
-            if not handover.accepted(self):
+            if not handover.complete(self):
                 self._say({"error": "the sockets were not handed over"})
                 return
             sockets.close()
--- a/ochrecourse/cli/handover.py
+++ b/ochrecourse/cli/handover.py
@@ -4,7 +4,7 @@
 `{"sockets": [...]}` and a descriptor for each name; `{"do": "release"}`, where the gateway is of a fleet,
 with `{"released": true}`, after which the journal of the fleet is the asker's; `{"do": "accepts"}` with
 `{"done": true}`, after which the process that gave them leaves. What may be given and when is said in
-gateway/handover.py.
+gateway/socket_handover.py.
 """
 
 from __future__ import annotations
--- a/ochrecourse/cli/serve.py
+++ b/ochrecourse/cli/serve.py
@@ -48,7 +48,7 @@
     from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
     from ochrecourse.storage.journal import JournalError
     from ochrecourse.gateway.daemon import Daemon
-    from ochrecourse.gateway.socket_handover import in_the_way, moved_from
+    from ochrecourse.gateway.socket_handover import handover_obstacle, moved_socket
     from ochrecourse.gateway.log_sampling import LogSampler
     from ochrecourse.settings.load import Refused, address, load
     from ochrecourse.webdav.kept import Unreadable
@@ -60,7 +60,7 @@
     )
     sampling = LogSampler(settings["log"]["sample"])
     if take_over and "webdav" in settings:  # before its state is touched, which the running process has
-        click.echo(f"ochrecourse: nothing was taken over: {in_the_way(settings)}", err=True)
+        click.echo(f"ochrecourse: nothing was taken over: {handover_obstacle(settings)}", err=True)
         sys.exit(2)
     files = raise_open_file_limit()
     epoch = int(time.time() - time.monotonic())
@@ -138,7 +138,7 @@
     def taken(held: dict[str, int], says: Any) -> None:
         """The list of nodes first: until it is there, the other process serves better than this one."""
         sockets.taken = held
-        moved = moved_from(settings, {what: where(number) for what, number in held.items()})
+        moved = moved_socket(settings, {what: where(number) for what, number in held.items()})
         if moved:
             not_taken(moved)
         else:
@@ -208,7 +208,7 @@
     CycleCollector(
         reactor,
         lambda: not daemon.gateway.request_log.open,
-        lambda: daemon.front.closed + (door.closed if door is not None else 0),
+        lambda: daemon.front.connections_closed + (door.closed if door is not None else 0),
     )
     reactor.run(installSignalHandlers=False)
     if not trouble_at_start:
--- a/ochrecourse/common/event_loop.py
+++ b/ochrecourse/common/event_loop.py
@@ -1,4 +1,4 @@
-"""Since when something may stand unread in a loop that polls. Free of I/O and clocks."""
+"""Since when something may stand unread in an event loop that polls. Free of I/O and clocks."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 
 from ochrecourse.common.time_units import MS
 
-WAITED = 1 * MS  # a poll that took longer waited: it found nothing ready when it began
-POLLS = 3  # one tells of bytes, the next of the end behind them, which is read somewhere in its turn
+MIN_WAIT = 1 * MS  # a poll that took longer waited: it found nothing ready when it began
+POLLS_UNTIL_READ = (
+    3  # one reports bytes, the next the end of input behind them, read somewhere in its iteration
+)
 
 
 class PollHistory:
     """The last polls of one loop."""
 
     def __init__(self) -> None:
-        self._returned: deque[int] = deque([0] * POLLS, maxlen=POLLS)  # ns
+        never = [0] * POLLS_UNTIL_READ
+        self._returned_at: deque[int] = deque(never, maxlen=POLLS_UNTIL_READ)  # ns
 
     def polled(self, began: int, returned: int, may_wait: bool) -> None:
-        """A poll is over. `may_wait`: it was not asked to return at once."""
-        waited = may_wait and returned - began > WAITED
-        self._returned.extend([returned] * (POLLS if waited else 1))
+        """A poll is over; times in ns. `may_wait`: it was not asked to return at once."""
+        waited = may_wait and returned - began > MIN_WAIT
+        self._returned_at.extend([returned] * (POLLS_UNTIL_READ if waited else 1))
 
     def unread_since(self) -> int:
-        """All that arrived before this time (ns) has been read, with the end that stood behind it."""
-        return self._returned[0]
+        """All that arrived before this time (ns) has been read, with the end of input behind it."""
+        return self._returned_at[0]
--- a/ochrecourse/common/event_loop_lag.py
+++ b/ochrecourse/common/event_loop_lag.py
@@ -1,30 +1,32 @@
-"""How late the event loop runs, and what that means for jobs read just after it stood still. Free of I/O and
-clocks.
+"""How late the event loop runs, and what that means for requests read just after it stood still. Free of I/O
+and clocks.
 
-A job's client timeout runs from when its client sent it. While the loop stands still, jobs wait unread, and
-what is read first afterwards may have come at any time of the stall. So a job read in the loop's turn after a
-timer came late is taken to have come as long ago as the timer was late. That is the most it can have waited,
-so the answer is never later than promised; it may be given up a little early.
+A request's client timeout runs from when its client sent it. While the loop stands still, requests wait
+unread, and what is read first afterwards may have arrived at any time of the stall. So a request read in the
+iteration after a late timer is taken to have arrived as long ago as the timer was late. That is the most it
+can have waited, so the answer is never after its deadline; it may be given up a little early.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-NEGLIGIBLE_LAG = 5_000_000  # ns of lateness that every loop shows now and then; less is taken as none
-KEPT = 64  # the last so many late timers are remembered, for what is shown to operators
+from ochrecourse.common.time_units import MS
+
+NEGLIGIBLE_LAG = 5 * MS  # ns that every loop shows now and then; less is taken as none
+RECENT_LAGS = 64  # late timers that are remembered, for what is shown to operators
 
 
 class EventLoopLag:
-    """The lateness of one loop."""
+    """The lag of one loop. All times are in ns."""
 
     def __init__(self) -> None:
-        self.current_lag = 0  # ns, of the turn that the loop is in
-        self.recent: deque[tuple[int, int]] = deque(maxlen=KEPT)  # when, how late
+        self.current_lag = 0  # of the iteration that the loop is in
+        self.recent: deque[tuple[int, int]] = deque(maxlen=RECENT_LAGS)  # when, how late
         self.worst = 0
 
     def timer_fired(self, due: int, now: int) -> bool:
-        """A timer due at `due` was called at `now`. True if jobs read in this turn may have waited unread."""
+        """A timer due at `due` fired at `now`. True if requests read in this iteration may have waited."""
         late = now - due
         if late <= NEGLIGIBLE_LAG:
             return False
@@ -34,13 +36,13 @@
         return True
 
     def iteration_finished(self) -> None:
-        """The loop has turned once more: what is read from now on has just come."""
+        """The loop has finished one more iteration: what is read from now on has just arrived."""
         self.current_lag = 0
 
     def earliest_arrival(self, read_at: int) -> int:
-        """The earliest time at which a job read at `read_at` can have come in."""
+        """The earliest time at which a request read at `read_at` can have arrived."""
         return read_at - self.current_lag
 
     def worst_since(self, since: int) -> int:
-        """The worst lateness since a time, of what is remembered; 0 if there was none."""
+        """The worst lag since a time, of those remembered; 0 if there was none."""
         return max((late for when, late in self.recent if when >= since), default=0)
--- a/ochrecourse/common/request_records.py
+++ b/ochrecourse/common/request_records.py
@@ -9,7 +9,7 @@
 
 
 class RequestOutcome(Enum):
-    """How a job ended for its client."""
+    """How a request ended for its client. The values stand in records, metrics and log lines."""
 
     SERVED = "fulfilled"
     REJECTED = "denied"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One leg as the gateway saw it; times in ns."""
+    """One attempt as the gateway saw it; times in ns."""
 
     number: int
     node: int
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One job as the gateway saw it; times in ns.
+    """One request as the gateway saw it; times in ns.
 
-    `due` is what the decisions were told as the client timeout: the client's own, less what an answer takes
-    to it. An answer that leaves by `latest`, a little later, is still in time; a leg's time-out at `due` is
-    answered then.
+    `answer_by` is the deadline that the scheduler was given: the client's own, less what an answer takes to
+    reach it. An answer that leaves by `latest_answer_at`, a little later, is still in time; an attempt's
+    time-out at `answer_by` is answered then.
     """
 
     number: int
@@ -55,7 +55,7 @@
     attempts_out: int = 0
 
     def why(self) -> str:
-        """In one phrase, what led to the end: the last leg's, or that none was ever sent."""
+        """In one phrase, what led to the outcome: the last attempt's end, or that none was ever sent."""
         if self.outcome is RequestOutcome.SERVED:
             return "answered"
         return self.attempts[-1].reason if self.attempts else "no leg was sent"
--- a/ochrecourse/gateway/client_connection.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -1,8 +1,9 @@
-"""The clients' side of a gateway: takes jobs with their bodies, gives each its answer, streams what was read.
+"""The clients' side of a gateway: receives requests with their bodies, sends each its answer, streams bodies
+that were read.
 
-A job is taken when its whole body is here; until then it can only be refused. Its time runs from when its
-header was read. A client that goes away leaves all its jobs. What a client does wrong ends its own connection
-and nothing else.
+A request is submitted when its whole body is here; until then it can only be refused. Its time runs from when
+its header was read. A client that closes its connection cancels all its requests. What a client does wrong
+ends its own connection and nothing else.
 """
 
 from __future__ import annotations
@@ -14,225 +15,244 @@
 from twisted.internet.protocol import Factory
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.common.requests import BadRequestError, Request
-from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.wire import messages as m
 from ochrecourse.wire.framed_protocol import HEADER_TIME, FramedProtocol
-from ochrecourse.wire.state import StreamState, Role, client_connection_state
+from ochrecourse.wire.state import Role, StreamState, client_connection_state
 
-TRACE = 64  # characters of a client's own name for a job that are kept; it stands in every leg's header
-LARGEST_BODY = 1 << 32  # bytes; what a temporary file is asked to hold at most
+MAX_TRACE_LENGTH = 64  # characters of a client's own name for a request; it stands in every attempt's header
+MAX_BODY_BYTES = 1 << 32  # what a temporary file is asked to store at most
+MIN_UPLOAD_MS = 1.0
+MAX_UPLOAD_MS = 3_600_000.0
+MAX_TIMEOUT_NS = 1e18  # a longer one is no time that a client means
 
 
 class _Upload:
-    """A job whose body is still coming; `timer` ends it when its client would have given up."""
+    """A request whose body is still arriving; `timer` ends it when its client would have given up."""
 
-    def __init__(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
-        self.asked = asked
+    def __init__(self, message: m.SubmitRequest, read_at: int, body: RequestBody) -> None:
+        self.message = message
         self.read_at = read_at
-        self.spool = spool
+        self.body = body
         self.timer: Timer | None = None
 
 
 @implementer(IPushProducer)
 class ClientConnection(FramedProtocol):
-    """One client's connection. It is the asker of all jobs that came on it."""
+    """One client's connection. It is the response handler of all requests that arrived on it."""
 
     def __init__(self, factory: ClientConnectionFactory) -> None:
         super().__init__(factory.clock, Role.ANSWERING, client_connection_state())
         self.factory = factory
         self.gateway = factory.gateway
-        self.uploads: dict[int, _Upload] = {}
-        self.jobs: dict[int, int] = {}  # the client's id of each job, by ours
-        self.numbers: dict[int, int] = {}  # and the other way round
-        self.blocked = False
-        self.owed: dict[int, int] = {}  # bytes of answers written while the client's transport was full
+        self.uploads: dict[int, _Upload] = {}  # by the client's id
+        self.client_ids: dict[int, int] = {}  # the client's id of each request, by the gateway's
+        self.request_ids: dict[int, int] = {}  # and the other way round
+        self.blocked = False  # its transport is full; LineReceiver has its own `paused`, for input
+        self.unconsumed: dict[int, int] = {}  # bytes by request, written while the transport was full
         self.greeting: Timer | None = None
 
     def ready(self) -> None:
-        if len(self.factory.fronts) >= self.factory.most:
+        """The connection is open."""
+        if len(self.factory.connections) >= self.factory.max_connections:
             self.factory.counts["connections over the cap"] += 1
             self.say(m.Hello(version=m.VERSION, role="gateway", name=self.gateway.name))
             self.give_up("too_many_connections", "this gateway has all the connections it takes")
             return
-        self.factory.fronts[self] = None
+        self.factory.connections[self] = None
         self.greeting = self.clock.callLater(HEADER_TIME, self.give_up, "no_hello", "no hello came")
         self.transport.registerProducer(self, True)
         self.say(m.Hello(version=m.VERSION, role="gateway", name=self.gateway.name))
 
     def took(self, message: m.AnyMessage, body: bytes, after: StreamState | None) -> None:
+        """A whole message was received."""
         if isinstance(message, m.Hello):
             stop(self.greeting)
         elif isinstance(message, m.SubmitRequest):
-            self._asked(message, body)
+            self._request_received(message, body)
         elif isinstance(message, m.BodyChunk):
-            self._part(message.id, body)
+            self._body_chunk_received(message.id, body)
         elif isinstance(message, m.CancelRequest):
-            self._leave(message.id, after)
+            self._cancel_received(message.id, after)
 
-    def _asked(self, asked: m.SubmitRequest, body: bytes) -> None:
+    def _request_received(self, message: m.SubmitRequest, first_chunk: bytes) -> None:
         now = now_ns(self.clock)
-        if asked.size > LARGEST_BODY:
-            self._refuse(asked.id, "body_limit", f"a body of {asked.size} bytes; at most {LARGEST_BODY}")
+        if message.size > MAX_BODY_BYTES:
+            self._refuse(
+                message.id, "body_limit", f"a body of {message.size} bytes; at most {MAX_BODY_BYTES}"
+            )
             return
-        spool = RequestBody(asked.size)
-        spool.write(body)
-        if spool.is_complete():
-            self._take(asked, now, spool)
+        body = RequestBody(message.size)
+        body.write(first_chunk)
+        if body.is_complete():
+            self._submit(message, now, body)
             return
-        upload = self.uploads[asked.id] = _Upload(asked, now, spool)
-        wait = min(max(asked.timeout_ms, 1.0), 3_600_000.0) / 1000
-        upload.timer = self.clock.callLater(wait, self._overdue, asked.id)
+        upload = self.uploads[message.id] = _Upload(message, now, body)
+        wait = min(max(message.timeout_ms, MIN_UPLOAD_MS), MAX_UPLOAD_MS) / 1000
+        upload.timer = self.clock.callLater(wait, self._upload_timed_out, message.id)
 
-    def _part(self, number: int, body: bytes) -> None:
-        upload = self.uploads.get(number)
+    def _body_chunk_received(self, client_id: int, chunk: bytes) -> None:
+        upload = self.uploads.get(client_id)
         if upload is None:
-            return  # refused before its body was whole
-        upload.spool.write(body)
-        if upload.spool.is_complete():
-            del self.uploads[number]
+            return  # refused before its body was complete
+        upload.body.write(chunk)
+        if upload.body.is_complete():
+            del self.uploads[client_id]
             stop(upload.timer)
-            self._take(upload.asked, upload.read_at, upload.spool)
+            self._submit(upload.message, upload.read_at, upload.body)
 
-    def _overdue(self, number: int) -> None:
-        upload = self.uploads.pop(number)
-        upload.spool.close()
-        self._refuse(number, "late_body", "the body was not whole before the client's own timeout")
+    def _upload_timed_out(self, client_id: int) -> None:
+        upload = self.uploads.pop(client_id)
+        upload.body.close()
+        self._refuse(client_id, "late_body", "the body was not whole before the client's own timeout")
 
-    def _take(self, asked: m.SubmitRequest, read_at: int, spool: RequestBody) -> None:
-        timeout = asked.timeout_ms * MS
+    def _submit(self, message: m.SubmitRequest, read_at: int, body: RequestBody) -> None:
+        timeout = message.timeout_ms * MS
         request = Request(
-            request_class=asked.product,
-            tenant=asked.plan,
-            volume=asked.volume,
-            timeout=round(timeout) if abs(timeout) < 1e18 else 0,
+            request_class=message.product,
+            tenant=message.plan,
+            volume=message.volume,
+            timeout=round(timeout) if abs(timeout) < MAX_TIMEOUT_NS else 0,
             read_at=read_at,
-            key=asked.key,
-            units=asked.units,
-            shard=asked.shard,
-            gateways=asked.gateways,
-            trace=asked.trace[:TRACE],
-            body=spool if spool.size else None,
+            key=message.key,
+            units=message.units,
+            shard=message.shard,
+            gateways=message.gateways,
+            trace=message.trace[:MAX_TRACE_LENGTH],
+            body=body if body.size else None,
         )
-        job = self.gateway.next_request_id()
-        self.jobs[job], self.numbers[asked.id] = asked.id, job
+        request_id = self.gateway.next_request_id()
+        self.client_ids[request_id] = message.id
+        self.request_ids[message.id] = request_id
         try:
             self.gateway.submit(request, self)
-        except BadRequestError as trouble:
-            spool.close()
-            self._forget(job)
-            self._refuse(asked.id, trouble.code, str(trouble))
+        except BadRequestError as error:
+            body.close()
+            self._forget(request_id)
+            self._refuse(message.id, error.code, str(error))
 
-    def _refuse(self, number: int, code: str, text: str) -> None:
+    def _refuse(self, client_id: int, code: str, text: str) -> None:
         self.factory.counts[f"refused: {code}"] += 1
-        self.say(m.ErrorNotice(id=number, code=code, text=text))
+        self.say(m.ErrorNotice(id=client_id, code=code, text=text))
 
-    def _leave(self, number: int, after: StreamState | None) -> None:
-        upload = self.uploads.pop(number, None)
+    def _cancel_received(self, client_id: int, after: StreamState | None) -> None:
+        upload = self.uploads.pop(client_id, None)
         if upload is not None:
-            upload.spool.close()
+            upload.body.close()
             stop(upload.timer)
-        job = self.numbers.get(number)
-        if job is not None:
-            self._forget(job)
-            self.gateway.cancel(job)
+        request_id = self.request_ids.get(client_id)
+        if request_id is not None:
+            self._forget(request_id)
+            self.gateway.cancel(request_id)
         if after not in (StreamState.CLOSED, None):
-            self.say(m.RequestCancelled(id=number))
+            self.say(m.RequestCancelled(id=client_id))
 
-    def _forget(self, job: int) -> int | None:
-        number = self.jobs.pop(job, None)
-        if number is not None:
-            del self.numbers[number]
-        return number
+    def _forget(self, request_id: int) -> int | None:
+        """Forgets a request; returns the client's id of it, None if it was forgotten before."""
+        client_id = self.client_ids.pop(request_id, None)
+        if client_id is not None:
+            del self.request_ids[client_id]
+        return client_id
 
-    # --- the answer (gateway.Asker) ---
+    # --- the answer (common.requests.ResponseHandler) ---
 
-    def served(self, job: int, size: int, shard: int) -> None:
-        self.say(m.RequestServed(id=self.jobs[job], size=size, shard=shard))
+    def served(self, request_id: int, size: int, shard: int) -> None:
+        """The answer begins."""
+        self.say(m.RequestServed(id=self.client_ids[request_id], size=size, shard=shard))
         if not size:
-            self._forget(job)
+            self._forget(request_id)
 
-    def body_chunk(self, job: int, data: bytes) -> None:
-        number = self.jobs.get(job)
-        if number is None:
-            self.gateway.response_consumed(job, len(data))
+    def body_chunk(self, request_id: int, data: bytes) -> None:
+        """More of the answer's body."""
+        client_id = self.client_ids.get(request_id)
+        if client_id is None:
+            self.gateway.response_consumed(request_id, len(data))
             return
-        self.say(m.BodyChunk(id=number), data)
-        if number not in self.moves.standing:
-            self._forget(job)
+        self.say(m.BodyChunk(id=client_id), data)
+        if client_id not in self.moves.standing:
+            self._forget(request_id)
         elif self.blocked:
-            self.owed[job] = self.owed.get(job, 0) + len(data)
+            self.unconsumed[request_id] = self.unconsumed.get(request_id, 0) + len(data)
         else:
-            self.gateway.response_consumed(job, len(data))
+            self.gateway.response_consumed(request_id, len(data))
 
-    def aborted(self, job: int) -> None:
-        if (number := self._forget(job)) is not None:
-            self.say(m.RequestFailed(id=number))
+    def aborted(self, request_id: int) -> None:
+        """The rest of the answer will not follow."""
+        if (client_id := self._forget(request_id)) is not None:
+            self.say(m.RequestFailed(id=client_id))
 
-    def rejected(self, job: int, retry_after: int) -> None:
-        if (number := self._forget(job)) is not None:
-            self.say(m.RequestRejected(id=number, come_back_ms=retry_after / MS))
+    def rejected(self, request_id: int, retry_after: int) -> None:
+        """The request is rejected."""
+        if (client_id := self._forget(request_id)) is not None:
+            self.say(m.RequestRejected(id=client_id, come_back_ms=retry_after / MS))
 
-    def failed(self, job: int) -> None:
-        if (number := self._forget(job)) is not None:
-            self.say(m.RequestFailed(id=number))
+    def failed(self, request_id: int) -> None:
+        """The request failed."""
+        if (client_id := self._forget(request_id)) is not None:
+            self.say(m.RequestFailed(id=client_id))
 
     # --- back-pressure from the client (IPushProducer) ---
 
     def pauseProducing(self) -> None:
+        """The transport's buffer is full."""
         self.blocked = True
 
     def resumeProducing(self) -> None:
+        """The client has read what was buffered."""
         self.blocked = False
-        owed, self.owed = self.owed, {}
-        for job, size in owed.items():
-            self.gateway.response_consumed(job, size)
+        unconsumed, self.unconsumed = self.unconsumed, {}
+        for request_id, size in unconsumed.items():
+            self.gateway.response_consumed(request_id, size)
 
     def stopProducing(self) -> None:
+        """The connection is gone."""
         self.blocked = True
 
     def closed(self, half: bool) -> None:
-        self.factory.fronts.pop(self, None)
-        self.factory.closed += 1
+        """The connection is closed: all its requests are cancelled."""
+        self.factory.connections.pop(self, None)
+        self.factory.connections_closed += 1
         stop(self.greeting)
         if self.ended_by is not None:
             self.factory.counts[f"connections ended: {self.ended_by.code}"] += 1
         for upload in self.uploads.values():
-            upload.spool.close()
+            upload.body.close()
             stop(upload.timer)
         self.uploads.clear()
-        jobs, self.jobs, self.numbers = list(self.jobs), {}, {}
-        for job in jobs:
-            self.gateway.cancel(job)
+        request_ids = list(self.client_ids)
+        self.client_ids = {}
+        self.request_ids = {}
+        for request_id in request_ids:
+            self.gateway.cancel(request_id)
 
 
 class ClientConnectionFactory(Factory):
-    """Makes a `ClientConnection` for each client. `most`: connections at once; one more is told so and
-    closed.
-    """
+    """Makes a `ClientConnection` for each client; beyond `max_connections` at once one is refused."""
 
     noisy = False
 
-    def __init__(self, gateway: Gateway, clock: Clock, most: int) -> None:
+    def __init__(self, gateway: Gateway, clock: Clock, max_connections: int) -> None:
         self.gateway = gateway
         self.clock = clock
-        self.most = most
-        self.fronts: dict[ClientConnection, None] = {}
+        self.max_connections = max_connections
+        self.connections: dict[ClientConnection, None] = {}
         self.counts: Counter[str] = Counter()
-        self.closed = 0  # connections so far
+        self.connections_closed = 0  # since the start
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
+        """The protocol of a new connection."""
         return ClientConnection(self)
 
-    def say_bye(self) -> None:
-        """Tells every client that no new jobs are taken."""
-        for front in self.fronts:
-            front.say(m.GoAway(reason="draining"))
+    def announce_drain(self) -> None:
+        """Notifies every client that no new requests are admitted."""
+        for connection in self.connections:
+            connection.say(m.GoAway(reason="draining"))
 
     def close(self) -> None:
-        """Closes all connections once what was written to them has gone out."""
-        for front in list(self.fronts):
-            front.transport.loseConnection()
+        """Closes all connections once what was written to them is sent."""
+        for connection in list(self.connections):
+            connection.transport.loseConnection()
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -286,8 +286,8 @@
         self.follower.stop()
         if self.enrolled is not None:
             self.enrolled.stop()
-        for front in list(self.front.fronts):
-            front.abort()
+        for connection in list(self.front.connections):
+            connection.abort()
         for channel in list(self.door.channels) if self.door is not None else ():
             channel.transport.abortConnection()
 
@@ -389,7 +389,7 @@
         for path, old, new in changes(self.record, record):
             (taken if path in MAY_CHANGE else left).append(f"{path}: {old} to {new}")
         self.gateway.max_open = record["clients"]["open_jobs"]
-        self.front.most = record["clients"]["connections"]
+        self.front.max_connections = record["clients"]["connections"]
         kept = {name: dict(part) if isinstance(part, Mapping) else part for name, part in self.record.items()}
         kept["log"] = record["log"]
         kept["clients"] = {
@@ -414,8 +414,8 @@
             "legs_further_total": gateway.request_log.retries,
             "legs_out": len(gateway.nodes.out),
             "node_connections": gateway.nodes.open_connections(),
-            "client_connections": len(self.front.fronts),
-            "client_connections_limit": self.front.most,
+            "client_connections": len(self.front.connections),
+            "client_connections_limit": self.front.max_connections,
             "nodes_listed": len(gateway.entries),
             "list_conflicts": len(conflicts(gateway.entries, self.sightings, now)),
             "list_age_seconds": -1.0 if age is None else age / SECOND,
@@ -467,7 +467,7 @@
 
     def _leave(self) -> None:
         if self.gateway.shutdown.accepts_requests():
-            self.front.say_bye()
+            self.front.announce_drain()
             if self.door is not None:
                 self.door.say_bye()
             self.gateway.on_drained.append(self._left)
--- a/ochrecourse/gateway/log_sampling.py
+++ b/ochrecourse/gateway/log_sampling.py
@@ -1,8 +1,8 @@
-"""Which jobs get a line in the log. Free of I/O and clocks.
+"""Which requests get a line in the log. Free of I/O and clocks.
 
-Lines are written at a stated rate at most, from a store that holds a second's worth. Jobs that went as they
-should may use only the upper half of the store, so that under load those that did not still find room; what
-is left out is counted, and the next line says how many.
+Lines are written at a stated rate at most, by a token bucket that holds one second's worth. Requests that
+were served as they should may use only the upper half of the bucket, so that under load the others still
+find tokens. Lines that are left out are counted, and the next line says how many.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LogSampler:
-    """One log's store of lines. `rate`: lines a second."""
+    """The token bucket of one log. `rate`: lines a second."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
@@ -21,7 +21,7 @@
         self.dropped = 0
 
     def should_log(self, well: bool, now: int) -> bool:
-        """Whether this job gets a line; `well`: fulfilled by its first leg."""
+        """Whether this request gets a line; `well`: served by its first attempt; `now` in ns."""
         if self.refilled_at:
             self.tokens = min(self.burst, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
         self.refilled_at = now
@@ -33,6 +33,6 @@
         return True
 
     def take_dropped(self) -> int:
-        """Lines left out since this was last asked."""
+        """Lines left out since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/ochrecourse/gateway/request_body.py
+++ b/ochrecourse/gateway/request_body.py
@@ -1,7 +1,7 @@
 """Bodies that clients send: small ones in memory, larger ones in a temporary file without a name.
 
-A further leg needs the body again, so it is kept until the job is over; memory stays bounded however large it
-is.
+A retry needs the body again, so it is kept until the request is over; memory stays bounded however large the
+body is.
 """
 
 from __future__ import annotations
@@ -9,37 +9,41 @@
 import tempfile
 from typing import IO
 
-KEPT_IN_MEMORY = 65_536  # bytes; one message's worth, so most jobs never touch a file
+MAX_BYTES_IN_MEMORY = 65_536  # one message's worth, so most requests never touch a file
 
 
 class RequestBody:
-    """One body of a stated size, written once in order and read any number of times."""
+    """One body of a stated size in bytes, written once in order and read any number of times."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.bytes_received = 0
         self._data = bytearray()
-        large = size > KEPT_IN_MEMORY
+        large = size > MAX_BYTES_IN_MEMORY
         self._file: IO[bytes] | None = tempfile.TemporaryFile() if large else None  # noqa: SIM115
 
-    def write(self, piece: bytes) -> None:
-        self.bytes_received += len(piece)
+    def write(self, chunk: bytes) -> None:
+        """Appends what was received."""
+        self.bytes_received += len(chunk)
         if self._file is None:
-            self._data += piece
+            self._data += chunk
         else:
             self._file.seek(0, 2)
-            self._file.write(piece)
+            self._file.write(chunk)
 
     def is_complete(self) -> bool:
+        """Whether all of it was received."""
         return self.bytes_received >= self.size
 
     def read(self, at: int, most: int) -> bytes:
+        """At most `most` bytes from offset `at`."""
         if self._file is None:
             return bytes(self._data[at : at + most])
         self._file.seek(at)
         return self._file.read(most)
 
     def close(self) -> None:
+        """Frees memory and file; the body is not read again."""
         self._data = bytearray()
         if self._file is not None:
             self._file.close()
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -94,7 +94,7 @@
         self.watch.start()
         host, port = self.listen_at
         self.port = self.network.listenTCP(port, self.front, backlog=1024, interface=host)
-        self.port.room = self.front.room
+        self.port.capacity = self.front.room
         at = self.port.getHost()
         return at.host, at.port
 
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -101,14 +101,14 @@
 
 def test_cycles_are_collected_when_no_job_waits_or_many_connections_have_closed():
     code = (
-        "import gc\nfrom ochrecourse.common.monotonic_reactor import MANY, CycleCollector\n"
+        "import gc\nfrom ochrecourse.common.monotonic_reactor import MANY_CLOSED_CONNECTIONS, CycleCollector\n"
         "class Clock:\n    def callLater(self, delay, call): self.call = call\n"
         "clock, state, made = Clock(), {'idle': False, 'closed': 0}, []\n"
         "collector = CycleCollector(clock, lambda: state['idle'], lambda: state['closed'])\n"
         "assert not gc.isenabled(); gc.collect = lambda: made.append(1)\n"
         "clock.call(); state['closed'] = 3; clock.call(); assert not made\n"
         "state['idle'] = True; clock.call(); clock.call(); assert len(made) == 1\n"
-        "state.update(idle=False, closed=3 + MANY); clock.call(); assert len(made) == 2"
+        "state.update(idle=False, closed=3 + MANY_CLOSED_CONNECTIONS); clock.call(); assert len(made) == 2"
     )
     assert subprocess.run([sys.executable, "-c", code], timeout=120).returncode == 0
 
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from ochrecourse.common.time_units import SECOND
-from ochrecourse.common.event_loop import POLLS, WAITED, PollHistory
+from ochrecourse.common.event_loop import MIN_WAIT, POLLS_UNTIL_READ, PollHistory
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.service.gateway_service import GatewayService, shares
 from ochrecourse.service.start_settings import parse
@@ -501,11 +501,11 @@
     turns = PollHistory()
     for at in range(1, 9):
         turns.polled(at * 10, at * 10, True)
-    assert turns.unread_since() == (9 - POLLS) * 10
-    turns.polled(100, 100 + WAITED, False)  # it may have been kept from running
+    assert turns.unread_since() == (9 - POLLS_UNTIL_READ) * 10
+    turns.polled(100, 100 + MIN_WAIT, False)  # it may have been kept from running
     assert turns.unread_since() < 100
-    turns.polled(200, 201 + WAITED, True)
-    assert turns.unread_since() == 201 + WAITED
+    turns.polled(200, 201 + MIN_WAIT, True)
+    assert turns.unread_since() == 201 + MIN_WAIT
 
 
 def test_a_long_turn_keeps_back_nothing_of_clients_that_stay(shop):
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -20,7 +20,7 @@
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
-from ochrecourse.gateway.socket_handover import in_the_way
+from ochrecourse.gateway.socket_handover import handover_obstacle
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
@@ -700,7 +700,7 @@
     assert record["fleet"]["zones"] == {
         name: value for name, value in DEFAULTS.items() if name not in elsewhere
     }
-    assert not in_the_way(record)  # its journal goes with its sockets
+    assert not handover_obstacle(record)  # its journal goes with its sockets
 
 
 @pytest.mark.parametrize(("zones", "cold"), [("zones: {}", 9.0), ("zones: {cold: 2/s}", 2.0)])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -231,7 +231,7 @@
     for i in range(30):
         yard.network.callLater(i, slow.transport.write, data[i : i + 1])
     yard.run(20)
-    assert slow.told(m.ErrorNotice)[0].code == "slow" and slow.lost and not yard.front.fronts
+    assert slow.told(m.ErrorNotice)[0].code == "slow" and slow.lost and not yard.front.connections
 
 
 def test_a_client_that_never_says_hello_is_cut_off_and_one_too_many_is_told(make_yard, make_wire):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 import pytest
 from test_sockets import LONG, Client, gateway, ochrecourse, running  # noqa: F401  (fixtures)
 
-from ochrecourse.gateway.socket_handover import Handover, HandoverStep, in_the_way, moved_from
+from ochrecourse.gateway.socket_handover import Handover, HandoverStep, handover_obstacle, moved_socket
 
 pytestmark = pytest.mark.long
 PLAIN = {"gateway": {"name": "g0", "seed": 0, "listen": "127.0.0.1:7000", "admin": ""}}
@@ -28,10 +28,10 @@
         ({"gateway": {"seed": 5}}, "name their jobs alike"),
     ],
 )
-def test_what_stands_in_the_way_is_said(more, why):
-    told = in_the_way({**PLAIN, **more})
+def test_what_stands_handover_obstacle_is_said(more, why):
+    told = handover_obstacle({**PLAIN, **more})
     assert (why in told) if why else told == ""
-    assert bool(Handover({**PLAIN, **more}).ask("taker", True)) == bool(why)
+    assert bool(Handover({**PLAIN, **more}).offer("taker", True)) == bool(why)
 
 
 @pytest.mark.parametrize(
@@ -44,41 +44,47 @@
 )  # fmt: skip
 def test_sockets_that_the_settings_put_elsewhere_are_not_taken(listen, held, moved):
     record = {"gateway": {**PLAIN["gateway"], "listen": listen}}
-    assert bool(moved_from(record, {"native": held})) == moved
+    assert bool(moved_socket(record, {"native": held})) == moved
 
 
 def test_a_socket_of_no_setting_any_more_is_no_move():
-    assert not moved_from(PLAIN, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
+    assert not moved_socket(PLAIN, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
 
 
 def test_one_taker_at_a_time_and_each_step_once():
     handover = Handover(PLAIN)
-    assert not handover.accepted("a") and handover.step is HandoverStep.NONE  # it did not ask
-    assert handover.ask("a", True) == "" and "not ready" in handover.ask("b", True)
-    assert not handover.accepted("b")
-    handover.lost("b")
+    assert not handover.complete("a") and handover.step is HandoverStep.NONE  # it did not ask
+    assert handover.offer("a", True) == "" and "not ready" in handover.offer("b", True)
+    assert not handover.complete("b")
+    handover.successor_lost("b")
     assert handover.step is HandoverStep.OFFERED
-    handover.lost("a")  # it ended before its word: as if nobody had asked
-    assert handover.step is HandoverStep.NONE and not handover.accepted("a")
-    assert handover.ask("b", True) == "" and handover.accepted("b") and not handover.accepted("b")
-    handover.lost("b")
-    assert handover.step is HandoverStep.GIVEN and "leaving" in handover.ask("c", True)
+    handover.successor_lost("a")  # it ended before its word: as if nobody had asked
+    assert handover.step is HandoverStep.NONE and not handover.complete("a")
+    assert handover.offer("b", True) == "" and handover.complete("b") and not handover.complete("b")
+    handover.successor_lost("b")
+    assert handover.step is HandoverStep.GIVEN and "leaving" in handover.offer("c", True)
 
 
 def test_of_a_fleet_the_journal_goes_before_the_sockets_and_comes_back_if_the_taker_ends():
     handover = Handover({**PLAIN, "fleet": {"listen": "127.0.0.1:0"}})
-    assert not handover.released("a")
-    assert handover.ask("a", True) == "" and not handover.accepted("a")  # it has not got the journal
-    assert not handover.released("b") and handover.released("a") and not handover.released("a")
-    assert handover.step is HandoverStep.RELEASED and "not ready" in handover.ask("b", True)
-    assert not handover.lost("b") and handover.lost("a") and handover.step is HandoverStep.NONE
-    assert handover.ask("b", True) == "" and not handover.lost("b")  # it had not got the journal yet
-    assert handover.ask("b", True) == "" and handover.released("b") and handover.accepted("b")
-    assert not handover.lost("b") and handover.step is HandoverStep.GIVEN
+    assert not handover.release("a")
+    assert handover.offer("a", True) == "" and not handover.complete("a")  # it has not got the journal
+    assert not handover.release("b") and handover.release("a") and not handover.release("a")
+    assert handover.step is HandoverStep.RELEASED and "not ready" in handover.offer("b", True)
+    assert (
+        not handover.successor_lost("b")
+        and handover.successor_lost("a")
+        and handover.step is HandoverStep.NONE
+    )
+    assert handover.offer("b", True) == "" and not handover.successor_lost(
+        "b"
+    )  # it had not got the journal yet
+    assert handover.offer("b", True) == "" and handover.release("b") and handover.complete("b")
+    assert not handover.successor_lost("b") and handover.step is HandoverStep.GIVEN
 
 
 def test_a_gateway_that_leaves_gives_nothing():
-    assert "leaving" in Handover(PLAIN).ask("a", False)
+    assert "leaving" in Handover(PLAIN).offer("a", False)
 
 
 def members(path):
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -169,7 +169,10 @@
         loop.until(lambda: len(loop.front.fronts) == len(busy) + BEYOND)
         loop.reactor.seconds = lambda: stands  # no timer comes due: what is done is done by readiness alone
         asked = []
-        room, loop.service.port.room = loop.service.port.room, lambda: asked.append(1) or room()
+        capacity, loop.service.port.capacity = (
+            loop.service.port.capacity,
+            lambda: asked.append(1) or capacity(),
+        )
         for _ in range(200):
             loop.reactor.iterate(0)
         assert len(asked) <= 1 and len(loop.front.fronts) == len(busy) + BEYOND
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,8 +13,11 @@
 DONE = [
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
-    "common/errors.py", "common/object_cache.py", "common/requests.py", "gateway/gateway.py", "gateway/input_catch_up.py",
-    "gateway/request_executor.py", "gateway/settings_index.py",
+    "common/errors.py", "common/event_loop_lag.py", "common/monotonic_reactor.py", "common/object_cache.py",
+    "common/request_records.py", "common/requests.py", "common/runtime.py", "common/time_units.py", "gateway/client_connection.py",
+    "gateway/gateway.py", "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
+    "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py", "gateway/settings_index.py",
+    "gateway/socket_handover.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -26,6 +29,12 @@
     "interface.py": ["FULFILLED"],  # the name that programs of library surface 1 use
     "nodes/dispatcher.py": ["product"],  # of wire/messages.py, which is not done
     "nodes/framed_connection.py": ["leg"],  # of wire/messages.py and moves.py
+    "gateway/client_connection.py": [
+        "product",
+        "plan",
+        "come_back",
+        "standing",
+    ],  # of wire/messages.py and state.py
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
 }
 
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -249,7 +249,7 @@
     yard.ask(client, 1, product="bind", key=2, timeout_ms=800)
     yard.run(0.1)
     tap.note(yard.network, "the gateway is told to leave")
-    yard.front.say_bye()
+    yard.front.announce_drain()
     yard.gateway.drain()
     yard.ask(client, 2)
     yard.run()
@@ -723,7 +723,7 @@
 def test_a_gateway_that_leaves_without_a_word_is_seen(tap, make_yard, monkeypatch):
     """A seeded mistake: no bye is said."""
     approved = Path(__file__).parent / "__snapshots__" / "test_transcripts" / "test_native_gateway_drains.txt"
-    monkeypatch.setattr(ClientConnectionFactory, "say_bye", lambda self: None)
+    monkeypatch.setattr(ClientConnectionFactory, "announce_drain", lambda self: None)
     native_gateway_drains(tap, make_yard)
     lines, others = (
         [line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text(""))
