--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -67,7 +67,7 @@
                 self._say({"error": "the sockets were not handed over"})
                 return
             sockets.keep("fleet")
-            daemon.release()
+            daemon.release_fleet()
             self._say({"released": True})
 
         def _accepts(self) -> None:
@@ -102,10 +102,10 @@
     if not alone() or not daemon.gateway.shutdown.accepts_requests():
         return
     try:
-        daemon.rejoin(sockets.listen)
+        daemon.rejoin_fleet(sockets.listen)
     except (JournalError, OSError, CannotListenError) as trouble:
         # The other process may still be ending: its lock goes with it.
-        daemon.say("fleet not joined again", why=str(trouble))
+        daemon.host.log_event("fleet not joined again", why=str(trouble))
         reactor.callLater(TAKE_BACK, take_back, reactor, daemon, sockets, alone)
 
 
@@ -124,12 +124,12 @@
     if not do:
         return {"error": 'a line is {"do": "show"}, drain, undrain, members, accept, or a word of the fleet'}
     if do in FLEET:
-        return fleet_answer(daemon.part, do, json.loads(line))
+        return fleet_answer(daemon.fleet_member, do, json.loads(line))
     if do == "members":
-        members: dict[str, Any] = daemon.members()
+        members: dict[str, Any] = daemon.endpoint_report()
         return members
     if do == "accept":
-        return {"done": daemon.accept_members(), "stage": "the registry is read anew"}
+        return {"done": daemon.accept_registry(), "stage": "the registry is read anew"}
     if do in ("show", "drain", "undrain") and daemon.speaker is None:
         return {"error": "this gateway's settings have no part bgp"}
     if do == "show":
--- a/ochrecourse/cli/serve.py
+++ b/ochrecourse/cli/serve.py
@@ -48,6 +48,7 @@
     from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
     from ochrecourse.storage.journal import JournalError
     from ochrecourse.gateway.daemon import Daemon
+    from ochrecourse.gateway.daemon_parts import HostProgram
     from ochrecourse.gateway.socket_handover import handover_obstacle, moved_socket
     from ochrecourse.gateway.log_sampling import LogSampler
     from ochrecourse.settings.load import Refused, address, load
@@ -67,10 +68,11 @@
     access = AccessLog(log, sampling, reactor)
     jobs = [JobLog(log, sampling)]
     try:
-        daemon = Daemon(
-            settings, reactor, jobs, log.warning, reactor.stop, log.info, epoch=epoch, access=access,
-            epoch_ms=lambda: time.time_ns() // 1_000_000, later=take_over
+        host = HostProgram(
+            reactor, jobs, log.warning, reactor.stop, log.info, clock_zero=epoch, access_log=access,
+            wall_clock_ms=lambda: time.time_ns() // 1_000_000
         )  # fmt: skip
+        daemon = Daemon(settings, host, join_later=take_over)
     except (JournalError, Unreadable, OSError) as trouble:
         click.echo(f"ochrecourse: what the state folder keeps is not to be had: {trouble}", err=True)
         sys.exit(2)
@@ -81,7 +83,7 @@
         except Refused as trouble:
             log.warning("settings not taken over", mistakes=str(trouble).split("\n"))
             return
-        taken, left = daemon.take_over(again)
+        taken, left = daemon.reload(again)
         sampling.rate = again["log"]["sample"]
         sampling.burst = max(1.0, sampling.rate)
         if any(each.startswith("log.level") for each in taken):
@@ -114,11 +116,11 @@
         sockets.give_back()
         log.info("serving", host=host, port=port, pid=os.getpid(), open_files=files)
         lines = [f"listening {host}:{port}"]
-        if daemon.door_listening is not None:
-            at = daemon.door_listening.getHost()
+        if daemon.webdav_port is not None:
+            at = daemon.webdav_port.getHost()
             lines.append(f"webdav {at.host}:{at.port}")
-        if daemon.part is not None:
-            at = daemon.part.listening.getHost()
+        if daemon.fleet_member is not None:
+            at = daemon.fleet_member.listening.getHost()
             lines.append(f"fleet {at.host}:{at.port}")
         return lines
 
@@ -157,7 +159,7 @@
         if trouble_at_start:
             return
         try:
-            daemon.join()
+            daemon.join_fleet()
         except (JournalError, OSError) as trouble:
             if waited >= LOCK_TIME:
                 not_taken(f"what the state folder keeps is not to be had: {trouble}")
@@ -183,7 +185,7 @@
 
     def too_late() -> None:
         """Guards against a running process that hangs: it takes the connection and never answers."""
-        if daemon.listening is None and daemon.gateway.shutdown.accepts_requests():
+        if daemon.client_port is None and daemon.gateway.shutdown.accepts_requests():
             missing = "list of nodes came" if sockets.taken else "answer came from the running gateway"
             not_taken(f"no {missing} within {START_TIME:g} s")
 
@@ -191,12 +193,12 @@
         if not control:
             click.echo(f"{file}: --take-over asks the running process at gateway.control; set it", err=True)
             sys.exit(1)
-        daemon.follow()
+        daemon.watch_endpoints()
         reactor.callLater(START_TIME, too_late)
         ask_for(reactor, control, taken, not_taken)
     else:
         try:
-            daemon.follow()
+            daemon.watch_endpoints()
             lines = accept()
             if control:
                 serve_control(reactor, control, daemon, sockets)
@@ -204,11 +206,11 @@
         except CannotListenError as trouble:
             click.echo(f"ochrecourse: cannot listen: {trouble.socketError}", err=True)
             sys.exit(2)
-    door = daemon.door
+    door = daemon.webdav
     CycleCollector(
         reactor,
         lambda: not daemon.gateway.request_log.open,
-        lambda: daemon.front.connections_closed + (door.closed if door is not None else 0),
+        lambda: daemon.client_factory.connections_closed + (door.closed if door is not None else 0),
     )
     reactor.run(installSignalHandlers=False)
     if not trouble_at_start:
--- /dev/null
+++ b/ochrecourse/gateway/daemon_parts.py
@@ -0,0 +1,257 @@
+"""What a daemon is made of: a gateway, its clients' side, its endpoint list, and what its settings add."""
+
+from __future__ import annotations
+
+import random
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from ochrecourse.bgp.fitness import Sight
+from ochrecourse.bgp.setup import setup_of
+from ochrecourse.bgp.speaker import Speaker
+from ochrecourse.bgp.watch import Watch
+from ochrecourse.common.request_records import RequestRecord
+from ochrecourse.common.runtime import Network
+from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.client_connection import ClientConnectionFactory
+from ochrecourse.gateway.gateway import Gateway, RequestObserver
+from ochrecourse.gateway.webdav_setup import names_and_locks, names_journal, webdav_server
+from ochrecourse.interface import Decisions
+from ochrecourse.membership.conflicts import NodeObservations
+from ochrecourse.membership.endpoint_list import EndpointListUpdate
+from ochrecourse.membership.list_server_watcher import ListServerWatcher
+from ochrecourse.membership.registration import Registration
+from ochrecourse.membership.registry_watcher import RegistryWatcher, age_clock
+from ochrecourse.nodes.framed_connection import dialler
+from ochrecourse.scheduler.scheduler import Scheduler
+from ochrecourse.settings.load import address
+from ochrecourse.settings.plain import plain_map
+from ochrecourse.storage.journal import FileJournal, Journal, MemoryJournal
+from ochrecourse.storage.process_lock import ProcessLock
+from ochrecourse.webdav.door import Door
+
+# Each component with chance of its own gets another seed, so that none repeats another's sequence.
+WATCHER_SEED = 0x5DEECE66D
+FLEET_SEED = 0x2545F491
+
+
+def ignore_event(event: str, **fields: Any) -> None:
+    """A log that drops everything."""
+
+
+@dataclass
+class HostProgram:
+    """What the program around a daemon provides.
+
+    `warn` takes a warning for operators; `on_stopped` is called when the daemon has drained and closed;
+    `log_event` takes a line of the log, with its fields; `clock_zero`: s since 1970 at the network's clock's
+    zero, for dates that clients see; `access_log` takes a WebDAV request's line; `names_journal` stores names
+    and locks, `fleet_journal` what the fleet shares, by default in the folder `gateway.state`;
+    `wall_clock_ms`: ms since 1970.
+    """
+
+    network: Network
+    observers: Sequence[RequestObserver]
+    warn: Callable[[str], None]
+    on_stopped: Callable[[], None]
+    log_event: Callable[..., None] = ignore_event
+    decisions: Callable[[Mapping[str, str], int, int], Decisions] = Scheduler
+    clock_zero: int = 0
+    access_log: Callable[..., None] | None = None
+    names_journal: Journal | None = None
+    fleet_journal: Journal | None = None
+    wall_clock_ms: Callable[[], int] | None = None
+
+
+class DaemonParts(ABC):
+    """The parts of one daemon, made from a resolved settings record."""
+
+    def __init__(self, record: Mapping[str, Any], host: HostProgram, join_later: bool = False) -> None:
+        """`join_later`: its member of the fleet is made by `join_fleet`, once its journal is free. Raises
+        JournalError, Unreadable, OSError.
+        """
+        self.record = record
+        self.host = host
+        self.network = host.network
+        own = record["gateway"]
+        self.seed = own["seed"] or random.SystemRandom().getrandbits(63)
+        self.node_observations = NodeObservations()
+        self.gateway = self._make_gateway()
+        max_connections = record["clients"]["connections"]
+        self.client_factory = ClientConnectionFactory(self.gateway, self.network, max_connections)
+        self.endpoint_watcher = self._make_endpoint_watcher()
+        self.registration = self._make_registration()
+        self.client_port: Any = None  # once it accepts
+        self.webdav_port: Any = None
+        state = own["state"]
+        self.process_lock = ProcessLock(Path(state) / f"{own['name']}.lock") if state else None
+        self.webdav = self._make_webdav() if "webdav" in record else None
+        self.fleet_member: Any = None  # its member of the fleet
+        self.released_member: Any = None  # whose place the next process has taken
+        self.purger: Any = None  # of the fleet's subsystems, the one that drops cached objects
+        if "fleet" in record:
+            self._prepare_fleet(join_later)
+        self.outcome_watch = Watch()
+        self.speaker = self._make_speaker()
+
+    @abstractmethod
+    def status(self) -> Sight:
+        """What this gateway sees of itself now."""
+
+    @abstractmethod
+    def listen_address(self) -> str:
+        """HOST:PORT of the native framing; empty before it serves."""
+
+    @abstractmethod
+    def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
+        """A request is over (RequestObserver)."""
+
+    @abstractmethod
+    def _endpoint_list_received(self, update: EndpointListUpdate) -> None:
+        """The endpoint list changed."""
+
+    @abstractmethod
+    def _begin_drain(self) -> None:
+        """Notifies clients and admits nothing new."""
+
+    @abstractmethod
+    def _close_clients(self) -> None:
+        """All is answered, and no service address leads here any more."""
+
+    def _make_gateway(self) -> Gateway:
+        own = self.record["gateway"]
+        return Gateway(
+            plain_map(self.record),
+            self.seed,
+            self.network,
+            dialler(self.network),
+            own["name"],
+            round(own["travel"] * MS),
+            [self, *self.host.observers],
+            self.host.decisions,
+        )
+
+    def _make_endpoint_watcher(self) -> ListServerWatcher | RegistryWatcher:
+        """Who watches the endpoint list: at a list server or in a registry."""
+        name, state = self.record["gateway"]["name"], self.record["gateway"]["state"]
+        cache = Path(state) / f"{name}.nodes" if state else None
+        seed = self.seed ^ WATCHER_SEED
+        network, warn, notify = self.network, self.host.warn, self._endpoint_list_received
+        if "registry" in self.record:
+            settings = self.record["registry"]
+            servers, prefix = _servers(settings), settings["prefix"].encode()
+            since_1970 = age_clock(network, self.host.clock_zero)
+            return RegistryWatcher(name, network, servers, prefix, notify, cache, seed, since_1970, warn)
+        list_server = address(self.record["list"]["address"])
+        assert list_server is not None  # checked when the settings were read
+        return ListServerWatcher(name, network, list_server, notify, cache, seed, warn)
+
+    def _make_registration(self) -> Registration | None:
+        """This gateway's own entry in the registry, if it is to have one."""
+        record = self.record
+        if "registry" not in record or not record["registry"]["own"]:
+            return None
+        settings = record["registry"]
+        prefix = settings["own"].encode()
+        key = prefix + record["gateway"]["name"].encode()
+        on_others = self._gateways_registered if "fleet" in record else None
+        lease_s = round(settings["lease"] / 1000)
+        return Registration(
+            self.network, _servers(settings), key, self._registration_value, lease_s, self.seed, prefix,
+            on_others
+        )  # fmt: skip
+
+    def _registration_value(self) -> bytes:
+        record = self.record
+        own = record["gateway"]
+        addresses = [each["network"] for each in record["bgp"]["addresses"]] if "bgp" in record else []
+        value = {"name": own["name"], "number": own["number"], "listen": self.listen_address()}
+        fleet = {} if self.fleet_member is None else {"fleet": self.fleet_member.listens()}
+        return msgspec.json.encode({**value, "addresses": addresses, **fleet})
+
+    def _gateways_registered(self, entries: dict[bytes, bytes]) -> None:
+        if self.fleet_member is not None:  # not while another process takes over
+            self.fleet_member.entered(entries.values())
+
+    def _make_webdav(self) -> Door:
+        if self.process_lock is not None:
+            self.process_lock.take()
+        host = self.host
+        journal = host.names_journal
+        if journal is None:
+            journal = names_journal(self.record["gateway"])
+        names = names_and_locks(journal, self.network, host.clock_zero, host.warn)
+        return webdav_server(self.record, self.gateway, self.network, names, host.access_log)
+
+    def _make_speaker(self) -> Speaker | None:
+        """Who announces the service addresses, where the settings have any."""
+        setup = setup_of(self.record)
+        if setup is None:
+            return None
+        in_flight = self.gateway.in_flight
+        speaker = Speaker(
+            self.network, setup, self.status, self._begin_drain, lambda: len(in_flight),
+            self.host.log_event, self.seed
+        )  # fmt: skip
+        speaker.gone.append(self._close_clients)
+        return speaker
+
+    # --- the fleet; nothing of it is loaded where the settings name none ---
+
+    def _prepare_fleet(self, join_later: bool) -> None:
+        if not join_later:
+            self.fleet_member = self._make_fleet_member()
+        elif self.host.fleet_journal is None and self.record["gateway"]["state"]:
+            # Guards against a program that can't read the journal and finds so when it was given up for it.
+            self._fleet_journal().look()
+
+    def _fleet_journal(self) -> FileJournal:
+        """What the fleet shares, as it is stored in the folder `gateway.state`."""
+        from ochrecourse.fleet.part import JOURNAL
+
+        own, (name, oldest, newest) = self.record["gateway"], JOURNAL
+        path = Path(own["state"]) / f"{own['name']}.log"
+        return FileJournal(path, name, oldest, min(newest, self.record["fleet"]["newest_form"]))
+
+    def _make_fleet_member(self) -> Any:
+        """This gateway's member of the fleet. Raises JournalError, OSError."""
+        from ochrecourse.fleet.awake import Awake
+        from ochrecourse.fleet.part import Part
+
+        record, own, host = self.record, self.record["gateway"], self.host
+        if self.process_lock is not None:
+            self.process_lock.take()
+        journal = host.fleet_journal
+        if journal is None:
+            journal = self._fleet_journal() if own["state"] else MemoryJournal()
+        rules, zones = record["rules"], record["zones"]
+        since_1970 = host.wall_clock_ms or age_clock(self.network, host.clock_zero)
+        member = Part(
+            self._fleet_settings(), self.gateway, self.network, journal, self.seed ^ FLEET_SEED, since_1970,
+            host.log_event, own["zone"], len(zones), round(rules["cold_time"] * MS), zones
+        )  # fmt: skip
+        self.gateway.use_clock(Awake(self.network, member))
+        for note in journal.notes if isinstance(journal, FileJournal) else ():
+            host.log_event("fleet journal", note=note)
+        if {"copies", "purges"} & record["fleet"].keys():
+            from ochrecourse.fleet.purger import lodge
+
+            self.purger = lodge(member, record, self.gateway, self.network, host.log_event)
+        return member
+
+    def _fleet_settings(self) -> dict[str, Any]:
+        settings, rules = dict(self.record["fleet"]), self.record["rules"]
+        if "zones" in settings and rules["cold_fall"]:  # what a node that warms up bears is a rule already
+            warm_up_rate = rules["cold_units"] * 1000 / rules["cold_fall"]
+            settings["zones"] = {"cold": warm_up_rate, **settings["zones"]}
+        return settings
+
+
+def _servers(settings: Mapping[str, Any]) -> list[tuple[str, int]]:
+    """Host and port of each server of the registry."""
+    return [server for each in settings["servers"] if (server := address(each)) is not None]
--- /dev/null
+++ b/ochrecourse/gateway/daemon_status.py
@@ -0,0 +1,190 @@
+"""What a daemon reports of itself: status for its service addresses, health page, metrics, endpoint list."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+import msgspec
+
+from ochrecourse.bgp.fitness import Sight
+from ochrecourse.common.request_records import RequestRecord
+from ochrecourse.common.runtime import now_ns
+from ochrecourse.common.time_units import SECOND
+from ochrecourse.gateway.daemon_parts import DaemonParts
+from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.interface import Health
+from ochrecourse.membership.conflicts import conflicts
+from ochrecourse.membership.registry_watcher import RegistryWatcher
+from ochrecourse.nodes.outcome import AttemptEvent
+
+RECENT_LAG = 2 * SECOND  # ns in which a late event loop counts for the status
+
+
+class DaemonStatus(DaemonParts):
+    """The reports of one daemon. Names of figures and fields are those of the operators' pages."""
+
+    def listen_address(self) -> str:
+        """HOST:PORT of the native framing; empty before it serves."""
+        at = self.client_port.getHost() if self.client_port is not None else None
+        return f"{at.host}:{at.port}" if at is not None else ""
+
+    def status(self) -> Sight:
+        """What this gateway sees of itself now."""
+        gateway, watcher, now = self.gateway, self.endpoint_watcher, now_ns(self.network)
+        ready_nodes = [node for node, entry in gateway.entries.items() if entry.health is Health.READY]
+        recent = self.outcome_watch.look(gateway.request_log.outcomes, now)
+        list_age = watcher.view.age(now)
+        registration = self.registration
+        return Sight(
+            listening=self.client_port is not None,
+            draining=not gateway.shutdown.accepts_requests(),
+            loop_late=gateway.event_loop_lag.worst_since(now - RECENT_LAG),
+            has_list=bool(gateway.entries),
+            # A list that is watched is as fresh as its connection, however long ago it last changed.
+            list_age=0 if watcher.line is not None else list_age or 0,
+            list_fresh=list_age is not None,
+            enrolled=registration is None or registration.held() or not registration.lease.lost,
+            nodes_ready=len(ready_nodes),
+            nodes_reached=gateway.node_health.reached(ready_nodes, now),
+            jobs=recent.jobs,
+            written_off=recent.written_off,
+            lately=recent.lately,
+            fulfilled=recent.fulfilled,
+            open_share=gateway.request_log.open / gateway.max_open,
+        )
+
+    def ready(self) -> tuple[bool, str]:
+        """Whether new requests are of any use here, and why not."""
+        if not self.gateway.shutdown.accepts_requests():
+            return False, "leaving"
+        if not self.gateway.entries:
+            return False, "no list of nodes"
+        if self.gateway.request_log.open >= self.gateway.max_open:
+            return False, "no room for more jobs"
+        return True, "ready"
+
+    def endpoint_report(self) -> dict[str, Any]:
+        """The endpoint list as this gateway has it, and how sure of it it is."""
+        watcher, now = self.endpoint_watcher, now_ns(self.network)
+        age = watcher.view.age(now)
+        report: dict[str, Any] = {
+            "from": "registry" if isinstance(watcher, RegistryWatcher) else "list server",
+            "connected": watcher.line is not None,
+            "epoch": watcher.view.epoch,
+            "age_s": None if age is None else round(age / SECOND, 3),
+            "nodes": [msgspec.structs.asdict(line) for _, line in sorted(watcher.view.lines.items())],
+            "conflicts": [
+                {
+                    "node": each.node,
+                    "what": each.what,
+                    "for_s": round((now - each.since) / SECOND, 3) if each.since else None,
+                }
+                for each in conflicts(self.gateway.entries, self.node_observations, now)
+            ],
+            "counts": dict(watcher.counts),
+            "lease": None if self.registration is None else self.registration.held(),
+        }
+        if isinstance(watcher, RegistryWatcher):
+            report["not_believed"] = watcher.feed.restored
+            report["notes"] = dict(watcher.roster.notes)
+        return report
+
+    def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
+        """Notes what a request's attempts showed of their nodes."""
+        for attempt in record.attempts:
+            if attempt.reason:
+                ended_at = attempt.sent_at + attempt.took
+                self.node_observations.leg_over(attempt.node, AttemptEvent(attempt.reason), ended_at)
+
+    # --- the metrics page ---
+
+    def figures(self) -> dict[str, float]:
+        """What the metrics page shows, by name."""
+        figures = {
+            **self._request_figures(),
+            **self._endpoint_figures(),
+            **self._outcome_figures(),
+            **self._bgp_figures(),
+        }
+        if self.registration is not None:
+            figures["registry_lease_held"] = float(self.registration.held())
+            figures["registry_leases_lost_total"] = self.registration.lease.lost
+        if self.fleet_member is not None:
+            figures.update(self.fleet_member.figures())
+        if self.purger is not None:
+            figures.update(self.purger.figures())
+        figures.update(self._webdav_figures())
+        figures.update(self._event_figures())
+        return figures
+
+    def _request_figures(self) -> dict[str, float]:
+        gateway, log, clients = self.gateway, self.gateway.request_log, self.client_factory
+        return {
+            "jobs_taken_total": log.received,
+            "jobs_denied_at_door_total": gateway.rejected_on_arrival,
+            "jobs_open": log.open,
+            "jobs_open_limit": gateway.max_open,
+            "legs_total": log.attempts,
+            "legs_further_total": log.retries,
+            "legs_out": len(gateway.nodes.out),
+            "node_connections": gateway.nodes.open_connections(),
+            "client_connections": len(clients.connections),
+            "client_connections_limit": clients.max_connections,
+        }
+
+    def _endpoint_figures(self) -> dict[str, float]:
+        gateway, view, now = self.gateway, self.endpoint_watcher.view, now_ns(self.network)
+        age = view.age(now)
+        return {
+            "nodes_listed": len(gateway.entries),
+            "list_conflicts": len(conflicts(gateway.entries, self.node_observations, now)),
+            "list_age_seconds": -1.0 if age is None else age / SECOND,
+            "list_epoch": view.epoch,
+            "list_gaps_total": view.gaps,
+            "loop_late_worst_seconds": gateway.event_loop_lag.worst / SECOND,
+        }
+
+    def _outcome_figures(self) -> dict[str, float]:
+        log = self.gateway.request_log
+        figures: dict[str, float] = {}
+        for outcome, count in log.outcomes.items():
+            figures[f'jobs_total{{ending="{outcome.value}"}}'] = count
+        for ending, count in log.endings.items():
+            figures[f'leg_endings_total{{ending="{ending.value}"}}'] = count
+        return figures
+
+    def _bgp_figures(self) -> dict[str, float]:
+        figures: dict[str, float] = {}
+        if self.speaker is None:
+            return figures
+        for each in self.speaker.peers:
+            figures[f'bgp_peer_state{{peer="{each.setup.figures.name}"}}'] = int(each.peer.state)
+        for address in self.speaker.addresses:
+            network, fitness = address.setup.network, address.fitness
+            figures[f'bgp_standing{{network="{network}"}}'] = int(fitness.standing)
+            figures[f'bgp_changes_total{{network="{network}"}}'] = fitness.changes
+        return figures
+
+    def _webdav_figures(self) -> dict[str, float]:
+        if self.webdav is None:
+            return {}
+        return {
+            "webdav_connections": len(self.webdav.channels),
+            "webdav_resources": self.webdav.tree.size,
+            "webdav_bytes": self.webdav.tree.used.total(),
+            "webdav_locks": len(self.webdav.methods.locks.by_token),
+            "webdav_requests_waiting": len(self.webdav.waiting),
+        }
+
+    def _event_figures(self) -> dict[str, float]:
+        sources: list[Counter[str]] = [
+            self.gateway.nodes.counts,
+            self.client_factory.counts,
+            self.endpoint_watcher.counts,
+        ]
+        if self.webdav is not None:
+            sources.append(self.webdav.counts)
+        return {
+            f'events_total{{what="{what}"}}': count for source in sources for what, count in source.items()
+        }
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -18,6 +18,7 @@
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import audit
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.common.requests import Request
 from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.common.request_records import RequestRecord
@@ -218,7 +219,7 @@
     if through_daemon:
         seen = _Stories()
         record = record_of(day, fleet.list_address())
-        daemon = Daemon(record, network, [seen], lambda text: None, lambda: None)
+        daemon = Daemon(record, HostProgram(network, [seen], lambda text: None, lambda: None))
         at = daemon.start()
         load = Load(network, day, {0: lambda: at}, records.append)
         load.connect()
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -162,12 +162,12 @@
 
         def gone() -> None:
             if seat.daemon is daemon:
-                seat.copy = daemon.follower.view.copy(now_ns(self.network))
+                seat.copy = daemon.endpoint_watcher.view.copy(now_ns(self.network))
                 self.play.add_up(daemon)
                 seat.newest = newest or seat.newest
                 seat.start()
 
-        daemon.gone = gone
+        daemon.host.on_stopped = gone
         daemon.drain()
 
     def _raise_form(self, form: int) -> None:
--- a/ochrecourse/lab/fleet_instance.py
+++ b/ochrecourse/lab/fleet_instance.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.lab.fleet_disk import Disk
 from ochrecourse.lab.play import Seat, VirtualPlay
 
@@ -49,15 +50,17 @@
             resolved["fleet"]["peers"] = self.play.peers_of(self.index)
             for site in resolved.get("sites", ()):
                 site["edges"] = [seat.name for seat in self.play.seats]
-            return Daemon(
-                resolved, self.network, [self.play], self.play.warnings.append, lambda: None,
-                decisions=self.play.decisions, tree=self.tree, epoch=EPOCH_MS // 1000, log=self.disk,
-                epoch_ms=self.wall_ms,
+            host = HostProgram(
+                self.network, [self.play], self.play.warnings.append, lambda: None,
+                decisions=self.play.decisions, names_journal=self.tree, clock_zero=EPOCH_MS // 1000,
+                fleet_journal=self.disk, wall_clock_ms=self.wall_ms,
             )  # fmt: skip
-        return Daemon(
-            resolved, self.network, [self.play], self.play.warnings.append, lambda: None,
-            decisions=self.play.decisions, tree=self.tree,
+            return Daemon(resolved, host)
+        host = HostProgram(
+            self.network, [self.play], self.play.warnings.append, lambda: None,
+            decisions=self.play.decisions, names_journal=self.tree,
         )  # fmt: skip
+        return Daemon(resolved, host)
 
     def runs(self) -> bool:
         """Whether it can be asked and heard now."""
@@ -79,4 +82,4 @@
         self.lost, self.lost_at = True, self.play.network.seconds()
 
     def part(self) -> Any:
-        return getattr(self.daemon, "part", None)
+        return getattr(self.daemon, "fleet_member", None)
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -15,6 +15,7 @@
 from ochrecourse.scheduler.scheduler import Scheduler
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.interface import Decisions
 from ochrecourse.lab.day import Day, Trouble, gateway_record, node_kind, push_over, volumes, works
 from ochrecourse.lab.load import Load, Outcomes, schedule
@@ -170,25 +171,21 @@
     def make(self, resolved: dict[str, Any]) -> Daemon:
         """The daemon of its next life."""
         play = self.play
-        return Daemon(
-            resolved,
-            self.network,
-            [],
-            play.warnings.append,
-            lambda: None,
-            decisions=play.decisions,
-            tree=self.tree,
-        )
+        host = HostProgram(
+            self.network, [], play.warnings.append, lambda: None, decisions=play.decisions,
+            names_journal=self.tree
+        )  # fmt: skip
+        return Daemon(resolved, host)
 
     def start(self) -> None:
         play = self.play
         self.lives += 1
         self.daemon = self.make(resolve(write(self.settings()), self.name))
         if self.copy is not None:
-            self.daemon.take_kept(self.copy)
+            self.daemon.use_cached_list(self.copy)
         _, self.port = self.daemon.start()
-        if self.daemon.door_listening is not None:
-            self.door_port = self.daemon.door_listening.getHost().port
+        if self.daemon.webdav_port is not None:
+            self.door_port = self.daemon.webdav_port.getHost().port
         play.record(r.Started(t=now_ns(play.network), gateway=self.name))
 
     def kill(self) -> None:
@@ -197,7 +194,7 @@
             return
         play = self.play
         play.record(r.Killed(t=now_ns(play.network), gateway=self.name))
-        self.copy = self.daemon.follower.view.copy(now_ns(play.network))
+        self.copy = self.daemon.endpoint_watcher.view.copy(now_ns(play.network))
         play.add_up(self.daemon)
         self.daemon.kill()
         self.daemon = None
@@ -294,7 +291,7 @@
             **{f"gateway: {closing.value}": count for closing, count in ledger.outcomes.items()},
             **{f"gateway: leg {ending.value}": count for ending, count in ledger.endings.items()},
             **{f"gateway: {name}": count for name, count in daemon.gateway.nodes.counts.items()},
-            **{f"gateway: {name}": count for name, count in daemon.front.counts.items()},
+            **{f"gateway: {name}": count for name, count in daemon.client_factory.counts.items()},
         }
         for name, count in told.items():
             self.played.counts[name] = self.played.counts.get(name, 0) + count
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -331,7 +331,7 @@
     speaker = None
 
     def __init__(self, part):
-        self.part = part
+        self.fleet_member = part
 
 
 def asked(part, **line):
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -18,6 +18,7 @@
 from ochrecourse.fleet.messages import Entries, Hello, Rows, frame
 from ochrecourse.fleet.part import JOURNAL, UNNAMED, Part
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
 from ochrecourse.gateway.socket_handover import handover_obstacle
@@ -553,7 +554,9 @@
     fleet.run(3)
 
     def ask(**asked):
-        return answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps({"do": "zone", **asked}).encode())
+        return answer(
+            SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps({"do": "zone", **asked}).encode()
+        )
 
     for asked in (
         {"zone": 0},
@@ -583,7 +586,7 @@
 def test_the_control_socket_appends_reads_and_dumps(make_fleet):
     fleet = make_fleet("ab")
     fleet.run(3)
-    daemons = {name: SimpleNamespace(part=part) for name, part in fleet.parts.items()}
+    daemons = {name: SimpleNamespace(fleet_member=part) for name, part in fleet.parts.items()}
 
     def ask(name, **asked):
         return answer(daemons[name], json.dumps(asked).encode())
@@ -606,7 +609,7 @@
         ({"do": "read", "channel": "c", "most": 0}, "most from 1"), ({"do": "read", "channel": 7}, "no channel"),
     ):  # fmt: skip
         assert why in ask("a", **asked)["error"]
-    assert "no part fleet" in answer(SimpleNamespace(part=None), b'{"do":"fleet"}')["error"]
+    assert "no part fleet" in answer(SimpleNamespace(fleet_member=None), b'{"do":"fleet"}')["error"]
     figures = fleet.parts["a"].figures()
     assert figures["fleet_links"] == 1 and figures["fleet_members_reached"] == 2
 
@@ -707,8 +710,8 @@
 def test_what_the_fleet_begins_at_a_cold_node_is_what_the_rules_say_unless_less_is_named(zones, cold):
     rules = "\nrules: {cold_units: 18, cold_fall: 2s}\n"
     record = resolve(GOOD.replace("zones: {}", zones) + rules, "g.cue")
-    daemon = Daemon(record, VirtualNetwork(1), [], lambda note: None, lambda: None)
-    assert daemon.part.zones.figure["cold"] == cold
+    daemon = Daemon(record, HostProgram(VirtualNetwork(1), [], lambda note: None, lambda: None))
+    assert daemon.fleet_member.zones.figure["cold"] == cold
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -25,6 +25,7 @@
 from ochrecourse.fleet.purger import Purger
 from ochrecourse.fleet.purges import Purges
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.common.requests import Request
 from ochrecourse.interface import Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
@@ -1089,7 +1090,7 @@
 
     def editions(self, name):
         """Writer and number of each entry that is an edition of site s, as one of the daemons holds them."""
-        entries = self.daemons[name].part.log.events("calendar/s")
+        entries = self.daemons[name].fleet_member.log.events("calendar/s")
         bodies = [(entry.writer, msgspec.json.decode(entry.body)) for entry in entries]
         return [(writer, body["number"]) for writer, body in bodies if body["what"] == "edition"]
 
@@ -1099,12 +1100,13 @@
             f'{{name: "g{n}", address: "127.0.0.1:{20_000 + n}"}}' for n in range(4) if n != number
         )
         text = SAID % (name, 21_000 + number, 20_000 + number, peers, self.shifts[name], self.edition)
-        daemon = Daemon(
-            resolve(text, "g.cue"), self.network.host(name), [], lambda text: None, lambda: None,
-            told=lambda event, **more: self.lines.append((self.ms(), name, event, more)),
-            log=self.disks.setdefault(name, MemoryJournal()),
-            epoch_ms=lambda: round(CLOSE.timestamp() * 1000) - 1000 * BEFORE_CLOSE + self.ms(),
+        host = HostProgram(
+            self.network.host(name), [], lambda text: None, lambda: None,
+            log_event=lambda event, **more: self.lines.append((self.ms(), name, event, more)),
+            fleet_journal=self.disks.setdefault(name, MemoryJournal()),
+            wall_clock_ms=lambda: round(CLOSE.timestamp() * 1000) - 1000 * BEFORE_CLOSE + self.ms(),
         )  # fmt: skip
+        daemon = Daemon(resolve(text, "g.cue"), host)
         daemon.start()
         daemon.gateway.endpoint_list_received(
             ListKind.FULL, [NodeEntry(70, 0, 0, Health.READY, 0)], {70: ("127.0.0.1", self.node.port)}
@@ -1151,13 +1153,13 @@
         building.network.set_way(here, there, Way(cut=True))
     building.start("g1")
     building.until(12_000)
-    sure = [building.daemons[name].part.report()["purges"]["sure"] for name in ("g0", "g1", "g2")]
-    whole = building.daemons["g1"].part.report()["purges"]["whole"]
+    sure = [building.daemons[name].fleet_member.report()["purges"]["sure"] for name in ("g0", "g1", "g2")]
+    whole = building.daemons["g1"].fleet_member.report()["purges"]["whole"]
     assert whole is (damage == "none") and sure == [whole, whole, False]
     for here, there in ways:
         building.network.set_way(here, there, Way())
     building.until(18_000)
-    assert all(building.daemons[name].part.report()["purges"]["sure"] for name in ("g0", "g1", "g2"))
+    assert all(building.daemons[name].fleet_member.report()["purges"]["sure"] for name in ("g0", "g1", "g2"))
     for daemon in building.daemons.values():
         daemon.kill()
 
@@ -1181,7 +1183,7 @@
     building.until(10_000)
     for name in ("g0", "g1", "g2"):
         assert [number for _, number in building.editions(name)] == [1], building.editions(name)
-        assert building.daemons[name].part.report()["purges"]["sites"]["s"]["edition"] == 1
+        assert building.daemons[name].fleet_member.report()["purges"]["sites"]["s"]["edition"] == 1
     for daemon in building.daemons.values():
         daemon.kill()
 
@@ -1210,7 +1212,7 @@
     building.until(24_000)
     for name in ("g0", "g1", "g2"):
         assert [number for _, number in building.editions(name)] == [1, 2], building.editions(name)
-        assert building.daemons[name].part.report()["purges"]["sites"]["s"]["edition"] == 2
+        assert building.daemons[name].fleet_member.report()["purges"]["sites"]["s"]["edition"] == 2
     for daemon in building.daemons.values():
         daemon.kill()
 
@@ -1223,7 +1225,7 @@
     legs = building.legs
     building.until(29_000)
     assert {name: building.read(name) for name in building.daemons} == first and building.legs == legs
-    reports = {name: daemon.part.report()["purges"] for name, daemon in building.daemons.items()}
+    reports = {name: daemon.fleet_member.report()["purges"] for name, daemon in building.daemons.items()}
     assert all(each["sure"] and each["sites"][each["site"]]["edition"] == 1 for each in reports.values())
     elsewhere = building.daemons["g3"]
     building.until(29_400)
@@ -1242,7 +1244,7 @@
     building.until(34_000)
     assert building.read("g3") == first["g3"]  # the close of one site is nothing to another
     for daemon in (building.daemons[name] for name in ("g0", "g1", "g2")):
-        (record,) = daemon.part.report()["purges"]["sites"]["s"]["purges"]
+        (record,) = daemon.fleet_member.report()["purges"]["sites"]["s"]["purges"]
         assert record["rule"] == "close" and record["date"] == "2026-03-06" and not record["owed"]
         late = {name: each["late_ms"] for name, each in record["fired"].items()}
         assert -210 <= late["g0"] <= 0 and -210 <= late["g1"] <= 0 and late["g2"] > 1500
@@ -1250,9 +1252,9 @@
     legs = building.legs
     again = {name: building.read(name) for name in building.daemons}
     assert building.legs <= legs + 3 and {name: building.read(name) for name in building.daemons} == again
-    assert len({daemon.part.dump("purges/s") for daemon in building.daemons.values()}) == 1
+    assert len({daemon.fleet_member.dump("purges/s") for daemon in building.daemons.values()}) == 1
     figures = building.daemons["g0"].figures()
     assert figures["copies_sure"] == 1 and figures['copies_reads_total{way="from_copy"}'] >= 2
-    assert not elsewhere.part.report()["purges"]["sites"]["t"]["purges"]
+    assert not elsewhere.fleet_member.report()["purges"]["sites"]["t"]["purges"]
     for daemon in building.daemons.values():
         daemon.kill()
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -15,6 +15,7 @@
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
     "common/errors.py", "common/event_loop_lag.py", "common/monotonic_reactor.py", "common/object_cache.py",
     "common/request_records.py", "common/requests.py", "common/runtime.py", "common/time_units.py", "gateway/client_connection.py",
+    "gateway/daemon.py", "gateway/daemon_parts.py", "gateway/daemon_status.py", "gateway/settings_reload.py", "gateway/webdav_setup.py",
     "gateway/gateway.py", "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
     "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py", "gateway/settings_index.py",
     "gateway/socket_handover.py",
@@ -35,6 +36,23 @@
         "come_back",
         "standing",
     ],  # of wire/messages.py and state.py
+    "gateway/daemon.py": ["bye"],  # of webdav/door.py
+    "gateway/daemon_parts.py": [
+        "door",
+        "Door",
+        "part",
+        "Part",
+        "Sight",
+    ],  # modules and classes of webdav/, fleet/ and bgp/
+    "gateway/daemon_status.py": [
+        "Sight",
+        "fulfilled",
+        "held",
+        "jobs",
+        "leg",
+        "standing",
+    ],  # of bgp/ and membership/
+    "gateway/webdav_setup.py": ["door", "Door"],  # of webdav/
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
 }
 
--- a/tests/test_people.py
+++ b/tests/test_people.py
@@ -66,7 +66,7 @@
         if body is None:
             whole(self, asked, size, key, shard, body)
         else:
-            self.fulfilled(0, 0, 0)
+            self.served(0, 0, 0)
 
     monkeypatch.setattr(door.Dav, "_ask", hasty)
     run, _ = played(short("hang"))
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -11,6 +11,7 @@
 
 from ochrecourse.cli import control
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.interface import Health
 from ochrecourse.lab.days import quiet
 from ochrecourse.lab.play import VirtualPlay
@@ -478,14 +479,14 @@
         held = play.mirror.store.at(play.mirror.store.revision)
         return json.loads(held[key][1])["listen"] if key in held else None
 
-    old = first.listens()
+    old = first.listen_address()
     assert entry() == old
     again = {**first.record, "gateway": {**first.record["gateway"], "seed": 99}}
-    second = Daemon(again, play.network, [], play.warnings.append, lambda: None)
-    second.follow()
+    second = Daemon(again, HostProgram(play.network, [], play.warnings.append, lambda: None))
+    second.watch_endpoints()
     play.network.advance(0.5)
-    second.enrolled.chance.random = lambda: 0.9  # it writes the entry late in its second
-    at = "{}:{}".format(*second.listen(second._open))
+    second.registration.chance.random = lambda: 0.9  # it writes the entry late in its second
+    at = "{}:{}".format(*second.listen(second.open_port))
     first.hand_over()
     for _ in range(3000):
         play.network.advance(0.01)
@@ -495,11 +496,11 @@
 
 def test_a_lost_lease_makes_the_address_the_last_choice_and_stops_nothing(served):
     play, daemon = served
-    assert daemon.sight().enrolled
+    assert daemon.status().enrolled
     for end in play.mirror.ends:
         end.stop()
     play.network.advance(15)
-    assert not daemon.sight().enrolled and daemon.ready() == (True, "ready")
+    assert not daemon.status().enrolled and daemon.ready() == (True, "ready")
 
 
 def test_waits_double_are_drawn_and_start_anew_once_a_watch_stands():
--- a/tests/transcripts/test_lives.py
+++ b/tests/transcripts/test_lives.py
@@ -36,7 +36,7 @@
     tap.note(fleet.network, f"a's readers have {len(bodies(fleet.parts['a'], 'notes'))} notes")
     for name in ("b", "c"):
         asked = {"do": "give up", "name": name}
-        told = answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps(asked).encode())
+        told = answer(SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps(asked).encode())
         said = told.get("error") or "done"
         tap.note(fleet.network, f"a is asked {json.dumps(asked)}: {said}")
     fleet.run(4)
--- a/tests/transcripts/test_rolling.py
+++ b/tests/transcripts/test_rolling.py
@@ -29,7 +29,9 @@
         tap.place(port, name, "a" if name != "a" else "b", Forms)
 
     def ask(name, **asked):
-        told = answer(SimpleNamespace(part=fleet.parts[name]), json.dumps({"do": "form", **asked}).encode())
+        told = answer(
+            SimpleNamespace(fleet_member=fleet.parts[name]), json.dumps({"do": "form", **asked}).encode()
+        )
         said = told.get("error") or " ".join(
             f"{k}={v}" for k, v in told.items() if k not in ("writer", "seq")
         )
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -653,7 +653,7 @@
     for word in ("left", "returning"):
         asked = {"do": "zone", "zone": 0, "standing": word}
         tap.note(fleet.network, f"a is asked {json.dumps(asked)}")
-        control_answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps(asked).encode())
+        control_answer(SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps(asked).encode())
         fleet.run(1.5)
         for name, part in fleet.parts.items():
             standing, number = part.zones.standing(0)
@@ -669,7 +669,7 @@
     fleet.run(20)  # until no loan of an earlier life can be out
     for word in ("left", "returning"):
         control_answer(
-            SimpleNamespace(part=fleet.parts["a"]),
+            SimpleNamespace(fleet_member=fleet.parts["a"]),
             json.dumps({"do": "zone", "zone": 0, "standing": word}).encode(),
         )
         fleet.run(1)
