--- /dev/null
+++ b/ochrecourse/cli/gateway_process.py
@@ -0,0 +1,176 @@
+"""One process of `serve`: a daemon with its log, its signals, its health page and its control socket.
+
+Imported only once the process's reactor is installed.
+"""
+
+from __future__ import annotations
+
+import os
+import signal
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+import click
+import structlog
+from twisted.internet.error import CannotListenError
+
+from ochrecourse.cli.admin import admin_site
+from ochrecourse.cli.control import serve_control
+from ochrecourse.cli.handover import Sockets
+from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
+from ochrecourse.common.errors import OchrecourseError
+from ochrecourse.common.monotonic_reactor import CycleCollector, raise_open_file_limit
+from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
+from ochrecourse.gateway.log_sampling import LogSampler
+from ochrecourse.gateway.socket_handover import handover_obstacle
+from ochrecourse.settings.load import Refused, address, load
+from ochrecourse.storage.journal import JournalError
+from ochrecourse.webdav.kept import Unreadable
+
+EXIT_BAD_SETTINGS = 1
+EXIT_NOT_STARTED = 2
+
+
+class StartError(OchrecourseError):
+    """The process can't start; the text is for the operator."""
+
+    def __init__(self, text: str, exit_code: int) -> None:
+        super().__init__(text)
+        self.exit_code = exit_code
+
+
+class GatewayProcess:
+    """The daemon of one process and what stands round it. `settings` is the resolved record of `file`."""
+
+    def __init__(self, file: Path, settings: Any, reactor: Any, take_over: bool) -> None:
+        """`take_over`: the sockets are those of the process that runs now. Raises StartError."""
+        self.file = file
+        self.settings = settings
+        self.reactor = reactor
+        self.failure = ""  # why a process that began to start ends
+        self.log_writer = Aside(sys.stderr)
+        log_settings = settings["log"]
+        log = set_up(log_settings["form"], log_settings["level"], self.log_writer)
+        self.log = log.bind(gateway=settings["gateway"]["name"])
+        self.sampler = LogSampler(log_settings["sample"])
+        if take_over and "webdav" in settings:  # before its state is touched, which the running process has
+            obstacle = handover_obstacle(settings)
+            raise StartError(f"ochrecourse: nothing was taken over: {obstacle}", EXIT_NOT_STARTED)
+        self.open_files = raise_open_file_limit()
+        self.daemon = self._make_daemon(join_later=take_over)
+        # Before the first line on standard output: who reads it may send a signal at once.
+        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            signal.signal(number, self._on_signal)
+        self.sockets = Sockets(reactor)
+        self.control_path: str = settings["gateway"]["control"]
+        self.admin_address = self._admin_address()
+
+    def _make_daemon(self, join_later: bool) -> Daemon:
+        host = HostProgram(
+            self.reactor,
+            [JobLog(self.log, self.sampler)],
+            self.log.warning,
+            self.reactor.stop,
+            self.log.info,
+            clock_zero=int(time.time() - time.monotonic()),
+            access_log=AccessLog(self.log, self.sampler, self.reactor),
+            wall_clock_ms=lambda: time.time_ns() // MS,
+        )
+        try:
+            return Daemon(self.settings, host, join_later)
+        except (JournalError, Unreadable, OSError) as error:
+            raise StartError(
+                f"ochrecourse: what the state folder keeps is not to be had: {error}", EXIT_NOT_STARTED
+            ) from None
+
+    def _admin_address(self) -> tuple[str, int] | None:
+        admin = self.settings["gateway"]["admin"]
+        if not admin:
+            return None
+        where = address(admin)
+        if where is None:
+            raise StartError(f"{self.file}: gateway.admin is not HOST:PORT", EXIT_BAD_SETTINGS)
+        return where
+
+    def start(self) -> None:
+        """Watches the endpoint list, accepts and says where. Raises StartError."""
+        try:
+            self.daemon.watch_endpoints()
+            lines = self.accept()
+            if self.control_path:
+                serve_control(self.reactor, self.control_path, self.daemon, self.sockets)
+            self.announce(lines)
+        except CannotListenError as error:
+            raise StartError(f"ochrecourse: cannot listen: {error.socketError}", EXIT_NOT_STARTED) from None
+
+    def accept(self) -> list[str]:
+        """Accepts from now on; returns the lines that say where. Raises CannotListenError."""
+        daemon = self.daemon
+        host, port = daemon.listen(self.sockets.listen)
+        if self.admin_address is not None:
+            admin_host, admin_port = self.admin_address
+            site = self.sockets.listen("admin", admin_port, admin_site(daemon), admin_host)
+            self.log.info("health page", port=site.getHost().port)
+        self.sockets.give_back()
+        self.log.info("serving", host=host, port=port, pid=os.getpid(), open_files=self.open_files)
+        lines = [f"listening {host}:{port}"]
+        if daemon.webdav_port is not None:
+            at = daemon.webdav_port.getHost()
+            lines.append(f"webdav {at.host}:{at.port}")
+        if daemon.fleet_member is not None:
+            at = daemon.fleet_member.listening.getHost()
+            lines.append(f"fleet {at.host}:{at.port}")
+        return lines
+
+    def announce(self, lines: list[str]) -> None:
+        """Prints where it accepts, once all is open: who reads it asks at the control socket at once."""
+        for line in lines:
+            click.echo(line)
+        sys.stdout.flush()
+
+    def fail(self, reason: str) -> None:
+        """Ends a process that can't take over; only the first reason counts."""
+        if not self.failure:
+            self.failure = reason
+            self.reactor.stop()
+
+    def run(self) -> None:
+        """Runs until the daemon has drained. Raises StartError if it ended before it served."""
+        daemon, webdav = self.daemon, self.daemon.webdav
+        CycleCollector(
+            self.reactor,
+            lambda: not daemon.gateway.request_log.open,
+            lambda: daemon.client_factory.connections_closed + (webdav.closed if webdav is not None else 0),
+        )
+        self.reactor.run(installSignalHandlers=False)
+        if not self.failure:
+            received, dropped = daemon.gateway.request_log.received, self.log_writer.dropped
+            self.log.info("left", jobs=received, log_lines_dropped=dropped)
+        self.log_writer.close()
+        if self.failure:
+            raise StartError(f"ochrecourse: nothing was taken over: {self.failure}", EXIT_NOT_STARTED)
+
+    # --- signals ---
+
+    def _on_signal(self, number: int, frame: Any) -> None:
+        ends = number in (signal.SIGTERM, signal.SIGINT)
+        self.reactor.callFromThread(self.daemon.drain if ends else self.reload)
+
+    def reload(self) -> None:
+        """Reads the settings again and takes over what may change."""
+        try:
+            settings = load(self.file)
+        except Refused as error:
+            self.log.warning("settings not taken over", mistakes=str(error).split("\n"))
+            return
+        result = self.daemon.reload(settings)
+        self.sampler.rate = settings["log"]["sample"]
+        self.sampler.burst = max(1.0, self.sampler.rate)
+        if any(each.startswith("log.level") for each in result.in_force):
+            level = LEVELS[settings["log"]["level"]]
+            structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(level))
+        self.log.info("settings read again", in_force=result.in_force, needs_restart=result.needs_restart)
--- a/ochrecourse/gateway/__init__.py
+++ b/ochrecourse/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The library: one host's decisions, fed from sockets and carried out on them."""
+"""One host's gateway: reports to the scheduler, decisions carried out, and the daemon round them."""
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -715,7 +715,7 @@
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
-    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
+    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.cli.gateway_process, ochrecourse.cli.successor, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
     text = (
         f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
     )
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -18,7 +18,7 @@
     "gateway/daemon.py", "gateway/daemon_parts.py", "gateway/daemon_status.py", "gateway/settings_reload.py", "gateway/webdav_setup.py",
     "gateway/gateway.py", "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
     "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py", "gateway/settings_index.py",
-    "gateway/socket_handover.py",
+    "gateway/socket_handover.py", "cli/serve.py", "cli/gateway_process.py", "cli/successor.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -53,6 +53,8 @@
         "standing",
     ],  # of bgp/ and membership/
     "gateway/webdav_setup.py": ["door", "Door"],  # of webdav/
+    "cli/serve.py": ["held"],  # in the command's help, which is for users
+    "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
 }
 
