--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -333,7 +333,7 @@
     speaker = None
 
     def __init__(self, part):
-        self.part = part
+        self.fleet_member = part
 
 
 def asked(part, **line):
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -107,7 +107,7 @@
         client.settimeout(60)
         client.connect(("127.0.0.1", loop.port))
         client.sendall(b"".join(read(number, d=60_000) for number in range(30)))
-        loop.until(lambda: len(loop.node.commands) == 30 and not loop.service.gateway.ledger.open)
+        loop.until(lambda: len(loop.node.commands) == 30 and not loop.service.gateway.request_log.open)
         (front,) = loop.front.fronts
         assert front.transport._tempDataLen or front.transport.dataBuffer, "the kernel could not take it all"
         stands, seconds = loop.reactor.seconds(), loop.reactor.seconds
@@ -169,7 +169,10 @@
         loop.until(lambda: len(loop.front.fronts) == len(busy) + BEYOND)
         loop.reactor.seconds = lambda: stands  # no timer comes due: what is done is done by readiness alone
         asked = []
-        room, loop.service.port.room = loop.service.port.room, lambda: asked.append(1) or room()
+        capacity, loop.service.port.capacity = (
+            loop.service.port.capacity,
+            lambda: asked.append(1) or capacity(),
+        )
         for _ in range(200):
             loop.reactor.iterate(0)
         assert len(asked) <= 1 and len(loop.front.fronts) == len(busy) + BEYOND
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -178,7 +178,7 @@
     yard.ask(client, 1, product="mark", key=1, shard=0)
     yard.run(0.01)
     tap.note(yard.network, "the list says that node 70 drains")
-    yard.gateway.list_came(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.DRAINING, 0)], {})
+    yard.gateway.endpoint_list_received(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.DRAINING, 0)], {})
     for number in (2, 3, 4):
         yard.ask(client, number, product="mark", key=number, shard=-1)
     yard.run()
@@ -250,7 +250,7 @@
     yard.ask(client, 1, product="bind", key=2, timeout_ms=800)
     yard.run(0.1)
     tap.note(yard.network, "the gateway is told to leave")
-    yard.front.say_bye()
+    yard.front.announce_drain()
     yard.gateway.drain()
     yard.ask(client, 2)
     yard.run()
@@ -406,12 +406,12 @@
     """A command whose time is over when the loop reads it, after a standstill, has an error line; its connection goes on."""
     shop = shop_of(tap)
     client = shop.client()
-    lateness = shop.service.gateway.lateness
+    lateness = shop.service.gateway.event_loop_lag
     now = round(shop.network.seconds() * SECOND)
-    lateness.timer_came(now - SECOND, now)
+    lateness.timer_fired(now - SECOND, now)
     client.say(read(1, d=500))
     shop.run(0.05)
-    lateness.turned()
+    lateness.iteration_finished()
     client.say(read(2))
     shop.run(0.5)
 
@@ -655,7 +655,7 @@
     for word in ("left", "returning"):
         asked = {"do": "zone", "zone": 0, "standing": word}
         tap.note(fleet.network, f"a is asked {json.dumps(asked)}")
-        control_answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps(asked).encode())
+        control_answer(SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps(asked).encode())
         fleet.run(1.5)
         for name, part in fleet.parts.items():
             standing, number = part.zones.standing(0)
@@ -671,7 +671,7 @@
     fleet.run(20)  # until no loan of an earlier life can be out
     for word in ("left", "returning"):
         control_answer(
-            SimpleNamespace(part=fleet.parts["a"]),
+            SimpleNamespace(fleet_member=fleet.parts["a"]),
             json.dumps({"do": "zone", "zone": 0, "standing": word}).encode(),
         )
         fleet.run(1)
@@ -725,7 +725,7 @@
 def test_a_gateway_that_leaves_without_a_word_is_seen(tap, make_yard, monkeypatch):
     """A seeded mistake: no bye is said."""
     approved = Path(__file__).parent / "__snapshots__" / "test_transcripts" / "test_native_gateway_drains.txt"
-    monkeypatch.setattr(ClientConnectionFactory, "say_bye", lambda self: None)
+    monkeypatch.setattr(ClientConnectionFactory, "announce_drain", lambda self: None)
     native_gateway_drains(tap, make_yard)
     lines, others = (
         [line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text(""))
