--- a/ochrecourse/resp/__init__.py
+++ b/ochrecourse/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The RESP2 entrance and exit: clients' and nodes' connections in the platform's protocol."""
+"""RESP2, the platform's protocol: connections of clients and connections to nodes."""
--- a/ochrecourse/resp/client_connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -1,411 +1,399 @@
-"""One client's connection in RESP2: commands in, answers out in the order of the commands.
+"""One client's connection in RESP2: pipelined commands in, replies out in the order of the commands.
 
-Requests of one connection run at once, up to a number; more wait. All is read as it comes all the same: a
-client's end stands behind its bytes, or is not even sent before they are read, and must be known at once. So
-what waits is bounded by refusing requests, and commands without end are a mistake. What a client does wrong
-gets one error line, behind the answers that are owed, and ends its own connection and nothing else. A client
-that closes its connection, or its sending side, leaves all its requests.
+All input is read as it arrives, however many commands are unanswered: a client's end stands behind its bytes,
+or is not even sent before they are read, and must be known at once. pipeline.py bounds what accumulates. A
+protocol error gets one error line, behind the replies that are due, and ends its own connection and nothing
+else. A client that closes its connection, or its sending side, cancels all its requests.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from typing import TYPE_CHECKING, Any
+import typing
+from collections import Counter
+from typing import Any
 
 from twisted.internet.interfaces import IPushProducer
 from twisted.internet.protocol import Protocol
 from zope.interface import implementer
 
-from ochrecourse.gateway.gateway import BadRequestError, Request
-from ochrecourse.common.runtime import Timer, now_ns, stop
+from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.gateway import BadRequestError, Gateway, Request
+from ochrecourse.resp.codec import CommandParser, RespProtocolError, encode_bulk_string
+from ochrecourse.resp.commands import RequestClasses, parse_command
 from ochrecourse.resp.lingering_close import LingeringClose
-from ochrecourse.resp.codec import Breach, Commands, bulk
-from ochrecourse.resp.commands import asked
+from ochrecourse.resp.pipeline import CommandPipeline, PipelineTotals, ReplySlot
 
-if TYPE_CHECKING:
-    from ochrecourse.resp.server import RespServerFactory
+COMMANDS_PER_TURN = 256  # of one connection in a turn of the loop, some ms; then others have their turn
+COMMAND_TIMEOUT_SECONDS = 2.2  # for a first command, and for a partial one; an error is due within 3 s
 
-AT_ONCE = 32  # requests of one connection that run at once or whose answers wait for their turn
-PARSED = 256  # commands of one connection in a turn of the loop, some ms; then others have theirs
-SPEAK = 2.2  # s for a connection's first command, and for a begun one; an error is owed within 3
-COMMANDS = 2_048  # without their answers on one connection; well-behaved clients send hundreds at once
-COMMANDS_ALL = 65_536  # on all connections, beyond what each may have at once; each takes some 100 bytes
-WAITING = 8_388_608  # bytes of requests that wait on one connection; 128 of the longest
-WAITING_ALL = 25_165_824  # bytes of requests that wait on all; a small part of a gateway's memory
-OVERHEAD = 1_024  # bytes that a waiting request takes beside its value
+PONG_REPLY = b"+PONG\r\n"
+BUSY_REPLY = b"-BUSY\r\n"
+FAILED_REPLY = b"-ERR failed\r\n"
+TOO_LATE_REPLY = b"-ERR too late\r\n"
+TOO_MANY_CONNECTIONS_REPLY = b"-ERR too_many_connections all that this gateway takes are open\r\n"
 
 
-class _Slot:
-    """A command's place in the order of answers."""
+class ConnectionOwner(typing.Protocol):
+    """What a connection needs of the server that accepted it."""
 
-    __slots__ = ("answer", "name", "request")
+    gateway: Gateway
+    clock: Clock
+    request_classes: RequestClasses
+    totals: PipelineTotals
+    counts: Counter[str]  # of clients' errors by code
+    shutting_down: bool
+    max_linger_seconds: float | None
 
-    def __init__(
-        self, name: bytes = b"", answer: bytes | None = None, request: Request | None = None
-    ) -> None:
-        self.name = name  # the client's id of an open request
-        self.answer = answer
-        self.request = request  # while it waits
+    def connection_opened(self, connection: RespClientConnection) -> None:
+        """A client has connected."""
 
-    def size(self) -> int:
-        """Bytes of memory that its request takes while it waits."""
-        body = self.request.body if self.request is not None else None
-        return OVERHEAD + (body.size if body is not None else 0)
+    def connection_spoke(self, connection: RespClientConnection) -> None:
+        """The first complete command has arrived."""
+
+    def connection_busy(self, connection: RespClientConnection) -> None:
+        """A request has arrived."""
+
+    def connection_idle(self, connection: RespClientConnection) -> None:
+        """All replies are written."""
+
+    def connection_lingering(self, connection: RespClientConnection) -> None:
+        """This side closes the connection, which holds its descriptor until the client closes too."""
+
+    def limit_lingering(self) -> None:
+        """Ends the oldest lingering connection where there are too many."""
+
+    def connection_closed(self, connection: RespClientConnection) -> None:
+        """The connection has ended."""
 
 
 @implementer(IPushProducer)
 class RespClientConnection(Protocol):
-    """One client's connection, and the asker of all requests that came on it."""
+    """One client's connection, and the response handler of all its requests."""
 
     transport: Any  # Twisted's interfaces carry no types
 
-    def __init__(self, factory: RespServerFactory) -> None:
-        self.factory = factory
-        self.gateway = factory.gateway
-        self.clock = factory.clock
-        self.commands = Commands()
-        self.slots: deque[_Slot] = deque()
-        self.waiting: deque[_Slot] = deque()  # of these, requests that have not begun
-        self.waiting_size = 0
-        self.running = 0  # requests that have begun and whose answers are not written
-        self.jobs: dict[int, _Slot] = {}
-        self.up = False
-        self.spoke = False
-        self.breach: Breach | None = None
-        self.closing: LingeringClose | None = None  # this side ends the connection
-        self.blocked = False  # the client reads too slowly
-        self.unparsed = False  # whole commands may be buffered for the loop's next turn; it reads no more
-        self.refusing = False  # requests that have not begun are refused: the process is about to end
-        self.reading = False  # commands are being taken, or read a last time before a close
-        self.watch: Timer | None = None
-        self.next_turn: Timer | None = None
-        self.idle_since = 0.0
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self.owner = owner
+        self.gateway = owner.gateway
+        self.clock = owner.clock
+        self.parser = CommandParser()
+        self.pipeline = CommandPipeline(owner.totals)
+        self.in_flight: dict[int, ReplySlot] = {}  # by the gateway's request id
+        self.connected = False
+        self.first_command_received = False
+        self.protocol_error: RespProtocolError | None = None
+        self.lingering_close: LingeringClose | None = None  # this side ends the connection
+        self.write_blocked = False  # back-pressure: the client reads too slowly
+        self.reading_paused = False  # complete commands may be buffered for the loop's next turn
+        self.rejecting = False  # requests that have not started are rejected: the process is about to end
+        self.processing = False  # guards against re-entry while commands are parsed or started
+        self.idle_since = 0.0  # s of the clock
+        self._command_timer: Timer | None = None
+        self._turn_timer: Timer | None = None
 
     # --- Twisted's calls ---
 
     def connectionMade(self) -> None:
-        self.up = True
+        """Twisted: the connection is open."""
+        self.connected = True
         if hasattr(self.transport, "setTcpNoDelay"):
-            self.transport.setTcpNoDelay(True)  # before any write: a reset takes what was held back
+            self.transport.setTcpNoDelay(True)  # before any write: a reset discards what is delayed
         self.transport.registerProducer(self, True)
-        self.watch = self.clock.callLater(SPEAK, self._too_slow)
-        self.factory.came(self)
+        self._command_timer = self.clock.callLater(COMMAND_TIMEOUT_SECONDS, self._command_timed_out)
+        self.owner.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.breach is None and self.closing is None and self.up:
-            self.commands.feed(data)
-            self._read()
+        """Twisted: bytes have arrived."""
+        if self.protocol_error is None and self.lingering_close is None and self.connected:
+            self.parser.feed(data)
+            self._process_input()
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.up = False
-        if self.closing is not None:
-            self.closing.lost()
+        """Twisted: the connection has ended, or the client has closed its sending side."""
+        self.connected = False
+        if self.lingering_close is not None:
+            self.lingering_close.connection_lost()
         self._stop_timers()
-        self.commands = Commands()
-        self.factory.went(self)
-        self._leave_requests()
-
-    def _leave_requests(self) -> None:
-        for slot in self.slots:
-            self.factory.free_id(slot.name, slot)
-        self.factory.commands -= len(self.slots)
-        self.slots.clear()
-        self._count_waiting(-self.waiting_size)
-        self.waiting.clear()
-        jobs, self.jobs = list(self.jobs), {}
-        self.gateway.cancel_all(jobs)
+        self.parser = CommandParser()
+        self.owner.connection_closed(self)
+        self.pipeline.clear()
+        request_ids, self.in_flight = list(self.in_flight), {}
+        self.gateway.cancel_all(request_ids)
 
     def _stop_timers(self) -> None:
-        stop(self.watch)
-        stop(self.next_turn)
-        self.watch = self.next_turn = None
+        stop(self._command_timer)
+        stop(self._turn_timer)
+        self._command_timer = self._turn_timer = None
 
     # --- commands ---
 
-    def _read(self) -> None:
-        """Takes what commands are whole, as many as one turn of the loop may."""
-        if self.reading or self.breach is not None or self.closing is not None or not self.up:
+    def _process_input(self) -> None:
+        """Handles complete commands, as many as one turn of the loop may."""
+        if self.processing or self.protocol_error is not None:
+            return
+        if self.lingering_close is not None or not self.connected:
             return
-        self.reading = True
+        self.processing = True
         try:
-            self._parse()
-        except Breach as breach:
-            self._wrong(breach)
+            self._parse_commands()
+        except RespProtocolError as error:
+            self._fail(error)
         finally:
-            self.reading = False
-        self._go_on()
-
-    def _parse(self) -> None:
-        for _ in range(PARSED):
-            words = self.commands.next()
-            if words is None:
-                self._read_on()
+            self.processing = False
+        self._advance()
+
+    def _parse_commands(self) -> None:
+        for _ in range(COMMANDS_PER_TURN):
+            arguments = self.parser.next()
+            if arguments is None:
+                self._resume_reading()
                 return
-            if not self.spoke:
-                self.spoke = True
-                self.factory.silent.pop(self, None)
-            self._command(words)
-        if not self.unparsed:
-            self.unparsed = True
+            if not self.first_command_received:
+                self.first_command_received = True
+                self.owner.connection_spoke(self)
+            self._handle_command(arguments)
+        self._continue_reading_next_turn()
+
+    def _continue_reading_next_turn(self) -> None:
+        if not self.reading_paused:
+            self.reading_paused = True
             self.transport.pauseProducing()
-        self._later()
+        self._schedule_turn()
 
-    def _read_on(self) -> None:
-        if self.unparsed:
-            self.unparsed = False
+    def _resume_reading(self) -> None:
+        if self.reading_paused:
+            self.reading_paused = False
             self.transport.resumeProducing()
 
-    def _later(self) -> None:
-        """Goes on in the loop's next turn."""
-        if self.next_turn is None:
-            self.next_turn = self.clock.callLater(0, self._next_turn)
+    def _schedule_turn(self) -> None:
+        """Continues in the loop's next turn."""
+        if self._turn_timer is None:
+            self._turn_timer = self.clock.callLater(0, self._next_turn)
 
     def _next_turn(self) -> None:
-        self.next_turn = None
-        if self.unparsed:
-            self._read()
+        self._turn_timer = None
+        if self.reading_paused:
+            self._process_input()
         else:
-            self._go_on()
-
-    def _look(self) -> None:
-        """Starts or stops the time in which a begun command must be whole."""
-        waits = not self.spoke or (self.commands.partial() and not self.unparsed)
-        if waits and self.watch is None:
-            self.watch = self.clock.callLater(SPEAK, self._too_slow)
-        elif not waits and self.watch is not None:
-            stop(self.watch)
-            self.watch = None
-
-    def _command(self, words: list[bytes]) -> None:
-        crowded = self.factory.commands >= COMMANDS_ALL and len(self.slots) >= AT_ONCE
-        if crowded or len(self.slots) >= COMMANDS:
-            raise Breach("too_many_commands", "more commands without an answer than one client may have")
-        if words[0].upper() == b"PING" and len(words) == 1:
-            self._line_up(_Slot(answer=b"+PONG\r\n"))
+            self._advance()
+
+    def _update_command_timer(self) -> None:
+        """Starts or stops the time within which a partial command must be complete."""
+        partial = self.parser.has_partial_message() and not self.reading_paused
+        waits = not self.first_command_received or partial
+        if waits and self._command_timer is None:
+            self._command_timer = self.clock.callLater(COMMAND_TIMEOUT_SECONDS, self._command_timed_out)
+        elif not waits and self._command_timer is not None:
+            stop(self._command_timer)
+            self._command_timer = None
+
+    def _handle_command(self, arguments: list[bytes]) -> None:
+        pipeline = self.pipeline
+        pipeline.check_command_limits()
+        if arguments[0].upper() == b"PING" and len(arguments) == 1:
+            pipeline.append(ReplySlot(reply=PONG_REPLY))
             return
-        request = asked(words, self.factory.kinds, now_ns(self.clock))
-        if words[2] in self.factory.open_ids:
-            raise Breach("open_id", "the id of a request that is open")
-        slot = _Slot(words[2], request=request)
-        size = slot.size()
-        waits = self.blocked or self.running + len(self.waiting) >= AT_ONCE
-        full = self.waiting_size + size > WAITING or self.factory.waiting_size + size > WAITING_ALL
-        if self.refusing or (waits and full):
-            self._line_up(_Slot(answer=b"-BUSY\r\n"))
+        request = parse_command(arguments, self.owner.request_classes, now_ns(self.clock))
+        client_request_id = arguments[2]
+        if client_request_id in pipeline.totals.open_request_ids:
+            raise RespProtocolError("open_id", "the id of a request that is open")
+        slot = ReplySlot(client_request_id, queued_request=request)
+        if self.rejecting or not pipeline.enqueue(slot, self.write_blocked):
+            pipeline.append(ReplySlot(reply=BUSY_REPLY))
             return
-        self._line_up(slot)
-        self.waiting.append(slot)
-        self._count_waiting(size)
-        self.factory.open_ids[slot.name] = slot
-        self.factory.idle.pop(self, None)
-
-    def _line_up(self, slot: _Slot) -> None:
-        self.slots.append(slot)
-        self.factory.commands += 1
-
-    def _count_waiting(self, size: int) -> None:
-        self.waiting_size += size
-        self.factory.waiting_size += size
-
-    def _begin(self) -> None:
-        """Begins requests that wait, as far as there is room for their answers."""
-        while self.waiting and self.running < AT_ONCE and not self.blocked and self.up:
-            slot = self.waiting.popleft()
-            self._count_waiting(-slot.size())
-            request, slot.request = slot.request, None
-            self.running += 1
-            if request is not None:
-                self._ask(slot, request)
-
-    def _ask(self, slot: _Slot, request: Request) -> None:
+        self.owner.connection_busy(self)
+
+    def _start_queued(self) -> None:
+        """Submits queued requests to the gateway, as far as their replies may be written soon."""
+        while not self.write_blocked and self.connected and self.pipeline.can_start():
+            slot, request = self.pipeline.start_next()
+            self._submit(slot, request)
+
+    def _submit(self, slot: ReplySlot, request: Request) -> None:
         # The time that a request waits for those before it on its connection does not count.
         request.read_at = now_ns(self.clock)
-        job = self.gateway.next_request_id()
-        self.jobs[job] = slot
+        request_id = self.gateway.next_request_id()
+        self.in_flight[request_id] = slot  # before the call: the reply may come before it returns
         try:
             self.gateway.submit(request, self)
-        except BadRequestError as trouble:
-            del self.jobs[job]
-            if trouble.code == "late_body":
-                self._answer(slot, b"-ERR too late\r\n")
+        except BadRequestError as error:
+            del self.in_flight[request_id]
+            if error.code == "late_body":
+                self.pipeline.complete(slot, TOO_LATE_REPLY)
             else:
-                self._drop_from(slot)
-                self._wrong(Breach(trouble.code, str(trouble)))
-
-    def _drop_from(self, slot: _Slot) -> None:
-        """A request is a mistake: it and all that its client sent behind it are not answered."""
-        self.running -= 1
-        last = None
-        while last is not slot:
-            last = self.slots.pop()
-            self.factory.commands -= 1
-            self.factory.free_id(last.name, last)
-        self.waiting.clear()
-        self._count_waiting(-self.waiting_size)
-
-    def _too_slow(self) -> None:
-        self.watch = None
-        if not self.spoke and not self.commands.partial():
-            self._wrong(Breach("silent", "no command came"))
+                self.pipeline.discard_from(slot)
+                self._fail(RespProtocolError(error.code, str(error)))
+
+    # --- protocol errors ---
+
+    def _command_timed_out(self) -> None:
+        self._command_timer = None
+        if not self.first_command_received and not self.parser.has_partial_message():
+            self._fail(RespProtocolError("silent", "no command came"))
         else:
-            self._wrong(Breach("half_command", "a command did not come whole in its time"))
-        self._go_on()
-
-    def _wrong(self, breach: Breach) -> None:
-        """The client is told, once all that it is owed has been answered; what more it sends is discarded."""
-        self.breach = breach
-        self.factory.counts[breach.code] += 1
-        self._forget_unread()
-        self._line_up(_Slot(answer=f"-ERR {breach.code} {breach}\r\n".encode()))
-
-    def _forget_unread(self) -> None:
-        """What is buffered, and all that still comes, is discarded; it is read to see the client's end."""
+            self._fail(RespProtocolError("half_command", "a command did not come whole in its time"))
+        self._advance()
+
+    def _fail(self, error: RespProtocolError) -> None:
+        """Queues the error's line behind the replies that are due; further input is discarded."""
+        self.protocol_error = error
+        self.owner.counts[error.code] += 1
+        self._discard_input()
+        self.pipeline.append(ReplySlot(reply=f"-ERR {error.code} {error}\r\n".encode()))
+
+    def _discard_input(self) -> None:
+        """Discards buffered input; what still arrives is read and discarded, to see the client's end."""
         self._stop_timers()
-        self.commands = Commands()
-        self._read_on()
-
-    # --- answers ---
+        self.parser = CommandParser()
+        self._resume_reading()
 
-    def _answer(self, slot: _Slot, answer: bytes) -> None:
-        slot.answer = answer
-        self.factory.free_id(slot.name, slot)
+    # --- replies ---
 
-    def _go_on(self) -> None:
-        """Begins what has room and writes the answers whose turn has come, and sees what follows from it."""
-        if self.reading or self.closing is not None or not self.up:
+    def _advance(self) -> None:
+        """Starts queued requests, writes the replies whose turn it is, and acts on what follows from that."""
+        if self.processing or self.lingering_close is not None or not self.connected:
             return
-        self.reading = True  # answers that come at once are written below
+        self.processing = True  # replies that come at once are written below
         try:
-            self._begin()
+            self._start_queued()
         finally:
-            self.reading = False
-        self._write()
-        if self.waiting and self.running < AT_ONCE and not self.blocked:
-            self._later()
-        if self.breach is not None:
-            if not self.slots:
-                self._end()
-        elif not (self.factory.leaving and self.close()):
-            self._look()
-
-    def _write(self) -> None:
-        """Writes the answers whose turn has come; they stay here while the client takes none."""
-        if self.blocked and self.breach is None and not self.refusing:
+            self.processing = False
+        self._write_ready_replies()
+        if not self.write_blocked and self.pipeline.can_start():
+            self._schedule_turn()
+        if self.protocol_error is not None:
+            if not self.pipeline.slots:
+                self._begin_close()
+        elif not (self.owner.shutting_down and self.close_if_idle()):
+            self._update_command_timer()
+
+    def _write_ready_replies(self) -> None:
+        """Writes the replies whose turn it is; they are kept here while the client reads none."""
+        if self.write_blocked and self.protocol_error is None and not self.rejecting:
             return
-        ready = []
-        while self.slots and self.slots[0].answer is not None:
-            slot = self.slots.popleft()
-            self.factory.commands -= 1
-            self.running -= bool(slot.name)
-            ready.append(slot.answer or b"")
-        if ready and self.up:
+        ready = self.pipeline.take_ready_replies()
+        if ready and self.connected:
             self.transport.write(b"".join(ready))
-            if not self.slots:
+            if not self.pipeline.slots:
                 self.idle_since = self.clock.seconds()
-                self.factory.rests(self)
+                self.owner.connection_idle(self)
 
-    # --- the end, as this side brings it about ---
+    # --- the end, from this side ---
 
-    def _rests(self) -> bool:
-        """Whether a close would cost no answer: nothing is owed, and nothing that was read is left."""
-        unread = self.unparsed or (self.commands.partial() and not self.refusing)
-        return not self.slots and not unread and self.breach is None and self.closing is None and self.up
+    def _is_idle(self) -> bool:
+        """Whether a close would lose nothing: no reply is due, and no input that was read is unparsed."""
+        if self.protocol_error is not None or self.lingering_close is not None or not self.connected:
+            return False
+        unparsed = self.reading_paused or (self.parser.has_partial_message() and not self.rejecting)
+        return not self.pipeline.slots and not unparsed
 
-    def close(self) -> bool:
-        """Ends a connection that rests; False if it does not, or if the client just sent something."""
-        if not self._rests() or self._just_sent():
+    def close_if_idle(self) -> bool:
+        """Ends an idle connection; False if it is busy, or if its client has just sent something."""
+        if not self._is_idle() or self._read_pending_input():
+            return False
+        self._begin_close()
+        return True
+
+    def close_if_silent(self) -> bool:
+        """Rejects a connection without any command so far; False if its client has just sent something."""
+        if self.protocol_error is not None or self.parser.has_partial_message():
+            return False
+        if self._read_pending_input():
             return False
-        self._end()
+        self.reject()
         return True
 
-    def _just_sent(self) -> bool:
-        """Reads what the system holds already, so that fewer requests cross the shutdown unread."""
-        if self.refusing or not hasattr(self.transport, "doRead"):
+    def reject(self) -> None:
+        """Ends a connection without a request at once, with an error line."""
+        if self.connected and self.lingering_close is None:
+            self.owner.counts["too_many_connections"] += 1
+            self.transport.write(TOO_MANY_CONNECTIONS_REPLY)
+            self._begin_close()
+
+    def reject_queued(self) -> None:
+        """The process is about to end: queued requests are rejected, and a partial command is dropped."""
+        self.rejecting = True
+        self.pipeline.reject_queued(BUSY_REPLY)
+        self._advance()
+
+    def _read_pending_input(self) -> bool:
+        """Guards against requests that cross the half-close: reads what the system has buffered already.
+
+        True if there was any; it is handled in the loop's next turn.
+        """
+        if self.rejecting or not hasattr(self.transport, "doRead"):
             return False
-        self.reading = True  # what comes is taken in the loop's next turn
+        self.processing = True
         try:
             self.transport.doRead()  # an end that it finds is found once more by the loop
         finally:
-            self.reading = False
-        if not self.commands.partial():
+            self.processing = False
+        if not self.parser.has_partial_message():
             return False
-        self.unparsed = True
+        self.reading_paused = True
         self.transport.pauseProducing()
-        self._later()
+        self._schedule_turn()
         return True
 
-    def make_room(self) -> bool:
-        """Ends a connection that has been silent so far; False if its client just sent something."""
-        if self.breach is not None or self.commands.partial() or self._just_sent():
-            return False
-        self.turn_away()
-        return True
+    def _begin_close(self) -> None:
+        """Ends the connection so that its client can read the last reply; further input is discarded."""
+        self._discard_input()
+        self.owner.connection_lingering(self)
+        self.lingering_close = LingeringClose(
+            self.transport, self.clock, self.write_blocked, self.owner.max_linger_seconds
+        )
+        self.owner.limit_lingering()
+
+    # --- gateway.ResponseHandler ---
 
-    def turn_away(self) -> None:
-        """Ends a connection that has not asked for anything, with an error line and at once."""
-        if self.up and self.closing is None:
-            self.factory.counts["too_many_connections"] += 1
-            self.transport.write(b"-ERR too_many_connections all that this gateway takes are open\r\n")
-            self._end()
-
-    def stop_taking(self) -> None:
-        """The process is about to end: what has not begun is refused, and what is not whole is dropped."""
-        self.refusing = True
-        for slot in self.waiting:
-            self._answer(slot, b"-BUSY\r\n")
-            slot.name, slot.request = b"", None
-        self.waiting.clear()
-        self._count_waiting(-self.waiting_size)
-        self._go_on()
-
-    def _end(self) -> None:
-        """Ends the connection so that its client can read the last answer; what still comes is discarded."""
-        self._forget_unread()
-        self.factory.lingers(self)
-        self.closing = LingeringClose(self.transport, self.clock, self.blocked, self.factory.hurry)
-        self.factory.bound_lingering()
-
-    # --- the answer (gateway.Asker) ---
-
-    def served(self, job: int, size: int, shard: int) -> None:
+    def served(self, request_id: int, size: int, shard: int) -> None:
+        """A value of `size` bytes follows."""
         if not size:
-            self.body_chunk(job, b"")
+            self.body_chunk(request_id, b"")
 
-    def body_chunk(self, job: int, data: bytes) -> None:
-        self._over(job, bulk(data))
+    def body_chunk(self, request_id: int, data: bytes) -> None:
+        """The complete value: nodes' replies are not streamed here."""
+        self._finish(request_id, encode_bulk_string(data))
 
-    def aborted(self, job: int) -> None:
-        self._over(job, b"-ERR failed\r\n")
+    def aborted(self, request_id: int) -> None:
+        """The value ends before it is complete."""
+        self._finish(request_id, FAILED_REPLY)
 
-    def rejected(self, job: int, retry_after: int) -> None:
-        self._over(job, b"-BUSY %d\r\n" % -(-retry_after // MS) if retry_after else b"-BUSY\r\n")
+    def rejected(self, request_id: int, retry_after: int) -> None:
+        """Not executed; `retry_after` in ns, 0 for no advice."""
+        reply = b"-BUSY %d\r\n" % -(-retry_after // MS) if retry_after else BUSY_REPLY
+        self._finish(request_id, reply)
 
-    def failed(self, job: int) -> None:
-        self._over(job, b"-ERR failed\r\n")
+    def failed(self, request_id: int) -> None:
+        """It may have been executed."""
+        self._finish(request_id, FAILED_REPLY)
 
-    def _over(self, job: int, answer: bytes) -> None:
-        slot = self.jobs.pop(job, None)
-        if slot is not None:
-            self._answer(slot, answer)
-            self._go_on()
+    def deadline_passed(self, request_id: int) -> None:
+        """Guards against a request without any reply, and a close that loses those behind it, where the loop
+        stood still until the deadline had passed."""
+        self._finish(request_id, FAILED_REPLY)
 
-    def too_late(self, job: int) -> None:
-        """An answer that a loop at a standstill made late earns nothing; none at all is a lost job, and so
-        are those behind it on a connection that ends."""
-        self._over(job, b"-ERR failed\r\n")
+    def _finish(self, request_id: int, reply: bytes) -> None:
+        slot = self.in_flight.pop(request_id, None)
+        if slot is not None:
+            self.pipeline.complete(slot, reply)
+            self._advance()
 
     # --- back-pressure from the client (IPushProducer) ---
 
     def pauseProducing(self) -> None:
-        self.blocked = True
+        """Twisted: the client reads too slowly."""
+        self.write_blocked = True
 
     def resumeProducing(self) -> None:
-        self.blocked = False
-        if self.closing is not None:
-            self.closing.drained()
+        """Twisted: the client has read what was buffered."""
+        self.write_blocked = False
+        if self.lingering_close is not None:
+            self.lingering_close.write_buffer_drained()
         else:
-            self._go_on()
+            self._advance()
 
     def stopProducing(self) -> None:
-        self.blocked = True
+        """Twisted: the transport takes no more writes."""
+        self.write_blocked = True
--- a/ochrecourse/resp/codec.py
+++ b/ochrecourse/resp/codec.py
@@ -1,8 +1,8 @@
-"""RESP2 from bytes, incrementally: commands (arrays of bulk strings) and replies. Free of I/O.
+"""Incremental RESP2 parsers for commands (arrays of bulk strings) and replies, and encoders. Free of I/O.
 
-Every length is checked when it is announced, before anything behind it is buffered; a connection never holds
-more than one message and one read beyond it. Every breach is a `Breach` with a code of its own, after which
-the reader is of no further use.
+Every length is checked when it is announced, before anything behind it is buffered; a connection never
+buffers more than one message and one read beyond it. Every violation is a `RespProtocolError` with a code of
+its own, after which the parser is of no further use.
 """
 
 from __future__ import annotations
@@ -10,17 +10,25 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-MAX_BULK = 65_536  # bytes of one bulk string of a command; the most a value may hold there
-MAX_VALUE = 1_048_576  # bytes of one bulk string of a reply; nodes were seen to send 400,000
-MAX_WORDS = 8  # in one command; the longest has five
-MAX_ITEMS = 8  # in a reply's array; the longest has three
-MAX_LENGTH_LINE = 16  # bytes of a line that tells a count or a length, far over what MAX_BULK needs
-MAX_LINE = 512  # bytes of a status or error line; figures on use and a load report fit several times
-SHORT = 2048  # bytes of all other bulk strings of a message; ids, fields, figures on use
+from ochrecourse.common.errors import OchrecourseError
 
+MAX_COMMAND_BULK_BYTES = 65_536  # of one bulk string of a command; the largest value of an object
+MAX_REPLY_BULK_BYTES = 1_048_576  # of one bulk string of a reply; nodes were seen to send 400,000
+MAX_COMMAND_ARGUMENTS = 8  # of one command, its name included; the longest has five
+MAX_REPLY_ITEMS = 8  # of a reply's array; the longest has three
+MAX_LENGTH_LINE_BYTES = 16  # of a line with a count or a length, far more than the largest length needs
+MAX_REPLY_LINE_BYTES = (
+    512  # of a simple string or an error; usage figures and a load report fit several times
+)
+MAX_OTHER_BULKS_BYTES = 2048  # of all other bulk strings of a message; ids, fields, usage figures
+CARRIAGE_RETURN = 13
+COMMAND_TYPE = 42  # `*`, the first byte of a command
+BULK_TYPE = 36  # `$`, the first byte of each argument
+REPLY_TYPES = b"+-:$*"
 
-class Breach(Exception):
-    """Input that is not RESP2 or beyond its limits: `code` for counters, the text for the other side."""
+
+class RespProtocolError(OchrecourseError):
+    """Input that is not RESP2 or exceeds its limits: `code` for counters, the text for the peer."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -28,206 +36,230 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
-    """A reply's status line, without its `+`."""
+class SimpleString:
+    """A reply's simple string, without its `+`."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Error:
+class ErrorReply:
     """A reply's error line, without its `-`."""
 
     text: bytes
 
 
-Reply = Status | Error | int | bytes | None | list["Reply"]
+Reply = SimpleString | ErrorReply | int | bytes | None | list["Reply"]
 
 
-class _Reader:
-    """Bytes in, lines and bulk strings out."""
+class _RespParser:
+    """The input buffer of one connection, with lines and bulk strings read from it."""
 
-    most: ClassVar[int] = MAX_BULK
+    max_bulk_bytes: ClassVar[int] = MAX_COMMAND_BULK_BYTES
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._at = 0  # of which so many bytes are done with
-        self._size = -1  # of the bulk string that is being read; -1: none is
-        self._total = 0  # bytes of this message's bulk strings so far
+        self._position = 0  # bytes of the buffer that are parsed
+        self._bulk_length = -1  # of the bulk string that is being read; -1: none is
+        self._bulk_total = 0  # bytes of this message's bulk strings so far
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they came."""
-        if self._at:
-            del self._buffer[: self._at]
-            self._at = 0
+        """Appends received bytes to the buffer."""
+        if self._position:
+            del self._buffer[: self._position]
+            self._position = 0
         self._buffer += data
 
-    def _done(self) -> None:
-        """A message is whole: what is done with is let go, so that a connection that rests holds nothing."""
-        self._total = 0
-        if self._at == len(self._buffer):
-            self._buffer.clear()
-            self._at = 0
+    def has_unparsed_bytes(self) -> bool:
+        """Whether bytes are left that no complete message contained."""
+        return len(self._buffer) > self._position
 
-    def unread(self) -> bool:
-        """Whether bytes are left that no whole message held."""
-        return len(self._buffer) > self._at
+    def _message_complete(self) -> None:
+        """Releases what is parsed, so that an idle connection holds no memory."""
+        self._bulk_total = 0
+        if self._position == len(self._buffer):
+            self._buffer.clear()
+            self._position = 0
 
-    def _line(self, most: int) -> bytes | None:
-        end = self._buffer.find(b"\r\n", self._at, self._at + most + 2)
+    def _read_line(self, max_bytes: int) -> bytes | None:
+        """The next line without its end, or None until it is complete."""
+        end = self._buffer.find(b"\r\n", self._position, self._position + max_bytes + 2)
         if end < 0:
-            if len(self._buffer) - self._at >= most + 2:
-                raise Breach("long_line", f"a line of more than {most} bytes")
+            if len(self._buffer) - self._position >= max_bytes + 2:
+                raise RespProtocolError("long_line", f"a line of more than {max_bytes} bytes")
             return None
-        line = bytes(self._buffer[self._at : end])
-        self._at = end + 2
+        line = bytes(self._buffer[self._position : end])
+        self._position = end + 2
         return line
 
-    def _number(self, line: bytes, least: int, most: int, code: str) -> int:
+    def _parse_integer(self, line: bytes, least: int, most: int, code: str) -> int:
+        """The integer behind a line's type byte, from `least` to `most`; `code` names the error."""
         digits = line[2:] if line[1:2] == b"-" else line[1:]
         if not digits.isdigit() or len(digits) > 10:
-            raise Breach(code, "a length that is no number")
+            raise RespProtocolError(code, "a length that is no number")
         number = int(line[1:])
         if not least <= number <= most:
-            raise Breach(code, f"a length of {number}; between {least} and {most} it must be")
+            raise RespProtocolError(code, f"a length of {number}; between {least} and {most} it must be")
         return number
 
-    def _announce(self, line: bytes, least: int) -> int:
-        """The length of a bulk string that a line tells, checked before any of it is read."""
-        size = self._number(line, least, self.most, "bad_length")
-        self._total += max(0, size)
-        if self._total > self.most + SHORT:
-            raise Breach("long_message", f"more than {self.most + SHORT} bytes in one message")
-        return size
-
-    def _bulk(self) -> bytes | None:
-        """The bulk string whose length was told, once it is whole."""
-        end = self._at + self._size
+    def _parse_bulk_length(self, line: bytes, least: int) -> int:
+        """The announced length of a bulk string, checked before any of it is read."""
+        length = self._parse_integer(line, least, self.max_bulk_bytes, "bad_length")
+        self._bulk_total += max(0, length)
+        if self._bulk_total > self.max_bulk_bytes + MAX_OTHER_BULKS_BYTES:
+            raise RespProtocolError(
+                "long_message",
+                f"more than {self.max_bulk_bytes + MAX_OTHER_BULKS_BYTES} bytes in one message",
+            )
+        return length
+
+    def _read_bulk(self) -> bytes | None:
+        """The bulk string whose length was announced, or None until it is complete."""
+        end = self._position + self._bulk_length
         if len(self._buffer) < end + 2:
-            # Guards against lengths that are too short, which would be seen only when more bytes come.
-            if len(self._buffer) > end and self._buffer[end] != 13:
-                raise Breach("bad_end", "a bulk string that does not end where its length says")
+            # Guards against lengths that are too short, which would be seen only when more bytes arrive.
+            if len(self._buffer) > end and self._buffer[end] != CARRIAGE_RETURN:
+                raise RespProtocolError("bad_end", "a bulk string that does not end where its length says")
             return None
         if self._buffer[end : end + 2] != b"\r\n":
-            raise Breach("bad_end", "a bulk string that does not end where its length says")
-        with memoryview(self._buffer) as whole:
-            data = bytes(whole[self._at : end])
-        self._at, self._size = end + 2, -1
+            raise RespProtocolError("bad_end", "a bulk string that does not end where its length says")
+        with memoryview(self._buffer) as view:
+            data = bytes(view[self._position : end])
+        self._position, self._bulk_length = end + 2, -1
         return data
 
 
-class Commands(_Reader):
-    """Commands from a client's bytes: feed, then pull with `next` until it gives None."""
+class CommandParser(_RespParser):
+    """Commands from a client's bytes: `feed`, then `next` until it returns None."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._words: list[bytes] = []
-        self._left = 0
+        self._arguments: list[bytes] = []
+        self._arguments_left = 0
 
-    def partial(self) -> bool:
-        """Whether a command has begun and is not whole."""
-        return self._left > 0 or self.unread()
+    def has_partial_message(self) -> bool:
+        """Whether a command has begun and is not complete."""
+        return self._arguments_left > 0 or self.has_unparsed_bytes()
 
     def next(self) -> list[bytes] | None:
-        """The next whole command's words, or None until more bytes come. Raises Breach."""
+        """The next complete command's arguments, its name first, or None until more bytes arrive.
+
+        Raises RespProtocolError.
+        """
         while True:
-            if self._size >= 0:
-                word = self._bulk()
-                if word is None:
+            if self._bulk_length >= 0:
+                argument = self._read_bulk()
+                if argument is None:
                     return None
-                self._words.append(word)
-                self._left -= 1
-                if not self._left:
-                    words, self._words = self._words, []
-                    self._done()
-                    return words
+                self._arguments.append(argument)
+                self._arguments_left -= 1
+                if not self._arguments_left:
+                    arguments, self._arguments = self._arguments, []
+                    self._message_complete()
+                    return arguments
                 continue
-            line = self._line(MAX_LENGTH_LINE)
+            line = self._read_line(MAX_LENGTH_LINE_BYTES)
             if line is None:
-                if self.unread() and self._buffer[self._at] != (36 if self._left else 42):
-                    raise Breach("not_a_command", "a command is an array of bulk strings")
+                expected = BULK_TYPE if self._arguments_left else COMMAND_TYPE
+                if self.has_unparsed_bytes() and self._buffer[self._position] != expected:
+                    raise RespProtocolError("not_a_command", "a command is an array of bulk strings")
                 return None
-            if self._left:
+            if self._arguments_left:
                 if line[:1] != b"$":
-                    raise Breach("not_a_command", "a command is an array of bulk strings")
-                self._size = self._announce(line, 0)
+                    raise RespProtocolError("not_a_command", "a command is an array of bulk strings")
+                self._bulk_length = self._parse_bulk_length(line, 0)
             else:
                 if line[:1] != b"*":
-                    raise Breach("not_a_command", "a command is an array of bulk strings")
-                self._left = self._number(line, 1, MAX_WORDS, "bad_count")
+                    raise RespProtocolError("not_a_command", "a command is an array of bulk strings")
+                self._arguments_left = self._parse_integer(line, 1, MAX_COMMAND_ARGUMENTS, "bad_count")
 
 
-class Replies(_Reader):
-    """Replies from a node's bytes: feed, then pull with `next` until it gives None.
+class ReplyParser(_RespParser):
+    """Replies from a node's bytes: `feed`, then `next` until it returns None.
 
-    Arrays don't nest here, and an array holds only bulk strings or nulls.
+    Arrays don't nest here, and an array contains only bulk strings or nulls.
     """
 
-    most = MAX_VALUE
+    max_bulk_bytes = MAX_REPLY_BULK_BYTES
 
     def __init__(self) -> None:
         super().__init__()
-        self._items: list[Reply] | None = None
-        self._left = 0
+        self._items: list[Reply] | None = None  # of the array that is being read
+        self._items_left = 0
 
-    def partial(self) -> bool:
-        """Whether a reply has begun and is not whole."""
-        return self._items is not None or self._size >= 0 or self.unread()
+    def has_partial_message(self) -> bool:
+        """Whether a reply has begun and is not complete."""
+        return self._items is not None or self._bulk_length >= 0 or self.has_unparsed_bytes()
 
     def next(self) -> tuple[Reply] | None:
-        """The next whole reply, alone in a tuple since null is one, or None. Raises Breach."""
+        """The next complete reply, alone in a tuple since null is one, or None until more bytes arrive.
+
+        Raises RespProtocolError.
+        """
         while True:
             value: Reply
-            if self._size >= 0:
-                value = self._bulk()
+            if self._bulk_length >= 0:
+                value = self._read_bulk()
                 if value is None:
                     return None
             else:
-                line = self._line(MAX_LINE)
+                line = self._read_line(MAX_REPLY_LINE_BYTES)
                 if line is None:
-                    if self.unread() and self._buffer[self._at] not in b"+-:$*":
-                        raise Breach("not_a_reply", "a reply begins with one of + - : $ *")
+                    self._check_type_byte()
                     return None
-                kind, rest = line[:1], line[1:]
-                if kind == b"$":
-                    size = self._announce(line, -1)
-                    if size >= 0:
-                        self._size = size
+                if line[:1] == b"$":
+                    length = self._parse_bulk_length(line, -1)
+                    if length >= 0:
+                        self._bulk_length = length
                         continue
                     value = None
-                elif self._items is not None:
-                    raise Breach("not_a_reply", "an array here holds bulk strings and nulls only")
-                elif kind == b"*":
-                    self._left = self._number(line, 1, MAX_ITEMS, "bad_count")
+                elif line[:1] == b"*" and self._items is None:
+                    self._items_left = self._parse_integer(line, 1, MAX_REPLY_ITEMS, "bad_count")
                     self._items = []
                     continue
-                elif kind == b"+":
-                    value = Status(rest)
-                elif kind == b"-":
-                    value = Error(rest)
-                elif kind == b":":
-                    value = self._number(line, -(10**10), 10**10, "bad_number")
                 else:
-                    raise Breach("not_a_reply", "a reply begins with one of + - : $ *")
-            if self._items is None:
-                self._done()
+                    value = self._parse_simple_value(line)
+            items = self._items
+            if items is None:
+                self._message_complete()
                 return (value,)
-            self._items.append(value)
-            self._left -= 1
-            if not self._left:
-                items, self._items = self._items, None
-                self._done()
+            items.append(value)
+            self._items_left -= 1
+            if not self._items_left:
+                self._items = None
+                self._message_complete()
                 return (items,)
 
+    def _check_type_byte(self) -> None:
+        """Guards against a peer that sends anything but RESP2 and no line end, which would be waited for."""
+        if self.has_unparsed_bytes() and self._buffer[self._position] not in REPLY_TYPES:
+            raise RespProtocolError("not_a_reply", "a reply begins with one of + - : $ *")
+
+    def _parse_simple_value(self, line: bytes) -> Reply:
+        """A reply that is complete in one line: a simple string, an error or an integer."""
+        if self._items is not None:
+            raise RespProtocolError("not_a_reply", "an array here holds bulk strings and nulls only")
+        type_byte, rest = line[:1], line[1:]
+        if type_byte == b"+":
+            return SimpleString(rest)
+        if type_byte == b"-":
+            return ErrorReply(rest)
+        if type_byte == b":":
+            return self._parse_integer(line, -(10**10), 10**10, "bad_number")
+        raise RespProtocolError("not_a_reply", "a reply begins with one of + - : $ *")
+
+
+Replies = ReplyParser  # the name that the test of recorded behaviour uses
+
 
-def command(words: list[bytes]) -> bytes:
-    """A command's bytes."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
-    return b"".join(parts)
+def encode_command(arguments: list[bytes]) -> bytes:
+    """A command's bytes; the first argument is its name."""
+    encoded = [b"*%d\r\n" % len(arguments)]
+    for argument in arguments:
+        encoded.append(b"$%d\r\n%b\r\n" % (len(argument), argument))
+    return b"".join(encoded)
 
 
-def bulk(data: bytes) -> bytes:
+def encode_bulk_string(data: bytes) -> bytes:
     """A bulk string's bytes."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
--- a/ochrecourse/resp/commands.py
+++ b/ochrecourse/resp/commands.py
@@ -1,8 +1,9 @@
-"""What the words of commands and replies mean: a client's command to a job and back to a node's command, a
-node's reply to what the carrier takes. Free of I/O.
+"""Maps the platform's commands and replies to the gateway's terms and back. Free of I/O.
 
-Strict in every field: what passes on to a node is rebuilt from fields that were checked, in the order in
-which they must come, with the leg's own time in place of the client's.
+The platform's own words stop here (docs/glossary.md). In a command's fields, `c` is the request class, `t`
+the tenant, `d` the time in ms that the client waits, and `r` marks a client's retry. Strict in every field:
+what a node is sent is rebuilt from fields that were checked, in the order in which they must stand, with the
+attempt's own timeout in place of the client's.
 """
 
 from __future__ import annotations
@@ -10,138 +11,169 @@
 import re
 from collections.abc import Mapping
 
-from ochrecourse.gateway.gateway import Request
 from ochrecourse.common.time_units import MS
-from ochrecourse.resp.codec import Breach, Error, Reply, command
-from ochrecourse.wire import messages as m
-
-READ, WRITE = b"BLK.READ", b"BLK.WRITE"
-LONGEST_D = 3_600_000  # ms that a client may say it waits; no promise runs for over an hour
-HEX = re.compile(rb"[0-9a-f]{16}")
+from ochrecourse.gateway.gateway import Request
+from ochrecourse.resp.codec import ErrorReply, Reply, RespProtocolError, encode_command
+from ochrecourse.wire import messages
+
+READ_COMMAND, WRITE_COMMAND = b"BLK.READ", b"BLK.WRITE"
+READ_ARGUMENTS, WRITE_ARGUMENTS = 4, 5  # the command's name included
+MAX_TIMEOUT_MS = 3_600_000  # that a client may say it waits; no latency objective is over an hour
+MAX_REPLY_PARTS = 3  # a value, usage figures, a load report
+HEX_ID = re.compile(rb"[0-9a-f]{16}")
 FIELDS = re.compile(
     rb"c=([^,=\s]{1,64}),t=([^,=\s]{1,64}),d=(\d{1,9}(?:\.\d{1,6})?)"
     rb"(?:,k=([0-9a-f]{16}))?(,r=1)?"
     rb",volume=([0-9a-f]{16}),units=(\d{1,6}(?:\.\d{1,6})?),shard=(-1|\d{1,5}),hosts=(\d{1,6})"
 )
+TIMEOUT_GROUP = 3  # of FIELDS: the time in ms that the client waits
 FIGURES = re.compile(rb"[a-z_]{1,32}=\d{1,9}(?:\.\d{1,9})?(?:,[a-z_]{1,32}=\d{1,9}(?:\.\d{1,9})?){0,7}")
 
 
-class Asked:
-    """A client's command, checked. It is what each leg of its job sends (nodes.carrier.Body)."""
+class RespRequest:
+    """A client's checked command, which each attempt of its request sends (nodes.dispatcher.Body)."""
 
-    __slots__ = ("head", "size", "tail", "value")
+    __slots__ = ("fields_after_timeout", "leading_arguments", "size", "value")
 
-    def __init__(self, head: list[bytes], before: bytes, tail: bytes, value: bytes | None) -> None:
-        """`head`: the words before the fields; `before` and `tail`: the fields round the time to wait."""
-        self.head = [*head, before]
-        self.tail = tail
+    def __init__(
+        self,
+        leading_arguments: list[bytes],
+        fields_before_timeout: bytes,
+        fields_after_timeout: bytes,
+        value: bytes | None,
+    ) -> None:
+        """`leading_arguments`: those before the fields; `value`: what a write stores, None for a read."""
+        self.leading_arguments = [*leading_arguments, fields_before_timeout]
+        self.fields_after_timeout = fields_after_timeout
         self.value = value
         self.size = len(value or b"")
 
     def read(self, at: int, most: int) -> bytes:
+        """Up to `most` bytes of the value from offset `at`."""
         return (self.value or b"")[at : at + most]
 
     def close(self) -> None:
         """Holds nothing that needs closing."""
 
-    def command(self, wait: int) -> bytes:
-        """The node's command; `wait` in ns: how long the gateway will wait for this leg."""
-        words = self.head[:3]
-        words.append(b"%b%d%b" % (self.head[3], max(1, wait // MS), self.tail))
+    def encode(self, timeout_ns: int) -> bytes:
+        """The node's command; `timeout_ns`: how long the gateway will wait for this attempt."""
+        arguments = self.leading_arguments[:3]
+        timeout_ms = max(1, timeout_ns // MS)
+        arguments.append(b"%b%d%b" % (self.leading_arguments[3], timeout_ms, self.fields_after_timeout))
         if self.value is not None:
-            words.append(self.value)
-        return command(words)
+            arguments.append(self.value)
+        return encode_command(arguments)
 
 
-class Kinds:
-    """The products that write, by name; empty where the settings don't tell."""
+class RequestClasses:
+    """Which request classes write, by name; empty where the settings don't say."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
+        """`values`: the plain map of settings."""
         writes = values.get("FamilyInfo.Writes", "")
-        count = int(values.get("Classes.count", "0"))
-        told = writes.split(",") if writes else []
-        self.writes = {
-            values.get(f"Classes.{i}.Name", str(i)): told[i] == "true" for i in range(min(count, len(told)))
-        }
-
-
-def asked(words: list[bytes], kinds: Kinds, read_at: int) -> Request:
-    """The job that a command asks for; `read_at` in ns: when its last byte came. Raises Breach."""
-    name = words[0].upper()
-    if name not in (READ, WRITE):
-        raise Breach("unknown_command", "known are PING, BLK.READ and BLK.WRITE")
-    if len(words) != (5 if name == WRITE else 4):
-        raise Breach("bad_arity", f"wrong number of words for {name.decode()}")
-    if not HEX.fullmatch(words[1]) or not HEX.fullmatch(words[2]):
-        raise Breach("bad_id", "a piece and an id are 16 hex digits each")
-    found = FIELDS.fullmatch(words[3])
+        flags = writes.split(",") if writes else []
+        count = min(int(values.get("Classes.count", "0")), len(flags))
+        self.writes = {values.get(f"Classes.{i}.Name", str(i)): flags[i] == "true" for i in range(count)}
+
+
+def parse_command(arguments: list[bytes], request_classes: RequestClasses, read_at: int) -> Request:
+    """The request that a client's command makes; `read_at` in ns: when its last byte was read.
+
+    Raises RespProtocolError.
+    """
+    name = arguments[0].upper()
+    if name not in (READ_COMMAND, WRITE_COMMAND):
+        raise RespProtocolError("unknown_command", "known are PING, BLK.READ and BLK.WRITE")
+    writes = name == WRITE_COMMAND
+    if len(arguments) != (WRITE_ARGUMENTS if writes else READ_ARGUMENTS):
+        raise RespProtocolError("bad_arity", f"wrong number of words for {name.decode()}")
+    if not HEX_ID.fullmatch(arguments[1]) or not HEX_ID.fullmatch(arguments[2]):
+        raise RespProtocolError("bad_id", "a piece and an id are 16 hex digits each")
+    fields = arguments[3]
+    found = FIELDS.fullmatch(fields)
     if found is None:
-        raise Breach("bad_field", "the fields are c,t,d[,k][,r],volume,units,shard,hosts, in this order")
-    product, plan, wait, _, _, volume, units, shard, gateways = found.groups()
-    if not 0 < float(wait) <= LONGEST_D:
-        raise Breach("bad_field", "d is the time to wait in ms, above 0")
+        raise RespProtocolError(
+            "bad_field", "the fields are c,t,d[,k][,r],volume,units,shard,hosts, in this order"
+        )
+    class_field, tenant_field, timeout_ms, _, _, volume, units, shard, gateways = found.groups()
+    if not 0 < float(timeout_ms) <= MAX_TIMEOUT_MS:
+        raise RespProtocolError("bad_field", "d is the time to wait in ms, above 0")
     try:
-        product_name, plan_name = product.decode(), plan.decode()
+        request_class, tenant = class_field.decode(), tenant_field.decode()
     except UnicodeDecodeError:
-        raise Breach("bad_field", "names are UTF-8") from None
-    if kinds.writes.get(product_name, name == WRITE) is not (name == WRITE):
-        raise Breach("bad_field", "the command does not fit its product")
-    told = words[3]
-    result = Asked(
-        [name, words[1], words[2]], told[: found.start(3)], told[found.end(3) :],
-        words[4] if name == WRITE else None,
-    )  # fmt: skip
-    # Guards against growth: were the request held by the command too, each job would stay as a cycle.
+        raise RespProtocolError("bad_field", "names are UTF-8") from None
+    if request_classes.writes.get(request_class, writes) is not writes:
+        raise RespProtocolError("bad_field", "the command does not fit its product")
+    body = RespRequest(
+        [name, arguments[1], arguments[2]],
+        fields[: found.start(TIMEOUT_GROUP)],
+        fields[found.end(TIMEOUT_GROUP) :],
+        arguments[4] if writes else None,
+    )
+    # Guards against growth: if the body referred to the request, each would stay as a reference cycle.
     return Request(
-        request_class=product_name,
-        tenant=plan_name,
+        request_class=request_class,
+        tenant=tenant,
         volume=int(volume, 16),
-        timeout=round(float(wait) * MS),
+        timeout=round(float(timeout_ms) * MS),
         read_at=read_at,
-        key=int(words[1], 16),
+        key=int(arguments[1], 16),
         units=float(units),
         shard=int(shard),
         gateways=int(gateways),
-        body=result,
+        body=body,
     )
 
 
-def figures(text: Reply) -> dict[str, float]:
-    """Figures on use or a load report; empty if there are none or they can't be read."""
+def parse_load_report(text: Reply) -> dict[str, float]:
+    """A node's load report, or usage figures of the same form; empty if absent or malformed."""
     if not isinstance(text, bytes) or not FIGURES.fullmatch(text):
         return {}
-    pairs = (each.partition("=") for each in text.decode().split(","))
+    pairs = (pair.partition("=") for pair in text.decode().split(","))
     return {name: float(value) for name, _, value in pairs}
 
 
-def answer(reply: Reply) -> tuple[m.AttemptServed | m.AttemptFailed | m.AttemptRejected, bytes]:
-    """What a node's reply to a leg says, and the value. Raises Breach if it is none that a node gives."""
+def parse_reply(
+    reply: Reply,
+) -> tuple[messages.AttemptServed | messages.AttemptFailed | messages.AttemptRejected, bytes]:
+    """The message that a node's reply to an attempt stands for, and the value.
+
+    Raises RespProtocolError if no node gives such a reply.
+    """
     if isinstance(reply, list):
-        value = reply[0]
-        if not isinstance(value, bytes) or len(reply) > 3:
-            raise Breach("not_an_answer", "an answer is a value, figures on use and a load report")
-        use = figures(reply[1]) if len(reply) > 1 else {}
-        load = figures(reply[2]) if len(reply) > 2 else {}
-        size = len(value)
-        used, elsewhere = _use(use)
-        return m.AttemptServed(id=0, size=size, body=size, load=load, used=used, elsewhere=elsewhere), value
-    if isinstance(reply, Error):
+        return _parse_served(reply)
+    if isinstance(reply, ErrorReply):
         word, _, rest = reply.text.partition(b" ")
-        used, elsewhere = _use(_told(rest))
+        used, elsewhere = _volume_usage(_parse_error_figures(rest))
         if word == b"BUSY" and (not rest or all(FIGURES.fullmatch(each) for each in rest.split(b" "))):
-            return m.AttemptRejected(id=0, used=used, elsewhere=elsewhere), b""
+            return messages.AttemptRejected(id=0, used=used, elsewhere=elsewhere), b""
         if word == b"ERR":
-            return m.AttemptFailed(id=0, text="error", used=used, elsewhere=elsewhere), b""
-    raise Breach("not_an_answer", "neither a value, nor an error, nor busy")
-
-
-def _told(rest: bytes) -> dict[str, float]:
-    told: dict[str, float] = {}
-    for each in rest.split(b" "):
-        told.update(figures(each))
-    return told
-
-
-def _use(told: Mapping[str, float]) -> tuple[float, int]:
-    """The volume's use as a part of its rate, below 0 if it is not told, and the units served elsewhere."""
-    return told["used"] / 100 if "used" in told else -1.0, int(told.get("cost", 0))
+            return messages.AttemptFailed(id=0, text="error", used=used, elsewhere=elsewhere), b""
+    raise RespProtocolError("not_an_answer", "neither a value, nor an error, nor busy")
+
+
+def _parse_served(items: list[Reply]) -> tuple[messages.AttemptServed, bytes]:
+    """A reply with a value, and as far as the node gives them usage figures and a load report."""
+    value = items[0]
+    if not isinstance(value, bytes) or len(items) > MAX_REPLY_PARTS:
+        raise RespProtocolError("not_an_answer", "an answer is a value, figures on use and a load report")
+    usage = parse_load_report(items[1]) if len(items) > 1 else {}
+    load = parse_load_report(items[2]) if len(items) > 2 else {}
+    size = len(value)
+    used, elsewhere = _volume_usage(usage)
+    served = messages.AttemptServed(id=0, size=size, body=size, load=load, used=used, elsewhere=elsewhere)
+    return served, value
+
+
+def _parse_error_figures(text: bytes) -> dict[str, float]:
+    """All figures behind an error's first word; several groups are separated by blanks."""
+    figures: dict[str, float] = {}
+    for group in text.split(b" "):
+        figures.update(parse_load_report(group))
+    return figures
+
+
+def _volume_usage(figures: Mapping[str, float]) -> tuple[float, int]:
+    """The volume's use as a fraction of its rate, below 0 if it is absent, and units served elsewhere."""
+    used = figures["used"] / 100 if "used" in figures else -1.0
+    return used, int(figures.get("cost", 0))
--- a/ochrecourse/resp/lingering_close.py
+++ b/ochrecourse/resp/lingering_close.py
@@ -1,9 +1,10 @@
-"""How this side ends a client's connection without losing what the client has still to read.
+"""Lingering close: ends a client's connection from this side without losing replies that are still unread.
 
-A close over unread bytes resets a TCP connection, and the reset takes away answers that the client has not
-read. So every close lingers: what is owed is written, the sending side is shut, and what still comes is read
-and discarded until the client ends its side too, or the time for it is over. Nothing discarded is ever sent
-on; a client whose request crossed the shutdown sees the end and sends it again elsewhere.
+A close over unread bytes resets a TCP connection, and the reset discards replies that the client has not
+read. So every close lingers: pending replies are written, the sending side is closed (half-close), and what
+still arrives is read and discarded until the client closes its side too or the time for it is over. Nothing
+discarded is ever forwarded; a client whose request crossed the half-close sees the end of the connection and
+sends the request again elsewhere.
 """
 
 from __future__ import annotations
@@ -12,63 +13,65 @@
 
 from ochrecourse.common.runtime import Clock, Timer, stop
 
-LINGER = 1.0  # s for a client to read its last answers and to close; clients that are at work take far less
-DRAIN = 2.0  # s for a slow reader to take what is still to be written, before the sending side is shut
+LINGER_SECONDS = 1.0  # for a client to read its last replies and to close; active clients take far less
+DRAIN_SECONDS = 2.0  # for a slow reader to take the pending replies, before the sending side is closed
 
 
 class LingeringClose:
-    """One connection's way from its shutdown to its end."""
+    """One connection from its half-close to its end."""
 
-    def __init__(self, transport: Any, clock: Clock, blocked: bool, hurry: float | None = None) -> None:
-        """`blocked`: the transport holds back answers that the client does not take. `hurry`: s that all of
-        this may take, where the process is about to end."""
+    def __init__(
+        self, transport: Any, clock: Clock, write_blocked: bool, max_seconds: float | None = None
+    ) -> None:
+        """`write_blocked`: the transport buffers replies that the client does not read. `max_seconds`: limit
+        of each wait, where the process is shutting down; None: no further limit."""
         self.transport = transport
         self.clock = clock
-        self.hurry = hurry
-        self.shut = False
-        self.over = False
-        self.cutting = False
+        self.max_seconds = max_seconds
+        self.half_closed = False
+        self.connection_ended = False
+        self.closing_now = False
         self._timer: Timer | None = None
-        if blocked:
-            self._wait(DRAIN)
+        if write_blocked:
+            self._restart_timer(DRAIN_SECONDS)
         else:
-            self.drained()
+            self.write_buffer_drained()
 
-    def drained(self) -> None:
-        """The transport has room again: the sending side is shut behind what it still has to write."""
-        if self.shut or self.over:
+    def write_buffer_drained(self) -> None:
+        """The transport accepts writes again: the sending side is closed behind what is still buffered."""
+        if self.half_closed or self.connection_ended:
             return
-        self.shut = True
+        self.half_closed = True
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        self._wait(LINGER)
+        self._restart_timer(LINGER_SECONDS)
 
-    def hasten(self, seconds: float) -> None:
-        """The process is about to end: from now on there are so many seconds left."""
-        if not self.over:
-            self.hurry = seconds
-            self._wait(seconds)
+    def limit_time(self, max_seconds: float) -> None:
+        """The process is shutting down: the connection ends within `max_seconds` from now."""
+        if not self.connection_ended:
+            self.max_seconds = max_seconds
+            self._restart_timer(max_seconds)
 
-    def cut(self) -> None:
-        """Room is needed: closes as soon as what is owed is written, and waits for the client no longer."""
-        self.cutting = True
-        if self.shut:
-            self.transport.loseConnection()  # at once, where the client has been sent all
+    def close_now(self) -> None:
+        """Its descriptor is needed: closes once pending replies are written, whatever the client does."""
+        self.closing_now = True
+        if self.half_closed:
+            self.transport.loseConnection()  # at once, where all replies are sent
         else:
-            self._end()
+            self._close_transport()
 
-    def _end(self) -> None:
-        """The time is over. A client that took everything sees an orderly end; one that did not, a reset."""
+    def connection_lost(self) -> None:
+        """The connection has ended."""
+        self.connection_ended = True
+        stop(self._timer)
+
+    def _close_transport(self) -> None:
+        """A client that has read everything sees an orderly end; one that has not, a reset."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
-        self.transport.abortConnection()  # without effect where the former closed
-
-    def lost(self) -> None:
-        """The connection is gone."""
-        self.over = True
-        stop(self._timer)
+        self.transport.abortConnection()  # no effect where loseConnection has closed it
 
-    def _wait(self, seconds: float) -> None:
+    def _restart_timer(self, seconds: float) -> None:
         stop(self._timer)
-        patience = seconds if self.hurry is None else min(seconds, self.hurry)
-        self._timer = self.clock.callLater(patience, self._end)
+        timeout = seconds if self.max_seconds is None else min(seconds, self.max_seconds)
+        self._timer = self.clock.callLater(timeout, self._close_transport)
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -1,9 +1,9 @@
 """One connection to a storage node: one attempt at a time, its command out and its reply in
 (nodes.dispatcher.NodeConnection).
 
-An answer behind another would wait for it, and giving an attempt up means closing its connection; so a
-connection carries one attempt, and it is free for the next only when nothing arrived behind the answer for a
-moment.
+A pipelined attempt would wait for the reply before it, and cancelling one means closing its connection; so a
+connection carries one attempt, and it is free for the next only when nothing arrived behind the reply for a
+short delay.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ochrecourse.nodes.dispatcher import LONGEST, Dispatcher, OutgoingAttempt, OpenConnection
-from ochrecourse.nodes.pool import PooledConnection
-from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent
 from ochrecourse.common.runtime import Network, now_ns
 from ochrecourse.common.time_units import MS
-from ochrecourse.resp.codec import Breach, Replies
-from ochrecourse.resp.commands import Asked, answer
+from ochrecourse.nodes.dispatcher import LONGEST, Dispatcher, OutgoingAttempt, OpenConnection
+from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent
+from ochrecourse.nodes.pool import PooledConnection
+from ochrecourse.resp.codec import ReplyParser, RespProtocolError
+from ochrecourse.resp.commands import RespRequest, parse_reply
 
-REST = 0.01  # s after an answer before its connection is used again; a second copy may come some ms late
+REUSE_DELAY_SECONDS = 0.01  # after a reply, before the next attempt; a duplicate reply may be some ms late
 
 
 class RespNodeConnection(Protocol):
@@ -29,97 +29,106 @@
 
     transport: Any  # Twisted's interfaces carry no types
 
-    def __init__(self, client: Dispatcher, pooled: PooledConnection) -> None:
-        self.client = client
+    def __init__(self, dispatcher: Dispatcher, pooled: PooledConnection) -> None:
+        self.dispatcher = dispatcher
         self.pooled = pooled
-        self.met = False
-        self.up = False
-        self.garbled = False
+        self.met = False  # whether the connection has been open
+        self.connected = False
+        self.malformed_reply = False
         self.attempt: OutgoingAttempt | None = None
-        self.replies = Replies()
+        self.parser = ReplyParser()
 
     # --- nodes.dispatcher.NodeConnection ---
 
     def send(self, attempt: OutgoingAttempt) -> None:
-        asked = attempt.body
-        assert isinstance(asked, Asked)
-        waited = now_ns(self.client.clock) - attempt.sent_at
+        """Writes the attempt's command with what is left of its timeout."""
+        request = attempt.body
+        assert isinstance(request, RespRequest)
+        waited = now_ns(self.dispatcher.clock) - attempt.sent_at
         self.attempt, attempt.connection, attempt.id = attempt, self, 1
-        attempt.written = asked.size
-        self.transport.write(asked.command(round(attempt.message.patience_ms * MS) - waited))
+        attempt.written = request.size
+        self.transport.write(request.encode(round(attempt.message.patience_ms * MS) - waited))
 
     def drop(self, attempt: OutgoingAttempt) -> None:
-        """Gives the attempt up: the platform's nodes take the end of the connection for that."""
+        """Cancels the attempt: the platform's nodes take the end of the connection for that."""
         self.attempt = None
         self.abort()
 
     def holds(self, attempt: OutgoingAttempt) -> bool:
+        """Whether the connection carries this attempt."""
         return self.attempt is attempt
 
     def credit(self, attempt: OutgoingAttempt, size: int) -> None:
-        """Answers here are whole; none is streamed."""
+        """No window updates: replies arrive complete, none is streamed."""
 
     def close(self) -> None:
-        if self.up:
+        """Closes the connection in order."""
+        if self.connected:
             self.transport.loseConnection()
 
     def abort(self) -> None:
-        if self.up:
-            self.client.connection_aborting(self)
+        """Resets the connection."""
+        if self.connected:
+            self.dispatcher.connection_aborting(self)
             self.transport.abortConnection()
 
     # --- Twisted's calls ---
 
     def connectionMade(self) -> None:
-        self.up = self.met = True
+        """Twisted: the connection is open."""
+        self.connected = self.met = True
         if hasattr(self.transport, "setTcpNoDelay"):
             self.transport.setTcpNoDelay(True)
-        self.client.connection_opened(self)
+        self.dispatcher.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes have arrived."""
         attempt = self.attempt
         if attempt is None:
-            # Guards against a second copy or noise behind an answer, which the next attempt would take for
-            # its.
-            self.client.counts["bytes behind an answer"] += 1
+            # Guards against a duplicate reply or noise, which the next attempt would take for its reply.
+            self.dispatcher.counts["bytes behind an answer"] += 1
             self.abort()
             return
         try:
-            self.replies.feed(data)
-            read = self.replies.next()
-            if read is None:
+            self.parser.feed(data)
+            parsed = self.parser.next()
+            if parsed is None:
                 return
-            message, value = answer(read[0])
-        except Breach as breach:
-            self.client.counts[f"nodes' breaches: {breach.code}"] += 1
-            self.garbled = True
+            message, value = parse_reply(parsed[0])
+        except RespProtocolError as error:
+            self.dispatcher.counts[f"nodes' breaches: {error.code}"] += 1
+            self.malformed_reply = True
             self.abort()
             return
         self.attempt = None
-        attempt.pooled = None  # its place is free again after a rest
-        if self.replies.unread():
-            self.client.counts["bytes behind an answer"] += 1
+        attempt.pooled = None  # the connection is released after the delay, not with its attempt
+        if self.parser.has_unparsed_bytes():
+            self.dispatcher.counts["bytes behind an answer"] += 1
             self.abort()
         else:
-            self.client.clock.callLater(REST, self._rested)
-        self.client.answered(self, attempt, message, value, True)
+            self.dispatcher.clock.callLater(REUSE_DELAY_SECONDS, self._reuse_delay_over)
+        self.dispatcher.answered(self, attempt, message, value, True)
 
-    def _rested(self) -> None:
-        # Guards against a loop that stood still: it calls its timers before it reads, and what arrived in the
-        # time of the rest may stand unread. It is read before the next turn's calls.
-        self.client.clock.callLater(0, self._free)
+    def _reuse_delay_over(self) -> None:
+        # Guards against a loop that stood still: it calls its timers before it reads, and what arrived during
+        # the delay may stand unread. It is read before the next turn's calls.
+        self.dispatcher.clock.callLater(0, self._release)
 
-    def _free(self) -> None:
-        if self.up:
-            self.client.connection_freed(self, -1)
+    def _release(self) -> None:
+        """The connection may carry the next attempt."""
+        if self.connected:
+            self.dispatcher.connection_freed(self, -1)
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.up = False
+        """Twisted: the connection has ended."""
+        self.connected = False
         attempts = [] if self.attempt is None else [self.attempt]
         self.attempt = None
-        half = ConnectionEnd.HALF_HEADER if self.replies.partial() else ConnectionEnd.BETWEEN
-        how = ConnectionEnd.GARBLED if self.garbled else half
-        self.client.connection_closed(self, attempts, how)
+        partial = self.parser.has_partial_message()
+        end = ConnectionEnd.HALF_HEADER if partial else ConnectionEnd.BETWEEN
+        if self.malformed_reply:
+            end = ConnectionEnd.GARBLED
+        self.dispatcher.connection_closed(self, attempts, end)
 
 
 class _Dial(ClientFactory):
--- a/ochrecourse/resp/server.py
+++ b/ochrecourse/resp/server.py
@@ -1,4 +1,4 @@
-"""All clients' connections: how many there may be, which one makes room, and their end with the process."""
+"""All clients' connections: the connection limit, eviction of idle connections, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,183 +8,200 @@
 
 from twisted.internet.protocol import Factory
 
-from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.common.request_records import RequestOutcome, RequestRecord
 from ochrecourse.common.runtime import Clock, Timer, stop
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.resp.client_connection import RespClientConnection
-from ochrecourse.resp.commands import Kinds
-
-HESITATE = 0.25  # s for a new connection's first byte; beyond it, it makes room for others first
-PAUSE = 0.25  # s without an open job before which a connection is not closed to make room
-REST = 6.0  # s without an open job after which one is closed; each holds memory
-TIDY = 1.0  # s between looks for connections to close
-BEYOND = 16  # connections over the most, until others are gone; descriptors kept for the process bear these
-LINGERING_PART = 4  # part of the most that connections may hold which this side has shut
-LINGERING_LEAST = 16  # of these, however few there may be in all
-LAST_WORDS = 0.2  # s after `leave` in which begun commands may come whole; the kill comes 0.5 s after `leave`
-LAST_LINGER = 0.15  # s that a close lingers after `leave`; the last answers are out 0.2 s before the kill
+from ochrecourse.resp.commands import RequestClasses
+from ochrecourse.resp.pipeline import PipelineTotals
+
+MIN_SILENT_SECONDS = 0.25  # without a command, before which a new connection is not evicted
+MIN_IDLE_SECONDS = 0.25  # without an open request, before which a connection is not evicted
+MAX_IDLE_SECONDS = 6.0  # without an open request, after which a connection is closed; each holds memory
+IDLE_CHECK_SECONDS = 1.0  # between checks for connections that are idle for too long
+ACCEPT_MARGIN = 16  # connections over the limit while others close; the process's own descriptors suffice
+LINGERING_DIVISOR = 4  # of the connection limit: the most connections that may linger
+MIN_LINGERING_LIMIT = 16  # of these, however low the connection limit is
+PARTIAL_COMMAND_SECONDS = 0.2  # for partial commands after `shut_down`; the kill comes 0.5 s after it
+SHUTDOWN_LINGER_SECONDS = (
+    0.15  # for a lingering close after `shut_down`; last replies are out 0.2 s before the kill
+)
 
 
 class RespServerFactory(Factory):
-    """Makes a `RespClientConnection` for each client; keeps their number under `most`, and near `roomy` if
-    it can.
-
-    It looks on at the gateway's jobs (gateway.Observer): one that ended too late gets an error line.
+    """Accepts clients (client_connection.ConnectionOwner) and observes the gateway's requests
+    (gateway.RequestObserver): one whose deadline passed in a loop that stood still gets an error line.
     """
 
     noisy = False
 
-    def __init__(self, gateway: Gateway, clock: Clock, kinds: Kinds, most: int, roomy: int) -> None:
+    def __init__(
+        self,
+        gateway: Gateway,
+        clock: Clock,
+        request_classes: RequestClasses,
+        max_connections: int,
+        eviction_threshold: int,
+    ) -> None:
+        """`eviction_threshold`: connections beyond which a silent or idle one is evicted for a new one."""
         self.gateway = gateway
         self.clock = clock
-        self.kinds = kinds
-        self.most = most
-        self.roomy = roomy
-        self.fronts: dict[RespClientConnection, None] = {}  # all that hold a descriptor, oldest first
-        self.silent: dict[RespClientConnection, None] = {}  # without a whole command so far, oldest first
-        self.idle: OrderedDict[RespClientConnection, None] = (
-            OrderedDict()
-        )  # without an open job, longest first
-        self.lingering: dict[
-            RespClientConnection, None
-        ] = {}  # shut by this side and not gone yet, oldest first
-        self.commands = 0  # without their answers, on all connections
-        self.waiting_size = 0  # bytes of requests that wait, on all connections
-        self.open_ids: dict[bytes, object] = {}  # and the place in the order of answers that each one has
-        self.counts: Counter[str] = Counter()
-        self.closed = 0  # connections so far
-        self.leaving = False
-        self.refusing = False  # after `leave` and a last time for begun commands
-        self.hurry: float | None = None  # s that a close may linger at most, where the process ends
-        self.left: Callable[[], None] | None = None  # called when the last connection is gone
-        self._sweep: Timer | None = clock.callLater(TIDY, self._tidy)
-        self._last_words: Timer | None = None
-
-    def room(self) -> int:
-        """How many more connections may be accepted now. One that is closing counts until it is closed: it
-        holds its descriptor.
-        """
-        return self.most + BEYOND - len(self.fronts)
+        self.request_classes = request_classes
+        self.max_connections = max_connections
+        self.eviction_threshold = eviction_threshold
+        # Ordered sets, oldest first: all that hold a descriptor, and of these:
+        self.connections: dict[RespClientConnection, None] = {}
+        self.silent: dict[RespClientConnection, None] = {}  # without a complete command so far
+        self.idle: OrderedDict[RespClientConnection, None] = OrderedDict()  # without an open request
+        self.lingering: dict[RespClientConnection, None] = {}  # closed by this side, not yet by the client
+        self.totals = PipelineTotals()
+        self.counts: Counter[str] = Counter()  # clients' errors by code, for the log
+        self.closed_connections = 0  # so far
+        self.shutting_down = False
+        self.rejecting = False  # requests that have not started, late in the shutdown
+        self.max_linger_seconds: float | None = None  # where the process is shutting down
+        self.on_drained: Callable[[], None] | None = None  # called when the last connection has ended
+        self._idle_check_timer: Timer | None = clock.callLater(
+            IDLE_CHECK_SECONDS, self._close_idle_connections
+        )
+        self._reject_timer: Timer | None = None
+
+    def accept_capacity(self) -> int:
+        """How many more connections may be accepted now; lingering ones count, for they hold descriptors."""
+        return self.max_connections + ACCEPT_MARGIN - len(self.connections)
 
     def buildProtocol(self, addr: Any) -> RespClientConnection | None:
-        if self.room() <= 0:
-            # Guards against many that come in one turn of the loop: what makes room is gone a turn later.
+        """Twisted: the protocol of an accepted connection, None to close it."""
+        if self.accept_capacity() <= 0:
+            # Guards against many clients in one turn of the loop: evicted ones end a turn later.
             self.counts["shut_unread"] += 1
             return None
         return RespClientConnection(self)
 
-    def came(self, front: RespClientConnection) -> None:
-        self.fronts[front] = None
-        self.silent[front] = None
-        front.idle_since = self.clock.seconds()
-        if self.leaving:
-            front.refusing = self.refusing
-            self.clock.callLater(0, front.close)
+    # --- client_connection.ConnectionOwner ---
+
+    def connection_opened(self, connection: RespClientConnection) -> None:
+        """A client has connected; another connection may be evicted for it, or it may be rejected."""
+        self.connections[connection] = None
+        self.silent[connection] = None
+        connection.idle_since = self.clock.seconds()
+        if self.shutting_down:
+            connection.rejecting = self.rejecting
+            self.clock.callLater(0, connection.close_if_idle)
             return
-        if len(self.fronts) > self.most:
-            self._cut_oldest()
-        in_use = len(self.fronts) - len(self.lingering)
-        if in_use > self.roomy and not self._make_room() and in_use > self.most:
-            front.turn_away()
-
-    def went(self, front: RespClientConnection) -> None:
-        self.fronts.pop(front, None)
-        self.silent.pop(front, None)
-        self.idle.pop(front, None)
-        self.lingering.pop(front, None)
-        self.closed += 1
-        if self.leaving and not self.fronts and self.left is not None:
-            self.left()
-
-    def rests(self, front: RespClientConnection) -> None:
-        """A connection has no open job from now on."""
-        self.idle[front] = None
-        self.idle.move_to_end(front)
-
-    def free_id(self, name: bytes, slot: object) -> None:
-        """A request no longer holds its id; one of the same id that came after its answer keeps it."""
-        if self.open_ids.get(name) is slot:
-            del self.open_ids[name]
-
-    # --- room ---
-
-    def lingers(self, front: RespClientConnection) -> None:
-        """This side ends a connection, which holds its descriptor until its client has closed too."""
-        self.silent.pop(front, None)
-        self.idle.pop(front, None)
-        self.lingering[front] = None
-
-    def bound_lingering(self) -> None:
-        """Ends the oldest of those that linger, where there are too many."""
-        if len(self.lingering) > max(LINGERING_LEAST, self.most // LINGERING_PART):
-            self._cut_oldest()
-
-    def _cut_oldest(self) -> None:
-        """Ends the connection that lingers longest, without waiting for its client any more."""
-        for front in self.lingering:
-            if front.closing is not None and not front.closing.cutting:
-                front.closing.cut()
+        if len(self.connections) > self.max_connections:
+            self._close_oldest_lingering()
+        in_use = len(self.connections) - len(self.lingering)
+        if in_use > self.eviction_threshold and not self._evict() and in_use > self.max_connections:
+            connection.reject()
+
+    def connection_spoke(self, connection: RespClientConnection) -> None:
+        """The first complete command has arrived."""
+        self.silent.pop(connection, None)
+
+    def connection_busy(self, connection: RespClientConnection) -> None:
+        """The connection has an open request."""
+        self.idle.pop(connection, None)
+
+    def connection_idle(self, connection: RespClientConnection) -> None:
+        """The connection has no open request from now on."""
+        self.idle[connection] = None
+        self.idle.move_to_end(connection)
+
+    def connection_lingering(self, connection: RespClientConnection) -> None:
+        """This side closes the connection, which holds its descriptor until its client has closed too."""
+        self.silent.pop(connection, None)
+        self.idle.pop(connection, None)
+        self.lingering[connection] = None
+
+    def limit_lingering(self) -> None:
+        """Ends the oldest lingering connection, where there are too many."""
+        if len(self.lingering) > max(MIN_LINGERING_LIMIT, self.max_connections // LINGERING_DIVISOR):
+            self._close_oldest_lingering()
+
+    def connection_closed(self, connection: RespClientConnection) -> None:
+        """The connection has ended and its descriptor is free."""
+        self.connections.pop(connection, None)
+        self.silent.pop(connection, None)
+        self.idle.pop(connection, None)
+        self.lingering.pop(connection, None)
+        self.closed_connections += 1
+        if self.shutting_down and not self.connections and self.on_drained is not None:
+            self.on_drained()
+
+    # --- eviction ---
+
+    def _close_oldest_lingering(self) -> None:
+        """Ends the connection that has lingered longest, without waiting for its client any more."""
+        for connection in self.lingering:
+            closing = connection.lingering_close
+            if closing is not None and not closing.closing_now:
+                closing.close_now()
                 return
 
-    def _make_room(self) -> bool:
-        """Ends a connection that stays silent, or else the one that rested longest; False if there is none.
+    def _evict(self) -> bool:
+        """Ends a silent connection, or else the one that was idle longest; False if there is none.
 
-        Guards against running out of descriptors, and against crowds that ask once and stay: clients may hold
-        so many connections in all, and while these rest nobody else can come.
+        Guards against running out of descriptors, and against crowds that ask once and stay connected: while
+        these are idle at the connection limit, nobody else can connect.
         """
         now = self.clock.seconds()
-        for front in list(self.silent):
-            if now - front.idle_since < HESITATE:
+        for connection in list(self.silent):
+            if now - connection.idle_since < MIN_SILENT_SECONDS:
                 break
-            if front.make_room():
+            if connection.close_if_silent():
                 return True
-        for front in list(self.idle):
-            if now - front.idle_since < PAUSE:
+        for connection in list(self.idle):
+            if now - connection.idle_since < MIN_IDLE_SECONDS:
                 break
-            if front.close():
+            if connection.close_if_idle():
                 return True
         return False
 
-    def _tidy(self) -> None:
-        self._sweep = self.clock.callLater(TIDY, self._tidy)
+    def _close_idle_connections(self) -> None:
+        self._idle_check_timer = self.clock.callLater(IDLE_CHECK_SECONDS, self._close_idle_connections)
         now = self.clock.seconds()
-        for front in list(self.idle):
-            if now - front.idle_since < REST:
+        for connection in list(self.idle):
+            if now - connection.idle_since < MAX_IDLE_SECONDS:
                 break
-            front.close()
+            connection.close_if_idle()
 
-    # --- the end ---
+    # --- graceful shutdown ---
 
-    def leave(self) -> None:
-        """Closes each connection as it falls idle, the idle ones at once; `left` is called after the last.
+    def shut_down(self) -> None:
+        """Closes idle connections at once and others as they become idle; `on_drained` is called after the
+        last one.
 
         Half a second later the process may be killed, whatever clients do until then.
         """
-        self.leaving = True
-        self.hurry = LAST_LINGER
-        for front in list(self.lingering):
-            if front.closing is not None:
-                front.closing.hasten(LAST_LINGER)
-        for front in list(self.fronts):
-            front.close()
-        self._last_words = self.clock.callLater(LAST_WORDS, self._stop_taking)
-        if not self.fronts and self.left is not None:
-            self.left()
-
-    def _stop_taking(self) -> None:
-        """Guards against clients that would hold the process up to its kill with commands that never end."""
-        self.refusing = True
-        for front in list(self.fronts):
-            front.stop_taking()
+        self.shutting_down = True
+        self.max_linger_seconds = SHUTDOWN_LINGER_SECONDS
+        for connection in list(self.lingering):
+            if connection.lingering_close is not None:
+                connection.lingering_close.limit_time(SHUTDOWN_LINGER_SECONDS)
+        for connection in list(self.connections):
+            connection.close_if_idle()
+        self._reject_timer = self.clock.callLater(PARTIAL_COMMAND_SECONDS, self._reject_queued)
+        if not self.connections and self.on_drained is not None:
+            self.on_drained()
+
+    def _reject_queued(self) -> None:
+        """Guards against clients that hold the process up to its kill with commands that never end."""
+        self.rejecting = True
+        for connection in list(self.connections):
+            connection.reject_queued()
 
     def stop(self) -> None:
-        stop(self._sweep)
-        stop(self._last_words)
-        self._sweep = self._last_words = None
+        """Cancels the server's own timers."""
+        stop(self._idle_check_timer)
+        stop(self._reject_timer)
+        self._idle_check_timer = self._reject_timer = None
+
+    # --- gateway.RequestObserver ---
 
-    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
-        """A job whose answer came too late to be of use."""
-        if story.outcome is not RequestOutcome.TOO_LATE:
+    def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
+        """Answers a request whose deadline passed before the gateway could."""
+        if record.outcome is not RequestOutcome.TOO_LATE:
             return
-        for front in [each for each in self.fronts if story.number in each.jobs]:
-            front.too_late(story.number)
+        for connection in [each for each in self.connections if record.number in each.in_flight]:
+            connection.deadline_passed(record.number)
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -21,7 +21,7 @@
 from ochrecourse.service.discovery_watch import DiscoveryWatch
 from ochrecourse.resp.server import RespServerFactory
 from ochrecourse.resp.node_connection import dialler
-from ochrecourse.resp.commands import Kinds
+from ochrecourse.resp.commands import RequestClasses
 
 TRAVEL = 40 * MS  # ns kept back of a client's time: its way here is not seen, nor a busy loop foreseen
 GOING = 0.55  # s after SIGTERM in which new connections still come; it serves at least as long
@@ -71,8 +71,10 @@
             values, start.seed, network, dialler(network), start.name, travel=TRAVEL, limits=limits,
             unread_since=unread_since,
         )  # fmt: skip
-        self.front = RespServerFactory(self.gateway, network, Kinds(values), clients, start.sockets // ROOMY)
-        self.gateway.observers = [self.front]
+        self.server = RespServerFactory(
+            self.gateway, network, RequestClasses(values), clients, start.sockets // ROOMY
+        )
+        self.gateway.observers = [self.server]
         zones = [each for each in values.get("Zones", "").split(",") if each]
         self.book = DiscoveredEndpoints(zones, unix_ns - now_ns(network))
         self.watch = DiscoveryWatch(network, self.book, start.discovery, self._told, self._warn)
@@ -93,8 +95,8 @@
         """Begins to follow the list and to listen; the address is returned."""
         self.watch.start()
         host, port = self.listen_at
-        self.port = self.network.listenTCP(port, self.front, backlog=1024, interface=host)
-        self.port.room = self.front.room
+        self.port = self.network.listenTCP(port, self.server, backlog=1024, interface=host)
+        self.port.room = self.server.accept_capacity
         at = self.port.getHost()
         return at.host, at.port
 
@@ -152,18 +154,18 @@
         self.network.callLater(0, self._close_connections)
 
     def _close_connections(self) -> None:
-        self.front.left = self._empty
-        self.front.leave()
+        self.server.on_drained = self._empty
+        self.server.shut_down()
 
     def _empty(self) -> None:
-        self.front.left = None
+        self.server.on_drained = None
         self.network.callLater(0, self._end)
 
     def _end(self) -> None:
         self.ended = True
         stop(self._read_again)
         self.watch.stop()
-        self.front.stop()
+        self.server.stop()
         self.gateway.stop()
         self.over()
 
--- a/ochrecourse/service/main.py
+++ b/ochrecourse/service/main.py
@@ -54,11 +54,13 @@
         log(f"ochrecourse relay: cannot listen: {trouble.socketError}")
         return 2
     signals.act(reactor.callFromThread, service.leave, service.reload)
-    CycleCollector(reactor, lambda: not service.gateway.request_log.open, lambda: service.front.closed)
+    CycleCollector(
+        reactor, lambda: not service.gateway.request_log.open, lambda: service.server.closed_connections
+    )
     log(f"{start.name} serves at {host}:{port}; {start.sockets} descriptors of {files}, {start.memory_mb} MB")
     reactor.run(installSignalHandlers=False)
     ledger = service.gateway.request_log
-    log(f"left; {ledger.received} jobs, {ledger.attempts} legs, clients: {dict(service.front.counts)}, "
+    log(f"left; {ledger.received} jobs, {ledger.attempts} legs, clients: {dict(service.server.counts)}, "
         f"nodes: {dict(service.gateway.nodes.counts)}")  # fmt: skip
     return 0
 
--- a/tests/relay_process.py
+++ b/tests/relay_process.py
@@ -23,7 +23,7 @@
 
 class _Node(socketserver.BaseRequestHandler):
     def handle(self):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         while data := self.request.recv(65536):
             reader.feed(data)
             while (words := reader.next()) is not None:
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -19,8 +19,8 @@
 from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec
 from ochrecourse.resp import server
-from ochrecourse.resp import client_connection
-from ochrecourse.resp.lingering_close import DRAIN, LINGER
+from ochrecourse.resp import client_connection, pipeline
+from ochrecourse.resp.lingering_close import DRAIN_SECONDS, LINGER_SECONDS
 from ochrecourse.standins.respnode import ListAgent, RespNode, good
 from ochrecourse.common.monotonic_reactor import unread_since
 
@@ -88,7 +88,7 @@
             lambda: self.over.append(1),
             self.loop.unread_since,
         )
-        self.front = self.service.front
+        self.server = self.service.server
         self.port = self.service.serve()[1]
         self.loop.until(lambda: self.agent.watches)
 
@@ -100,9 +100,9 @@
         client.settimeout(PATIENCE / 1000)
         client.connect(("127.0.0.1", self.port))
         self.sockets.append(client)
-        before = set(self.front.fronts)
-        self.loop.until(lambda: set(self.front.fronts) - before)
-        return client, next(iter(set(self.front.fronts) - before))
+        before = set(self.server.connections)
+        self.loop.until(lambda: set(self.server.connections) - before)
+        return client, next(iter(set(self.server.connections) - before))
 
     def say(self, client, data):
         """Sends in small steps, and reads meanwhile, so that no buffer of the system is too small."""
@@ -122,7 +122,7 @@
     def pile(self, client, side):
         """Asks until the client, which reads nothing, is owed more than the system takes; how often it asked."""
         number = 0
-        while not side.blocked:
+        while not side.write_blocked:
             number += 1
             self.serve(client, number)
             self.loop.settle()
@@ -136,7 +136,7 @@
         for each in self.sockets:
             each.close()
         self.service.watch.stop()
-        self.front.stop()
+        self.server.stop()
         self.service.gateway.stop()
         self.loop.end()
 
@@ -205,14 +205,23 @@
     client, side = here.client()
     here.say(client, b"".join(read(i, d=60_000) for i in range(1, count + 1)))
     here.loop.settle()
-    assert here.open == min(count, 32) and side.up
+    assert here.open == min(count, 32) and side.connected
     sent = len(here.node.commands)
     go(client, how)
     end_stands(side)
     here.loop.turn()
-    assert not here.open and not side.up and side not in here.front.fronts and not here.front.open_ids
+    assert (
+        not here.open
+        and not side.connected
+        and side not in here.server.connections
+        and not here.server.totals.open_request_ids
+    )
     here.loop.settle()
-    assert len(here.node.commands) <= sent and not here.front.commands and not here.front.waiting_size
+    assert (
+        len(here.node.commands) <= sent
+        and not here.server.totals.unanswered_commands
+        and not here.server.totals.queued_bytes
+    )
 
 
 def test_commands_that_stand_unread_before_the_end_of_their_client_leave_with_it(shop):
@@ -222,26 +231,26 @@
     client.sendall(b"".join(read(i, d=60_000) for i in range(1, 301)))
     client.close()
     end_stands(side)
-    here.loop.until(lambda: not side.up)
+    here.loop.until(lambda: not side.connected)
     assert not here.open and here.service.gateway.request_log.received <= 32
     here.loop.settle()
-    assert here.service.gateway.request_log.received <= 32 and not here.front.commands
+    assert here.service.gateway.request_log.received <= 32 and not here.server.totals.unanswered_commands
 
 
 @pytest.mark.parametrize("how", ["close", "half"])
 def test_the_end_of_a_slow_reader_whose_answers_pile_up_is_seen(shop, how):
     long = bytes(range(256)) * 3600
 
-    here = shop(lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n")
+    here = shop(lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client, side = here.client(buffer=4096)
     answers = here.pile(client, side)
     here.say(client, b"".join(read(answers + i, d=60_000) for i in range(1, 101)))
     here.loop.settle()
-    assert side.waiting
+    assert side.pipeline.queued
     go(client, how)
     end_stands(side)
     here.loop.turn()
-    assert not side.up and not here.open
+    assert not side.connected and not here.open
 
 
 def test_the_end_of_a_client_that_is_owed_answers_before_its_error_is_seen(shop):
@@ -249,72 +258,82 @@
     client, side = here.client()
     here.say(client, read(1, d=60_000) + b"nonsense\r\n")
     here.loop.settle()
-    assert side.breach is not None and here.open == 1
+    assert side.protocol_error is not None and here.open == 1
     client.close()
     end_stands(side)
     here.loop.turn()
-    assert not here.open and not side.up
+    assert not here.open and not side.connected
 
 
 @pytest.mark.parametrize("how", ["close", "half"])
 def test_the_end_behind_more_than_may_wait_is_seen_and_memory_is_bounded(shop, monkeypatch, how):
     """Guards against buffers that are full, so that nothing is read: the end would not even be sent by the client's
     system, which sends it behind what could not be taken here."""
-    monkeypatch.setattr(client_connection, "WAITING", 10 * 31_024)
+    monkeypatch.setattr(pipeline, "MAX_QUEUED_BYTES", 10 * 31_024)
     here = shop(lambda words: None)
     client, side = here.client()
     here.say(client, b"".join(write(i, body=b"x" * 30_000, d=60_000) for i in range(1, 301)))
-    here.loop.until(lambda: len(side.slots) > 200)
-    assert here.open == 32 and len(side.waiting) == 10
-    assert side.waiting_size == here.front.waiting_size <= client_connection.WAITING
+    here.loop.until(lambda: len(side.pipeline.slots) > 200)
+    assert here.open == 32 and len(side.pipeline.queued) == 10
+    assert side.pipeline.queued_bytes == here.server.totals.queued_bytes <= pipeline.MAX_QUEUED_BYTES
     go(client, how)
-    here.loop.until(lambda: not side.up)
-    assert not here.open and not here.front.fronts and not here.front.waiting_size and not here.front.commands
+    here.loop.until(lambda: not side.connected)
+    assert (
+        not here.open
+        and not here.server.connections
+        and not here.server.totals.queued_bytes
+        and not here.server.totals.unanswered_commands
+    )
 
 
 @pytest.mark.parametrize("last", [3, 300])
 def test_a_flood_without_end_is_a_mistake_and_the_end_behind_it_is_seen(shop, last):
     here = shop(lambda words: None)
     client, side = here.client()
-    here.say(client, read(1, d=60_000) + PING * client_connection.COMMANDS * last)
-    here.loop.until(lambda: side.breach is not None)
-    assert here.front.counts["too_many_commands"] == 1 and len(side.slots) == client_connection.COMMANDS + 1
-    assert here.open == 1 and not side.commands.partial()
+    here.say(client, read(1, d=60_000) + PING * pipeline.MAX_UNANSWERED_COMMANDS * last)
+    here.loop.until(lambda: side.protocol_error is not None)
+    assert (
+        here.server.counts["too_many_commands"] == 1
+        and len(side.pipeline.slots) == pipeline.MAX_UNANSWERED_COMMANDS + 1
+    )
+    assert here.open == 1 and not side.parser.has_partial_message()
     client.close()
-    here.loop.until(lambda: not side.up)
-    assert not here.open and not here.front.fronts and not here.front.commands
+    here.loop.until(lambda: not side.connected)
+    assert not here.open and not here.server.connections and not here.server.totals.unanswered_commands
 
 
 def test_what_is_refused_for_want_of_room_is_answered_in_its_turn(shop, monkeypatch):
-    monkeypatch.setattr(client_connection, "WAITING", 10 * 31_024)
+    monkeypatch.setattr(pipeline, "MAX_QUEUED_BYTES", 10 * 31_024)
     here = shop(lambda words: None)
     client, side = here.client()
     here.say(client, b"".join(write(i, body=b"x" * 30_000, d=60_000) for i in range(1, 61)) + PING)
-    here.loop.until(lambda: len(side.slots) == 61)
+    here.loop.until(lambda: len(side.pipeline.slots) == 61)
     assert readable(client) == b"" and here.open == 32
     for _ in range(ENDLESS):  # all that began or waited is given up in its time
-        if not side.slots:
+        if not side.pipeline.slots:
             break
         here.loop.now += 0.1
         here.loop.settle()
-    replies, got = codec.Replies(), []
+    replies, got = codec.ReplyParser(), []
     replies.feed(readable(client))
     while (one := replies.next()) is not None:
         got.append(one[0])
-    assert len(got) == 61 and all(isinstance(each, codec.Error) for each in got[:60])
-    assert got[42:] == [codec.Error(b"BUSY")] * 18 + [codec.Status(b"PONG")] and side.up
+    assert len(got) == 61 and all(isinstance(each, codec.ErrorReply) for each in got[:60])
+    assert got[42:] == [codec.ErrorReply(b"BUSY")] * 18 + [codec.SimpleString(b"PONG")] and side.connected
 
 
 def test_what_waits_on_all_connections_is_bounded_in_sum_and_costs_nobody_its_next_request(shop, monkeypatch):
-    monkeypatch.setattr(client_connection, "WAITING_ALL", 100 * client_connection.OVERHEAD)
-    monkeypatch.setattr(client_connection, "COMMANDS_ALL", 500)
+    monkeypatch.setattr(pipeline, "MAX_QUEUED_BYTES_TOTAL", 100 * pipeline.QUEUED_REQUEST_OVERHEAD_BYTES)
+    monkeypatch.setattr(pipeline, "MAX_UNANSWERED_COMMANDS_TOTAL", 500)
     here = shop(lambda words: None)
     clients = [here.client() for _ in range(8)]
     for number, (client, _) in enumerate(clients):
         here.say(client, b"".join(read(1000 * number + i, d=60_000) for i in range(1, 301)))
         here.loop.settle()
-    assert here.front.waiting_size <= client_connection.WAITING_ALL
-    assert here.front.commands <= client_connection.COMMANDS_ALL + 8 * (client_connection.AT_ONCE + 1)
+    assert here.server.totals.queued_bytes <= pipeline.MAX_QUEUED_BYTES_TOTAL
+    assert here.server.totals.unanswered_commands <= pipeline.MAX_UNANSWERED_COMMANDS_TOTAL + 8 * (
+        pipeline.MAX_RUNNING_REQUESTS + 1
+    )
     quiet, _ = here.client()
     here.node.reply = good
     here.say(quiet, read(9000, d=60_000) + PING)
@@ -322,8 +341,8 @@
     assert here.open == 8 * 32 + 1 or readable(quiet)
     for client, _ in clients:
         client.close()
-    here.loop.until(lambda: len(here.front.fronts) == 1)
-    assert not here.front.waiting_size and here.front.commands <= 2
+    here.loop.until(lambda: len(here.server.connections) == 1)
+    assert not here.server.totals.queued_bytes and here.server.totals.unanswered_commands <= 2
 
 
 def test_a_client_that_reads_nothing_piles_up_no_answers(shop):
@@ -340,11 +359,11 @@
             assert trouble.errno in (errno.EPIPE, errno.ECONNRESET)
             break
         here.loop.turn()
-    if side.up:
-        assert len(side.slots) <= client_connection.COMMANDS + 1
+    if side.connected:
+        assert len(side.pipeline.slots) <= pipeline.MAX_UNANSWERED_COMMANDS + 1
         assert (
             len(side.transport.dataBuffer) + side.transport._tempDataLen
-            <= 3 * READ + 7 * client_connection.COMMANDS
+            <= 3 * READ + 7 * pipeline.MAX_UNANSWERED_COMMANDS
         )
 
 
@@ -358,14 +377,14 @@
     quiet.sendall(PING)
     here.loop.turn()
     here.loop.turn()
-    assert loud_side.unparsed and readable(quiet) == b"+PONG\r\n"
+    assert loud_side.reading_paused and readable(quiet) == b"+PONG\r\n"
     got = b""
     turns = 2
     while len(got) < 4000 * len(b"+PONG\r\n") and turns < ENDLESS:
         here.loop.turn()
         turns += 1
         got += readable(loud)
-    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // client_connection.PARSED
+    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // client_connection.COMMANDS_PER_TURN
 
 
 # --- attempts after a client's end ---
@@ -548,7 +567,7 @@
         shop.run(0.00001)
     begun = ledger.attempts
     assert begun and ledger.open == 32 and not shop.node.commands  # connections are not up yet
-    next(iter(shop.service.front.fronts)).transport.abortConnection()
+    next(iter(shop.service.server.connections)).transport.abortConnection()
     shop.run(1)
     assert ledger.attempts == begun and not ledger.open and not shop.node.commands
 
@@ -579,15 +598,17 @@
     client, side = here.client()
     here.say(client, PING)
     here.loop.settle()
-    while here.front._sweep.getTime() < side.idle_since + server.REST:
-        here.loop.now = here.front._sweep.getTime()
+    while here.server._idle_check_timer.getTime() < side.idle_since + server.MAX_IDLE_SECONDS:
+        here.loop.now = here.server._idle_check_timer.getTime()
         here.loop.settle()
     client.sendall(read(1))
     stands(side.transport.fileno(), select.POLLIN)
-    here.loop.now = here.front._sweep.getTime()  # the look for resting connections comes before the reading
+    here.loop.now = (
+        here.server._idle_check_timer.getTime()
+    )  # the look for resting connections comes before the reading
     here.loop.until(lambda: not here.open and here.node.commands)
     here.loop.settle()
-    assert readable(client) == b"+PONG\r\n" + value(1) and side.up
+    assert readable(client) == b"+PONG\r\n" + value(1) and side.connected
 
 
 def test_a_request_that_crosses_the_shutdown_sees_the_end_and_is_not_sent_on(shop):
@@ -596,15 +617,15 @@
     here.say(client, read(1))
     here.loop.until(lambda: here.node.commands and not here.open)
     here.loop.settle()
-    assert side.close()
+    assert side.close_if_idle()
     here.loop.settle()
     stands(client, select.POLLRDHUP)
     here.say(client, read(2) + read(3))
     here.loop.settle()
     assert all_of(client) == value(1)  # an end, and no reset
     client.close()
-    here.loop.until(lambda: not here.front.fronts)
-    assert len(here.node.commands) == 1 and not here.front.lingering
+    here.loop.until(lambda: not here.server.connections)
+    assert len(here.node.commands) == 1 and not here.server.lingering
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -616,9 +637,9 @@
     here.say(client, b"y" * READ)
     here.loop.settle()
     if late:  # it reads when its time to do so is over
-        here.loop.now += LINGER
+        here.loop.now += LINGER_SECONDS
         here.loop.turn()
-        assert not side.up
+        assert not side.connected
     got = all_of(client)
     assert got.startswith(b"-ERR not_a_command") and got.count(b"\r\n") == 1
 
@@ -632,12 +653,12 @@
     late = socket.create_connection(("127.0.0.1", here.port), timeout=PATIENCE / 1000)
     here.sockets.append(late)
     late.sendall(read(99))
-    here.loop.until(lambda: here.front.counts["too_many_connections"])
+    here.loop.until(lambda: here.server.counts["too_many_connections"])
     here.loop.settle()
     got = all_of(late)
     assert got.startswith(b"-ERR too_many_connections") and got.count(b"\r\n") == 1
     late.close()
-    here.loop.until(lambda: len(here.front.fronts) == shares(72)[0])
+    here.loop.until(lambda: len(here.server.connections) == shares(72)[0])
 
 
 def test_small_answers_are_not_held_back_by_the_system(shop):
@@ -653,43 +674,43 @@
     client, side = here.client()
     here.say(client, PING)
     here.loop.settle()
-    assert side.close()
-    here.loop.now += LINGER - 0.01
+    assert side.close_if_idle()
+    here.loop.now += LINGER_SECONDS - 0.01
     here.loop.settle()
-    assert side in here.front.fronts
+    assert side in here.server.connections
     here.loop.now += 0.02
     here.loop.settle()
-    assert not here.front.fronts and all_of(client) == b"+PONG\r\n"
+    assert not here.server.connections and all_of(client) == b"+PONG\r\n"
 
 
 def test_a_slow_reader_gets_all_of_its_answers_before_the_end(shop):
     long = bytes(range(256)) * 3600
-    here = shop(lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n")
+    here = shop(lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client, side = here.client(buffer=4096)
     answers = here.pile(client, side)
     here.loop.settle()
-    assert side.blocked and side.close()
+    assert side.write_blocked and side.close_if_idle()
     got = b""
     for _ in range(ENDLESS):
         got += readable(client)
-        if len(got) >= answers * len(codec.bulk(long)):
+        if len(got) >= answers * len(codec.encode_bulk_string(long)):
             break
         here.loop.turn()
-    assert got == codec.bulk(long) * answers
+    assert got == codec.encode_bulk_string(long) * answers
     here.loop.settle()
     assert all_of(client) == b""
 
 
 def test_a_reader_that_takes_nothing_is_cut_in_its_time(shop):
     long = bytes(range(256)) * 3600
-    here = shop(lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n")
+    here = shop(lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client, side = here.client(buffer=4096)
     here.pile(client, side)
     here.loop.settle()
-    assert side.blocked and side.close()
-    here.loop.now += DRAIN
+    assert side.write_blocked and side.close_if_idle()
+    here.loop.now += DRAIN_SECONDS
     here.loop.settle()
-    assert not here.front.fronts
+    assert not here.server.connections
 
 
 # --- the end of the process ---
@@ -719,7 +740,7 @@
     while here.loop.now < start + 2.65:
         here.loop.now += 0.01
         here.loop.settle()
-    assert here.over == [1] and not here.front.fronts
+    assert here.over == [1] and not here.server.connections
 
 
 def test_a_client_that_keeps_sending_does_not_hold_the_process_up_to_its_kill(shop):
@@ -737,19 +758,19 @@
         except OSError as trouble:
             assert trouble.errno in (errno.EPIPE, errno.ECONNRESET)
         here.loop.settle()
-    assert here.over == [1] and not here.front.fronts
+    assert here.over == [1] and not here.server.connections
 
 
 def test_a_slow_reader_with_commands_left_does_not_hold_the_process_up_to_its_kill(shop):
     long = bytes(range(256)) * 3600
-    here = shop(lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n", **LONGEST)
+    here = shop(lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n", **LONGEST)
     client, side = here.client(buffer=4096)
     answers = here.pile(client, side)
     here.say(client, b"".join(read(number, d=60_000) for number in range(answers + 1, answers + 51)))
     here.loop.settle()
-    assert side.waiting
+    assert side.pipeline.queued
     leave(here, 2.65)
-    assert here.over == [1] and not here.front.fronts
+    assert here.over == [1] and not here.server.connections
 
 
 def test_commands_read_before_the_end_of_the_process_are_all_answered(shop):
@@ -796,33 +817,33 @@
     here.sockets += crowd
     for _ in range(30):
         here.loop.turn()
-        assert len(here.front.fronts) <= most + server.BEYOND
-    here.loop.now += 2 * LINGER
+        assert len(here.server.connections) <= most + server.ACCEPT_MARGIN
+    here.loop.now += 2 * LINGER_SECONDS
     here.loop.settle()
-    assert len(here.front.fronts) <= most
-    assert here.front.counts["shut_unread"] + here.front.counts["too_many_connections"] == 200 - len(
-        here.front.fronts
+    assert len(here.server.connections) <= most
+    assert here.server.counts["shut_unread"] + here.server.counts["too_many_connections"] == 200 - len(
+        here.server.connections
     )
 
 
 def test_connections_that_linger_are_bounded_and_make_room_first(shop):
     here = shop(sockets=72)
-    most, lingering = shares(72)[0], server.LINGERING_LEAST
+    most, lingering = shares(72)[0], server.MIN_LINGERING_LIMIT
     clients = [here.client() for _ in range(most)]
     for client, _ in clients:
         here.say(client, PING)
     here.loop.settle()
     for _, side in clients:
-        assert side.close()
+        assert side.close_if_idle()
     here.loop.settle()
-    assert len(here.front.lingering) <= lingering and len(here.front.fronts) <= most
+    assert len(here.server.lingering) <= lingering and len(here.server.connections) <= most
     for client, _ in clients:
         assert all_of(client) == b"+PONG\r\n"  # those that were ended early had all
     for _ in range(most):
         client, side = here.client()
         here.say(client, PING)
         here.loop.settle()
-        assert readable(client) == b"+PONG\r\n" and len(here.front.fronts) <= most
+        assert readable(client) == b"+PONG\r\n" and len(here.server.connections) <= most
 
 
 # --- the virtual network ends connections as TCP does ---
--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -22,10 +22,10 @@
 from ochrecourse.lab.virtual import VirtualNetwork, VirtualTransport
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.resp import codec
-from ochrecourse.resp import client_connection
+from ochrecourse.resp import pipeline
 from ochrecourse.resp.lingering_close import LingeringClose
 from ochrecourse.resp.client_connection import RespClientConnection
-from ochrecourse.resp.commands import asked
+from ochrecourse.resp.commands import parse_command
 from ochrecourse.standins.respnode import VALUE, good
 
 BREAK = 0.1  # s after a client's end from which on an attempt is a break
@@ -45,7 +45,7 @@
         self.transport = None
         self.stubborn = stubborn  # it goes on when this side has been shut
         self.sent = []  # (id or None for a PING, when its last byte was written), in order
-        self.replies, self.got = codec.Replies(), []
+        self.replies, self.got = codec.ReplyParser(), []
         self.bad = False  # it sent what no client should
         self.closed = False  # the gateway was told to make room
         self.half = False  # its last command is not whole
@@ -124,7 +124,7 @@
         if self.mode == "busy":
             return b"-BUSY\r\n"
         if self.long:
-            return b"*3\r\n" + codec.bulk(VALUE + words[2] + LONG) + b"$-1\r\n$-1\r\n"
+            return b"*3\r\n" + codec.encode_bulk_string(VALUE + words[2] + LONG) + b"$-1\r\n$-1\r\n"
         return good(words)
 
     def one(self, which):
@@ -245,7 +245,7 @@
             side = peer.side.protocol
             if crossing:
                 peer.say(self.asks(peer, 1))
-            peer.closed = side.close() or peer.closed
+            peer.closed = side.close_if_idle() or peer.closed
 
     @precondition(lambda self: self.left_at is None)
     @rule(late=st.sampled_from([None, 2.1, 2.15, 2.19]), mode=st.sampled_from(["answers", "hangs"]))
@@ -283,15 +283,21 @@
     def every_end_is_seen(self):
         for peer in getattr(self, "peers", ()):
             if peer.left_at is not None and self.network.now > peer.left_at + SEEN:
-                assert not peer.side.protocol.up and not peer.side.protocol.jobs, "its end was not seen"
+                assert not peer.side.protocol.connected and not peer.side.protocol.in_flight, (
+                    "its end was not seen"
+                )
 
     @invariant()
     def what_is_held_is_counted(self):
         if hasattr(self, "peers"):
-            front = self.shop.service.front
-            assert front.commands == sum(len(each.slots) for each in front.fronts)
-            assert front.waiting_size == sum(each.waiting_size for each in front.fronts)
-            assert all(each.running <= client_connection.AT_ONCE for each in front.fronts)
+            server = self.shop.service.server
+            assert server.totals.unanswered_commands == sum(
+                len(each.pipeline.slots) for each in server.connections
+            )
+            assert server.totals.queued_bytes == sum(
+                each.pipeline.queued_bytes for each in server.connections
+            )
+            assert all(each.pipeline.running <= pipeline.MAX_RUNNING_REQUESTS for each in server.connections)
 
     def teardown(self):
         if not hasattr(self, "peers"):
@@ -320,11 +326,11 @@
         for (name, _), reply in zip(peer.sent, peer.got, strict=False):
             if isinstance(reply, bytes):
                 assert name is not None and reply.startswith(VALUE + name), "an answer of another request"
-            elif isinstance(reply, codec.Status):
+            elif isinstance(reply, codec.SimpleString):
                 assert name is None and reply.text == b"PONG"
         assert len(peer.got) <= len(peer.sent) + 1
         if len(peer.got) > len(peer.sent):
-            assert isinstance(peer.got[-1], codec.Error) and (peer.bad or peer.half or not peer.sent)
+            assert isinstance(peer.got[-1], codec.ErrorReply) and (peer.bad or peer.half or not peer.sent)
         if peer.left_at is not None or (peer.dawdled and peer.shut_at is not None):
             return
         for name, when in peer.sent[len(peer.got) :]:
@@ -332,7 +338,9 @@
             assert peer.shut_at is not None and when + WAY >= peer.shut_at, "read and not answered"
         if peer.bad and not peer.closed and self.left_at is None:
             assert (
-                peer.got and isinstance(peer.got[-1], codec.Error) and b"not_a_command" in peer.got[-1].text
+                peer.got
+                and isinstance(peer.got[-1], codec.ErrorReply)
+                and b"not_a_command" in peer.got[-1].text
             )
         if peer.reason is not None and not peer.stubborn:
             assert peer.reason.check(ConnectionDone), "reset by the gateway"
@@ -372,15 +380,15 @@
 
 
 def reads_nothing_at_the_limit(monkeypatch):
-    whole = RespClientConnection._go_on
+    whole = RespClientConnection._advance
 
-    def go_on(front):
-        whole(front)
-        if front.up and front.closing is None:
-            full = len(front.jobs) >= client_connection.AT_ONCE
-            (front.transport.pauseProducing if full else front.transport.resumeProducing)()
+    def advance(connection):
+        whole(connection)
+        if connection.connected and connection.lingering_close is None:
+            full = len(connection.in_flight) >= pipeline.MAX_RUNNING_REQUESTS
+            (connection.transport.pauseProducing if full else connection.transport.resumeProducing)()
 
-    monkeypatch.setattr(RespClientConnection, "_go_on", go_on)
+    monkeypatch.setattr(RespClientConnection, "_advance", advance)
 
 
 def closes_at_once(monkeypatch):
@@ -388,7 +396,7 @@
         closing.transport.unregisterProducer()
         closing.transport.loseConnection()
 
-    monkeypatch.setattr(LingeringClose, "drained", drained)
+    monkeypatch.setattr(LingeringClose, "write_buffer_drained", drained)
 
 
 def leaves_only_what_was_sent_on(monkeypatch):
@@ -403,43 +411,46 @@
 def takes_what_comes_behind_its_shutdown(monkeypatch):
     whole = RespClientConnection.dataReceived
 
-    def received(front, data):
-        if front.closing is None or front.breach is not None:
-            whole(front, data)
+    def received(connection, data):
+        if connection.lingering_close is None or connection.protocol_error is not None:
+            whole(connection, data)
             return
-        front.commands.feed(data)
-        while (words := front.commands.next()) is not None:
+        connection.parser.feed(data)
+        while (words := connection.parser.next()) is not None:
             if len(words) > 1:
-                front.gateway.submit(asked(words, front.factory.kinds, now_ns(front.clock)), front)
+                connection.gateway.submit(
+                    parse_command(words, connection.owner.request_classes, now_ns(connection.clock)),
+                    connection,
+                )
 
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
 def takes_what_comes_behind_a_mistake(monkeypatch):
-    def received(front, data):
+    def received(connection, data):
         for part in data.split(b"nonsense\r\n"):
-            front.commands.feed(part)
-            breach, front.breach = front.breach, None
-            front._read()
-            front.breach = front.breach or breach
-        if b"nonsense" in data and front.breach is None:
-            front._wrong(codec.Breach("not_a_command", "made on purpose"))
-            front._go_on()
+            connection.parser.feed(part)
+            breach, connection.protocol_error = connection.protocol_error, None
+            connection._process_input()
+            connection.protocol_error = connection.protocol_error or breach
+        if b"nonsense" in data and connection.protocol_error is None:
+            connection._fail(codec.RespProtocolError("not_a_command", "made on purpose"))
+            connection._advance()
 
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
 def waits_for_those_who_never_close(monkeypatch):
-    monkeypatch.setattr(LingeringClose, "_wait", lambda closing, seconds: None)
+    monkeypatch.setattr(LingeringClose, "_restart_timer", lambda closing, seconds: None)
 
 
 def drops_what_waits_when_it_leaves(monkeypatch):
-    def stop_taking(front):
-        front.slots.clear()
-        front.waiting.clear()
-        front._go_on()
+    def reject_queued(connection):
+        connection.pipeline.slots.clear()
+        connection.pipeline.queued.clear()
+        connection._advance()
 
-    monkeypatch.setattr(RespClientConnection, "stop_taking", stop_taking)
+    monkeypatch.setattr(RespClientConnection, "reject_queued", reject_queued)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from ochrecourse.service.gateway_service import RESERVE, GatewayService, shares
-from ochrecourse.resp.server import BEYOND
+from ochrecourse.resp.server import ACCEPT_MARGIN
 from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import ListAgent, RespNode, good
@@ -41,7 +41,7 @@
             parse(told), "none", self.reactor, 10**18, self.log.append, lambda: self.over.append(1)
         )
         self.port = self.service.serve()[1]
-        self.front = self.service.front
+        self.server = self.service.server
         self.until(lambda: self.agent.watches)
 
     def until(self, reached):
@@ -101,15 +101,17 @@
 def test_the_end_waits_for_answers_that_are_not_yet_out():
     """Guards against a process that stops while an answer stands in its own buffers."""
     long = b"v" * 400_000
-    with Loop(reply=lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n") as loop:
+    with Loop(reply=lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n") as loop:
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 131_072)
         client.settimeout(60)
         client.connect(("127.0.0.1", loop.port))
         client.sendall(b"".join(read(number, d=60_000) for number in range(30)))
         loop.until(lambda: len(loop.node.commands) == 30 and not loop.service.gateway.request_log.open)
-        (front,) = loop.front.fronts
-        assert front.transport._tempDataLen or front.transport.dataBuffer, "the kernel could not take it all"
+        (connection,) = loop.server.connections
+        assert connection.transport._tempDataLen or connection.transport.dataBuffer, (
+            "the kernel could not take it all"
+        )
         stands, seconds = loop.reactor.seconds(), loop.reactor.seconds
         loop.reactor.seconds = lambda: (
             stands
@@ -120,7 +122,7 @@
         assert not loop.over
         got = b""
         client.setblocking(False)
-        while len(got) < 30 * len(codec.bulk(long)):
+        while len(got) < 30 * len(codec.encode_bulk_string(long)):
             loop.reactor.iterate(0)
             with contextlib.suppress(BlockingIOError):
                 got += client.recv(1 << 20)
@@ -128,7 +130,7 @@
         loop.reactor.seconds = seconds
         loop.until(lambda: loop.over)
         client.settimeout(60)
-        assert got == 30 * codec.bulk(long) and client.recv(1) == b""
+        assert got == 30 * codec.encode_bulk_string(long) and client.recv(1) == b""
         client.close()
 
 
@@ -151,10 +153,10 @@
                 most = max(
                     most,
                     len({each for each in servers if each.protocol.__class__.__name__ == "RespFront"}),
-                    len(loop.front.fronts),
+                    len(loop.server.connections),
                 )
-        assert clients // 2 < most <= clients + BEYOND
-        assert most + nodes <= sockets - (RESERVE - BEYOND)
+        assert clients // 2 < most <= clients + ACCEPT_MARGIN
+        assert most + nodes <= sockets - (RESERVE - ACCEPT_MARGIN)
         for client in crowds:
             client.close()
 
@@ -163,20 +165,22 @@
     with Loop(sockets=64) as loop:
         stands = loop.reactor.seconds()
         busy = loop.clients(shares(64)[0], read(0)[:-9])  # begun commands are not closed to make room
-        loop.until(lambda: len(loop.front.fronts) == len(busy))
-        loop.front.came = lambda front: loop.front.fronts.setdefault(front)  # nobody is turned away
-        more = loop.clients(BEYOND + 5, PING)
-        loop.until(lambda: len(loop.front.fronts) == len(busy) + BEYOND)
+        loop.until(lambda: len(loop.server.connections) == len(busy))
+        loop.server.connection_opened = lambda connection: loop.server.connections.setdefault(
+            connection
+        )  # nobody is turned away
+        more = loop.clients(ACCEPT_MARGIN + 5, PING)
+        loop.until(lambda: len(loop.server.connections) == len(busy) + ACCEPT_MARGIN)
         loop.reactor.seconds = lambda: stands  # no timer comes due: what is done is done by readiness alone
         asked = []
         room, loop.service.port.room = loop.service.port.room, lambda: asked.append(1) or room()
         for _ in range(200):
             loop.reactor.iterate(0)
-        assert len(asked) <= 1 and len(loop.front.fronts) == len(busy) + BEYOND
+        assert len(asked) <= 1 and len(loop.server.connections) == len(busy) + ACCEPT_MARGIN
         del loop.reactor.seconds
         for client in busy[:5]:
             client.close()
-        loop.until(lambda: len(loop.front.fronts) == len(busy) - 5 + len(more))
+        loop.until(lambda: len(loop.server.connections) == len(busy) - 5 + len(more))
         for client in busy[5:] + more:
             client.close()
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -13,6 +13,7 @@
 DONE = [
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
+    "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py", "resp/pipeline.py", "resp/client_connection.py", "resp/server.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -17,7 +17,7 @@
 from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent, WriteProgress
 from ochrecourse.resp import codec
 from ochrecourse.resp.node_connection import RespNodeConnection
-from ochrecourse.resp.commands import Kinds, asked
+from ochrecourse.resp.commands import RequestClasses, parse_command
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
@@ -83,7 +83,7 @@
     world = ShortWindow()
     world.first_attempt_breaks()
     world.network.advance(0.4)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
     assert world.connect().sent == []
 
 
@@ -104,7 +104,7 @@
     world.network.now += 0.5  # no timer was called meanwhile
     assert world.connect().sent == []
     world.network.advance(0)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
 
 
 def test_a_connection_that_another_attempt_leaves_takes_no_repeat_whose_window_has_passed():
@@ -208,9 +208,9 @@
         return connection
 
     def send(self, number, patience=2 * SECOND):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         reader.feed(read(number))
-        body = asked(reader.next(), Kinds(FLAT), 0).body
+        body = parse_command(reader.next(), RequestClasses(FLAT), 0).body
         message = m.SendAttempt(
             id=0, mark="", product="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, effect="safe",
             window_ms=0.0, patience_ms=patience / MS, size=0,
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -35,7 +35,7 @@
 from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec, node_connection
 from ochrecourse.resp import commands
-from ochrecourse.resp import client_connection
+from ochrecourse.resp import pipeline
 from ochrecourse.resp.node_connection import RespNodeConnection
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer
 
@@ -167,7 +167,7 @@
         self.busy = False  # the node said that it did not run it
 
     def served(self):
-        return b"*3\r\n" + codec.bulk(self.value) + b"$-1\r\n$-1\r\n"
+        return b"*3\r\n" + codec.encode_bulk_string(self.value) + b"$-1\r\n$-1\r\n"
 
 
 class NodePeer(RespPeer):
@@ -328,7 +328,7 @@
         self.patience = patience  # s
         self.transport = self.side = None
         self.sent, self.got = [], []  # requests; replies and when they came, in order
-        self.replies = codec.Replies()
+        self.replies = codec.ReplyParser()
         self.left_at = None
         self.lost = False
 
@@ -431,7 +431,7 @@
 
     def send(self, client, kind, cell, count=1):
         """New requests of one client in one write; `cell` -1: any node may serve them."""
-        if not client.here or len(client.sent) - len(client.got) + count > client_connection.AT_ONCE:
+        if not client.here or len(client.sent) - len(client.got) + count > pipeline.MAX_RUNNING_REQUESTS:
             return  # what waits for its turn on its connection has no time of its own yet
         data = b""
         for _ in range(count):
@@ -444,7 +444,7 @@
             rest = b",volume=00000003b4d60021,units=1,shard=%d,hosts=3" % min(cell, self.world.cells - 1)
             value = [] if kind == "read" else [b"new"]
             piece = b"%016x" % (self.number + 7)
-            data += codec.command([KINDS[kind], piece, name, fields + key + rest, *value])
+            data += codec.encode_command([KINDS[kind], piece, name, fields + key + rest, *value])
         client.transport.write(data)
 
     # --- clients ---
@@ -790,11 +790,11 @@
 
 
 def uses_a_connection_again_at_once(monkeypatch):
-    monkeypatch.setattr(node_connection, "REST", 0.0)
+    monkeypatch.setattr(node_connection, "REUSE_DELAY_SECONDS", 0.0)
 
 
 def ends_a_rest_before_it_has_read(monkeypatch):
-    monkeypatch.setattr(RespNodeConnection, "_rested", RespNodeConnection._free)
+    monkeypatch.setattr(RespNodeConnection, "_reuse_delay_over", RespNodeConnection._release)
 
 
 def gives_attempts_to_a_connection_that_it_ends(monkeypatch):
@@ -821,20 +821,20 @@
 
 
 def takes_what_begins_like_busy_for_busy(monkeypatch):
-    whole = commands.answer
+    whole = commands.parse_reply
 
-    def answer(reply):
-        if isinstance(reply, codec.Error) and reply.text.startswith(b"BUSY"):
-            reply = codec.Error(b"BUSY")
+    def parse_reply(reply):
+        if isinstance(reply, codec.ErrorReply) and reply.text.startswith(b"BUSY"):
+            reply = codec.ErrorReply(b"BUSY")
         return whole(reply)
 
-    monkeypatch.setattr(node_connection, "answer", answer)
+    monkeypatch.setattr(node_connection, "parse_reply", parse_reply)
 
 
 def keeps_the_connection_of_an_attempt_that_it_gave_up(monkeypatch):
     def drop(connection, attempt):
         connection.attempt = None
-        connection.client.connection_freed(connection, -1)
+        connection.dispatcher.connection_freed(connection, -1)
 
     monkeypatch.setattr(RespNodeConnection, "drop", drop)
 
@@ -844,7 +844,7 @@
 
     def received(connection, data):
         if connection.attempt is None:
-            connection.replies.feed(data)
+            connection.parser.feed(data)
             return
         whole(connection, data)
 
@@ -855,7 +855,7 @@
     whole = RespNodeConnection.send
 
     def send(connection, attempt):
-        sent_at, attempt.sent_at = attempt.sent_at, gateway.now_ns(connection.client.clock)
+        sent_at, attempt.sent_at = attempt.sent_at, gateway.now_ns(connection.dispatcher.clock)
         whole(connection, attempt)
         attempt.sent_at = sent_at
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -6,8 +6,8 @@
 
 from ochrecourse.common.time_units import MS
 from ochrecourse.resp import codec
-from ochrecourse.resp.codec import Breach, Commands, Error, Replies, Status
-from ochrecourse.resp.commands import Kinds, answer, asked
+from ochrecourse.resp.codec import CommandParser, ErrorReply, ReplyParser, RespProtocolError, SimpleString
+from ochrecourse.resp.commands import RequestClasses, parse_command, parse_reply
 from ochrecourse.wire import messages as m
 
 FIELDS = b"c=read,t=p0,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
@@ -18,7 +18,7 @@
     FIELDS.replace(b"c=read", b"c=mark").replace(b",vol", b",k=5c0f6e1a2b3d4c59,vol"),
     b"x\r\ny",
 ]
-KINDS = Kinds(
+REQUEST_CLASSES = RequestClasses(
     {
         "Classes.count": "2",
         "Classes.0.Name": "read",
@@ -38,23 +38,31 @@
 
 
 @given(
-    st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=codec.MAX_WORDS), max_size=4), st.data()
+    st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=codec.MAX_COMMAND_ARGUMENTS), max_size=4),
+    st.data(),
 )
 def test_commands_are_the_same_however_they_are_split(commands, data):
-    whole = b"".join(codec.command(words) for words in commands)
+    whole = b"".join(codec.encode_command(words) for words in commands)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=12)))
     pieces = [whole[a:b] for a, b in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
-    reader = Commands()
+    reader = CommandParser()
     assert pulled(reader, pieces) == commands
-    assert not reader.partial()
+    assert not reader.has_partial_message()
 
 
 def test_replies_are_the_same_at_every_split():
     whole = b"+OK\r\n-ERR failed\r\n:7\r\n$-1\r\n$3\r\na\r\n\r\n*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n"
-    want = [(Status(b"OK"),), (Error(b"ERR failed"),), (7,), (None,), (b"a\r\n",), ([b"v", None, b""],)]
+    want = [
+        (SimpleString(b"OK"),),
+        (ErrorReply(b"ERR failed"),),
+        (7,),
+        (None,),
+        (b"a\r\n",),
+        ([b"v", None, b""],),
+    ]
     for at in range(len(whole) + 1):
-        assert pulled(Replies(), [whole[:at], whole[at:]]) == want
-    assert pulled(Replies(), [whole[i : i + 1] for i in range(len(whole))]) == want
+        assert pulled(ReplyParser(), [whole[:at], whole[at:]]) == want
+    assert pulled(ReplyParser(), [whole[i : i + 1] for i in range(len(whole))]) == want
 
 
 @pytest.mark.parametrize(
@@ -78,9 +86,9 @@
     ],
 )
 def test_each_breach_of_a_client_is_named_at_the_announced_length(data, code):
-    with pytest.raises(Breach) as told:
-        pulled(Commands(), [data])
-    assert told.value.code == code
+    with pytest.raises(RespProtocolError) as raised:
+        pulled(CommandParser(), [data])
+    assert raised.value.code == code
 
 
 @pytest.mark.parametrize(
@@ -97,28 +105,28 @@
     ],
 )
 def test_each_spoilt_reply_is_named(data, code):
-    with pytest.raises(Breach) as told:
-        pulled(Replies(), [data])
-    assert told.value.code == code
+    with pytest.raises(RespProtocolError) as raised:
+        pulled(ReplyParser(), [data])
+    assert raised.value.code == code
 
 
 def test_reader_that_rests_holds_no_bytes():
     # Guards against connections that rest and keep their last long value.
     for reader, data in (
-        (Replies(), codec.bulk(b"x" * 300_000)),
-        (Commands(), codec.command([b"x" * 60_000])),
+        (ReplyParser(), codec.encode_bulk_string(b"x" * 300_000)),
+        (CommandParser(), codec.encode_command([b"x" * 60_000])),
     ):
-        assert len(pulled(reader, [data])) == 1 and not reader._buffer and not reader.partial()
+        assert len(pulled(reader, [data])) == 1 and not reader._buffer and not reader.has_partial_message()
 
 
 def test_command_passes_on_with_the_legs_own_time_and_nothing_else_changed():
     for words in (READ, WRITE):
-        request = asked(words, KINDS, 5)
-        again = pulled(Commands(), [request.body.command(123 * MS + 999_999)])[0]
+        request = parse_command(words, REQUEST_CLASSES, 5)
+        again = pulled(CommandParser(), [request.body.encode(123 * MS + 999_999)])[0]
         assert again == [*words[:3], words[3].replace(b"d=480", b"d=123"), *words[4:]]
         assert (request.key, request.volume, request.timeout) == (0x7F3A9C21E0B4D655, 0x3B4D60021, 480 * MS)
         assert (request.units, request.shard, request.gateways, request.read_at) == (2.0, 5, 3, 5)
-    assert request.product == "mark" and request.plan == "p0" and request.body.size == 4
+    assert request.request_class == "mark" and request.tenant == "p0" and request.body.size == 4
 
 
 @pytest.mark.parametrize(
@@ -143,29 +151,38 @@
     ],
 )  # fmt: skip
 def test_each_bad_field_is_refused_before_anything_is_taken(words, code):
-    with pytest.raises(Breach) as told:
-        asked(words, KINDS, 0)
-    assert told.value.code == code
+    with pytest.raises(RespProtocolError) as raised:
+        parse_command(words, REQUEST_CLASSES, 0)
+    assert raised.value.code == code
 
 
 def test_answers_of_a_node_and_what_may_be_missing_from_them():
-    done, value = answer([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
+    done, value = parse_reply([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
     assert (value, done.size, done.body, done.used, done.elsewhere) == (b"v", 1, 1, 0.37, 4)
     assert done.load == {"inflight": 7.0, "util": 0.61}
     # A figure or report that can't be read is dropped; the value stands.
     for use, load in ((None, None), (b"used=much", b"\xff"), (b"", b"util=" + b"9" * 40)):
-        done, value = answer([b"v", use, load])
+        done, value = parse_reply([b"v", use, load])
         assert (value, done.used, done.elsewhere, done.load) == (b"v", -1.0, 0, {})
-    assert isinstance(answer(Error(b"BUSY"))[0], m.AttemptRejected)
-    failed, _ = answer(Error(b"ERR failed used=50"))
+    assert isinstance(parse_reply(ErrorReply(b"BUSY"))[0], m.AttemptRejected)
+    failed, _ = parse_reply(ErrorReply(b"ERR failed used=50"))
     assert isinstance(failed, m.AttemptFailed) and failed.used == 0.5
 
 
 @pytest.mark.parametrize(
     "reply",
-    [None, 7, b"v", Status(b"OK"), [None, None, None], [b"a"] * 4, Error(b"BUSY \xff"), Error(b"SYNTAX")],
+    [
+        None,
+        7,
+        b"v",
+        SimpleString(b"OK"),
+        [None, None, None],
+        [b"a"] * 4,
+        ErrorReply(b"BUSY \xff"),
+        ErrorReply(b"SYNTAX"),
+    ],
 )
 def test_anything_else_from_a_node_is_a_breach(reply):
     # A line that only begins like busy proves nothing: taken for it, a leg that ran would be sent again.
-    with pytest.raises(Breach, match=r"neither|an answer is"):
-        answer(reply)
+    with pytest.raises(RespProtocolError, match=r"neither|an answer is"):
+        parse_reply(reply)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,7 +18,7 @@
 from ochrecourse.service.gateway_service import GatewayService, shares
 from ochrecourse.service.start_settings import parse
 from ochrecourse.resp import codec
-from ochrecourse.resp.commands import Asked, Kinds, asked
+from ochrecourse.resp.commands import RequestClasses, RespRequest, parse_command
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, good
 
 FLAT = {
@@ -31,16 +31,18 @@
 
 def read(number, d=900, shard=0, product="read", plan="p0"):
     fields = f"c={product},t={plan},d={d},volume=00000003b4d60021,units=2,shard={shard},hosts=3"
-    return codec.command([b"BLK.READ", b"%016x" % (number + 7), b"%016x" % number, fields.encode()])
+    return codec.encode_command([b"BLK.READ", b"%016x" % (number + 7), b"%016x" % number, fields.encode()])
 
 
 def write(number, body=b"new", d=900):
     fields = f"c=mark,t=p0,d={d},k=5c0f6e1a2b3d4c59,volume=00000003b4d60021,units=2,shard=0,hosts=3"
-    return codec.command([b"BLK.WRITE", b"%016x" % (number + 7), b"%016x" % number, fields.encode(), body])
+    return codec.encode_command(
+        [b"BLK.WRITE", b"%016x" % (number + 7), b"%016x" % number, fields.encode(), body]
+    )
 
 
 def value(number):
-    return codec.bulk(VALUE + b"%016x" % number)
+    return codec.encode_bulk_string(VALUE + b"%016x" % number)
 
 
 def listed(*ports, version=5, state="Ready"):
@@ -110,7 +112,7 @@
     assert client.got == b"+PONG\r\n" + value(1) + value(2) and not client.ended
     sent = {words[2]: words for words in shop.node.commands}
     for number, whole in ((1, read(1)), (2, write(2))):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         reader.feed(whole)
         want, got = reader.next(), sent[b"%016x" % number]
         fields, told = want[3].split(b"d=900"), got[3].split(b",d=")
@@ -133,11 +135,11 @@
 def test_values_of_nodes_may_be_longer_than_those_of_clients():
     # Guards against taking a long answer for a spoilt one: nodes send several hundred kB for some reads.
     long = bytes(range(256)) * 1600
-    shop = Shop(reply=lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n")
+    shop = Shop(reply=lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client = shop.client()
     client.say(read(1) + read(2))
     shop.run()
-    assert client.got == codec.bulk(long) * 2 and len(shop.node.commands) == 2
+    assert client.got == codec.encode_bulk_string(long) * 2 and len(shop.node.commands) == 2
 
 
 def test_answers_keep_the_order_of_the_commands():
@@ -159,12 +161,12 @@
     client = shop.client()
     client.say(b"".join(PING + read(i, d=60_000) for i in range(1, 301)))
     shop.run(20.0)
-    reader, got = codec.Replies(), []
+    reader, got = codec.ReplyParser(), []
     reader.feed(client.got)
     while (one := reader.next()) is not None:
         got.append(one[0])
     values = [each for each in got if isinstance(each, bytes)]
-    assert len(got) == 600 and got[::2] == [codec.Status(b"PONG")] * 300
+    assert len(got) == 600 and got[::2] == [codec.SimpleString(b"PONG")] * 300
     assert (
         values == [VALUE + b"%016x" % i for i in range(1, 301) if VALUE + b"%016x" % i in values] and values
     )
@@ -220,8 +222,8 @@
     "long_line": b"*1" + b"1" * 100_000,
     "bad_length": b"*1\r\n$62914560\r\n" + b"x" * 100_000,
     "bad_count": b"*-7\r\n",
-    "unknown_command": codec.command([b"FLUSHALL"]),
-    "bad_arity": codec.command([b"BLK.READ", b"0" * 16]),
+    "unknown_command": codec.encode_command([b"FLUSHALL"]),
+    "bad_arity": codec.encode_command([b"BLK.READ", b"0" * 16]),
     "bad_field": read(1).replace(b"d=900", b"d=xyz"),
     "unknown_product": read(1, product="nope"),
     "unknown_plan": read(1).replace(b"t=p0", b"t=q0"),
@@ -263,7 +265,7 @@
     assert second.got.startswith(b"-ERR open_id") and len(shop.node.commands) == 1
     first.transport.loseConnection()
     shop.run(0.1)
-    assert not shop.service.front.open_ids
+    assert not shop.service.server.totals.open_request_ids
     shop.node.reply = good
     shop.run(10.0)  # until the leg that was out is forgotten
     third = shop.client()
@@ -287,7 +289,7 @@
     assert [client.got for client in late] == [value(number) for number in range(5)] and not usual.ended
     assert [each.ended for each in silent] == [True] * 5 + [False] * (len(silent) - 5)
     assert silent[0].got.startswith(b"-ERR too_many_connections")
-    assert len(shop.service.front.fronts) <= most
+    assert len(shop.service.server.connections) <= most
 
 
 def test_crowd_that_asked_once_and_stays_does_not_shut_out_those_who_come():
@@ -302,7 +304,7 @@
         client.say(read(number))
         shop.run(0.05)
     assert [client.got for client in late] == [value(number) for number in range(10)]
-    assert sum(client.ended for client in crowd) == 10 and not shop.service.front.counts
+    assert sum(client.ended for client in crowd) == 10 and not shop.service.server.counts
 
 
 def test_job_whose_time_ran_out_in_a_standstill_gets_one_error_and_its_connection_goes_on():
@@ -315,7 +317,7 @@
     shop.network.now += 30
     shop.run(0.1)
     assert client.got == b"-ERR failed\r\n" * 2 and not client.ended
-    assert not shop.service.front.open_ids and not shop.service.gateway.request_log.requests
+    assert not shop.service.server.totals.open_request_ids and not shop.service.gateway.request_log.requests
     client.say(b"*1\r\n$4\r\nPING\r\n")
     shop.run(0.1)
     assert client.got.endswith(b"+PONG\r\n")
@@ -323,16 +325,16 @@
 
 def test_job_leaves_no_cycle_behind():
     # Guards against jobs that stay in memory until a collection, which a busy gateway puts off.
-    reader = codec.Commands()
+    reader = codec.CommandParser()
     reader.feed(read(1))
     gc.collect()
     gc.disable()
     try:
-        before = sum(isinstance(each, Asked) for each in gc.get_objects())
-        request = asked(reader.next(), Kinds(FLAT), 0)
-        assert isinstance(request.body, Asked)
+        before = sum(isinstance(each, RespRequest) for each in gc.get_objects())
+        request = parse_command(reader.next(), RequestClasses(FLAT), 0)
+        assert isinstance(request.body, RespRequest)
         del request
-        assert sum(isinstance(each, Asked) for each in gc.get_objects()) == before
+        assert sum(isinstance(each, RespRequest) for each in gc.get_objects()) == before
     finally:
         gc.enable()
 
@@ -407,7 +409,7 @@
 def test_a_process_serves_reloads_and_ends_in_order_on_real_sockets(tmp_path):
     class Node(socketserver.BaseRequestHandler):
         def handle(self):
-            reader = codec.Commands()
+            reader = codec.CommandParser()
             while data := self.request.recv(4096):
                 reader.feed(data)
                 while (words := reader.next()) is not None:
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -186,7 +186,7 @@
             b"%016x" % (self.number + 7),
             b"%016x" % self.number,
         ]
-        self.transport.write(codec.command([*words, fields.encode(), *([b"body"] if writes else [])]))
+        self.transport.write(codec.encode_command([*words, fields.encode(), *([b"body"] if writes else [])]))
         self.sent_at = self.world.network.seconds()
         if told["leaves"] is not None:
             self.world.network.callLater(told["leaves"] / 1000, self.leave)
@@ -338,13 +338,13 @@
 
     def judge_answer(self, client):
         """Exactly one final answer, in time and of a kind that what passed before it allows."""
-        reader, replies = codec.Replies(), []
+        reader, replies = codec.ReplyParser(), []
         reader.feed(client.got)
         while (one := reader.next()) is not None:
             replies.append(one[0])
         if client.left_at is not None:
             return
-        if len(replies) != 1 or reader.unread():
+        if len(replies) != 1 or reader.has_unparsed_bytes():
             self.fault(client, f"{len(replies)} answers, {client.got[:80]!r}")
             return
         if client.got_at > client.sent_at + client.waits / 1000 + self.slack:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -22,7 +22,7 @@
     "call:ReactorBase.mainLoop",
 ]
 LEAVING = [
-    "call:GatewayService.leave", "return:GatewayService.leave", "call:GatewayService._close_door", "call:RespServerFactory.leave",
+    "call:GatewayService.leave", "return:GatewayService.leave", "call:GatewayService._close_door", "call:RespServerFactory.shut_down",
     "call:GatewayService._empty", "call:GatewayService._end", "call:DiscoveryWatch.stop", "call:ReactorBase.disconnectAll",
     "return:ReactorBase.mainLoop", "return:ReactorBase.run", "exit:", "late:",
 ]  # fmt: skip
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -437,7 +437,7 @@
     shop.run(0.005)
     rude.transport.abortConnection()
     shop.run(0.05)
-    front, gateway = shop.service.front, shop.service.gateway
-    assert not front.fronts and not front.open_ids and not gateway.request_log.open
+    server, gateway = shop.service.server, shop.service.gateway
+    assert not server.connections and not server.totals.open_request_ids and not gateway.request_log.open
     shop.run(5.0)
     assert not gateway.request_log.requests and not gateway.nodes.out and not gateway.scheduler.requests
