--- a/ochrecourse/relay/__init__.py
+++ b/ochrecourse/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's form of start, list of nodes and signals, round the gateway library."""
+"""The entry of `python -m ochrecourse.relay`; the deployed process is in ochrecourse/service."""
--- a/ochrecourse/service/discovery.py
+++ b/ochrecourse/service/discovery.py
@@ -1,8 +1,10 @@
-"""The platform's list of nodes and its changes, as `interface` entries. Free of I/O and clocks.
+"""Maps the platform's endpoint list and its watch events to `interface` entries. Free of I/O and clocks.
 
-Nodes have texts as names there and numbers here; a name keeps its number as long as it may come back. Times
-of starts are Unix time there and this host's clock here; the difference of the two clocks is taken once, so a
-start keeps its time through all lists.
+The platform's field names are known here alone: `generation` is a list's version, `reset` marks a complete
+list, `instances` are its nodes, `cell` is a node's shard, `lifecycle` its health. Nodes have names there
+and numbers here; a name keeps its number as long as it may return. Start times are Unix time there and this
+host's clock here; the difference of the two clocks is taken once, so a start keeps its time through all
+lists.
 """
 
 from __future__ import annotations
@@ -11,204 +13,232 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ochrecourse.interface import Health, ListKind, NodeEntry
+from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.common.time_units import MS
+from ochrecourse.interface import Health, ListKind, NodeEntry
 
-STATES = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
-KEPT_GONE = 4_096  # names of gone nodes that keep their number, should they return; some hundreds go at once
+HEALTH_BY_LIFECYCLE = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
+MAX_GONE_NAMES = 4_096  # that keep their number, should they return; some hundreds go at once
+MAX_PORT_DIGITS = 5
+START_TIME_LIMIT_MS = 1e15  # Unix time, far beyond any start
 
 
-class MalformedEndpointListError(Exception):
-    """A line of the list that can't be taken; nothing of it is. The text says why."""
+class MalformedEndpointListError(OchrecourseError):
+    """A line of the endpoint list that can't be applied; nothing of it is. The text says why."""
 
 
 class LineDecoder:
-    """Puts objects together that come indented, over several lines; one that stands on one line passes as it
-    is."""
+    """Decodes JSON objects from lines; an object may be indented over several lines."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: bytes of one object."""
-        self.most = most
-        self._text = bytearray()
-        self._indent = self._open = 0  # blanks before its first line; braces that are not closed
+    def __init__(self, max_bytes: int) -> None:
+        """`max_bytes`: limit of one object."""
+        self.max_bytes = max_bytes
+        self._buffer = bytearray()  # the lines so far of an object that is not complete
+        self._indent = 0  # blanks before its first line
+        self._open_braces = 0
 
     @property
-    def within(self) -> bool:
-        """Whether an object has begun that is not whole."""
-        return bool(self._text)
+    def incomplete(self) -> bool:
+        """Whether an object has begun that is not complete."""
+        return bool(self._buffer)
 
-    def take(self, line: bytes) -> Any:
-        """The object that this line ends, read, or None. Raises MalformedEndpointListError if no more
-        lines can make it one.
+    def decode(self, line: bytes) -> Any:
+        """The object that this line completes, or None. Raises MalformedEndpointListError if no further lines
+        can complete it.
         """
-        bare = line.strip()
-        if not bare:
-            if self._text:
+        text = line.strip()
+        if not text:
+            if self._buffer:
                 raise MalformedEndpointListError("an object of the list breaks off")
             return None
         indent = len(line) - len(line.lstrip())
-        if not self._text:
-            text = ""
+        if not self._buffer:
             try:
-                text = bare.decode()
-                return json.loads(text)
-            except json.JSONDecodeError as trouble:
-                if bare[:1] != b"{" or trouble.pos < len(text):  # what is wrong is not that it ends here
+                return json.loads(text.decode())
+            except json.JSONDecodeError as error:
+                ends_early = error.pos >= len(error.doc)  # nothing else is wrong with it
+                if text[:1] != b"{" or not ends_early:
                     raise MalformedEndpointListError("a line of the list is not JSON") from None
             except (ValueError, RecursionError):
                 raise MalformedEndpointListError("a line of the list is not JSON") from None
-            self._indent, self._open = indent, 0
-        self._text += bare + b"\n"
-        self._open += bare.count(b"{") - bare.count(b"}")
-        if len(self._text) > self.most:
+            self._indent, self._open_braces = indent, 0
+        return self._append(text, indent)
+
+    def _append(self, text: bytes, indent: int) -> Any:
+        """Adds a line to an object over several lines; the object if it is complete, else None."""
+        self._buffer += text + b"\n"
+        self._open_braces += text.count(b"{") - text.count(b"}")
+        if len(self._buffer) > self.max_bytes:
             raise MalformedEndpointListError("an object of the list is too long")
-        if self._open > 0 and not (bare[:1] == b"}" and indent <= self._indent):
+        # Braces within texts are counted too, so a closing brace at the first line's indent also ends it.
+        closes = text[:1] == b"}" and indent <= self._indent
+        if self._open_braces > 0 and not closes:
             return None
-        whole, self._text = bytes(self._text), bytearray()
+        complete, self._buffer = bytes(self._buffer), bytearray()
         try:
-            return json.loads(whole)
+            return json.loads(complete)
         except (ValueError, RecursionError):
             raise MalformedEndpointListError("an object of the list is not JSON") from None
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """What to tell the gateway."""
+    """An update of the endpoint list in the gateway's form."""
 
     kind: ListKind
     entries: list[NodeEntry]
-    addresses: dict[int, tuple[str, int]]
+    addresses: dict[int, tuple[str, int]]  # by node number
 
 
-class DiscoveredEndpoints:
-    """The list as this gateway holds it.
+@dataclass(slots=True)
+class ParsedEndpoint:
+    """One node of a list. Its entry has no number yet; a node that is gone may have no address."""
 
-    `zones`: names in the settings' order; `unix_ahead`: ns by which Unix time is ahead of this host's clock.
-    """
+    name: str
+    entry: NodeEntry
+    address: tuple[str, int]
+
+
+class DiscoveredEndpoints:
+    """The endpoint list as this gateway has it."""
 
-    def __init__(self, zones: list[str], unix_ahead: int) -> None:
-        self.zones = {name: i for i, name in enumerate(zones)}
-        self.unix_ahead = unix_ahead
+    def __init__(self, zones: list[str], unix_offset_ns: int) -> None:
+        """`zones`: names in the settings' order; `unix_offset_ns`: how far Unix time is ahead of this host's
+        clock.
+        """
+        self.zone_numbers = {name: i for i, name in enumerate(zones)}
+        self.unix_offset_ns = unix_offset_ns
         self.version = 0
-        self.numbers: dict[str, int] = {}
-        self.listed: dict[str, NodeEntry] = {}
-        self.told: dict[str, Any] = {}  # what is listed, as it was told
-        self.gone: dict[str, None] = {}  # longest first
-        self.count = 0
+        self.node_numbers: dict[str, int] = {}
+        self.entries: dict[str, NodeEntry] = {}
+        self.documents: dict[str, Any] = {}  # of the same nodes, as discovery sent them
+        self.gone_names: dict[str, None] = {}  # longest gone first
+        self._last_number = 0
 
     @staticmethod
-    def version_of(told: Any) -> int:
-        """The version of a list or change. Raises MalformedEndpointListError."""
-        if not isinstance(told, dict) or not isinstance(told.get("instances"), list):
+    def version_of(document: Any) -> int:
+        """The version of a complete list or of changes. Raises MalformedEndpointListError."""
+        if not isinstance(document, dict) or not isinstance(document.get("instances"), list):
             raise MalformedEndpointListError("a line of the list names no nodes")
-        version = told.get("generation")
+        version = document.get("generation")
         if not isinstance(version, int) or isinstance(version, bool):
             raise MalformedEndpointListError("a line of the list has no version")
         return version
 
-    def take(self, told: Any, cached: bool = False) -> EndpointListUpdate:
-        """A list or its changes, whatever their version; `cached`: as it was held before this start. Raises
-        MalformedEndpointListError."""
-        version = self.version_of(told)
-        whole = cached or told.get("reset") is True
-        read = self.read(told)
-        entries, addresses = [], {}
-        if whole:
-            for name in self.listed.keys() - {name for name, _, _ in read}:
-                self._forget(name)
-        for (name, entry, address), text in zip(read, told["instances"], strict=True):
-            if name not in self.numbers:
-                self.count += 1
-                self.numbers[name] = self.count
-            entry.node = self.numbers[name]
+    def apply(self, document: Any, cached: bool = False) -> EndpointListUpdate:
+        """Applies a complete list or changes, whatever their version; `cached`: the list from before this
+        start. Raises MalformedEndpointListError.
+        """
+        version = self.version_of(document)
+        complete = cached or document.get("reset") is True
+        parsed = self.parse_endpoints(document)
+        if complete:
+            for name in self.entries.keys() - {endpoint.name for endpoint in parsed}:
+                self._remove(name)
+        entries: list[NodeEntry] = []
+        addresses: dict[int, tuple[str, int]] = {}
+        for endpoint, endpoint_document in zip(parsed, document["instances"], strict=True):
+            entry = endpoint.entry
+            entry.node = self._number_of(endpoint.name)
             if entry.health is Health.GONE:
-                self._forget(name)
+                self._remove(endpoint.name)
             else:
-                self.gone.pop(name, None)
-                self.listed[name] = entry
-                self.told[name] = text
-                addresses[entry.node] = address
+                self.gone_names.pop(endpoint.name, None)
+                self.entries[endpoint.name] = entry
+                self.documents[endpoint.name] = endpoint_document
+                addresses[entry.node] = endpoint.address
             entries.append(entry)
         self.version = version
-        kind = ListKind.CACHED if cached else ListKind.FULL if whole else ListKind.DELTA
+        kind = ListKind.CACHED if cached else ListKind.FULL if complete else ListKind.DELTA
         return EndpointListUpdate(kind, entries, addresses)
 
-    def _forget(self, name: str) -> None:
-        self.listed.pop(name, None)
-        self.told.pop(name, None)
-        self.gone.pop(name, None)
-        self.gone[name] = None
-        while len(self.gone) > KEPT_GONE:
-            oldest = next(iter(self.gone))
-            del self.gone[oldest], self.numbers[oldest]
-
-    def read(self, told: Any) -> list[tuple[str, NodeEntry, tuple[str, int]]]:
-        """The nodes of a list or change: name, entry without a number, address. Raises
-        MalformedEndpointListError.
-        """
-        return [self._read(each) for each in told["instances"]]
-
-    def _read(self, told: Any) -> tuple[str, NodeEntry, tuple[str, int]]:
-        if not isinstance(told, dict) or not isinstance(told.get("instanceId"), str):
+    def _number_of(self, name: str) -> int:
+        if name not in self.node_numbers:
+            self._last_number += 1
+            self.node_numbers[name] = self._last_number
+        return self.node_numbers[name]
+
+    def _remove(self, name: str) -> None:
+        self.entries.pop(name, None)
+        self.documents.pop(name, None)
+        self.gone_names.pop(name, None)
+        self.gone_names[name] = None
+        while len(self.gone_names) > MAX_GONE_NAMES:
+            oldest = next(iter(self.gone_names))
+            del self.gone_names[oldest], self.node_numbers[oldest]
+
+    def parse_endpoints(self, document: Any) -> list[ParsedEndpoint]:
+        """The nodes of a complete list or of changes. Raises MalformedEndpointListError."""
+        return [self._parse_endpoint(each) for each in document["instances"]]
+
+    def _parse_endpoint(self, document: Any) -> ParsedEndpoint:
+        if not isinstance(document, dict) or not isinstance(document.get("instanceId"), str):
             raise MalformedEndpointListError("a node without a name")
-        name = told["instanceId"]
-        health = STATES.get(str(told.get("lifecycle")))
+        name = document["instanceId"]
+        health = HEALTH_BY_LIFECYCLE.get(str(document.get("lifecycle")))
         if health is None:
             raise MalformedEndpointListError(f"node {name[:64]} has an unknown state")
-        host, _, port = str(told.get("hostPort", "")).rpartition(":")
-        good = host and port.isascii() and port.isdigit() and len(port) < 6
-        if not good and health is not Health.GONE:
+        address = _parse_address(str(document.get("hostPort", "")))
+        if address is None and health is not Health.GONE:
             raise MalformedEndpointListError(f"node {name[:64]} has no address")
-        shard, started = told.get("cell", 0), told.get("startedAtMs", 0)
-        if not isinstance(shard, int) or not isinstance(started, int | float) or not 0 <= started < 1e15:
+        shard, started_ms = document.get("cell", 0), document.get("startedAtMs", 0)
+        if not isinstance(shard, int) or not isinstance(started_ms, int | float):
             raise MalformedEndpointListError(f"node {name[:64]} has a figure out of range")
-        zone = self.zones.setdefault(str(told.get("zone", "")), len(self.zones))
-        begun = max(1, round(started * MS) - self.unix_ahead) if started else 0
-        address = (host.strip("[]"), int(port)) if good else ("", 0)
-        return name, NodeEntry(0, zone, shard, health, begun), address
+        if not 0 <= started_ms < START_TIME_LIMIT_MS:
+            raise MalformedEndpointListError(f"node {name[:64]} has a figure out of range")
+        zone = self.zone_numbers.setdefault(str(document.get("zone", "")), len(self.zone_numbers))
+        started = max(1, round(started_ms * MS) - self.unix_offset_ns) if started_ms else 0
+        return ParsedEndpoint(name, NodeEntry(0, zone, shard, health, started), address or ("", 0))
+
+
+def _parse_address(text: str) -> tuple[str, int] | None:
+    host, _, port = text.rpartition(":")
+    if not host or not (port.isascii() and port.isdigit()) or len(port) > MAX_PORT_DIGITS:
+        return None
+    return host.strip("[]"), int(port)
 
 
 class WatchedEndpoints:
-    """What one watch has told: the list as of its last line. Several may speak for a while, and a line of one
-    may come after a newer line of another. So:
-
-    - A change (`reset` false) is taken if its version is higher than the one held; else it is old, or is here
-      already. Where another watch has moved the list on since this one's last line (for its first line: since
-      it was asked), a change need not name nodes that came and went meanwhile; then the whole list is taken
-      as this watch has told it.
-    - A whole list (`reset` true) of the watch that leads, the newest that speaks at the address that counts,
-      is taken whatever its version: with a lower one it is the list of an agent that numbers anew, or that
-      knows less than the start file did; what the agent has is what counts. Its version is held from then on.
-      Whoever follows several watches ends the others then: their versions can't be compared with it.
-    - A whole list of any other watch is taken if its version is higher than the one held.
+    """The endpoint list as one watch has sent it, up to its last line. Several watches may be open for a
+    while, and a line of one may arrive after a newer line of another. So:
+
+    - Changes (`reset` false) are applied if their version is higher than the current one; else they are
+      old, or applied already. Where another watch has updated the list since this one's last line (for its
+      first line: since it was opened), changes need not name nodes that appeared and left meanwhile; then
+      the complete list is applied as this watch has sent it.
+    - A complete list (`reset` true) of the leading watch, the newest that has sent a line at the current
+      address, is applied whatever its version: a lower one comes from an agent that numbers anew, or that
+      knows less than the start file did, and the agent is authoritative. Its version is current from then
+      on. Whoever follows several watches ends the others then: their versions can't be compared with it.
+    - A complete list of any other watch is applied if its version is higher than the current one.
     """
 
-    def __init__(self, book: DiscoveredEndpoints) -> None:
-        """A watch that is asked for what changed after the list held now."""
-        self.book = book
-        self.version = book.version
-        self.nodes = dict(book.told)
+    def __init__(self, endpoints: DiscoveredEndpoints) -> None:
+        """For a watch that requests what changed since the current list."""
+        self.endpoints = endpoints
+        self.version = endpoints.version
+        self.documents = dict(endpoints.documents)
 
-    def take(self, told: Any, leads: bool) -> EndpointListUpdate | None:
-        """A line of the watch; None if it is old. `leads`: no newer watch speaks. Raises
-        MalformedEndpointListError.
+    def apply(self, document: Any, is_leader: bool) -> EndpointListUpdate | None:
+        """Applies a line of the watch; None if it is old. `is_leader`: no watch that precedes it has sent a
+        line. Raises MalformedEndpointListError.
         """
-        version = self.book.version_of(told)
-        names = [name for name, _, _ in self.book.read(told)]
-        whole = told.get("reset") is True
-        if not whole and version <= self.version:
+        version = self.endpoints.version_of(document)
+        names = [endpoint.name for endpoint in self.endpoints.parse_endpoints(document)]
+        complete = document.get("reset") is True
+        if not complete and version <= self.version:
             return None
-        moved = self.version != self.book.version
-        if whole:
-            self.nodes.clear()
+        updated_by_another = self.version != self.endpoints.version
+        if complete:
+            self.documents.clear()
         self.version = version
-        for name, each in zip(names, told["instances"], strict=True):
-            if each["lifecycle"] == "Gone":
-                self.nodes.pop(name, None)
+        for name, endpoint_document in zip(names, document["instances"], strict=True):
+            if endpoint_document["lifecycle"] == "Gone":
+                self.documents.pop(name, None)
             else:
-                self.nodes[name] = each
-        if version <= self.book.version and not (leads and whole):
+                self.documents[name] = endpoint_document
+        if version <= self.endpoints.version and not (is_leader and complete):
             return None
-        if moved and not whole:
-            told = {"generation": version, "reset": True, "instances": list(self.nodes.values())}
-        return self.book.take(told)
+        if updated_by_another and not complete:
+            document = {"generation": version, "reset": True, "instances": list(self.documents.values())}
+        return self.endpoints.apply(document)
--- a/ochrecourse/service/discovery_watch.py
+++ b/ochrecourse/service/discovery_watch.py
@@ -1,368 +1,237 @@
-"""Follows the platform's list over HTTP/1.1: one chunked answer with a line for each change.
+"""Follows the platform's endpoint list through hedged watches.
 
-Another watch is begun beside one that hangs or has fallen silent, and the newest that speaks wins. One that
-ends, breaks or can't be read is opened again. The list that is held stays meanwhile.
+Another watch is opened beside one that hangs or has fallen silent, and the newest that sends a line takes
+over. One that ends, fails or can't be read is opened again after a backoff. The current list stays in use
+meanwhile.
+
+A change has to be applied within 6 s from when the agent had it and could be reached, whatever failed before.
+An attempt is a dial and the watch on its connection. None waits for the end of an earlier one, so the time to
+one that finds the agent reachable is at most the longest of these gaps:
+
+    a dial or a response's head that hangs       ATTEMPT_GAP_SECONDS      1.0
+    a response without a line so far             FIRST_LINE_GAP_SECONDS   4.25
+        at a new address                         MOVED_GAP_SECONDS        2.5
+    a watch that falls silent after a line       SILENT_GAP_SECONDS       3.0
+    one that failed or ended                     MAX_BACKOFF_SECONDS      0.25
+
+The response itself comes at once. The worst is 4.25 s, 5.25 s if the next attempt hangs too. A new address
+counts 4 s after the move: 2.5 s, 3.5 s if the next attempt hangs too.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
-
-from twisted.internet.protocol import ClientFactory
 
 from ochrecourse.common.runtime import Network, Timer, stop
 from ochrecourse.service.discovery import (
-    MalformedEndpointListError,
     DiscoveredEndpoints,
-    WatchedEndpoints,
-    LineDecoder,
     EndpointListUpdate,
+    MalformedEndpointListError,
 )
-from ochrecourse.wire.http_client import HttpClientProtocol
-
-# A change has to be taken within 6 s from when the agent had it and could be reached, whatever failed before.
-# An attempt is a dial and the watch on its connection. None waits for the end of one before, so the time to
-# one that finds the agent reachable is at most the longest of these gaps:
-#   a dial or an answer's head that hangs      ATTEMPT_GAP 1.0 s
-#   an answer with no line yet                 FIRST_LINE_GAP 4.25 s; after a move MOVED_GAP 2.5 s
-#   a watch that has spoken and falls silent   SILENT_GAP 3.0 s
-#   one that failed or ended                   LONGEST_WAIT 0.25 s
-# The answer itself comes at once. The worst is 4.25 s, 5.25 s if the attempt that follows hangs too. A new
-# address counts 4 s after the move: 2.5 s, 3.5 s if the attempt that follows hangs too.
-ATTEMPT_GAP = 1.0  # s from a dial to the next one, if no answer's head came; the agent is on this machine
-FIRST_LINE_GAP = 4.25  # s from an answer's head to the next attempt; two empty lines were due by then
-MOVED_GAP = 2.5  # s likewise at a new address, until it has spoken; one empty line was due
-SILENT_GAP = 3.0  # s from a line to the next attempt; an empty line comes every 2 s
-SILENCE = 5.0  # s without a line, or without progress in one, after which a watch is given up
-LINE_TIME = 20.0  # s for one line, however steadily its bytes come
-PROGRESS = 512  # bytes of an unfinished line that count as progress; fewer in SILENCE is a dead connection
-FIRST_WAIT = 0.1  # s before a watch that failed is opened again
-LONGEST_WAIT = 0.25  # s, after failures in a row; asking is free, and what an outage held back counts at once
-STEADY = 1.0  # s for which a watch has to speak before its end counts as a first failure
-DIAL_TIME = 2.0  # s for a connection to the agent
-MOST_ATTEMPTS = 6  # dials and watches at once, a descriptor each
-OLD_ADDRESS_TIME = 2.0  # s for which an old address is heard beside the new one; it closes after 1.5 s
-BEHIND_TIME = 0.25  # s for which it is heard once the new address told something newer: what is on its way
-LONGEST_LINE = 4_194_304  # bytes of one line, and of an object over several; some ten thousand nodes
-WARNING_PERIOD = 60.0  # s in which a warning is logged once, however often its cause returns
-MOST_WARNINGS = 8  # different ones in that time; a spoilt list may name another node in each
-
-
-class _WatchConnection(HttpClientProtocol):
-    """One watch: the attempt `number`, at `address`."""
-
-    def __init__(self, watch: DiscoveryWatch, number: int, address: tuple[str, int]) -> None:
-        super().__init__(self._opened, self._over)
-        self.watch = watch
-        self.number = number
-        self.address = address
-        self.piece = self._piece
-        self.rest = bytearray()
-        self.lines = LineDecoder(LONGEST_LINE)
-        self.following = WatchedEndpoints(watch.book)
-        self.timer: Timer | None = None
-        self.began = self.heard = watch.network.seconds()  # `heard`: the last whole line
-        self.unfinished = 0  # bytes since the last sign of progress
-        self.flowing = False  # an unfinished line makes progress
-        self.spoke = False
-        self.ended = False
-        self.leaving: Timer | None = None  # its end, if a newer watch has taken its place
-        self.leave_at = 0.0
-
-    def _opened(self, talk: HttpClientProtocol) -> None:
-        self._wait()
-        self.following = WatchedEndpoints(self.watch.book)
-        path = f"/discovery/hosts?follow=1&since={self.following.version}"
-        self.ask("GET", path, {}, b"", lambda answer: None)
-
-    def _wait(self) -> None:
-        stop(self.timer)
-        left = self.heard + LINE_TIME - self.watch.network.seconds()
-        self.timer = self.watch.network.callLater(max(0.0, min(SILENCE, left)), self.end)
-
-    def dataReceived(self, data: bytes) -> None:
-        if self.ended:
-            return
-        try:
-            super().dataReceived(data)
-        except (ValueError, IndexError, AssertionError) as trouble:
-            self.watch.trouble(f"the list's answer can't be read: {trouble}")
-            self.end()
-
-    def lineLengthExceeded(self, line: bytes) -> None:
-        self.watch.trouble("the list's answer can't be read: a line of its head is too long")
-        self.end()
-
-    def _headers_whole(self) -> None:
-        answer = self.answer
-        if answer is not None and answer.status != 200 and not answer.interim:
-            self.watch.trouble(f"the list is answered with status {answer.status}")
-            self.end()
-            return
-        super()._headers_whole()
-        if answer is not None and answer.status == 200 and not self.ended:
-            self.watch.answered(self)
-
-    def _piece(self, data: bytes) -> None:
-        if self.ended:
-            return
-        self._count(len(data))
-        self.rest += data
-        if b"\n" in data:
-            *lines, self.rest = self.rest.split(b"\n")
-            for line in lines:
-                self._line(bytes(line))
-                if self.ended:
-                    return
-        if len(self.rest) > LONGEST_LINE:
-            self.watch.trouble("a line of the list is too long")
-            self.end()
-
-    def _count(self, size: int) -> None:
-        """Guards against breaking off a long line that comes steadily; a byte now and then is no progress."""
-        self.unfinished += size
-        if self.unfinished >= PROGRESS:
-            self.unfinished = 0
-            self.flowing = True
-            self._wait()
-
-    def _line(self, line: bytes) -> None:
-        self.watch.line(self, line)
-        if not self.ended and not self.lines.within:
-            self.heard = self.watch.network.seconds()
-            self.unfinished = 0
-            self.flowing = False
-            self._wait()
-
-    def _whole(self) -> None:
-        if self.rest and not self.ended:  # its length says that nothing of the line is missing
-            line, self.rest = bytes(self.rest), bytearray()
-            self._line(line)
-        self.end()  # a watch has no end of its own
-
-    def end(self) -> None:
-        """Ends this watch; another is opened if it was the newest."""
-        if self.ended:
-            return
-        self._stop()
-        if self.transport is not None:
-            self.transport.abortConnection()
-        self.watch.over(self)
-
-    def _over(self, talk: HttpClientProtocol) -> None:
-        if not self.ended:
-            self._stop()
-            self.watch.over(self)
-
-    def _stop(self) -> None:
-        self.ended = True
-        stop(self.timer)
-        stop(self.leaving)
-
-
-class _Dial(ClientFactory):
-    """The attempt `number` until its connection is up."""
+from ochrecourse.service.watch_connection import WatchConnection, WatchDial
 
-    noisy = False
-
-    def __init__(self, watch: DiscoveryWatch, number: int, address: tuple[str, int]) -> None:
-        self.watch = watch
-        self.number = number
-        self.address = address
-        self.connector: Any = None
-
-    def buildProtocol(self, addr: Any) -> _WatchConnection | None:
-        return self.watch.opened(self)
-
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.watch.over(self)
-
-    def end(self) -> None:
-        """Gives the dial up."""
-        self.watch.over(self)
-        if self.connector is not None:
-            self.connector.disconnect()
+ATTEMPT_GAP_SECONDS = (
+    1.0  # from a dial to the next one, without a response's head; the agent is on this machine
+)
+FIRST_LINE_GAP_SECONDS = 4.25  # from a response's head to the next attempt; two empty lines were due by then
+MOVED_GAP_SECONDS = 2.5  # likewise at a new address, until it has sent a line; one empty line was due
+SILENT_GAP_SECONDS = 3.0  # from a line to the next attempt; an empty line is sent every 2 s
+FIRST_BACKOFF_SECONDS = 0.1  # before a watch that failed is opened again
+MAX_BACKOFF_SECONDS = 0.25  # after failures in a row; what an outage delayed counts at once
+STEADY_SECONDS = 1.0  # for which a watch has to send lines before its end counts as a first failure
+DIAL_TIMEOUT_SECONDS = 2.0
+MAX_ATTEMPTS = 6  # dials and watches at once, a descriptor each
+OLD_ADDRESS_SECONDS = 2.0  # for which an old address is read beside the new one; it closes after 1.5 s
+OUTDATED_ADDRESS_SECONDS = 0.25  # likewise once the new address has sent a newer list: what is on its way
+WARNING_PERIOD_SECONDS = 60.0  # in which a warning is logged once, however often its cause returns
+MAX_WARNINGS_PER_PERIOD = 8  # different ones; a malformed list may name another node in each
 
 
 class DiscoveryWatch:
-    """The list as it is told at one address, which may change."""
+    """Watches the endpoint list at one address, which may change (watch_connection.WatchOwner)."""
 
     def __init__(
         self,
         network: Network,
-        book: DiscoveredEndpoints,
+        endpoints: DiscoveredEndpoints,
         address: tuple[str, int],
-        told: Callable[[EndpointListUpdate], None],
-        warn: Callable[[str], None],
+        on_update: Callable[[EndpointListUpdate], None],
+        on_warning: Callable[[str], None],
     ) -> None:
         self.network = network
-        self.book = book
+        self.endpoints = endpoints
         self.address = address
-        self.moved = False  # and the new address has not spoken yet
-        self.told = told
-        self.warn = warn
-        self.dials: list[_Dial] = []
-        self.talks: list[_WatchConnection] = []  # the newest last
-        self.count = 0  # attempts so far; the number of the newest
-        self.wait = FIRST_WAIT
-        self.again: Timer | None = None  # begins the next attempt; always set until `stop`
-        self.again_at = 0.0
-        self.warnings: set[str] = set()
-        self.warnings_end = 0.0
-        self.ended = False
+        self.address_unproven = False  # it has changed, and the new one has not sent a line yet
+        self.on_update = on_update
+        self.on_warning = on_warning
+        self.dials: list[WatchDial] = []
+        self.watches: list[WatchConnection] = []  # the newest last
+        self.last_attempt_number = 0
+        self.backoff_seconds = FIRST_BACKOFF_SECONDS
+        self.next_attempt_timer: Timer | None = None  # always set between `start` and `stop`
+        self.next_attempt_at = 0.0  # s of the network's clock
+        self.stopped = False
+        self._logged_warnings: set[str] = set()
+        self._warning_period_ends_at = 0.0
 
     def start(self) -> None:
-        self._begin()
+        """Opens the first watch."""
+        self._start_attempt()
 
     def move(self, address: tuple[str, int]) -> None:
-        """The list is told elsewhere from now on: a watch is opened there at once."""
+        """Discovery has a new address: a watch is opened there at once."""
         if address == self.address:
             return
         self.address = address
-        self.moved = True
-        self.wait = FIRST_WAIT
+        self.address_unproven = True
+        self.backoff_seconds = FIRST_BACKOFF_SECONDS
         for dial in list(self.dials):
             dial.end()
-        self._begin()
+        self._start_attempt()
 
     def stop(self) -> None:
-        self.ended = True
-        stop(self.again)
+        """Ends all dials and watches."""
+        self.stopped = True
+        stop(self.next_attempt_timer)
         for dial in list(self.dials):
             dial.end()
-        for talk in list(self.talks):
-            talk.end()
+        for watch in list(self.watches):
+            watch.end()
 
     # --- attempts ---
 
-    def _begin(self) -> None:
-        stop(self.again)
-        if self.ended:
+    def _start_attempt(self) -> None:
+        stop(self.next_attempt_timer)
+        if self.stopped:
             return
-        self._make_room()
-        self.count += 1
-        dial = _Dial(self, self.count, self.address)
+        self._limit_attempts()
+        self.last_attempt_number += 1
+        dial = WatchDial(self, self.last_attempt_number, self.address)
         self.dials.append(dial)
-        self._next(ATTEMPT_GAP)
-        dial.connector = self.network.connectTCP(*self.address, dial, timeout=DIAL_TIME)
-
-    def _next(self, seconds: float) -> None:
-        """The next attempt begins so many seconds from now."""
-        stop(self.again)
-        if not self.ended:
-            self.again_at = self.network.seconds() + seconds
-            self.again = self.network.callLater(seconds, self._begin)
-
-    def _make_room(self) -> None:
-        """Guards against attempts that pile up, and against unending lines that take a new one's place."""
-        while len(self.dials) + len(self.talks) >= MOST_ATTEMPTS:
-            attempts: list[_Dial | _WatchConnection] = sorted(
-                [*self.dials, *self.talks], key=lambda each: each.number
+        self._schedule_attempt(ATTEMPT_GAP_SECONDS)
+        dial.connector = self.network.connectTCP(*self.address, dial, timeout=DIAL_TIMEOUT_SECONDS)
+
+    def _schedule_attempt(self, seconds: float) -> None:
+        """Replaces the time of the next attempt: `seconds` from now."""
+        stop(self.next_attempt_timer)
+        if not self.stopped:
+            self.next_attempt_at = self.network.seconds() + seconds
+            self.next_attempt_timer = self.network.callLater(seconds, self._start_attempt)
+
+    def _limit_attempts(self) -> None:
+        """Guards against attempts that pile up, and against endless lines that displace a new attempt."""
+        while len(self.dials) + len(self.watches) >= MAX_ATTEMPTS:
+            attempts: list[WatchDial | WatchConnection] = sorted(
+                [*self.dials, *self.watches], key=lambda attempt: attempt.attempt_number
             )
-            mute = [each for each in attempts if isinstance(each, _Dial) or not self._useful(each)]
-            (mute[0] if mute else attempts[-1]).end()
+            unproductive = [
+                attempt
+                for attempt in attempts
+                if isinstance(attempt, WatchDial) or not self._is_productive(attempt)
+            ]
+            (unproductive[0] if unproductive else attempts[-1]).end()
 
-    def _useful(self, talk: _WatchConnection) -> bool:
-        return talk.flowing or self._fresh(talk)
+    def _is_productive(self, watch: WatchConnection) -> bool:
+        return watch.line_progresses or self._is_fresh(watch)
 
-    def _fresh(self, talk: _WatchConnection) -> bool:
-        return talk.spoke and self.network.seconds() - talk.heard < SILENT_GAP
+    def _is_fresh(self, watch: WatchConnection) -> bool:
+        """Whether its last line is recent."""
+        return watch.received_line and self.network.seconds() - watch.last_line_at < SILENT_GAP_SECONDS
 
-    def opened(self, dial: _Dial) -> _WatchConnection | None:
-        """The connection is up; None if the dial was given up meanwhile."""
+    # --- watch_connection.WatchOwner ---
+
+    def dial_connected(self, dial: WatchDial) -> WatchConnection | None:
+        """The dial has succeeded; returns its watch, or None if the dial was cancelled."""
         if dial not in self.dials:
             return None
         self.dials.remove(dial)
-        talk = _WatchConnection(self, dial.number, dial.address)
-        self.talks.append(talk)
-        self.talks.sort(key=lambda each: each.number)
-        return talk
-
-    def answered(self, talk: _WatchConnection) -> None:
-        """The head of an answer is whole and good; its lines follow."""
-        if talk.number == self.count and not talk.spoke:
-            self._next(MOVED_GAP if self.moved else FIRST_LINE_GAP)
-
-    def over(self, attempt: _Dial | _WatchConnection) -> None:
-        """An attempt failed or ended."""
-        if isinstance(attempt, _Dial):
+        watch = WatchConnection(self, dial.attempt_number, dial.address)
+        self.watches.append(watch)
+        self.watches.sort(key=lambda each: each.attempt_number)
+        return watch
+
+    def response_started(self, watch: WatchConnection) -> None:
+        """The head of a response is complete and valid; its lines follow."""
+        if watch.attempt_number == self.last_attempt_number and not watch.received_line:
+            self._schedule_attempt(MOVED_GAP_SECONDS if self.address_unproven else FIRST_LINE_GAP_SECONDS)
+
+    def attempt_ended(self, attempt: WatchDial | WatchConnection) -> None:
+        """An attempt failed or ended; the next one follows after the backoff if it was the newest."""
+        if isinstance(attempt, WatchDial):
             if attempt not in self.dials:
                 return
             self.dials.remove(attempt)
-        elif attempt in self.talks:
-            self.talks.remove(attempt)
-        if self.ended or attempt.number != self.count or self._heard_here():
+        elif attempt in self.watches:
+            self.watches.remove(attempt)
+        if self.stopped or attempt.attempt_number != self.last_attempt_number:
             return
-        self._next(min(self.wait, max(0.0, self.again_at - self.network.seconds())))
-        self.wait = min(LONGEST_WAIT, 2 * self.wait)
-
-    def _heard_here(self) -> bool:
-        return any(talk.address == self.address and self._fresh(talk) for talk in self.talks)
-
-    # --- lines ---
+        if any(watch.address == self.address and self._is_fresh(watch) for watch in self.watches):
+            return
+        until_next_attempt = max(0.0, self.next_attempt_at - self.network.seconds())
+        self._schedule_attempt(min(self.backoff_seconds, until_next_attempt))
+        self.backoff_seconds = min(MAX_BACKOFF_SECONDS, 2 * self.backoff_seconds)
 
-    def line(self, talk: _WatchConnection, text: bytes) -> None:
-        """A whole line came on a watch."""
-        held = self.book.version
+    def line_received(self, watch: WatchConnection, line: bytes) -> None:
+        """Applies a line of a watch, and ends the watches that it makes superfluous."""
+        version_before = self.endpoints.version
         try:
-            told = talk.lines.take(text)
-            news = None if told is None else talk.following.take(told, self._leads(talk))
-        except MalformedEndpointListError as trouble:
-            self.trouble(f"the list can't be read: {trouble}")
-            talk.end()
+            document = watch.decoder.decode(line)
+            update = None if document is None else watch.watched.apply(document, self._is_leader(watch))
+        except MalformedEndpointListError as error:
+            self.report_problem(f"the list can't be read: {error}")
+            watch.end()
             return
-        if talk.lines.within:
+        if watch.decoder.incomplete:
             return
-        talk.spoke = True
-        if talk.address == self.address:
-            self.moved = False
-            self._next(SILENT_GAP)
-            if self.network.seconds() - talk.began >= STEADY:
-                self.wait = FIRST_WAIT
-        if self.book.version < held:
-            self._end_others(talk)
+        watch.received_line = True
+        if watch.address == self.address:
+            self._note_line_at_address(watch)
+        if self.endpoints.version < version_before:
+            self._end_others(watch)
         else:
-            self._replace_older(talk, self.book.version > held)
-        if news is not None:
-            self.told(news)
-
-    def _rank(self, talk: _WatchConnection) -> tuple[bool, int]:
-        return talk.address == self.address, talk.number
-
-    def _leads(self, talk: _WatchConnection) -> bool:
-        """Whether no watch speaks that is newer, or at the address that counts now where this one is not."""
-        return not any(each.spoke and self._rank(each) > self._rank(talk) for each in self.talks)
+            self._replace_older(watch, self.endpoints.version > version_before)
+        if update is not None:
+            self.on_update(update)
 
-    def _end_others(self, talk: _WatchConnection) -> None:
-        """The versions begin anew: what other watches tell, and what they were asked, is of older ones."""
-        for other in list(self.talks):
-            if other is not talk:
+    def report_problem(self, text: str) -> None:
+        """Logs what is wrong with the list, each problem once in a period."""
+        now = self.network.seconds()
+        if now >= self._warning_period_ends_at:
+            self._logged_warnings.clear()
+            self._warning_period_ends_at = now + WARNING_PERIOD_SECONDS
+        if text not in self._logged_warnings and len(self._logged_warnings) < MAX_WARNINGS_PER_PERIOD:
+            self._logged_warnings.add(text)
+            self.on_warning(text)
+
+    # --- which watch leads ---
+
+    def _note_line_at_address(self, watch: WatchConnection) -> None:
+        self.address_unproven = False
+        self._schedule_attempt(SILENT_GAP_SECONDS)
+        if self.network.seconds() - watch.started_at >= STEADY_SECONDS:
+            self.backoff_seconds = FIRST_BACKOFF_SECONDS
+
+    def _precedence(self, watch: WatchConnection) -> tuple[bool, int]:
+        """Watches at the current address precede others, newer ones precede older ones."""
+        return watch.address == self.address, watch.attempt_number
+
+    def _is_leader(self, watch: WatchConnection) -> bool:
+        """Whether no watch that precedes this one has sent a line."""
+        precedence = self._precedence(watch)
+        return not any(each.received_line and self._precedence(each) > precedence for each in self.watches)
+
+    def _end_others(self, watch: WatchConnection) -> None:
+        """Versions are numbered anew: what other watches requested and send refers to old ones."""
+        for other in list(self.watches):
+            if other is not watch:
                 other.end()
 
-    def _replace_older(self, talk: _WatchConnection, told_more: bool) -> None:
-        """A watch spoke: those before it are of no more use, but for what an old address may still tell."""
-        for older in list(self.talks):
-            if self._rank(older) >= self._rank(talk):
+    def _replace_older(self, watch: WatchConnection, list_advanced: bool) -> None:
+        """Ends the watches that this one precedes; an old address is read on for lines on their way."""
+        for older in list(self.watches):
+            if self._precedence(older) >= self._precedence(watch):
                 continue
-            if older.address == talk.address:
+            if older.address == watch.address:
                 older.end()
             else:
-                self._end_within(older, BEHIND_TIME if told_more else OLD_ADDRESS_TIME)
-
-    def _end_within(self, talk: _WatchConnection, seconds: float) -> None:
-        due = self.network.seconds() + seconds
-        if talk.leaving is None or due < talk.leave_at:
-            stop(talk.leaving)
-            talk.leave_at = due
-            talk.leaving = self.network.callLater(seconds, talk.end)
-
-    def trouble(self, text: str) -> None:
-        """Logs what is wrong with the list, once in a while for each case."""
-        now = self.network.seconds()
-        if now >= self.warnings_end:
-            self.warnings.clear()
-            self.warnings_end = now + WARNING_PERIOD
-        if text not in self.warnings and len(self.warnings) < MOST_WARNINGS:
-            self.warnings.add(text)
-            self.warn(text)
+                older.end_within(OUTDATED_ADDRESS_SECONDS if list_advanced else OLD_ADDRESS_SECONDS)
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -1,176 +1,234 @@
-"""The gateway in service on the platform: the library, its RESP2 entrance and exit, the list, and the order
-of start, reload and end.
+"""The gateway in service on the platform: the library, its RESP2 server and connections, and the endpoint
+list, with the order of start, reload and graceful shutdown.
 
-Start: the known list first, then the watch from its version, then the port. Reload: a file that
-can't be read changes nothing and is read again for some seconds. End: jobs are taken as long as clients may
-still come, connections are closed as they fall idle, and when the last job has its answer all is over.
+Start: the known endpoint list first, then the watch from its version, then the port. Reload: a file that
+can't be read changes nothing and is read again for some seconds. Shutdown: requests are accepted as long as
+clients may still connect, connections are closed as they become idle, and after the last the process ends.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS, SECOND
-from ochrecourse.service.discovery import MalformedEndpointListError, DiscoveredEndpoints, EndpointListUpdate
-from ochrecourse.service.start_file import read
-from ochrecourse.service.start_settings import StartSettingsError, StartSettings
-from ochrecourse.service.discovery_watch import DiscoveryWatch
-from ochrecourse.resp.server import RespServerFactory
-from ochrecourse.resp.node_connection import dialler
+from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.resp.commands import RequestClasses
-
-TRAVEL = 40 * MS  # ns kept back of a client's time: its way here is not seen, nor a busy loop foreseen
-GOING = 0.55  # s after SIGTERM in which new connections still come; it serves at least as long
-KILL = (3.0, 0.7)  # s: the longest client timeout, cut to the first, and the second before it is killed
-SPARE = 0.2  # s before that by which the last answer is out
-CLOSING = 0.3  # s before that in which nothing new is taken
-RESERVE = 40  # descriptors for the process itself: listener, watches, poll, log, and a few in between
-READ_AGAIN = 0.1  # s before a start file that can't be read is read again: it may be half written
-LONGEST_READ_AGAIN = 0.5  # s, after failures in a row
-READ_UNTIL = 10.0  # s after SIGHUP at which the file is given up; a move of the list counts after 4 s
-ROOMY = 4  # part of all descriptors beyond which resting clients are closed; clients hold a third at most
-IDLE_PART = 3  # part of the time at which a node closes an idle connection after which this side does
-DIALS = 64  # at once; a dial takes a part of a second at most, and a wait for one would look like a slow node
-
-
-def shares(sockets: int) -> tuple[int, int]:
-    """Descriptors for clients' connections and for nodes' connections, of all that the process may have."""
-    free = max(16, sockets - RESERVE)
-    clients = free * 3 // 5  # legs take far fewer connections than the clients of a gateway hold
-    return clients, free - clients
+from ochrecourse.resp.node_connection import dialler
+from ochrecourse.resp.server import RespServerFactory
+from ochrecourse.service.discovery import (
+    DiscoveredEndpoints,
+    EndpointListUpdate,
+    MalformedEndpointListError,
+)
+from ochrecourse.service.discovery_watch import DiscoveryWatch
+from ochrecourse.service.start_file import read_start_file
+from ochrecourse.service.start_settings import StartSettings, StartSettingsError
+
+REPLY_TRAVEL_NS = 40 * MS  # reserved of a client's time: its way here is not seen, nor a busy loop foreseen
+MIN_ACCEPT_SECONDS = 0.55  # after SIGTERM, in which new connections still arrive
+MAX_CLIENT_TIMEOUT_SECONDS = 3.0  # that the platform waits for, however long the longest client timeout is
+KILL_DELAY_SECONDS = 0.7  # from the longest client timeout after SIGTERM to the earliest kill
+LAST_REPLY_MARGIN_SECONDS = 0.2  # before the kill, by which the last reply is out
+CLOSING_SECONDS = 0.3  # before that margin, in which no connection is accepted
+RESERVED_DESCRIPTORS = 40  # for the process itself: listener, watches, poll, log, and a few in between
+MIN_SHARED_DESCRIPTORS = 16  # for clients and nodes together, however low the limit is
+RELOAD_BACKOFF_SECONDS = 0.1  # before a start file that can't be read is read again: it may be half written
+MAX_RELOAD_BACKOFF_SECONDS = 0.5  # after failures in a row
+RELOAD_TIMEOUT_SECONDS = (
+    10.0  # after SIGHUP, at which the file is given up; a move of the list counts after 4 s
+)
+EVICTION_DIVISOR = 4  # of all descriptors: clients' connections beyond which idle ones are evicted
+IDLE_CLOSE_DIVISOR = 3  # of the time after which a node closes an idle connection: this side does so first
+MAX_DIALS = 64  # at once; a dial takes a fraction of a second, and a wait for one would look like a slow node
+DEFAULT_NODE_IDLE_CLOSE_MS = 15_000
+LISTEN_BACKLOG = 1024
+
+
+class DescriptorShares(NamedTuple):
+    """How many descriptors connections of either kind may hold."""
+
+    clients: int
+    nodes: int
+
+
+def share_descriptors(max_open_files: int) -> DescriptorShares:
+    """Splits what the process may open; attempts take far fewer connections than a gateway's clients hold."""
+    shared = max(MIN_SHARED_DESCRIPTORS, max_open_files - RESERVED_DESCRIPTORS)
+    clients = shared * 3 // 5
+    return DescriptorShares(clients, shared - clients)
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceEnvironment:
+    """What a service runs on. `unix_ns`: Unix time now; `unread_since`: as a gateway's."""
+
+    network: Network
+    unix_ns: int
+    log: Callable[[str], None]
+    on_stopped: Callable[[], None]  # called when the service has shut down
+    unread_since: Callable[[], int] | None = None
 
 
 class GatewayService:
-    """One gateway in service. `path` is the start file; `over` is called when it has ended."""
-
-    def __init__(
-        self,
-        start: StartSettings,
-        path: str,
-        network: Network,
-        unix_ns: int,
-        log: Callable[[str], None],
-        over: Callable[[], None],
-        unread_since: Callable[[], int] | None = None,
-    ) -> None:
-        """`unix_ns`: Unix time now; `unread_since`: as a gateway's. Raises StartSettingsError."""
-        self.path = path
+    """One gateway in service."""
+
+    def __init__(self, start: StartSettings, start_path: str, environment: ServiceEnvironment) -> None:
+        """`start_path`: the start file, for a reload. Raises StartSettingsError."""
+        network = environment.network
+        self.start_path = start_path
         self.network = network
-        self.log = log
-        self.over = over
-        clients, nodes = shares(start.sockets)
-        values = start.values
-        idle = float(values.get("Limits.IdleClose", 15_000))
-        idle_ns = round(idle * MS / IDLE_PART)
-        limits = PoolLimits(attempts=1, connections=nodes, dials=DIALS, idle=idle_ns, total=nodes)
+        self.log = environment.log
+        self.on_stopped = environment.on_stopped
+        self.listen_address = start.listen_address
+        self.kill_delay_seconds = _kill_delay_seconds(start.values)
+        self.port: Any = None  # Twisted's listening port
+        self.shutting_down = False
+        self.stopped = False
+        self._reload_timer: Timer | None = None
+        shares = share_descriptors(start.max_open_files)
         self.gateway = Gateway(
-            values, start.seed, network, dialler(network), start.name, travel=TRAVEL, limits=limits,
-            unread_since=unread_since,
-        )  # fmt: skip
+            start.values,
+            start.seed,
+            network,
+            dialler(network),
+            start.name,
+            travel=REPLY_TRAVEL_NS,
+            limits=_pool_limits(start.values, shares.nodes),
+            unread_since=environment.unread_since,
+        )
         self.server = RespServerFactory(
-            self.gateway, network, RequestClasses(values), clients, start.sockets // ROOMY
+            self.gateway,
+            network,
+            RequestClasses(start.values),
+            shares.clients,
+            start.max_open_files // EVICTION_DIVISOR,
         )
         self.gateway.observers = [self.server]
-        zones = [each for each in values.get("Zones", "").split(",") if each]
-        self.book = DiscoveredEndpoints(zones, unix_ns - now_ns(network))
-        self.watch = DiscoveryWatch(network, self.book, start.discovery, self._told, self._warn)
-        self.listen_at = start.listen
-        self.port: Any = None
-        self.leaving = False
-        self.ended = False
-        self._read_again: Timer | None = None
-        count = int(values.get("Classes.count", 0))
-        longest = max((float(values.get(f"Classes.{i}.Deadline", 0)) for i in range(count)), default=0.0)
-        self.kill = min(KILL[0], longest / 1000) + KILL[1]  # s after SIGTERM
+        zones = [zone for zone in start.values.get("Zones", "").split(",") if zone]
+        self.endpoints = DiscoveredEndpoints(zones, environment.unix_ns - now_ns(network))
+        self.watch = DiscoveryWatch(
+            network, self.endpoints, start.discovery_address, self._apply_update, self.log
+        )
         try:
-            self._told(self.book.take(start.known, cached=True))
-        except MalformedEndpointListError as trouble:
-            raise StartSettingsError(f"the known list: {trouble}") from None
+            self._apply_update(self.endpoints.apply(start.known_endpoints, cached=True))
+        except MalformedEndpointListError as error:
+            raise StartSettingsError(f"the known list: {error}") from None
 
     def serve(self) -> tuple[str, int]:
-        """Begins to follow the list and to listen; the address is returned."""
+        """Starts to watch the endpoint list and to listen; returns the address."""
         self.watch.start()
-        host, port = self.listen_at
-        self.port = self.network.listenTCP(port, self.server, backlog=1024, interface=host)
+        host, port = self.listen_address
+        self.port = self.network.listenTCP(port, self.server, backlog=LISTEN_BACKLOG, interface=host)
         self.port.room = self.server.accept_capacity
-        at = self.port.getHost()
-        return at.host, at.port
+        address = self.port.getHost()
+        return address.host, address.port
+
+    def _apply_update(self, update: EndpointListUpdate) -> None:
+        self.gateway.endpoint_list_received(update.kind, update.entries, update.addresses)
+
+    # --- reload ---
 
     def reload(self) -> None:
-        """The start file was replaced: what may change in service is taken over. A file that can't be read is
-        read again for a while: it may be half written, or be missing for a moment.
+        """Reads the start file again and follows what may change in service.
+
+        Guards against a file that is half written, or missing for a moment: one that can't be read is read
+        again for a while.
         """
-        stop(self._read_again)
-        self._read_again = None
-        if self.ended:
+        stop(self._reload_timer)
+        self._reload_timer = None
+        if self.stopped:
             return
-        trouble = self._take_over()
-        if trouble is None:
+        error = self._try_reload()
+        if error is None:
             return
-        self.log(f"start file not taken over: {trouble}")
-        self._reload_later(READ_AGAIN, self.network.seconds() + READ_UNTIL)
+        self.log(f"start file not taken over: {error}")
+        give_up_at = self.network.seconds() + RELOAD_TIMEOUT_SECONDS
+        self._schedule_reload(RELOAD_BACKOFF_SECONDS, give_up_at)
 
-    def _take_over(self) -> StartSettingsError | None:
-        """Reads the start file and follows it; what is wrong with it, if it can't be read."""
+    def _try_reload(self) -> StartSettingsError | None:
+        """What is wrong with the start file; None if it was read and followed."""
         try:
-            again = read(self.path)
-        except StartSettingsError as trouble:
-            return trouble
-        self.watch.move(again.discovery)
-        self.log(f"start file read again; the list is told at {again.discovery[0]}:{again.discovery[1]}")
+            start = read_start_file(self.start_path)
+        except StartSettingsError as error:
+            return error
+        self.watch.move(start.discovery_address)
+        host, port = start.discovery_address
+        self.log(f"start file read again; the list is told at {host}:{port}")
         return None
 
-    def _reload_later(self, wait: float, until: float) -> None:
-        self._read_again = self.network.callLater(wait, self._reload_again, wait, until)
+    def _schedule_reload(self, backoff_seconds: float, give_up_at: float) -> None:
+        self._reload_timer = self.network.callLater(
+            backoff_seconds, self._retry_reload, backoff_seconds, give_up_at
+        )
 
-    def _reload_again(self, wait: float, until: float) -> None:
-        self._read_again = None
-        trouble = self._take_over()
-        if trouble is None:
+    def _retry_reload(self, backoff_seconds: float, give_up_at: float) -> None:
+        self._reload_timer = None
+        error = self._try_reload()
+        if error is None:
             return
-        if self.network.seconds() >= until:
-            self.log(f"start file given up until the next SIGHUP: {trouble}")
+        if self.network.seconds() >= give_up_at:
+            self.log(f"start file given up until the next SIGHUP: {error}")
             return
-        self._reload_later(min(LONGEST_READ_AGAIN, 2 * wait), until)
+        self._schedule_reload(min(MAX_RELOAD_BACKOFF_SECONDS, 2 * backoff_seconds), give_up_at)
+
+    # --- graceful shutdown ---
 
-    def leave(self) -> None:
-        """Goes out of service in order; `over` is called at the end."""
-        if self.leaving:
+    def shut_down(self) -> None:
+        """Ends the service in order; `on_stopped` is called at the end."""
+        if self.shutting_down:
             return
-        self.leaving = True
+        self.shutting_down = True
         self.log(f"leaving; {self.gateway.request_log.open} jobs open")
-        # Clients use the connections they have while these are open, and find nobody here once it has ended.
-        self.gateway.answer_by = now_ns(self.network) + round((self.kill - SPARE) * SECOND)
-        self.network.callLater(max(GOING, self.kill - SPARE - CLOSING), self._close_door)
+        # Clients use the connections they have while these are open, and find nobody here afterwards.
+        last_reply_seconds = self.kill_delay_seconds - LAST_REPLY_MARGIN_SECONDS
+        self.gateway.answer_by = now_ns(self.network) + round(last_reply_seconds * SECOND)
+        accept_seconds = max(MIN_ACCEPT_SECONDS, last_reply_seconds - CLOSING_SECONDS)
+        self.network.callLater(accept_seconds, self._stop_listening)
 
-    def _close_door(self) -> None:
+    leave = shut_down  # the name that the test of recorded behaviour uses
+
+    def _stop_listening(self) -> None:
         if self.port is not None:
             self.port.stopListening()
-        # Who was accepted just now is read before anything is closed.
+        # Whoever was accepted just now is read before anything is closed.
         self.network.callLater(0, self._close_connections)
 
     def _close_connections(self) -> None:
-        self.server.on_drained = self._empty
+        self.server.on_drained = self._connections_drained
         self.server.shut_down()
 
-    def _empty(self) -> None:
+    def _connections_drained(self) -> None:
         self.server.on_drained = None
-        self.network.callLater(0, self._end)
+        self.network.callLater(0, self._stop)
 
-    def _end(self) -> None:
-        self.ended = True
-        stop(self._read_again)
+    def _stop(self) -> None:
+        self.stopped = True
+        stop(self._reload_timer)
         self.watch.stop()
         self.server.stop()
         self.gateway.stop()
-        self.over()
-
-    def _told(self, news: EndpointListUpdate) -> None:
-        self.gateway.endpoint_list_received(news.kind, news.entries, news.addresses)
-
-    def _warn(self, text: str) -> None:
-        self.log(text)
+        self.on_stopped()
+
+
+def _pool_limits(values: Mapping[str, str], max_connections: int) -> PoolLimits:
+    """Limits of connections to nodes: one attempt on each, and all of them for whichever nodes need them."""
+    node_idle_close_ms = float(values.get("Limits.IdleClose", DEFAULT_NODE_IDLE_CLOSE_MS))
+    return PoolLimits(
+        attempts=1,
+        connections=max_connections,
+        dials=MAX_DIALS,
+        idle=round(node_idle_close_ms * MS / IDLE_CLOSE_DIVISOR),
+        total=max_connections,
+    )
+
+
+def _kill_delay_seconds(values: Mapping[str, str]) -> float:
+    """Seconds from SIGTERM to the earliest kill that the platform allows."""
+    count = int(values.get("Classes.count", 0))
+    timeouts_ms = (float(values.get(f"Classes.{i}.Deadline", 0)) for i in range(count))
+    longest_ms = max(timeouts_ms, default=0.0)
+    return min(MAX_CLIENT_TIMEOUT_SECONDS, longest_ms / 1000) + KILL_DELAY_SECONDS
--- a/ochrecourse/service/main.py
+++ b/ochrecourse/service/main.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway on the platform, put together on the real reactor and run until it has left."""
+"""Runs a gateway on the platform on the real reactor, from its start file to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from twisted.logger import globalLogBeginner
 
 from ochrecourse.interface import MissingSettingError
-from ochrecourse.service.start_file import read
-from ochrecourse.service.gateway_service import GatewayService
+from ochrecourse.service.start_file import read_start_file
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment
 from ochrecourse.service.signals import SignalHandler
 from ochrecourse.service.start_settings import StartSettingsError
 from ochrecourse.common.monotonic_reactor import (
@@ -23,49 +23,58 @@
     unread_since,
 )
 
+EXIT_OK = 0
+EXIT_CANNOT_START = 2  # the start file is missing or broken, or the port can't be opened
+
 
 def log(text: str) -> None:
-    """One line on standard error."""
+    """Writes one line to standard error, with the Unix time in seconds."""
     sys.stderr.write(f"{time.time():.3f} {text}\n")
     sys.stderr.flush()
 
 
 def run(signals: SignalHandler) -> int:
-    """Serves until the gateway is told to end and has left; the exit code."""
+    """Serves until a signal ends the gateway and it has shut down; returns the exit code."""
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
             raise StartSettingsError("RELAY_CONFIG is not set; it names the start file")
-        start = read(path)
-        files = raise_open_file_limit()
-        start.sockets = min(start.sockets, files)  # neither limit may be passed
+        start = read_start_file(path)
+        file_limit = raise_open_file_limit()
+        start.max_open_files = min(start.max_open_files, file_limit)  # neither limit may be exceeded
         reactor = install_monotonic_reactor(BoundedAcceptPort)
-        globalLogBeginner.beginLoggingTo([cast(Any, _observe)], redirectStandardIO=False, discardBuffer=True)
+        globalLogBeginner.beginLoggingTo(
+            [cast(Any, _log_failure)], redirectStandardIO=False, discardBuffer=True
+        )
         since = unread_since(reactor)
-        service = GatewayService(start, path, reactor, time.time_ns(), log, reactor.stop, since)
-        if signals.asked_to_end():
+        environment = ServiceEnvironment(reactor, time.time_ns(), log, reactor.stop, since)
+        service = GatewayService(start, path, environment)
+        if signals.termination_requested():
             log("told to end before it served")
-            return 0
+            return EXIT_OK
         host, port = service.serve()
-    except (StartSettingsError, MissingSettingError) as trouble:
-        log(f"ochrecourse relay: {trouble}")
-        return 2
-    except CannotListenError as trouble:
-        log(f"ochrecourse relay: cannot listen: {trouble.socketError}")
-        return 2
-    signals.act(reactor.callFromThread, service.leave, service.reload)
-    CycleCollector(
-        reactor, lambda: not service.gateway.request_log.open, lambda: service.server.closed_connections
+    except (StartSettingsError, MissingSettingError) as error:
+        log(f"ochrecourse relay: {error}")
+        return EXIT_CANNOT_START
+    except CannotListenError as error:
+        log(f"ochrecourse relay: cannot listen: {error.socketError}")
+        return EXIT_CANNOT_START
+    signals.dispatch_to(reactor.callFromThread, service.shut_down, service.reload)
+    request_log = service.gateway.request_log
+    CycleCollector(reactor, lambda: not request_log.open, lambda: service.server.closed_connections)
+    log(
+        f"{start.name} serves at {host}:{port}; "
+        f"{start.max_open_files} descriptors of {file_limit}, {start.memory_mb} MB"
     )
-    log(f"{start.name} serves at {host}:{port}; {start.sockets} descriptors of {files}, {start.memory_mb} MB")
     reactor.run(installSignalHandlers=False)
-    ledger = service.gateway.request_log
-    log(f"left; {ledger.received} jobs, {ledger.attempts} legs, clients: {dict(service.server.counts)}, "
-        f"nodes: {dict(service.gateway.nodes.counts)}")  # fmt: skip
-    return 0
+    log(
+        f"left; {request_log.received} jobs, {request_log.attempts} legs, "
+        f"clients: {dict(service.server.counts)}, nodes: {dict(service.gateway.nodes.counts)}"
+    )
+    return EXIT_OK
 
 
-def _observe(event: Any) -> None:
+def _log_failure(event: Any) -> None:
     failure = event.get("log_failure")
     if failure is not None:
         log(f"unexpected: {failure.getTraceback()}")
--- a/ochrecourse/service/signals.py
+++ b/ochrecourse/service/signals.py
@@ -1,7 +1,8 @@
 """The process's signals, from its first moment to its last.
 
-A signal that comes before the gateway serves is kept; afterwards it is acted on in a turn of the loop. This
-module imports nothing that takes long, so that the handlers stand before anything else is loaded.
+A signal that arrives before the gateway serves is kept pending; afterwards it is handled in a turn of the
+event loop. This module imports nothing that takes long, so that the handlers are installed before anything
+else is loaded.
 """
 
 from __future__ import annotations
@@ -13,62 +14,62 @@
     from collections.abc import Callable
     from typing import Any
 
-END = (signal.SIGTERM, signal.SIGINT)
-ALL = (*END, signal.SIGHUP)
+TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (*TERMINATION_SIGNALS, signal.SIGHUP)
 
 
 class SignalHandler:
-    """SIGTERM and SIGINT ask for an end in order, SIGHUP to read the start file again."""
+    """SIGTERM and SIGINT request a graceful shutdown, SIGHUP to reload the start file."""
 
     def __init__(self) -> None:
-        self._came: list[int] = []
+        self._pending: list[int] = []
         self._schedule: Callable[[Callable[[], None]], object] | None = None
-        self._leave: Callable[[], None] | None = None
+        self._shut_down: Callable[[], None] | None = None
         self._reload: Callable[[], None] | None = None
 
     def install(self) -> None:
         """From now on no signal ends the process by its default action."""
-        for number in ALL:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, self._on_signal)
 
-    def asked_to_end(self) -> bool:
-        """Whether an order to end is kept."""
-        return any(number in END for number in self._came)
+    def termination_requested(self) -> bool:
+        """Whether a SIGTERM or SIGINT is pending."""
+        return any(number in TERMINATION_SIGNALS for number in self._pending)
 
-    def act(
+    def dispatch_to(
         self,
         schedule: Callable[[Callable[[], None]], object],
-        leave: Callable[[], None],
+        shut_down: Callable[[], None],
         reload: Callable[[], None],
     ) -> None:
-        """The gateway serves: what came and what comes is done in a turn of its loop. `schedule` wakes the
-        loop and may be called from a signal handler.
+        """The gateway serves: pending and later signals are handled in a turn of its event loop. `schedule`
+        wakes the loop and may be called from a signal handler.
         """
-        self._leave, self._reload = leave, reload
+        self._shut_down, self._reload = shut_down, reload
         self._schedule = schedule
-        if self._came:
-            schedule(self._act)
+        if self._pending:
+            schedule(self._dispatch)
 
-    def ignore(self) -> None:
-        """The process is at its end. Guards against a signal while the interpreter is taken down, which gives
-        handlers of Python's their default action back.
+    def ignore_all(self) -> None:
+        """The process is at its end. Guards against a signal while the interpreter is finalized, which
+        restores the default actions of Python's handlers.
         """
-        for number in ALL:
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        self._came.append(number)
+        self._pending.append(number)
         if self._schedule is not None:
-            self._schedule(self._act)
+            self._schedule(self._dispatch)
 
-    def _act(self) -> None:
-        """Many signals in one turn are one: the file is read once. One that comes meanwhile gets its turn."""
+    def _dispatch(self) -> None:
+        """Handles pending signals, equal ones once; one that arrives meanwhile gets its own turn."""
         due = set()
-        while self._came:
-            due.add(self._came.pop())
+        while self._pending:
+            due.add(self._pending.pop())
         try:
             if signal.SIGHUP in due and self._reload is not None:
                 self._reload()
         finally:
-            if not due.isdisjoint(END) and self._leave is not None:
-                self._leave()
+            if not due.isdisjoint(TERMINATION_SIGNALS) and self._shut_down is not None:
+                self._shut_down()
--- a/ochrecourse/service/start_file.py
+++ b/ochrecourse/service/start_file.py
@@ -1,25 +1,25 @@
-"""The start file, read from disk; what it means is said in start.py."""
+"""Reads the start file from disk; start_settings.py says what is in it."""
 
 from __future__ import annotations
 
 import json
 from pathlib import Path
 
-from ochrecourse.service.start_settings import StartSettingsError, StartSettings, parse
+from ochrecourse.service.start_settings import StartSettings, StartSettingsError, parse_start_settings
 
-LARGEST_FILE = 16_777_216  # bytes; thousands of nodes and plans fit
+MAX_FILE_BYTES = 16_777_216  # thousands of nodes and tenants fit
 
 
-def read(path: str) -> StartSettings:
-    """Reads the file. Raises StartSettingsError."""
+def read_start_file(path: str) -> StartSettings:
+    """Reads and parses the file. Raises StartSettingsError."""
     try:
         with Path(path).open("rb") as file:
-            data = file.read(LARGEST_FILE + 1)
-        if len(data) > LARGEST_FILE:
-            raise StartSettingsError(f"{path} is larger than {LARGEST_FILE} bytes")
-        told = json.loads(data)
-    except OSError as trouble:
-        raise StartSettingsError(f"{path} can't be read: {trouble.strerror}") from None
-    except (ValueError, RecursionError) as trouble:
-        raise StartSettingsError(f"{path} is not JSON: {trouble}") from None
-    return parse(told)
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise StartSettingsError(f"{path} is larger than {MAX_FILE_BYTES} bytes")
+        document = json.loads(data)
+    except OSError as error:
+        raise StartSettingsError(f"{path} can't be read: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise StartSettingsError(f"{path} is not JSON: {error}") from None
+    return parse_start_settings(document)
--- a/ochrecourse/service/start_settings.py
+++ b/ochrecourse/service/start_settings.py
@@ -1,8 +1,9 @@
-"""What the platform tells a gateway at its start, to the plain map that the decisions read. Free of I/O.
+"""Maps the platform's start file to typed settings and the plain map that the scheduler reads. Free of I/O.
 
-The file's `settings` are the object of the simulator's first message as nested JSON. `flat` gives them the
-form that they have on the simulator's wire: a path for each value, `.count` for lists of objects, commas
-between plain values, `_` for spaces and commas in texts.
+The file's `settings` are the object of the simulator's first message as nested JSON. `flatten_settings` gives
+them the form that they have on the simulator's wire: a path for each value, `.count` for lists of objects,
+commas between plain values, `_` for spaces and commas in texts. The platform's names of settings are known
+here and where the plain map is read, and nowhere else.
 """
 
 from __future__ import annotations
@@ -13,8 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ochrecourse.common.errors import OchrecourseError
+
 # The figures that a gateway reads; others are not looked at, for new keys may come. Each may be absent.
-FIGURES = re.compile(
+FIGURE_PATHS = re.compile(
     r"Classes\.\d+\.(Aim|Deadline|Points|Window)"
     r"|Policies\.\d+\.(CapDepth|Limit|Rate|Reserve|ValueFactor|Weight)"
     r"|FamilyInfo\.(BeyondShare|ColdUnits|FairWorth|UnitsTop|UsualUnits)"
@@ -22,115 +25,119 @@
     r"|Safety\.(Cold|CountedOver|ExtraFloor|ExtraRatio|Fall|OrderSettle|OverloadFactor|StartCapacity)"
     r"|Instances|Period"
 )
-COUNTS = re.compile(r"(Classes|Policies)\.count")
+COUNT_PATHS = re.compile(r"(Classes|Policies)\.count")
 CHOICES = {"Effect": ("safe", "keyed", "unsafe"), "KeyScope": ("all", "zone", "cell")}
-CHOSEN = re.compile(r"Classes\.\d+\.(Effect|KeyScope)")
-LARGEST = 1e12  # of any figure; 30 years in ms, and in ns still a number that a clock can hold
-MOST = 65_536  # classes or plans; the wire names them by 16 bits
+CHOICE_PATHS = re.compile(r"Classes\.\d+\.(Effect|KeyScope)")
+MAX_FIGURE = 1e12  # 30 years in ms, and in ns still a number that a clock can hold
+MAX_COUNT = 65_536  # request classes or tenants; the wire names them by 16 bits
+PORTS = 65_536
+DEFAULT_MAX_OPEN_FILES = 1024  # where the file sets no limit
 
 
-class StartSettingsError(Exception):
-    """The file is missing or not what the platform describes; the text says where."""
+class StartSettingsError(OchrecourseError):
+    """The start file is missing or not what the platform describes; the text says where."""
 
 
 @dataclass(slots=True)
 class StartSettings:
-    """What the file tells. `known` is the list of nodes in discovery's form, as this gateway last had it."""
+    """What the start file holds."""
 
-    name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    name: str  # of this gateway
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
     seed: int
-    sockets: int
+    max_open_files: int
     memory_mb: int
-    values: dict[str, str]
-    known: dict[str, Any]
+    values: dict[str, str]  # the plain map
+    known_endpoints: dict[str, Any]  # the endpoint list in discovery's form, as this gateway last had it
 
 
-def flat(settings: Mapping[str, Any]) -> dict[str, str]:
+def flatten_settings(settings: Mapping[str, Any]) -> dict[str, str]:
     """Nested settings as the plain map of paths to texts. Raises StartSettingsError."""
     values: dict[str, str] = {}
     _flatten("", settings, values)
     return values
 
 
-def _flatten(path: str, told: Any, values: dict[str, str]) -> None:
-    if isinstance(told, Mapping):
-        for name, each in told.items():
+def _flatten(path: str, setting: Any, values: dict[str, str]) -> None:
+    if isinstance(setting, Mapping):
+        for name, each in setting.items():
             _flatten(f"{path}.{name}" if path else str(name), each, values)
-    elif isinstance(told, list) and any(isinstance(each, Mapping | list) for each in told):
-        values[f"{path}.count"] = str(len(told))
-        for i, each in enumerate(told):
+    elif isinstance(setting, list) and any(isinstance(each, Mapping | list) for each in setting):
+        values[f"{path}.count"] = str(len(setting))
+        for i, each in enumerate(setting):
             _flatten(f"{path}.{i}", each, values)
-    elif isinstance(told, list):
-        values[path] = ",".join(_plain(path, each) for each in told)
-    elif told is not None:
-        values[path] = _plain(path, told)
-
-
-def _plain(path: str, told: Any) -> str:
-    if isinstance(told, bool):
-        return "true" if told else "false"
-    if isinstance(told, int | float):
-        return str(told)
-    if isinstance(told, str):
-        return told.replace(" ", "_").replace(",", "_")
+    elif isinstance(setting, list):
+        values[path] = ",".join(_format_value(path, each) for each in setting)
+    elif setting is not None:
+        values[path] = _format_value(path, setting)
+
+
+def _format_value(path: str, setting: Any) -> str:
+    if isinstance(setting, bool):
+        return "true" if setting else "false"
+    if isinstance(setting, int | float):
+        return str(setting)
+    if isinstance(setting, str):
+        return setting.replace(" ", "_").replace(",", "_")
     raise StartSettingsError(f"settings.{path} is of no known form")
 
 
-def check(values: Mapping[str, str]) -> None:
-    """Every figure and choice that is told is one a gateway can work with, so that none fails it in service.
-    Raises StartSettingsError.
-    """
-    for path, told in values.items():
-        if FIGURES.fullmatch(path):
-            _check_figure(path, told)
-        elif COUNTS.fullmatch(path):
-            if not (told.isascii() and told.isdigit()) or int(told) > MOST:
-                raise StartSettingsError(f"settings.{path} is not a whole number up to {MOST}: {told[:40]!r}")
-        elif found := CHOSEN.fullmatch(path):
-            known = CHOICES[found[1]]
-            if told not in known:
-                raise StartSettingsError(f"settings.{path} is none of {', '.join(known)}: {told[:40]!r}")
+def check_values(values: Mapping[str, str]) -> None:
+    """Guards against a figure or choice that would fail the gateway in service. Raises StartSettingsError."""
+    for path, text in values.items():
+        if FIGURE_PATHS.fullmatch(path):
+            _check_figure(path, text)
+        elif COUNT_PATHS.fullmatch(path):
+            _check_count(path, text)
+        elif found := CHOICE_PATHS.fullmatch(path):
+            choices = CHOICES[found[1]]
+            if text not in choices:
+                raise StartSettingsError(f"settings.{path} is none of {', '.join(choices)}: {text[:40]!r}")
 
 
-def _check_figure(path: str, told: str) -> None:
+def _check_figure(path: str, text: str) -> None:
     try:
-        figure = float(told)
+        figure = float(text)
     except ValueError:
         figure = math.nan
-    if not 0 <= figure <= LARGEST:  # no comparison holds for what is not a number
-        raise StartSettingsError(f"settings.{path} is not a number from 0 to {LARGEST:.0e}: {told[:40]!r}")
+    if not 0 <= figure <= MAX_FIGURE:  # no comparison is true for NaN
+        raise StartSettingsError(f"settings.{path} is not a number from 0 to {MAX_FIGURE:.0e}: {text[:40]!r}")
+
+
+def _check_count(path: str, text: str) -> None:
+    if not (text.isascii() and text.isdigit()) or int(text) > MAX_COUNT:
+        raise StartSettingsError(f"settings.{path} is not a whole number up to {MAX_COUNT}: {text[:40]!r}")
 
 
-def place(text: Any, where: str) -> tuple[str, int]:
-    """Host and port. Raises StartSettingsError."""
+def parse_address(text: Any, setting: str) -> tuple[str, int]:
+    """Host and port of HOST:PORT; `setting` names it in the error. Raises StartSettingsError."""
     host, _, port = str(text).rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65536:
-        raise StartSettingsError(f"{where} is not HOST:PORT: {text!r}")
+    if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < PORTS:
+        raise StartSettingsError(f"{setting} is not HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def parse(told: Any) -> StartSettings:
-    """What a file's JSON tells. Raises StartSettingsError."""
-    if not isinstance(told, dict) or not isinstance(told.get("settings"), dict):
+def parse_start_settings(document: Any) -> StartSettings:
+    """The settings in a start file's JSON document. Raises StartSettingsError."""
+    if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
         raise StartSettingsError("the start file holds no settings")
-    limits = told.get("limits") or {}
-    known = told.get("known") or {"generation": 0, "reset": True, "instances": []}
+    limits = document.get("limits") or {}
+    known_endpoints = document.get("known") or {"generation": 0, "reset": True, "instances": []}
     try:
-        values = flat(told["settings"])
-        check(values)
+        values = flatten_settings(document["settings"])
+        check_values(values)
         return StartSettings(
-            name=str(told["name"]),
-            listen=place(told["listen"], "listen"),
-            discovery=place(told["discovery"], "discovery"),
-            seed=int(str(told["seed"]), 16),
-            sockets=int(limits.get("sockets", 1024)),
+            name=str(document["name"]),
+            listen_address=parse_address(document["listen"], "listen"),
+            discovery_address=parse_address(document["discovery"], "discovery"),
+            seed=int(str(document["seed"]), 16),
+            max_open_files=int(limits.get("sockets", DEFAULT_MAX_OPEN_FILES)),
             memory_mb=int(limits.get("memory_mb", 0)),
             values=values,
-            known=known,
+            known_endpoints=known_endpoints,
         )
-    except KeyError as trouble:
-        raise StartSettingsError(f"the start file lacks {trouble.args[0]}") from None
-    except (ValueError, TypeError, AttributeError) as trouble:
-        raise StartSettingsError(f"the start file holds a figure that is none: {trouble}") from None
+    except KeyError as error:
+        raise StartSettingsError(f"the start file lacks {error.args[0]}") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise StartSettingsError(f"the start file holds a figure that is none: {error}") from None
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -15,8 +15,8 @@
 from ochrecourse.common.time_units import SECOND
 from ochrecourse.common.event_loop import POLLS, WAITED, PollHistory
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.service.gateway_service import GatewayService, shares
-from ochrecourse.service.start_settings import parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment, share_descriptors
+from ochrecourse.service.start_settings import parse_start_settings
 from ochrecourse.resp import codec
 from ochrecourse.resp import server
 from ochrecourse.resp import client_connection, pipeline
@@ -80,13 +80,15 @@
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
         self.service = GatewayService(
-            parse(told),
+            parse_start_settings(told),
             "none",
-            self.loop,
-            10**18,
-            self.log.append,
-            lambda: self.over.append(1),
-            self.loop.unread_since,
+            ServiceEnvironment(
+                self.loop,
+                10**18,
+                self.log.append,
+                lambda: self.over.append(1),
+                self.loop.unread_since,
+            ),
         )
         self.server = self.service.server
         self.port = self.service.serve()[1]
@@ -646,7 +648,7 @@
 
 def test_a_connection_turned_away_over_unread_bytes_gets_its_line_and_an_end(shop):
     here = shop(lambda words: None, sockets=72)
-    for number in range(shares(72)[0]):
+    for number in range(share_descriptors(72)[0]):
         client, _ = here.client()
         here.say(client, read(number, d=60_000))
     here.loop.settle()
@@ -658,7 +660,7 @@
     got = all_of(late)
     assert got.startswith(b"-ERR too_many_connections") and got.count(b"\r\n") == 1
     late.close()
-    here.loop.until(lambda: len(here.server.connections) == shares(72)[0])
+    here.loop.until(lambda: len(here.server.connections) == share_descriptors(72)[0])
 
 
 def test_small_answers_are_not_held_back_by_the_system(shop):
@@ -721,7 +723,7 @@
 def leave(here, until):
     """Sends the order to leave and drives the clock to the time, in small steps."""
     start = here.loop.now
-    here.service.leave()
+    here.service.shut_down()
     while here.loop.now < start + until:
         here.loop.now += 0.01
         here.loop.settle()
@@ -731,7 +733,7 @@
 def test_a_client_that_never_closes_does_not_hold_the_process_up_to_its_kill(shop, what):
     here = shop(**LONGEST)
     start = here.loop.now
-    here.service.leave()
+    here.service.shut_down()
     here.loop.now = start + 2.15
     here.loop.settle()
     client, _ = here.client()
@@ -747,7 +749,7 @@
     here = shop(lambda words: None, **LONGEST)
     client, _ = here.client()
     start = here.loop.now
-    here.service.leave()
+    here.service.shut_down()
     here.loop.now = start + 2.1
     number = 0
     while here.loop.now < start + 2.65 and not here.over:
@@ -790,7 +792,7 @@
     resting, side = here.client()
     here.say(resting, PING)
     here.loop.settle()
-    here.service.leave()
+    here.service.shut_down()
     # Its time is longer than the clock's step: what is read in a turn after a late timer is taken to have waited as long.
     resting.sendall(read(1, d=2900))
     stands(side.transport.fileno(), select.POLLIN)
@@ -807,7 +809,7 @@
 
 def test_many_that_come_in_one_turn_stay_under_the_most_and_a_few(shop):
     here = shop(lambda words: None, sockets=72)
-    most = shares(72)[0]
+    most = share_descriptors(72)[0]
     crowd = []
     for _ in range(200):
         each = socket.socket()
@@ -828,7 +830,7 @@
 
 def test_connections_that_linger_are_bounded_and_make_room_first(shop):
     here = shop(sockets=72)
-    most, lingering = shares(72)[0], server.MIN_LINGERING_LIMIT
+    most, lingering = share_descriptors(72)[0], server.MIN_LINGERING_LIMIT
     clients = [here.client() for _ in range(most)]
     for client, _ in clients:
         here.say(client, PING)
--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -1,6 +1,8 @@
 """Clients that do whatever clients do, as a state machine on the virtual network with TCP's ends, and an oracle that
 sees only what clients and storage nodes see, and when the gateway shut a connection."""
 
+import contextlib
+
 import pytest
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -252,7 +254,7 @@
     def gateway_leaves(self, late, mode):
         """Clients may still come right before it closes its connections."""
         self.left_at = self.network.now
-        self.shop.service.leave()
+        self.shop.service.shut_down()
         if late is not None:
             self.mode = mode
             self.network.run_until(self.left_at + late)
@@ -416,12 +418,13 @@
             whole(connection, data)
             return
         connection.parser.feed(data)
-        while (words := connection.parser.next()) is not None:
-            if len(words) > 1:
-                connection.gateway.submit(
-                    parse_command(words, connection.owner.request_classes, now_ns(connection.clock)),
-                    connection,
-                )
+        with contextlib.suppress(codec.RespProtocolError):  # nonsense is no failure of the mistake's own
+            while (words := connection.parser.next()) is not None:
+                if len(words) > 1:
+                    connection.gateway.submit(
+                        parse_command(words, connection.owner.request_classes, now_ns(connection.clock)),
+                        connection,
+                    )
 
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -8,7 +8,7 @@
 from relay_process import PATIENCE, Relay, ask
 from test_service import PING, listed, read, value
 
-from ochrecourse.service.gateway_service import shares
+from ochrecourse.service.gateway_service import share_descriptors
 
 
 TRIES = 100_000  # of one client; a bound for what never comes
@@ -45,7 +45,7 @@
 ):
     """Guards against a process with no descriptor left for its nodes and its list when discovery comes back."""
     most = min(files, sockets)
-    most -= shares(most)[1]  # what is kept for nodes stays free
+    most -= share_descriptors(most)[1]  # what is kept for nodes stays free
     known = listed(1)  # nobody listens there: requests are served once the list has come
     with Relay(tmp_path, sockets=sockets, preexec=limited(files), agent_speaks=False, known=known) as relay:
         port = relay.port()
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -15,12 +15,11 @@
 from ochrecourse.service import discovery_watch as watch_module
 from ochrecourse.service.discovery import MalformedEndpointListError, DiscoveredEndpoints, WatchedEndpoints
 from ochrecourse.service.discovery_watch import (
-    LINE_TIME,
-    MOST_ATTEMPTS,
-    MOST_WARNINGS,
+    MAX_ATTEMPTS,
+    MAX_WARNINGS_PER_PERIOD,
     DiscoveryWatch,
-    _WatchConnection,
 )
+from ochrecourse.service.watch_connection import LINE_TIMEOUT_SECONDS, WatchConnection
 
 IN_TIME = 5.0  # s of the 6 s that a change may take; the rest is for what a busy machine adds
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -190,10 +189,12 @@
         ]
         self.here = 0
         self.log, self.news = [], []
-        self.book = DiscoveredEndpoints(["a"], 0)
-        self.book.take(json.loads(self.agents[0].whole()), cached=True)
+        self.endpoints = DiscoveredEndpoints(["a"], 0)
+        self.endpoints.apply(json.loads(self.agents[0].whole()), cached=True)
         self.gateway = self.network.host("gateway")
-        self.watch = DiscoveryWatch(self.gateway, self.book, self.place(0), self.news.append, self.log.append)
+        self.watch = DiscoveryWatch(
+            self.gateway, self.endpoints, self.place(0), self.news.append, self.log.append
+        )
         self.watch.start()
         self.network.advance(0.3)
 
@@ -228,7 +229,8 @@
     def held(self):
         names = {Health.READY: READY, Health.DRAINING: DRAINING}
         return {
-            name: (names[each.health], each.started // 1_000_000) for name, each in self.book.listed.items()
+            name: (names[each.health], each.started // 1_000_000)
+            for name, each in self.endpoints.entries.items()
         }
 
     def held_index(self):
@@ -275,7 +277,7 @@
         mend(rig)
         rig.tell()
         worst = max(worst, rig.seconds_until_taken())
-        assert len(rig.watch.dials) + len(rig.watch.talks) <= MOST_ATTEMPTS
+        assert len(rig.watch.dials) + len(rig.watch.watches) <= MAX_ATTEMPTS
     assert worst < IN_TIME
 
 
@@ -320,8 +322,8 @@
         begun = rig.network.ran
         for _ in range(200):
             rig.network.advance(0.1)
-            assert len(rig.watch.dials) + len(rig.watch.talks) <= MOST_ATTEMPTS
-            assert len(rig.agent.conversations) <= MOST_ATTEMPTS + 1
+            assert len(rig.watch.dials) + len(rig.watch.watches) <= MAX_ATTEMPTS
+            assert len(rig.agent.conversations) <= MAX_ATTEMPTS + 1
         assert rig.network.ran - begun < 20 * 60
 
 
@@ -351,15 +353,15 @@
     rig.change()
     rig.agents[1].learn()
     rig.network.advance(1.0)
-    assert rig.held_index() == 1 and rig.book.version == 1
+    assert rig.held_index() == 1 and rig.endpoints.version == 1
     for number in (0, 1, 0, 1, 0):
         rig.move(number)
         rig.network.advance(0.0004)
     rig.change("s-1")
     rig.agents[0].learn()
     rig.network.advance(2.5)
-    assert rig.held_index() == 2 and rig.book.version == 1002
-    assert [talk.address for talk in rig.watch.talks] == [rig.place(0)]
+    assert rig.held_index() == 2 and rig.endpoints.version == 1002
+    assert [watch.address for watch in rig.watch.watches] == [rig.place(0)]
 
 
 def test_what_the_old_address_writes_after_a_move_counts_until_it_closes():
@@ -372,7 +374,7 @@
     rig.network.advance(0.1)
     assert rig.held_index() == 1
     rig.network.advance(3.0)
-    assert [talk.address for talk in rig.watch.talks] == [rig.place(1)]
+    assert [watch.address for watch in rig.watch.watches] == [rig.place(1)]
     rig.change("s-1")
     rig.agents[1].learn()
     rig.network.advance(0.1)
@@ -409,23 +411,23 @@
     older.say(line(1001, entry("s-0", DRAINING, 3)))
     older.say(line(1000, entry("s-0", DRAINING, 1), reset=True))
     rig.network.advance(0.05)
-    assert rig.held_index() == 2 and rig.book.version == 1002 and not rig.log
+    assert rig.held_index() == 2 and rig.endpoints.version == 1002 and not rig.log
 
 
 def test_a_change_that_is_told_twice_or_late_is_taken_once():
-    book = DiscoveredEndpoints([], 0)
-    book.take(json.loads(line(41, entry("s-1"))), cached=True)
-    newer, older = WatchedEndpoints(book), WatchedEndpoints(book)
-    assert newer.take(json.loads(line(42, entry("s-1", DRAINING))), True).kind is ListKind.DELTA
+    endpoints = DiscoveredEndpoints([], 0)
+    endpoints.apply(json.loads(line(41, entry("s-1"))), cached=True)
+    newer, older = WatchedEndpoints(endpoints), WatchedEndpoints(endpoints)
+    assert newer.apply(json.loads(line(42, entry("s-1", DRAINING))), True).kind is ListKind.DELTA
     for watch in (newer, older):
         for old in (line(42, entry("s-1")), line(41, entry("s-1")), line(3)):
-            assert watch.take(json.loads(old), True) is None
-    assert book.version == 42 and book.listed["s-1"].health is Health.DRAINING
+            assert watch.apply(json.loads(old), True) is None
+    assert endpoints.version == 42 and endpoints.entries["s-1"].health is Health.DRAINING
     # An older watch's whole list is taken only where it is newer; the leading one's always.
-    assert older.take(json.loads(line(42, entry("s-1"), reset=True)), False) is None
-    assert older.take(json.loads(line(43, entry("s-1"), reset=True)), False).kind is ListKind.FULL
-    assert newer.take(json.loads(line(7, entry("s-2"), reset=True)), True).kind is ListKind.FULL
-    assert book.version == 7 and list(book.listed) == ["s-2"]
+    assert older.apply(json.loads(line(42, entry("s-1"), reset=True)), False) is None
+    assert older.apply(json.loads(line(43, entry("s-1"), reset=True)), False).kind is ListKind.FULL
+    assert newer.apply(json.loads(line(7, entry("s-2"), reset=True)), True).kind is ListKind.FULL
+    assert endpoints.version == 7 and list(endpoints.entries) == ["s-2"]
     for bad in (
         {"instances": []},
         {"generation": True, "instances": []},
@@ -434,26 +436,26 @@
         {"generation": 3, "instances": [1]},
     ):
         with pytest.raises(MalformedEndpointListError):
-            newer.take(bad, True)
+            newer.apply(bad, True)
 
 
 def test_a_node_that_came_and_went_beside_a_watch_that_was_asked_before_is_not_kept():
     """Guards against a first line that is taken upon a newer list than the one it was asked for."""
-    book = DiscoveredEndpoints([], 0)
-    book.take(json.loads(line(41, entry("s-1"))), cached=True)
-    older, newer = WatchedEndpoints(book), WatchedEndpoints(book)
-    older.take(json.loads(line(42, entry("s-2"), entry("s-1", DRAINING))), True)
-    news = newer.take(json.loads(line(43, entry("s-3"))), True)
-    assert news.kind is ListKind.FULL and book.version == 43
-    assert {name: each.health for name, each in book.listed.items()} == {
+    endpoints = DiscoveredEndpoints([], 0)
+    endpoints.apply(json.loads(line(41, entry("s-1"))), cached=True)
+    older, newer = WatchedEndpoints(endpoints), WatchedEndpoints(endpoints)
+    older.apply(json.loads(line(42, entry("s-2"), entry("s-1", DRAINING))), True)
+    news = newer.apply(json.loads(line(43, entry("s-3"))), True)
+    assert news.kind is ListKind.FULL and endpoints.version == 43
+    assert {name: each.health for name, each in endpoints.entries.items()} == {
         "s-1": Health.READY,
         "s-3": Health.READY,
     }
     assert (
-        newer.take(json.loads(line(44, {"instanceId": "s-1", "lifecycle": "Gone"})), True).kind
+        newer.apply(json.loads(line(44, {"instanceId": "s-1", "lifecycle": "Gone"})), True).kind
         is ListKind.DELTA
     )
-    assert list(book.listed) == ["s-3"]
+    assert list(endpoints.entries) == ["s-3"]
 
 
 def test_an_agent_that_numbers_anew_is_followed_and_the_old_one_is_not():
@@ -463,24 +465,24 @@
     rig.agents[1].learn()
     rig.move(1)
     rig.network.advance(0.0035)
-    assert rig.held_index() == 1 and rig.book.version == 1
+    assert rig.held_index() == 1 and rig.endpoints.version == 1
     if not older.closed:
         older.say(line(1005, entry("s-0", READY, 1)))
     rig.tell("s-1")
     rig.network.advance(0.1)
-    assert older.closed and rig.held_index() == 2 and rig.book.version == 2
+    assert older.closed and rig.held_index() == 2 and rig.endpoints.version == 2
 
 
 def test_a_known_list_that_is_newer_than_the_agents_is_not_undone_by_old_changes():
     rig = Rig()
     rig.watch.stop()
     rig.change()
-    book = DiscoveredEndpoints(["a"], 0)
+    endpoints = DiscoveredEndpoints(["a"], 0)
     rig.agents[0].index = 1
-    book.take(json.loads(rig.agents[0].whole()), cached=True)
+    endpoints.apply(json.loads(rig.agents[0].whole()), cached=True)
     rig.agents[0].index = 0
-    rig.book, rig.news = book, []
-    rig.watch = DiscoveryWatch(rig.gateway, book, rig.place(0), rig.news.append, rig.log.append)
+    rig.endpoints, rig.news = endpoints, []
+    rig.watch = DiscoveryWatch(rig.gateway, endpoints, rig.place(0), rig.news.append, rig.log.append)
     rig.watch.start()
     rig.network.advance(0.3)
     assert rig.held_index() == 1 and rig.agent.asked[-1] == 1001
@@ -561,7 +563,7 @@
     agent.reset_all()
     for _ in range(300):
         rig.network.advance(0.1)
-        assert len(agent.conversations) <= MOST_ATTEMPTS + 1
+        assert len(agent.conversations) <= MAX_ATTEMPTS + 1
     agent.mode = "good"
     rig.tell()
     assert rig.seconds_until_taken() < IN_TIME
@@ -613,7 +615,7 @@
     rig = Rig()
     rig.agent.fall_silent()
     told = rig.agent.conversations[0]
-    rig.watch.again.cancel()  # nothing is begun beside it
+    rig.watch.next_attempt_timer.cancel()  # nothing is begun beside it
 
     def flow():
         if not told.closed:
@@ -621,7 +623,7 @@
             rig.agent.later(0.5, flow)
 
     flow()
-    rig.network.advance(LINE_TIME - 1.0)
+    rig.network.advance(LINE_TIMEOUT_SECONDS - 1.0)
     assert not told.closed
     rig.network.advance(1.5)
     assert told.closed
@@ -640,10 +642,10 @@
     rig.network.advance(0.0004)
     rig.move(0)
     rig.network.advance(0.5)
-    assert not first.closed and rig.book.version == 1001
+    assert not first.closed and rig.endpoints.version == 1001
     first.say(line(1002, entry("s-1", DRAINING, 9)))
     rig.network.advance(0.1)
-    assert rig.book.version == 1002
+    assert rig.endpoints.version == 1002
 
 
 # --- forms of an answer ---
@@ -691,7 +693,7 @@
     agent.buildProtocol = lambda addr: Formed(agent)
     agent.reset_all()
     rig.network.advance(2.0)
-    assert rig.held_index() == 2 and rig.book.version == 1002 and not rig.log
+    assert rig.held_index() == 2 and rig.endpoints.version == 1002 and not rig.log
 
 
 @pytest.mark.parametrize(
@@ -744,7 +746,7 @@
     assert len(agent.asked) > 100 and len(rig.log) == 1 and "unknown state" in rig.log[0]
     agent.mode = "other"
     rig.network.advance(50)
-    assert next(count) > 100 and len(rig.log) <= 1 + 2 * MOST_WARNINGS and rig.held_index() == 0
+    assert next(count) > 100 and len(rig.log) <= 1 + 2 * MAX_WARNINGS_PER_PERIOD and rig.held_index() == 0
     agent.mode = "good"
     rig.tell()
     assert rig.seconds_until_taken() < 1.0
@@ -764,21 +766,21 @@
 port = reactor.listenTCP(0, agent, interface="127.0.0.1")
 resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 taken = []
-book = DiscoveredEndpoints([], 0)
+endpoints = DiscoveredEndpoints([], 0)
 def told(news):
-    print("told", book.version, flush=True)
+    print("told", endpoints.version, flush=True)
     reactor.stop()
-watch = DiscoveryWatch(reactor, book, ("127.0.0.1", port.getHost().port), told, print)
+watch = DiscoveryWatch(reactor, endpoints, ("127.0.0.1", port.getHost().port), told, print)
 failed = [0]
-over = watch.over
+attempt_ended = watch.attempt_ended
 def count(attempt):
     failed[0] += 1
-    over(attempt)
+    attempt_ended(attempt)
     if failed[0] == 4:
-        print("failed", watch.count, flush=True)
+        print("failed", watch.last_attempt_number, flush=True)
         while taken:
             os.close(taken.pop())
-watch.over = count
+watch.attempt_ended = count
 def begin():
     try:
         while True:
@@ -818,19 +820,19 @@
 agent = ListAgent({"generation": 7, "reset": True, "instances": []})
 port = reactor.listenTCP(0, agent, interface="127.0.0.1").getHost().port
 files = lambda: len(os.listdir("/proc/self/fd"))
-book = DiscoveredEndpoints([], 0)
+endpoints = DiscoveredEndpoints([], 0)
 def told(news):
     # The connection at either end; the dials to the old address are closed.
-    print("told", book.version, watch.count, files() - before, flush=True)
+    print("told", endpoints.version, watch.last_attempt_number, files() - before, flush=True)
     reactor.stop()
-watch = DiscoveryWatch(reactor, book, full.getsockname(), told, print)
-begin = watch._begin
+watch = DiscoveryWatch(reactor, endpoints, full.getsockname(), told, print)
+begin = watch._start_attempt
 def count():
     begin()
     print("dials", len(watch.dials), watch.address[1] == port, flush=True)
-    if watch.count == 2:
+    if watch.last_attempt_number == 2:
         reactor.callLater(0, watch.move, ("127.0.0.1", port))
-watch._begin = count
+watch._start_attempt = count
 def start():
     global before
     before = files()
@@ -882,7 +884,7 @@
         if now - self.reachable >= IN_TIME:
             due = max((index for at, index in self.had if at <= now - IN_TIME), default=0)
             assert index >= due, "a change was not taken in time"
-        assert len(self.rig.watch.dials) + len(self.rig.watch.talks) <= MOST_ATTEMPTS
+        assert len(self.rig.watch.dials) + len(self.rig.watch.watches) <= MAX_ATTEMPTS
 
     def passes(self, steps):
         for _ in range(steps):
@@ -974,38 +976,40 @@
 
 
 def silence_counted_by_bytes(monkeypatch):
-    received = _WatchConnection.dataReceived
+    received = WatchConnection.dataReceived
 
     def any_byte(self, data):
         received(self, data)
         if not self.ended:
-            self.heard = self.watch.network.seconds()
-            self._wait()
-            if self.spoke:
-                self.watch._next(watch_module.SILENT_GAP)
+            self.last_line_at = self.owner.network.seconds()
+            self._restart_silence_timer()
+            if self.received_line:
+                self.owner._schedule_attempt(watch_module.SILENT_GAP_SECONDS)
 
-    monkeypatch.setattr(_WatchConnection, "dataReceived", any_byte)
+    monkeypatch.setattr(WatchConnection, "dataReceived", any_byte)
 
 
 def no_second_watch(monkeypatch):
-    begin = DiscoveryWatch._begin
+    begin = DiscoveryWatch._start_attempt
 
     def one_at_a_time(self):
-        if self.dials or any(talk.address == self.address for talk in self.talks):
-            self._next(watch_module.LONGEST_WAIT)
+        if self.dials or any(watch.address == self.address for watch in self.watches):
+            self._schedule_attempt(watch_module.MAX_BACKOFF_SECONDS)
         else:
             begin(self)
 
-    monkeypatch.setattr(DiscoveryWatch, "_begin", one_at_a_time)
+    monkeypatch.setattr(DiscoveryWatch, "_start_attempt", one_at_a_time)
 
 
 def versions_not_compared(monkeypatch):
-    monkeypatch.setattr(WatchedEndpoints, "take", lambda self, told, leads: self.book.take(told))
+    monkeypatch.setattr(
+        WatchedEndpoints, "apply", lambda self, document, is_leader: self.endpoints.apply(document)
+    )
 
 
 def dial_without_bound(monkeypatch):
-    monkeypatch.setattr(watch_module, "DIAL_TIME", 30.0)
-    monkeypatch.setattr(watch_module, "ATTEMPT_GAP", 30.0)
+    monkeypatch.setattr(watch_module, "DIAL_TIMEOUT_SECONDS", 30.0)
+    monkeypatch.setattr(watch_module, "ATTEMPT_GAP_SECONDS", 30.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -12,9 +12,15 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from ochrecourse.service.gateway_service import RESERVE, GatewayService, shares
+from ochrecourse.service.gateway_service import (
+    RESERVED_DESCRIPTORS,
+    GatewayService,
+    ServiceEnvironment,
+    share_descriptors,
+)
+from ochrecourse.resp.client_connection import RespClientConnection
 from ochrecourse.resp.server import ACCEPT_MARGIN
-from ochrecourse.service.start_settings import parse
+from ochrecourse.service.start_settings import parse_start_settings
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import ListAgent, RespNode, good
 from ochrecourse.common.monotonic_reactor import BoundedAcceptPort, make_reactor
@@ -38,7 +44,9 @@
             "limits": {"sockets": sockets}, "settings": FLAT, "known": listed(node),
         }  # fmt: skip
         self.service = GatewayService(
-            parse(told), "none", self.reactor, 10**18, self.log.append, lambda: self.over.append(1)
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(self.reactor, 10**18, self.log.append, lambda: self.over.append(1)),
         )
         self.port = self.service.serve()[1]
         self.server = self.service.server
@@ -83,7 +91,7 @@
     """Guards against requests that are lost with connections which the kernel took and the process reset."""
     with Loop() as loop:
         waiting = loop.clients(count, lambda number: PING + read(number))
-        loop.reactor.callLater(0, loop.service._close_door)
+        loop.reactor.callLater(0, loop.service._stop_listening)
         loop.until(lambda: loop.over)
         assert [all_of(client) for client in waiting] == [
             b"+PONG\r\n" + value(number) for number in range(count)
@@ -92,7 +100,7 @@
 
 def test_nobody_can_connect_once_the_port_has_closed_and_it_closes_in_the_turn_that_says_so():
     with Loop() as loop:
-        loop.service._close_door()
+        loop.service._stop_listening()
         with pytest.raises(ConnectionRefusedError):
             loop.clients(1)
         loop.until(lambda: loop.over)
@@ -116,7 +124,7 @@
         loop.reactor.seconds = lambda: (
             stands
         )  # however long the client takes to read on this machine, nothing is overdue
-        loop.service._close_door()
+        loop.service._stop_listening()
         for _ in range(20):
             loop.reactor.iterate(0)
         assert not loop.over
@@ -138,7 +146,7 @@
 def test_hundreds_that_come_in_one_turn_take_no_more_than_the_clients_share(sockets):
     """Guards against going over the limit of descriptors between an accept and the close that makes room for it."""
     with Loop(sockets=sockets) as loop:
-        clients, nodes = shares(sockets)
+        clients, nodes = share_descriptors(sockets)
         most = 0
         crowds = []
         for _ in range(3):  # each finds the one before it at rest
@@ -152,11 +160,11 @@
                 ]
                 most = max(
                     most,
-                    len({each for each in servers if each.protocol.__class__.__name__ == "RespFront"}),
+                    len({each for each in servers if isinstance(each.protocol, RespClientConnection)}),
                     len(loop.server.connections),
                 )
         assert clients // 2 < most <= clients + ACCEPT_MARGIN
-        assert most + nodes <= sockets - (RESERVE - ACCEPT_MARGIN)
+        assert most + nodes <= sockets - (RESERVED_DESCRIPTORS - ACCEPT_MARGIN)
         for client in crowds:
             client.close()
 
@@ -164,7 +172,9 @@
 def test_a_full_gateway_does_not_spin_and_serves_those_who_wait_once_there_is_room():
     with Loop(sockets=64) as loop:
         stands = loop.reactor.seconds()
-        busy = loop.clients(shares(64)[0], read(0)[:-9])  # begun commands are not closed to make room
+        busy = loop.clients(
+            share_descriptors(64)[0], read(0)[:-9]
+        )  # begun commands are not closed to make room
         loop.until(lambda: len(loop.server.connections) == len(busy))
         loop.server.connection_opened = lambda connection: loop.server.connections.setdefault(
             connection
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -14,6 +14,8 @@
     "scheduler/scheduler.py", "interface.py", "simulator/frames.py", "simulator/__main__.py", "nodes/dispatcher.py", "nodes/pool.py",
     "nodes/framed_connection.py", "nodes/outcome.py", "nodes/health.py", "resp/node_connection.py", "common/event_loop.py",
     "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py", "resp/pipeline.py", "resp/client_connection.py", "resp/server.py",
+    "service/__init__.py", "service/discovery.py", "service/discovery_watch.py", "service/gateway_service.py", "service/main.py", "service/signals.py",
+    "service/start_file.py", "service/start_settings.py", "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -31,8 +31,8 @@
 from ochrecourse.nodes import dispatcher
 from ochrecourse.nodes import outcome
 from ochrecourse.nodes.dispatcher import Dispatcher
-from ochrecourse.service.gateway_service import GatewayService
-from ochrecourse.service.start_settings import parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment
+from ochrecourse.service.start_settings import parse_start_settings
 from ochrecourse.resp import codec, node_connection
 from ochrecourse.resp import commands
 from ochrecourse.resp import pipeline
@@ -379,9 +379,16 @@
             "limits": {"sockets": 256}, "settings": SETTINGS, "known": {**self.agent.first, "reset": False},
         }  # fmt: skip
         self.service = GatewayService(
-            parse(told), "none", self.here, 10**18, lambda text: None, lambda: self.over.append(1),
-            self.here.unread_since,
-        )  # fmt: skip
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(
+                self.here,
+                10**18,
+                lambda text: None,
+                lambda: self.over.append(1),
+                self.here.unread_since,
+            ),
+        )
         self.port = self.service.serve()[1]
         self.beat()
         self.network.advance(0.05)
@@ -627,7 +634,7 @@
     def gateway_leaves(self, odds):
         if not odds:
             self.left_at = self.network.now
-            self.world.service.leave()
+            self.world.service.shut_down()
 
     @rule(
         kind=st.sampled_from(list(KINDS)), cell=st.integers(-1, 2), gap=st.sampled_from(GAPS[1:]),
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,13 +7,13 @@
 from ochrecourse.interface import Health, ListKind
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.service.discovery import (
-    KEPT_GONE,
+    MAX_GONE_NAMES,
     MalformedEndpointListError,
     DiscoveredEndpoints,
     LineDecoder,
 )
-from ochrecourse.service.start_file import read
-from ochrecourse.service.start_settings import StartSettingsError, flat, parse
+from ochrecourse.service.start_file import read_start_file
+from ochrecourse.service.start_settings import StartSettingsError, flatten_settings, parse_start_settings
 
 
 def line(name="s-1", state="Ready", port=6379, cell=3, started=0):
@@ -32,7 +32,7 @@
         "Classes": [{"Name": "trip write", "Aim": 300.0, "SerialByKey": True}, {"Name": "b", "Effect": "safe"}],
         "FamilyInfo": {"Writes": [True, False], "TellsElsewhere": False}, "Zones": ["a,b", "c"], "Period": 2,
     }  # fmt: skip
-    assert flat(nested) == {
+    assert flatten_settings(nested) == {
         "Classes.count": "2", "Classes.0.Name": "trip_write", "Classes.0.Aim": "300.0",
         "Classes.0.SerialByKey": "true", "Classes.1.Name": "b", "Classes.1.Effect": "safe",
         "FamilyInfo.Writes": "true,false", "FamilyInfo.TellsElsewhere": "false", "Zones": "a_b,c", "Period": "2",
@@ -59,45 +59,49 @@
         **change,
     }
     with pytest.raises(StartSettingsError, match=text):
-        parse({name: each for name, each in good.items() if each is not ...})
+        parse_start_settings({name: each for name, each in good.items() if each is not ...})
     for data, why in ((b"{", "not JSON"), (b"[" * 100_000, "not JSON")):
         (tmp_path / "start.json").write_bytes(data)
         with pytest.raises(StartSettingsError, match=why):
-            read(str(tmp_path / "start.json"))
+            read_start_file(str(tmp_path / "start.json"))
     with pytest.raises(StartSettingsError, match="can't be read"):
-        read(str(tmp_path / "none.json"))
+        read_start_file(str(tmp_path / "none.json"))
 
 
 def test_list_keeps_numbers_and_times_of_starts_through_all_its_forms():
-    book = DiscoveredEndpoints(["a"], unix_ahead=1000 * SECOND)
-    known = book.take(told(41, line("s-1"), line("s-2", started=1_500_000), reset=True), cached=True)
+    endpoints = DiscoveredEndpoints(["a"], unix_offset_ns=1000 * SECOND)
+    known = endpoints.apply(told(41, line("s-1"), line("s-2", started=1_500_000), reset=True), cached=True)
     assert known.kind is ListKind.CACHED and [each.node for each in known.entries] == [1, 2]
     assert [each.started for each in known.entries] == [0, 500 * SECOND]
-    news = book.take(told(42, line("s-2", "Terminating", port=7000, started=1_500_000)))
+    news = endpoints.apply(told(42, line("s-2", "Terminating", port=7000, started=1_500_000)))
     assert news.kind is ListKind.DELTA and news.entries[0].health is Health.DRAINING
     assert news.entries[0].started == 500 * SECOND and news.addresses == {2: ("10.1.0.18", 7000)}
-    assert book.take(told(43, {"instanceId": "s-2", "lifecycle": "Gone"})).entries[0].health is Health.GONE
-    whole = book.take(told(50, line("s-3"), line("s-2"), reset=True))
+    assert (
+        endpoints.apply(told(43, {"instanceId": "s-2", "lifecycle": "Gone"})).entries[0].health is Health.GONE
+    )
+    whole = endpoints.apply(told(50, line("s-3"), line("s-2"), reset=True))
     assert whole.kind is ListKind.FULL and [each.node for each in whole.entries] == [3, 2]
-    assert book.version == 50 and list(book.listed) == ["s-3", "s-2"]
+    assert endpoints.version == 50 and list(endpoints.entries) == ["s-3", "s-2"]
 
 
 def test_names_of_nodes_that_are_gone_do_not_pile_up():
-    book = DiscoveredEndpoints([], 0)
-    for i in range(3 * KEPT_GONE):
-        book.take(told(2 * i, line(f"s-{i}")))
-        book.take(told(2 * i + 1, line(f"s-{i}", "Gone")))
-    assert len(book.numbers) == len(book.gone) == KEPT_GONE and not book.listed
+    endpoints = DiscoveredEndpoints([], 0)
+    for i in range(3 * MAX_GONE_NAMES):
+        endpoints.apply(told(2 * i, line(f"s-{i}")))
+        endpoints.apply(told(2 * i + 1, line(f"s-{i}", "Gone")))
+    assert (
+        len(endpoints.node_numbers) == len(endpoints.gone_names) == MAX_GONE_NAMES and not endpoints.entries
+    )
 
 
 def test_a_thousand_nodes_of_as_many_zones_that_leave_at_once_come_back_under_their_numbers():
     """Guards against a fleet that returns after an outage as if all of it were new."""
     lines = [{**line(f"s-{i}", cell=i), "zone": f"z{i}"} for i in range(1024)]
-    book = DiscoveredEndpoints([], 0)
-    first = [(entry.node, entry.zone) for entry in book.take(told(1, *lines, reset=True)).entries]
+    endpoints = DiscoveredEndpoints([], 0)
+    first = [(entry.node, entry.zone) for entry in endpoints.apply(told(1, *lines, reset=True)).entries]
     assert len(set(first)) == 1024
-    assert not book.take(told(2, reset=True)).entries and not book.listed
-    assert [(entry.node, entry.zone) for entry in book.take(told(3, *lines)).entries] == first
+    assert not endpoints.apply(told(2, reset=True)).entries and not endpoints.entries
+    assert [(entry.node, entry.zone) for entry in endpoints.apply(told(3, *lines)).entries] == first
 
 
 @pytest.mark.parametrize(
@@ -110,14 +114,14 @@
     ],
 )  # fmt: skip
 def test_line_that_can_not_be_read_changes_nothing(text):
-    book = DiscoveredEndpoints([], 0)
-    book.take(told(7, line()))
+    endpoints = DiscoveredEndpoints([], 0)
+    endpoints.apply(told(7, line()))
     with pytest.raises(MalformedEndpointListError):
-        book.take(LineDecoder(1 << 20).take(text))
-    assert book.version == 7 and list(book.listed) == ["s-1"]
+        endpoints.apply(LineDecoder(1 << 20).decode(text))
+    assert endpoints.version == 7 and list(endpoints.entries) == ["s-1"]
 
 
 def test_zone_that_the_settings_do_not_name_gets_a_number_of_its_own():
-    book = DiscoveredEndpoints(["x"], -5 * MS)
-    entry = book.take(told(1, line(started=1))).entries[0]
+    endpoints = DiscoveredEndpoints(["x"], -5 * MS)
+    entry = endpoints.apply(told(1, line(started=1))).entries[0]
     assert entry.zone == 1 and entry.started == 6 * MS
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -32,7 +32,7 @@
     def __init__(self, folder):
         self.shop = Shop()
         self.path = folder / "config.json"
-        self.shop.service.path = str(self.path)
+        self.shop.service.start_path = str(self.path)
         self.other = ListAgent(listed(self.shop.node_port, version=9))
         port = self.shop.network.listenTCP(0, self.other).getHost().port
         told = {
@@ -58,7 +58,7 @@
     assert not moved.other.asked
     moved.path.write_text(moved.text)
     shop.run(4.0 - late)
-    assert moved.other.asked and shop.service.book.version == 9
+    assert moved.other.asked and shop.service.endpoints.version == 9
     assert [("not taken over" in line, "read again" in line) for line in shop.log] == [
         (True, False),
         (False, True),
@@ -73,7 +73,7 @@
         moved.shop.run(0.1)
     moved.path.write_text(moved.text)
     moved.shop.run(1.0)
-    assert moved.shop.service.book.version == 9 and len(moved.shop.log) == 2
+    assert moved.shop.service.endpoints.version == 9 and len(moved.shop.log) == 2
 
 
 def test_a_file_that_stays_bad_is_given_up_with_one_line_and_a_later_signal_begins_anew(tmp_path):
@@ -110,9 +110,11 @@
 def test_a_bad_file_is_read_a_bounded_number_of_times(tmp_path, monkeypatch):
     moved = Moved(tmp_path)
     moved.path.write_text("{")
-    reads, usual = [], gateway_service.read
+    reads, usual = [], gateway_service.read_start_file
     monkeypatch.setattr(
-        gateway_service, "read", lambda path: (reads.append(moved.shop.network.now), usual(path))[1]
+        gateway_service,
+        "read_start_file",
+        lambda path: (reads.append(moved.shop.network.now), usual(path))[1],
     )
     moved.shop.service.reload()
     moved.shop.run(60.0)
@@ -124,12 +126,12 @@
     moved = Moved(tmp_path)
     shop = moved.shop
     moved.path.write_text("{")
-    shop.service.leave()
+    shop.service.shut_down()
     shop.service.reload()
     shop.run(0.1)
     moved.path.write_text(moved.text)
     shop.run(0.3)
-    assert shop.service.book.version == 9
+    assert shop.service.endpoints.version == 9
     shop.run(10.0)
     assert shop.over == [1]
 
@@ -137,7 +139,7 @@
 def test_a_bad_file_is_not_read_again_after_the_end(tmp_path):
     moved = Moved(tmp_path)
     shop = moved.shop
-    shop.service.leave()
+    shop.service.shut_down()
     shop.run(0.5)
     moved.path.write_text("{")
     shop.service.reload()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,8 +15,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.service.gateway_service import GatewayService, shares
-from ochrecourse.service.start_settings import parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment, share_descriptors
+from ochrecourse.service.start_settings import parse_start_settings
 from ochrecourse.resp import codec
 from ochrecourse.resp.commands import RequestClasses, RespRequest, parse_command
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, good
@@ -92,7 +92,9 @@
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
         self.service = GatewayService(
-            parse(told), "none", self.network, 10**18, self.log.append, lambda: self.over.append(1)
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(self.network, 10**18, self.log.append, lambda: self.over.append(1)),
         )
         self.port = self.service.serve()[1]
         self.network.advance(0.05)
@@ -276,7 +278,7 @@
 
 def test_connections_over_the_cap_take_the_place_of_silent_ones_first():
     shop = Shop(sockets=72)
-    most = shares(72)[0]
+    most = share_descriptors(72)[0]
     usual = shop.client()
     usual.say(PING)
     silent = [shop.client() for _ in range(most - 1)]
@@ -295,7 +297,7 @@
 def test_crowd_that_asked_once_and_stays_does_not_shut_out_those_who_come():
     # Guards against a cap that turned new clients away while connections that had been served held every place.
     shop = Shop(sockets=72)
-    crowd = [shop.client() for _ in range(shares(72)[0])]
+    crowd = [shop.client() for _ in range(share_descriptors(72)[0])]
     for client in crowd:
         client.say(PING)
     shop.run(0.4)
@@ -363,13 +365,13 @@
     for i in range(len(line)):
         shop.agent.watches[0].say(line[i : i + 1])
     shop.run(0.1)
-    assert shop.service.book.version == 6 and not shop.log
+    assert shop.service.endpoints.version == 6 and not shop.log
 
 
 def test_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
     shop = Shop()
     path = tmp_path / "config.json"
-    shop.service.path = str(path)
+    shop.service.start_path = str(path)
     path.write_text("{")
     shop.service.reload()
     assert shop.service.watch.address[1] == shop.agent_port and len(shop.log) == 1
@@ -385,7 +387,7 @@
     path.write_text(json.dumps(told))
     shop.service.reload()
     shop.run(0.5)
-    assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.book.version == 9
+    assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
     assert not shop.agent.watches and len(other.watches) == 1  # the old one ends once the new one spoke
 
 
@@ -395,7 +397,7 @@
     idle.say(PING)
     busy.say(write(1))  # its leg waits until the client gives up
     shop.run(0.1)
-    shop.service.leave()
+    shop.service.shut_down()
     late = shop.client()
     late.say(PING)
     shop.run(0.3)
@@ -483,7 +485,7 @@
 
 def test_descriptors_are_shared_out_within_the_limit():
     for sockets in (256, 384, 1024):
-        clients, nodes = shares(sockets)
+        clients, nodes = share_descriptors(sockets)
         assert clients >= sockets // 3 and nodes >= sockets // 4 and clients + nodes <= sockets - 30
 
 
@@ -491,7 +493,7 @@
     # The kill comes 2.7 s after SIGTERM at the earliest; a client that would wait longer is told before.
     shop = Shop(reply=lambda words: None, **{"Classes.0.Deadline": "2000", "Classes.1.Deadline": "1000"})
     client = shop.client()
-    shop.service.leave()
+    shop.service.shut_down()
     shop.run(1.8)
     client.say(write(1, d=60_000))
     shop.run(0.1)
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -14,8 +14,8 @@
 
 from ochrecourse.interface import MissingSettingError
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.service.gateway_service import GatewayService
-from ochrecourse.service.start_settings import StartSettingsError, parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment
+from ochrecourse.service.start_settings import StartSettingsError, parse_start_settings
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer, good
 
@@ -251,7 +251,11 @@
         }  # fmt: skip
         self.log = []
         dials = LateDials(self.network, set(ports), list(late))
-        self.service = GatewayService(parse(told), "none", dials, 10**18, self.log.append, lambda: None)
+        self.service = GatewayService(
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(dials, 10**18, self.log.append, lambda: None),
+        )
         port = self.service.serve()[1]
         self.clients = {}
         for number, request in enumerate(day["requests"], 1):
@@ -521,7 +525,9 @@
 def begin(changes):
     network = VirtualNetwork(1)
     GatewayService(
-        parse(start_file(changes)), "none", network, 10**18, lambda text: None, lambda: None
+        parse_start_settings(start_file(changes)),
+        "none",
+        ServiceEnvironment(network, 10**18, lambda text: None, lambda: None),
     ).serve()
     network.advance(0.1)
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,7 +11,7 @@
     "import:json",
     "import:twisted.internet.tcp",
     "import:ochrecourse.scheduler.scheduler",
-    "call:read",  # the start file
+    "call:read_start_file",  # the start file
     "call:install_monotonic_reactor",
     "call:GatewayService.__init__",
 ]
@@ -22,8 +22,8 @@
     "call:ReactorBase.mainLoop",
 ]
 LEAVING = [
-    "call:GatewayService.leave", "return:GatewayService.leave", "call:GatewayService._close_door", "call:RespServerFactory.shut_down",
-    "call:GatewayService._empty", "call:GatewayService._end", "call:DiscoveryWatch.stop", "call:ReactorBase.disconnectAll",
+    "call:GatewayService.shut_down", "return:GatewayService.shut_down", "call:GatewayService._stop_listening", "call:RespServerFactory.shut_down",
+    "call:GatewayService._connections_drained", "call:GatewayService._stop", "call:DiscoveryWatch.stop", "call:ReactorBase.disconnectAll",
     "return:ReactorBase.mainLoop", "return:ReactorBase.run", "exit:", "late:",
 ]  # fmt: skip
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -314,21 +314,21 @@
     again = json.dumps(listed(shop.node_port, version=7), indent=indent)
     shop.agent.watches[0].say(f"\n{change}\n\n{again}\n".encode())
     shop.run(0.1)
-    assert shop.service.book.version == 7 and not shop.log and len(shop.agent.asked) == 1
+    assert shop.service.endpoints.version == 7 and not shop.log and len(shop.agent.asked) == 1
 
 
 def test_an_indented_list_that_breaks_off_ends_its_watch_at_the_next_sign_of_life():
     shop = Shop()
     shop.agent.watches[0].say(b'{\n "generation": 6,\n "instances": [\n\n')
     shop.run(0.5)
-    assert len(shop.agent.asked) == 2 and shop.service.book.version == 5 and len(shop.log) == 1
+    assert len(shop.agent.asked) == 2 and shop.service.endpoints.version == 5 and len(shop.log) == 1
 
 
 def test_an_indented_list_is_bounded_before_it_is_whole():
     lines = LineDecoder(100)
-    assert lines.take(b"{") is None
+    assert lines.decode(b"{") is None
     with pytest.raises(MalformedEndpointListError, match="too long"):
-        lines.take(b' "instances": "' + b"x" * 100)
+        lines.decode(b' "instances": "' + b"x" * 100)
 
 
 def test_the_list_of_the_start_file_counts_before_the_first_client(monkeypatch):
@@ -366,7 +366,9 @@
     silent = shop.network.now
     shop.agent.first = listed(shop.node_port, version=9, state="Terminating")
     shop.run(5.3)
-    assert len(shop.agent.asked) == 2 and shop.service.book.version == 9 and shop.network.now - silent < 6
+    assert (
+        len(shop.agent.asked) == 2 and shop.service.endpoints.version == 9 and shop.network.now - silent < 6
+    )
 
 
 def test_after_an_outage_the_list_is_asked_for_at_once():
@@ -378,7 +380,7 @@
     shop.agent.first = listed(shop.node_port, version=9, state="Terminating")
     shop.network.ports[shop.agent_port] = port
     shop.run(0.3)
-    assert shop.service.book.version == 9
+    assert shop.service.endpoints.version == 9
 
 
 # --- one process ---
