--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half"])
-def test_the_end_of_a_slow_reader_whose_answers_pile_up_is_seen(shop, how):
+def test_the_end_of_a_slow_reader_whose_replies_pile_up_is_seen(shop, how):
     long = bytes(range(256)) * 3600
 
     here = shop(lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
@@ -255,7 +255,7 @@
     assert not side.connected and not here.open
 
 
-def test_the_end_of_a_client_that_is_owed_answers_before_its_error_is_seen(shop):
+def test_the_end_of_a_client_with_replies_due_before_its_error_is_seen(shop):
     here = shop(lambda words: None)
     client, side = here.client()
     here.say(client, read(1, d=60_000) + b"nonsense\r\n")
@@ -304,7 +304,7 @@
     assert not here.open and not here.server.connections and not here.server.totals.unanswered_commands
 
 
-def test_what_is_refused_for_want_of_room_is_answered_in_its_turn(shop, monkeypatch):
+def test_what_is_rejected_for_want_of_memory_is_answered_in_its_turn(shop, monkeypatch):
     monkeypatch.setattr(pipeline, "MAX_QUEUED_BYTES", 10 * 31_024)
     here = shop(lambda words: None)
     client, side = here.client()
@@ -347,7 +347,7 @@
     assert not here.server.totals.queued_bytes and here.server.totals.unanswered_commands <= 2
 
 
-def test_a_client_that_reads_nothing_piles_up_no_answers(shop):
+def test_a_client_that_reads_nothing_piles_up_no_replies(shop):
     """Guards against answers without end in the memory of this side."""
     here = shop()
     client, side = here.client(buffer=4096)
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -414,7 +414,7 @@
     assert rig.held_index() == 2 and rig.endpoints.version == 1002 and not rig.log
 
 
-def test_a_change_that_is_told_twice_or_late_is_taken_once():
+def test_a_change_that_is_sent_twice_or_late_is_applied_once():
     endpoints = DiscoveredEndpoints([], 0)
     endpoints.apply(json.loads(line(41, entry("s-1"))), cached=True)
     newer, older = WatchedEndpoints(endpoints), WatchedEndpoints(endpoints)
@@ -439,7 +439,7 @@
             newer.apply(bad, True)
 
 
-def test_a_node_that_came_and_went_beside_a_watch_that_was_asked_before_is_not_kept():
+def test_a_node_that_appeared_and_left_beside_a_watch_that_was_opened_before_is_removed():
     """Guards against a first line that is taken upon a newer list than the one it was asked for."""
     endpoints = DiscoveredEndpoints([], 0)
     endpoints.apply(json.loads(line(41, entry("s-1"))), cached=True)
@@ -732,7 +732,7 @@
     assert rig.held_index() == 0 and len(rig.log) == 1
 
 
-def test_a_spoilt_list_that_comes_again_and_again_is_logged_once_in_a_while():
+def test_a_malformed_list_that_returns_again_and_again_is_logged_once_in_a_period():
     rig = Rig()
     agent, count = rig.agent, iter(range(10_000))
     agent.answers = {
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -49,7 +49,7 @@
         ({"name": ...}, "lacks name"),
     ],
 )
-def test_broken_start_file_is_told_in_one_sentence(change, text, tmp_path):
+def test_broken_start_file_is_reported_in_one_sentence(change, text, tmp_path):
     good = {
         "name": "n",
         "listen": "h:1",
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -85,7 +85,7 @@
         (b"*2\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$65536\r\n", "long_message"),
     ],
 )
-def test_each_breach_of_a_client_is_named_at_the_announced_length(data, code):
+def test_each_protocol_error_of_a_client_is_named_at_the_announced_length(data, code):
     with pytest.raises(RespProtocolError) as raised:
         pulled(CommandParser(), [data])
     assert raised.value.code == code
@@ -104,13 +104,13 @@
         (b"$2\r\nabc\r\n", "bad_end"),
     ],
 )
-def test_each_spoilt_reply_is_named(data, code):
+def test_each_malformed_reply_is_named(data, code):
     with pytest.raises(RespProtocolError) as raised:
         pulled(ReplyParser(), [data])
     assert raised.value.code == code
 
 
-def test_reader_that_rests_holds_no_bytes():
+def test_idle_parser_holds_no_bytes():
     # Guards against connections that rest and keep their last long value.
     for reader, data in (
         (ReplyParser(), codec.encode_bulk_string(b"x" * 300_000)),
@@ -119,7 +119,7 @@
         assert len(pulled(reader, [data])) == 1 and not reader._buffer and not reader.has_partial_message()
 
 
-def test_command_passes_on_with_the_legs_own_time_and_nothing_else_changed():
+def test_command_is_forwarded_with_the_attempts_own_timeout_and_nothing_else_changed():
     for words in (READ, WRITE):
         request = parse_command(words, REQUEST_CLASSES, 5)
         again = pulled(CommandParser(), [request.body.encode(123 * MS + 999_999)])[0]
@@ -150,13 +150,13 @@
         ),
     ],
 )  # fmt: skip
-def test_each_bad_field_is_refused_before_anything_is_taken(words, code):
+def test_each_bad_field_is_a_protocol_error_before_anything_is_submitted(words, code):
     with pytest.raises(RespProtocolError) as raised:
         parse_command(words, REQUEST_CLASSES, 0)
     assert raised.value.code == code
 
 
-def test_answers_of_a_node_and_what_may_be_missing_from_them():
+def test_replies_of_a_node_and_what_may_be_missing_from_them():
     done, value = parse_reply([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
     assert (value, done.size, done.body, done.used, done.elsewhere) == (b"v", 1, 1, 0.37, 4)
     assert done.load == {"inflight": 7.0, "util": 0.61}
@@ -182,7 +182,7 @@
         ErrorReply(b"SYNTAX"),
     ],
 )
-def test_anything_else_from_a_node_is_a_breach(reply):
+def test_anything_else_from_a_node_is_a_protocol_error(reply):
     # A line that only begins like busy proves nothing: taken for it, a leg that ran would be sent again.
     with pytest.raises(RespProtocolError, match=r"neither|an answer is"):
         parse_reply(reply)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -122,7 +122,7 @@
         assert 0 < int(told[1].split(b",")[0]) <= 900 and told[1].endswith(fields[1])
 
 
-def test_the_last_of_a_thousand_plans_and_nodes_is_served():
+def test_the_last_of_a_thousand_tenants_and_nodes_is_served():
     """Guards against a bound on either that a fleet passes."""
     names = {f"Policies.{i}.Name": f"p{i}" for i in range(1024)}
     shop = Shop(**names, **{"Policies.count": "1024"})
@@ -144,7 +144,7 @@
     assert client.got == codec.encode_bulk_string(long) * 2 and len(shop.node.commands) == 2
 
 
-def test_answers_keep_the_order_of_the_commands():
+def test_replies_keep_the_order_of_the_commands():
     shop = Shop(reply=lambda words: None)
     client = shop.client()
     client.say(read(1) + PING + read(2))
@@ -181,7 +181,7 @@
         b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"-BUSY \xff\r\n", b"*9\r\n", b"$4\r\nbare\r\n",
     ],
 )  # fmt: skip
-def test_spoilt_answer_ends_its_leg_and_its_connection_and_reaches_no_client(spoilt):
+def test_malformed_reply_ends_its_attempt_and_its_connection_and_reaches_no_client(spoilt):
     shop = Shop(reply=lambda words: spoilt)
     client = shop.client()
     client.say(read(1) + write(2))
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("pause", [None, 0.0, 0.001])
-def test_what_comes_behind_an_answer_is_nobodys_answer(pause):
+def test_what_arrives_behind_a_reply_is_nobodys_reply(pause):
     shop = Shop()
 
     def reply(words):
@@ -210,7 +210,7 @@
     assert shop.service.gateway.nodes.counts["bytes behind an answer"] == 5
 
 
-def test_leg_on_a_connection_that_ends_may_have_run():
+def test_attempt_on_a_connection_that_ends_may_have_been_executed():
     shop = Shop()
     shop.node.reply = lambda words: shop.node.peers[-1].transport.abortConnection()
     client = shop.client()
@@ -249,7 +249,7 @@
     assert usual.got == b"+PONG\r\n" + value(5)
 
 
-def test_error_comes_behind_the_answers_that_are_owed():
+def test_error_line_stands_behind_the_replies_that_are_due():
     shop = Shop()
     client = shop.client()
     client.say(read(1) + b"nonsense")
@@ -257,7 +257,7 @@
     assert client.got.startswith(value(1) + b"-ERR not_a_command") and client.ended
 
 
-def test_id_of_an_open_job_is_refused_and_free_again_after_its_answer():
+def test_id_of_an_open_request_is_an_error_and_free_again_after_its_reply():
     shop = Shop(reply=lambda words: None)
     first, second = shop.client(), shop.client()
     first.say(read(1))
@@ -309,7 +309,7 @@
     assert sum(client.ended for client in crowd) == 10 and not shop.service.server.counts
 
 
-def test_job_whose_time_ran_out_in_a_standstill_gets_one_error_and_its_connection_goes_on():
+def test_request_whose_deadline_passed_in_a_standstill_gets_one_error_and_its_connection_goes_on():
     """Guards against requests lost with a connection that is closed for one that came late."""
     shop = Shop(reply=lambda words: None)
     client = shop.client()
@@ -325,7 +325,7 @@
     assert client.got.endswith(b"+PONG\r\n")
 
 
-def test_job_leaves_no_cycle_behind():
+def test_request_leaves_no_reference_cycle_behind():
     # Guards against jobs that stay in memory until a collection, which a busy gateway puts off.
     reader = codec.CommandParser()
     reader.feed(read(1))
@@ -489,7 +489,7 @@
         assert clients >= sockets // 3 and nodes >= sockets // 4 and clients + nodes <= sockets - 30
 
 
-def test_jobs_taken_after_the_order_to_leave_have_their_answer_before_the_kill():
+def test_requests_accepted_after_sigterm_have_their_reply_before_the_kill():
     # The kill comes 2.7 s after SIGTERM at the earliest; a client that would wait longer is told before.
     shop = Shop(reply=lambda words: None, **{"Classes.0.Deadline": "2000", "Classes.1.Deadline": "1000"})
     client = shop.client()
