--- a/ochrecourse/resp/client_connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -48,7 +48,7 @@
     def connection_opened(self, connection: RespClientConnection) -> None:
         """A client has connected."""
 
-    def connection_spoke(self, connection: RespClientConnection) -> None:
+    def connection_sent_command(self, connection: RespClientConnection) -> None:
         """The first complete command has arrived."""
 
     def connection_busy(self, connection: RespClientConnection) -> None:
@@ -151,7 +151,7 @@
                 return
             if not self.first_command_received:
                 self.first_command_received = True
-                self.owner.connection_spoke(self)
+                self.owner.connection_sent_command(self)
             self._handle_command(arguments)
         self._continue_reading_next_turn()
 
--- a/ochrecourse/resp/server.py
+++ b/ochrecourse/resp/server.py
@@ -95,7 +95,7 @@
         if in_use > self.eviction_threshold and not self._evict() and in_use > self.max_connections:
             connection.reject()
 
-    def connection_spoke(self, connection: RespClientConnection) -> None:
+    def connection_sent_command(self, connection: RespClientConnection) -> None:
         """The first complete command has arrived."""
         self.silent.pop(connection, None)
 
