--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -20,7 +20,7 @@
 from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent, WriteProgress
 from ochrecourse.resp import codec
 from ochrecourse.resp.node_connection import RespNodeConnection
-from ochrecourse.resp.commands import Kinds, asked
+from ochrecourse.resp.commands import RequestClasses, parse_command
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
@@ -220,9 +220,9 @@
         return connection
 
     def send(self, number, patience=2 * SECOND):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         reader.feed(read(number))
-        body = asked(reader.next(), Kinds(FLAT), 0).body
+        body = parse_command(reader.next(), RequestClasses(FLAT), 0).body
         message = m.SendAttempt(
             id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
             idempotency_window_ms=0.0, timeout_ms=patience / MS, size=0,
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,10 +15,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.service.gateway_service import GatewayService, shares
-from ochrecourse.service.start_settings import parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment, share_descriptors
+from ochrecourse.service.start_settings import parse_start_settings
 from ochrecourse.resp import codec
-from ochrecourse.resp.commands import Asked, Kinds, asked
+from ochrecourse.resp.commands import RequestClasses, RespRequest, parse_command
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, good
 
 FLAT = {
@@ -31,16 +31,18 @@
 
 def read(number, d=900, shard=0, product="read", plan="p0"):
     fields = f"c={product},t={plan},d={d},volume=00000003b4d60021,units=2,shard={shard},hosts=3"
-    return codec.command([b"BLK.READ", b"%016x" % (number + 7), b"%016x" % number, fields.encode()])
+    return codec.encode_command([b"BLK.READ", b"%016x" % (number + 7), b"%016x" % number, fields.encode()])
 
 
 def write(number, body=b"new", d=900):
     fields = f"c=mark,t=p0,d={d},k=5c0f6e1a2b3d4c59,volume=00000003b4d60021,units=2,shard=0,hosts=3"
-    return codec.command([b"BLK.WRITE", b"%016x" % (number + 7), b"%016x" % number, fields.encode(), body])
+    return codec.encode_command(
+        [b"BLK.WRITE", b"%016x" % (number + 7), b"%016x" % number, fields.encode(), body]
+    )
 
 
 def value(number):
-    return codec.bulk(VALUE + b"%016x" % number)
+    return codec.encode_bulk_string(VALUE + b"%016x" % number)
 
 
 def listed(*ports, version=5, state="Ready"):
@@ -90,7 +92,9 @@
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
         self.service = GatewayService(
-            parse(told), "none", self.network, 10**18, self.log.append, lambda: self.over.append(1)
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(self.network, 10**18, self.log.append, lambda: self.over.append(1)),
         )
         self.port = self.service.serve()[1]
         self.network.advance(0.05)
@@ -110,7 +114,7 @@
     assert client.got == b"+PONG\r\n" + value(1) + value(2) and not client.ended
     sent = {words[2]: words for words in shop.node.commands}
     for number, whole in ((1, read(1)), (2, write(2))):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         reader.feed(whole)
         want, got = reader.next(), sent[b"%016x" % number]
         fields, told = want[3].split(b"d=900"), got[3].split(b",d=")
@@ -118,7 +122,7 @@
         assert 0 < int(told[1].split(b",")[0]) <= 900 and told[1].endswith(fields[1])
 
 
-def test_the_last_of_a_thousand_plans_and_nodes_is_served():
+def test_the_last_of_a_thousand_tenants_and_nodes_is_served():
     """Guards against a bound on either that a fleet passes."""
     names = {f"Policies.{i}.Name": f"p{i}" for i in range(1024)}
     shop = Shop(**names, **{"Policies.count": "1024"})
@@ -133,14 +137,14 @@
 def test_values_of_nodes_may_be_longer_than_those_of_clients():
     # Guards against taking a long answer for a spoilt one: nodes send several hundred kB for some reads.
     long = bytes(range(256)) * 1600
-    shop = Shop(reply=lambda words: b"*3\r\n" + codec.bulk(long) + b"$-1\r\n$-1\r\n")
+    shop = Shop(reply=lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client = shop.client()
     client.say(read(1) + read(2))
     shop.run()
-    assert client.got == codec.bulk(long) * 2 and len(shop.node.commands) == 2
+    assert client.got == codec.encode_bulk_string(long) * 2 and len(shop.node.commands) == 2
 
 
-def test_answers_keep_the_order_of_the_commands():
+def test_replies_keep_the_order_of_the_commands():
     shop = Shop(reply=lambda words: None)
     client = shop.client()
     client.say(read(1) + PING + read(2))
@@ -159,12 +163,12 @@
     client = shop.client()
     client.say(b"".join(PING + read(i, d=60_000) for i in range(1, 301)))
     shop.run(20.0)
-    reader, got = codec.Replies(), []
+    reader, got = codec.ReplyParser(), []
     reader.feed(client.got)
     while (one := reader.next()) is not None:
         got.append(one[0])
     values = [each for each in got if isinstance(each, bytes)]
-    assert len(got) == 600 and got[::2] == [codec.Status(b"PONG")] * 300
+    assert len(got) == 600 and got[::2] == [codec.SimpleString(b"PONG")] * 300
     assert (
         values == [VALUE + b"%016x" % i for i in range(1, 301) if VALUE + b"%016x" % i in values] and values
     )
@@ -177,7 +181,7 @@
         b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"-BUSY \xff\r\n", b"*9\r\n", b"$4\r\nbare\r\n",
     ],
 )  # fmt: skip
-def test_spoilt_answer_ends_its_leg_and_its_connection_and_reaches_no_client(spoilt):
+def test_malformed_reply_ends_its_attempt_and_its_connection_and_reaches_no_client(spoilt):
     shop = Shop(reply=lambda words: spoilt)
     client = shop.client()
     client.say(read(1) + write(2))
@@ -188,7 +192,7 @@
 
 
 @pytest.mark.parametrize("pause", [None, 0.0, 0.001])
-def test_what_comes_behind_an_answer_is_nobodys_answer(pause):
+def test_what_arrives_behind_a_reply_is_nobodys_reply(pause):
     shop = Shop()
 
     def reply(words):
@@ -206,7 +210,7 @@
     assert shop.service.gateway.nodes.counts["bytes behind an answer"] == 5
 
 
-def test_leg_on_a_connection_that_ends_may_have_run():
+def test_attempt_on_a_connection_that_ends_may_have_been_executed():
     shop = Shop()
     shop.node.reply = lambda words: shop.node.peers[-1].transport.abortConnection()
     client = shop.client()
@@ -220,8 +224,8 @@
     "long_line": b"*1" + b"1" * 100_000,
     "bad_length": b"*1\r\n$62914560\r\n" + b"x" * 100_000,
     "bad_count": b"*-7\r\n",
-    "unknown_command": codec.command([b"FLUSHALL"]),
-    "bad_arity": codec.command([b"BLK.READ", b"0" * 16]),
+    "unknown_command": codec.encode_command([b"FLUSHALL"]),
+    "bad_arity": codec.encode_command([b"BLK.READ", b"0" * 16]),
     "bad_field": read(1).replace(b"d=900", b"d=xyz"),
     "unknown_product": read(1, product="nope"),
     "unknown_plan": read(1).replace(b"t=p0", b"t=q0"),
@@ -245,7 +249,7 @@
     assert usual.got == b"+PONG\r\n" + value(5)
 
 
-def test_error_comes_behind_the_answers_that_are_owed():
+def test_error_line_stands_behind_the_replies_that_are_due():
     shop = Shop()
     client = shop.client()
     client.say(read(1) + b"nonsense")
@@ -253,7 +257,7 @@
     assert client.got.startswith(value(1) + b"-ERR not_a_command") and client.ended
 
 
-def test_id_of_an_open_job_is_refused_and_free_again_after_its_answer():
+def test_id_of_an_open_request_is_an_error_and_free_again_after_its_reply():
     shop = Shop(reply=lambda words: None)
     first, second = shop.client(), shop.client()
     first.say(read(1))
@@ -263,7 +267,7 @@
     assert second.got.startswith(b"-ERR open_id") and len(shop.node.commands) == 1
     first.transport.loseConnection()
     shop.run(0.1)
-    assert not shop.service.front.open_ids
+    assert not shop.service.server.totals.open_request_ids
     shop.node.reply = good
     shop.run(10.0)  # until the leg that was out is forgotten
     third = shop.client()
@@ -274,7 +278,7 @@
 
 def test_connections_over_the_cap_take_the_place_of_silent_ones_first():
     shop = Shop(sockets=72)
-    most = shares(72)[0]
+    most = share_descriptors(72)[0]
     usual = shop.client()
     usual.say(PING)
     silent = [shop.client() for _ in range(most - 1)]
@@ -287,13 +291,13 @@
     assert [client.got for client in late] == [value(number) for number in range(5)] and not usual.ended
     assert [each.ended for each in silent] == [True] * 5 + [False] * (len(silent) - 5)
     assert silent[0].got.startswith(b"-ERR too_many_connections")
-    assert len(shop.service.front.fronts) <= most
+    assert len(shop.service.server.connections) <= most
 
 
 def test_crowd_that_asked_once_and_stays_does_not_shut_out_those_who_come():
     # Guards against a cap that turned new clients away while connections that had been served held every place.
     shop = Shop(sockets=72)
-    crowd = [shop.client() for _ in range(shares(72)[0])]
+    crowd = [shop.client() for _ in range(share_descriptors(72)[0])]
     for client in crowd:
         client.say(PING)
     shop.run(0.4)
@@ -302,10 +306,10 @@
         client.say(read(number))
         shop.run(0.05)
     assert [client.got for client in late] == [value(number) for number in range(10)]
-    assert sum(client.ended for client in crowd) == 10 and not shop.service.front.counts
+    assert sum(client.ended for client in crowd) == 10 and not shop.service.server.counts
 
 
-def test_job_whose_time_ran_out_in_a_standstill_gets_one_error_and_its_connection_goes_on():
+def test_request_whose_deadline_passed_in_a_standstill_gets_one_error_and_its_connection_goes_on():
     """Guards against requests lost with a connection that is closed for one that came late."""
     shop = Shop(reply=lambda words: None)
     client = shop.client()
@@ -315,24 +319,24 @@
     shop.network.now += 30
     shop.run(0.1)
     assert client.got == b"-ERR failed\r\n" * 2 and not client.ended
-    assert not shop.service.front.open_ids and not shop.service.gateway.request_log.requests
+    assert not shop.service.server.totals.open_request_ids and not shop.service.gateway.request_log.requests
     client.say(b"*1\r\n$4\r\nPING\r\n")
     shop.run(0.1)
     assert client.got.endswith(b"+PONG\r\n")
 
 
-def test_job_leaves_no_cycle_behind():
+def test_request_leaves_no_reference_cycle_behind():
     # Guards against jobs that stay in memory until a collection, which a busy gateway puts off.
-    reader = codec.Commands()
+    reader = codec.CommandParser()
     reader.feed(read(1))
     gc.collect()
     gc.disable()
     try:
-        before = sum(isinstance(each, Asked) for each in gc.get_objects())
-        request = asked(reader.next(), Kinds(FLAT), 0)
-        assert isinstance(request.body, Asked)
+        before = sum(isinstance(each, RespRequest) for each in gc.get_objects())
+        request = parse_command(reader.next(), RequestClasses(FLAT), 0)
+        assert isinstance(request.body, RespRequest)
         del request
-        assert sum(isinstance(each, Asked) for each in gc.get_objects()) == before
+        assert sum(isinstance(each, RespRequest) for each in gc.get_objects()) == before
     finally:
         gc.enable()
 
@@ -361,13 +365,13 @@
     for i in range(len(line)):
         shop.agent.watches[0].say(line[i : i + 1])
     shop.run(0.1)
-    assert shop.service.book.version == 6 and not shop.log
+    assert shop.service.endpoints.version == 6 and not shop.log
 
 
 def test_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
     shop = Shop()
     path = tmp_path / "config.json"
-    shop.service.path = str(path)
+    shop.service.start_path = str(path)
     path.write_text("{")
     shop.service.reload()
     assert shop.service.watch.address[1] == shop.agent_port and len(shop.log) == 1
@@ -383,7 +387,7 @@
     path.write_text(json.dumps(told))
     shop.service.reload()
     shop.run(0.5)
-    assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.book.version == 9
+    assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
     assert not shop.agent.watches and len(other.watches) == 1  # the old one ends once the new one spoke
 
 
@@ -393,7 +397,7 @@
     idle.say(PING)
     busy.say(write(1))  # its leg waits until the client gives up
     shop.run(0.1)
-    shop.service.leave()
+    shop.service.shut_down()
     late = shop.client()
     late.say(PING)
     shop.run(0.3)
@@ -407,7 +411,7 @@
 def test_a_process_serves_reloads_and_ends_in_order_on_real_sockets(tmp_path):
     class Node(socketserver.BaseRequestHandler):
         def handle(self):
-            reader = codec.Commands()
+            reader = codec.CommandParser()
             while data := self.request.recv(4096):
                 reader.feed(data)
                 while (words := reader.next()) is not None:
@@ -481,15 +485,15 @@
 
 def test_descriptors_are_shared_out_within_the_limit():
     for sockets in (256, 384, 1024):
-        clients, nodes = shares(sockets)
+        clients, nodes = share_descriptors(sockets)
         assert clients >= sockets // 3 and nodes >= sockets // 4 and clients + nodes <= sockets - 30
 
 
-def test_jobs_taken_after_the_order_to_leave_have_their_answer_before_the_kill():
+def test_requests_accepted_after_sigterm_have_their_reply_before_the_kill():
     # The kill comes 2.7 s after SIGTERM at the earliest; a client that would wait longer is told before.
     shop = Shop(reply=lambda words: None, **{"Classes.0.Deadline": "2000", "Classes.1.Deadline": "1000"})
     client = shop.client()
-    shop.service.leave()
+    shop.service.shut_down()
     shop.run(1.8)
     client.say(write(1, d=60_000))
     shop.run(0.1)
