--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,9 +7,16 @@
 
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.wire import messages as m
-from ochrecourse.wire.errors import MalformedMessageError, ProtocolViolationError
+from ochrecourse.wire.errors import (
+    LocalProtocolError,
+    MalformedMessageError,
+    ProtocolViolationError,
+    RemoteProtocolError,
+    WireError,
+)
 from ochrecourse.wire.framed_protocol import FramedProtocol
 from ochrecourse.wire.state import (
+    STATE_TEXTS,
     ListConnectionState,
     StreamState,
     Role,
@@ -197,3 +204,34 @@
     assert len(set(names)) == len(names) and all(
         issubclass(each, msgspec.Struct) for each in m.AnyMessage.__args__
     )
+
+
+def test_an_illegal_message_of_this_side_is_not_taken_for_a_peer_s_breach():
+    end = ear()
+    with pytest.raises(LocalProtocolError, match="before hello"):
+        end.send_message(m.RequestRejected(id=1))
+    assert end.failure is None and not end.transport.data
+    end.dataReceived(m.encode(m.CancelRequest(id=1)))
+    assert isinstance(end.failure, RemoteProtocolError) and end.failure.code == "no_hello"
+    assert all(issubclass(each, WireError) for each in (LocalProtocolError, MalformedMessageError))
+
+
+@pytest.mark.parametrize(
+    ("before", "text"),
+    [
+        ([(ASK, asked(1, size=3))], "asked"),
+        ([(ASK, asked(1))], "whole"),
+        ([(ASK, asked(1)), (ASK, m.CancelRequest(id=1))], "left"),
+        ([(ASK, asked(1)), (ANSWER, m.RequestServed(id=1, size=3))], "answering"),
+        (
+            [(ASK, asked(1)), (ANSWER, m.RequestServed(id=1, size=3)), (ASK, m.CancelRequest(id=1))],
+            "left answering",
+        ),
+        ([(ASK, asked(1, size=3)), (ANSWER, m.RequestRejected(id=1))], "refused"),
+    ],
+)
+def test_texts_that_are_sent_to_peers_keep_the_protocol_s_words(before, text):
+    state = opened(client_connection_state(), *before)
+    with pytest.raises(ProtocolViolationError) as told:
+        state.apply(ASK, m.WindowUpdate(id=1, increment_bytes=1))
+    assert str(told.value) == f"credit for 1, which is {text}" and set(STATE_TEXTS) == set(StreamState)
