--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -102,15 +102,15 @@
             self.purger.site = self.settings
 
     def beat(self) -> None:
-        self.purger.turn(self.ms)
+        self.purger.beat_passed(self.ms)
         for _ in range(MOST_WANTS):
-            if (wanted := self.purger.wants(self.ms * MS, {})) is None:
+            if (wanted := self.purger.next_entry(self.ms * MS, {})) is None:
                 break
             channel, value = wanted
             assert isinstance(value, dict)
             self.seq += 1
             entry = Entry(channel, "e", 1, self.seq, Stamp(self.ms, 0), (), msgspec.json.encode(value))
-            self.purger.event(entry, 0)
+            self.purger.entry_received(entry, 0)
             if value["what"] == "edition":
                 self.editions.append((self.ms, self.settings))
                 self.bodies.append(entry.body)
--- a/ochrecourse/fleet/forms.py
+++ b/ochrecourse/fleet/forms.py
@@ -94,25 +94,25 @@
 
     # --- the member's calls (subsystem.Subsystem) ---
 
-    def sight(self, now: int) -> bytes | None:
+    def status(self, now: int) -> bytes | None:
         return msgspec.json.encode(self.speaks)
 
-    def heard(self, name: str, zone: int, told: bytes, now: int) -> None:
+    def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
         """Raises ValueError."""
         whole(_span(told))
 
-    def event(self, entry: Entry, now: int) -> None:
+    def entry_received(self, entry: Entry, now: int) -> None:
         form = form_of(entry)
         if form > self.in_force:
             self.in_force, self.by = form, entry.writer
 
-    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         return None
 
-    def bounds(self, now: int) -> Mapping[int, float]:
+    def node_rates(self, now: int) -> Mapping[int, float]:
         return {}
 
-    def turn(self, now: int) -> None:
+    def beat_passed(self, now: int) -> None:
         pass
 
     def keeps(self, events: Sequence[Entry], upto: Stamp) -> list[Entry]:
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -112,7 +112,7 @@
 
     # --- the member's calls (subsystem.Subsystem) ---
 
-    def sight(self, now: int) -> bytes | None:
+    def status(self, now: int) -> bytes | None:
         # What does not change costs nothing on the way. A clock that is to be confirmed is told at each beat.
         whole = self.purges.whole()
         due = now - self._told_at >= CLOCK_EVERY or whole is not self._told_whole
@@ -123,7 +123,7 @@
             self._told = msgspec.json.encode(sight)
         return self._told
 
-    def heard(self, name: str, zone: int, told: bytes, now: int) -> None:
+    def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
         """Raises ValueError (msgspec.DecodeError)."""
         before = self._heard.get(name)
         news = before is None or before[0] != told
@@ -134,7 +134,7 @@
         self._look()
         self.purges.hear(name, sight.clock if news else None, sight.edges, sight.whole)
 
-    def event(self, entry: Entry, now: int) -> None:
+    def entry_received(self, entry: Entry, now: int) -> None:
         self.purges.event(entry)
         if entry.channel != f"calendar/{self.purges.site}":
             return
@@ -166,7 +166,7 @@
                     tzdata=body.get("tzdata"), differences=len(told), first=told[:NAMED]
                 )  # fmt: skip
 
-    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         self._look()
         wanted: tuple[str, object] | None = self.purges.wants()
         if wanted is not None or self.site is None:
@@ -181,10 +181,10 @@
             return None
         return f"calendar/{self.purges.site}", body
 
-    def bounds(self, now: int) -> Mapping[int, float]:
+    def node_rates(self, now: int) -> Mapping[int, float]:
         return {}
 
-    def turn(self, now: int) -> None:
+    def beat_passed(self, now: int) -> None:
         rows = self.rows()
         edges = self.purges.own.edges if self.purges.own is not None else ()
         for name, row in ((name, rows[name]) for name in edges if name in rows):
--- a/ochrecourse/fleet/subsystem.py
+++ b/ochrecourse/fleet/subsystem.py
@@ -26,22 +26,22 @@
 
     name: str
 
-    def sight(self, now: int) -> bytes | None:
+    def status(self, now: int) -> bytes | None:
         """Its status for the next heartbeat: JSON, or None for nothing."""
 
-    def heard(self, name: str, zone: int, status: bytes, now: int) -> None:
+    def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
         """Another gateway's status was received. Raises ValueError or an error of its own for a bad one."""
 
-    def event(self, entry: Entry, now: int) -> None:
+    def entry_received(self, entry: Entry, now: int) -> None:
         """An entry is new in the log, of any channel; in any order, and possibly more than once."""
 
-    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         """Channel and value of an entry to append; called until None. `reached`: zones by gateway."""
 
-    def bounds(self, now: int) -> Mapping[int, float]:
+    def node_rates(self, now: int) -> Mapping[int, float]:
         """Units a second that this gateway may begin at a node; one that is left out has no limit."""
 
-    def turn(self, now: int) -> None:
+    def beat_passed(self, now: int) -> None:
         """A beat has passed."""
 
 
--- a/ochrecourse/fleet/subsystem_host.py
+++ b/ochrecourse/fleet/subsystem_host.py
@@ -33,15 +33,15 @@
         now = now_ns(self.clock)
         self.subsystems.append(subsystem)
         for entry in events_for(self.log.snapshot(CHANNEL), subsystem):
-            subsystem.event(entry, now)
+            subsystem.entry_received(entry, now)
         for entry in self.log.all_entries():
-            subsystem.event(entry, now)
+            subsystem.entry_received(entry, now)
 
     def entry_received(self, entry: Entry) -> None:
         """An entry is new in the log, or will be in its turn; subsystems accept it more than once."""
         now = now_ns(self.clock)
         for subsystem in self.subsystems:
-            subsystem.event(entry, now)
+            subsystem.entry_received(entry, now)
 
     def snapshot_received(self, snapshot: Snapshot) -> None:
         """A peer's snapshot was applied: subsystems receive the events that it retains for them."""
@@ -50,7 +50,7 @@
         now = now_ns(self.clock)
         for subsystem in self.subsystems:
             for entry in events_for(snapshot, subsystem):
-                subsystem.event(entry, now)
+                subsystem.entry_received(entry, now)
 
     def deliver_statuses(self, heartbeats: Collection[Row], now: int) -> None:
         """Delivers what other gateways report in their heartbeats."""
@@ -62,7 +62,7 @@
 
     def _deliver_status(self, subsystem: Subsystem, heartbeat: Row, status: bytes, now: int) -> None:
         try:
-            subsystem.heard(heartbeat.name, heartbeat.zone, status, now)
+            subsystem.status_received(heartbeat.name, heartbeat.zone, status, now)
         except Exception as error:
             # Guards against a malformed status: what one peer reports may not stop this beat.
             self.peer_errors["bad_sight"] += 1
@@ -74,13 +74,13 @@
     def beat(self, now: int) -> None:
         """A beat has passed."""
         for subsystem in self.subsystems:
-            subsystem.turn(now)
+            subsystem.beat_passed(now)
 
     def append_wanted(self, now: int, zones: Mapping[str, int], try_append: TryAppend) -> None:
         """Appends the entries that subsystems want. `zones`: of the gateways that are reached."""
         for subsystem in self.subsystems:
             for _ in range(MAX_ENTRIES_PER_BEAT):
-                wanted = subsystem.wants(now, zones)
+                wanted = subsystem.next_entry(now, zones)
                 if wanted is None or not try_append(*wanted, False):
                     break
 
@@ -88,7 +88,7 @@
         """What the subsystems report in the next heartbeat, by name."""
         statuses = {}
         for subsystem in self.subsystems:
-            status = subsystem.sight(now)
+            status = subsystem.status(now)
             if status is not None:
                 statuses[subsystem.name] = status
         return statuses
@@ -97,6 +97,6 @@
         """Units a second that may begin at each node: the lowest that a subsystem names."""
         limits: dict[int, float] = {}
         for subsystem in self.subsystems:
-            for node, limit in subsystem.bounds(now).items():
+            for node, limit in subsystem.node_rates(now).items():
                 limits[node] = min(limit, limits.get(node, limit))
         return limits
--- a/ochrecourse/fleet/terms.py
+++ b/ochrecourse/fleet/terms.py
@@ -72,10 +72,10 @@
 
     # --- the part's calls ---
 
-    def sight(self, now: int) -> bytes | None:
+    def status(self, now: int) -> bytes | None:
         return self._told
 
-    def heard(self, name: str, zone: int, told: bytes, now: int) -> None:
+    def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
         """Raises ValueError (msgspec.DecodeError)."""
         if self._heard.get(name) == told or (name not in self.others and len(self.others) >= MOST):
             return
@@ -90,16 +90,16 @@
         if its == self.own != before:
             self.lines.append({"peer": name, "what": "all", "here": "alike", "there": "alike"})
 
-    def event(self, entry: Entry, now: int) -> None:
+    def entry_received(self, entry: Entry, now: int) -> None:
         """Terms are no matter of the log."""
 
-    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         return None
 
-    def bounds(self, now: int) -> Mapping[int, float]:
+    def node_rates(self, now: int) -> Mapping[int, float]:
         return {}
 
-    def turn(self, now: int) -> None:
+    def beat_passed(self, now: int) -> None:
         """Nothing is due with time."""
 
     def report(self) -> dict[str, Any]:
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -91,7 +91,7 @@
         overdue = self.turned >= 0 and now - self.turned > self.beat + LATE
         return self.beat > 0 and (overdue or now < self.late_until)
 
-    def turn(self, now: int) -> None:
+    def beat_passed(self, now: int) -> None:
         self.zones.time_is(now, self.wall_ms())
         if self._late(now) and now >= self.late_until:
             self.late_until = now + self.beat
@@ -109,20 +109,20 @@
                     self.silent.add(at)
                     self.zones.leg_over(leg.node, Ending.TIMEOUT, now - leg.sent, usual, now, story.units)
 
-    def sight(self, now: int) -> bytes | None:
+    def status(self, now: int) -> bytes | None:
         return self.zones.sight(now)
 
-    def heard(self, name: str, zone: int, told: bytes, now: int) -> None:
+    def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
         self.zones.heard(name, zone, told, now)
 
-    def event(self, entry: Entry, now: int) -> None:
+    def entry_received(self, entry: Entry, now: int) -> None:
         self.zones.event(entry, now)
 
-    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         body = self.zones.wants(now, reached)
         return None if body is None else (CHANNEL, body)
 
-    def bounds(self, now: int) -> Mapping[int, float]:
+    def node_rates(self, now: int) -> Mapping[int, float]:
         # Guards against a process that stood still: a loan ends by the wall clock, whoever asks first.
         self.zones.time_is(now, self.wall_ms())
         return self.zones.bounds(now)
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 from ochrecourse.common.runtime import Network
 from ochrecourse.fleet.channel import Snapshot, Told
@@ -17,7 +17,6 @@
 from ochrecourse.fleet.channel_readers import OnEntries
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, MemberGateway, ZonePlacement
-from ochrecourse.fleet.subsystem import Subsystem as Tenant
 from ochrecourse.gateway.gateway import (
     ResponseHandler as Asker,
     BadRequestError as BadRequest,
@@ -66,6 +65,66 @@
         return self.endpoint_list
 
 
+class Tenant(Protocol):
+    """Deprecated form of `fleet.subsystem.Subsystem`, with the method names of this surface."""
+
+    name: str
+
+    def sight(self, now: int) -> bytes | None:
+        """As `Subsystem.status`."""
+
+    def heard(self, name: str, zone: int, status: bytes, now: int) -> None:
+        """As `Subsystem.status_received`."""
+
+    def event(self, entry: Entry, now: int) -> None:
+        """As `Subsystem.entry_received`."""
+
+    def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+        """As `Subsystem.next_entry`."""
+
+    def bounds(self, now: int) -> Mapping[int, float]:
+        """As `Subsystem.node_rates`."""
+
+    def turn(self, now: int) -> None:
+        """As `Subsystem.beat_passed`."""
+
+
+class TenantSubsystem:
+    """A `Tenant` as a subsystem of a fleet member; `name`, `keeps` and `report` are the tenant's."""
+
+    name: str
+
+    def __init__(self, tenant: Tenant) -> None:
+        self._tenant = tenant
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._tenant, name)
+
+    def status(self, now: int) -> bytes | None:
+        """Its status for the next heartbeat."""
+        return self._tenant.sight(now)
+
+    def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
+        """Another gateway's status was received."""
+        self._tenant.heard(name, zone, status, now)
+
+    def entry_received(self, entry: Entry, now: int) -> None:
+        """An entry is new in the log."""
+        self._tenant.event(entry, now)
+
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
+        """Channel and value of an entry to append."""
+        return self._tenant.wants(now, reached)
+
+    def node_rates(self, now: int) -> Mapping[int, float]:
+        """Units a second that this gateway may begin at a node."""
+        return self._tenant.bounds(now)
+
+    def beat_passed(self, now: int) -> None:
+        """A beat has passed."""
+        self._tenant.turn(now)
+
+
 class Part(FleetMember):
     """Deprecated name of `FleetMember`, with the calls of this surface."""
 
@@ -87,8 +146,8 @@
         super().__init__(said, environment, ZonePlacement(zone, zones, cold, names))
 
     def lodge(self, tenant: Tenant) -> None:
-        """Deprecated name of `register`."""
-        self.register(tenant)
+        """Deprecated form of `register`, for a subsystem with the method names of this surface."""
+        self.register(TenantSubsystem(tenant))
 
     def read(self, channel: str, cursor: str = "", most: int = 100) -> tuple[list[Told], str]:
         """As `FleetMember.read`, with the names of this surface."""
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -197,22 +197,22 @@
 
     name = "later"
 
-    def sight(self, now):
+    def status(self, now):
         return b'{"beat": [1, {"x": "\\u00fc"}]}'
 
-    def heard(self, name, zone, told, now):
+    def status_received(self, name, zone, told, now):
         pass
 
-    def wants(self, now, reached):
+    def next_entry(self, now, reached):
         return None
 
-    def bounds(self, now):
+    def node_rates(self, now):
         return {}
 
-    def turn(self, now):
+    def beat_passed(self, now):
         pass
 
-    def event(self, entry, now):
+    def entry_received(self, entry, now):
         pass
 
 
@@ -221,7 +221,7 @@
     fleet.cut("a", "c")
     fleet.parts["a"].register(Later())
     fleet.run(3)
-    assert fleet.parts["c"].members.rows["a"].told["later"] == Later().sight(0)
+    assert fleet.parts["c"].members.rows["a"].told["later"] == Later().status(0)
     event = {"what": "moon", "form": 9, "deep": [[{"x": None}]]}
     for name in "ab":
         fleet.parts[name].append(CHANNEL, event)
@@ -249,7 +249,7 @@
     fleet.run(5)
     heard = []
     later = Later()
-    later.event = lambda each, now: heard.append(each)
+    later.entry_received = lambda each, now: heard.append(each)
     fleet.parts["c"].register(later)
     assert [each for each in heard if b"moon" in each.body] == [entry]
 
@@ -291,7 +291,7 @@
 @pytest.mark.parametrize("body", [{"form": 1}, {"form": 0}, {"form": -2}, {"form": 5000}, {"form": "2"}, {}])
 def test_what_raises_no_form(body):
     of = Forms()
-    of.event(
+    of.entry_received(
         Entry(
             CHANNEL,
             "a",
@@ -314,10 +314,10 @@
     ]
     of, also = Forms(), Forms()
     for each in events:
-        of.event(each, 0)
+        of.entry_received(each, 0)
     kept = of.keeps(events, Stamp(9, 0))
     assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Stamp(9, 0)) == kept
-    also.event(kept[0], 0)
+    also.entry_received(kept[0], 0)
     assert of.in_force == also.in_force == max(raised)
 
 
@@ -460,7 +460,7 @@
     "raised without asking who counts": (Forms, "why_not", lambda of, form, counting, rows: ""),
     "sent in the form in force to whoever": (Forms, "sends", lambda of, theirs: of.in_force),
     "the form of the last event that came": (
-        Forms, "event", lambda of, entry, now: setattr(of, "in_force", forms.form_of(entry) or of.in_force)
+        Forms, "entry_received", lambda of, entry, now: setattr(of, "in_force", forms.form_of(entry) or of.in_force)
     ),
     "a journal that stays as it was": (LogState, "update_journal_form", lambda state: None),
 }  # fmt: skip
@@ -476,7 +476,7 @@
         def check():
             of = Forms()
             for each in (high, low):
-                of.event(each, 0)
+                of.entry_received(each, 0)
             assert of.in_force == 3
     elif which == "sent in the form in force to whoever":
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -158,8 +158,8 @@
 
 
 def meet(one, other):
-    one.heard("other", 0, other.sight(0), 0)
-    other.heard("one", 0, one.sight(0), 0)
+    one.status_received("other", 0, other.status(0), 0)
+    other.status_received("one", 0, one.status(0), 0)
 
 
 def test_both_sides_name_each_difference_once_and_say_when_it_is_over():
@@ -188,7 +188,7 @@
 def test_a_thousand_zones_are_told_as_one_digest_that_tells_their_order():
     names = [f"zone-{i}-of-a-large-fleet" for i in range(1024)]
     one, other = terms(zones=names), terms(zones=names[::-1])
-    assert len(one.sight(0)) < 200
+    assert len(one.status(0)) < 200
     meet(one, other)
     assert one.strangers() == {"other"}
     meet(one, terms(zones=names))
@@ -200,7 +200,7 @@
 )
 def test_terms_that_are_none_are_turned_away(told):
     with pytest.raises(ValueError):
-        terms().heard("x", 0, told, 0)
+        terms().status_received("x", 0, told, 0)
 
 
 def test_evidence_and_decisions_of_one_who_means_another_zone_are_not_taken():
@@ -259,17 +259,17 @@
 def test_what_timed_out_while_the_loop_was_late_is_no_evidence(ending, gap, counts):
     for first in (False, True):  # the leg's timer ran before the beat, or after it
         watch = watched()
-        watch.turn(SECOND)
+        watch.beat_passed(SECOND)
         now = SECOND + gap * MS
         if not first:
-            watch.turn(now)
+            watch.beat_passed(now)
         seen = ends(watch, ending, SECOND, now)
         assert (seen.run if seen else 0) == counts
 
 
 def test_an_answer_or_a_reset_counts_however_late_the_loop_is():
     watch = watched()
-    watch.turn(SECOND)
+    watch.beat_passed(SECOND)
     assert ends(watch, Ending.SERVED, SECOND, 2 * SECOND).run == 0
     assert ends(watch, Ending.RESET, SECOND, 2 * SECOND, number=2).run == 1
 
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -435,6 +435,33 @@
 
     name = "counting"
 
+    def __init__(self, wants=()):
+        self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
+
+    def status(self, now):
+        return b'{"turns":%d}' % self.turns
+
+    def status_received(self, name, zone, told, now):
+        self.told[name] = json.loads(told)["turns"]
+
+    def entry_received(self, entry, now):
+        self.events.append(entry.body)
+
+    def next_entry(self, now, reached):
+        return self.wanted.pop(0) if self.wanted else None
+
+    def node_rates(self, now):
+        return self.nodes
+
+    def beat_passed(self, now):
+        self.turns += 1
+
+
+class CountingTenant:
+    """The same with the method names of library surface 1, and the two that a tenant need not have."""
+
+    name = "counting"
+
     def __init__(self, wants=()):
         self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
 
@@ -456,6 +483,12 @@
     def turn(self, now):
         self.turns += 1
 
+    def keeps(self, events, upto):
+        return [each for each in events if b"counted" in each.body]
+
+    def report(self):
+        return {"turns": self.turns}
+
 
 def test_subsystems_receive_each_others_statuses_append_entries_and_limit_nodes(make_fleet):
     fleet = make_fleet("ab")
@@ -472,7 +505,7 @@
     late.name = "late"
     fleet.parts["b"].register(late)
     assert sorted(late.events) == sorted(subsystems["b"].events)
-    subsystems["b"].sight = lambda now: b"not json"
+    subsystems["b"].status = lambda now: b"not json"
     fleet.run(1)
     assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
 
@@ -484,7 +517,7 @@
         say=lambda event, **more: lines.append(event), zone=1, zones=2, cold=0, names=("x", "y"),
     )  # fmt: skip
     part.start(where="127.0.0.1:20000")
-    tenant: library.Tenant = CountingSubsystem([("c", 1)])
+    tenant: library.Tenant = CountingTenant([("c", 1)])
     part.lodge(tenant)
     part.follow("c", "", told=lambda told, cursor: got.extend(told))
     network.advance(3)
@@ -493,6 +526,27 @@
     part.stop()
 
 
+def test_a_tenant_with_the_method_names_of_the_librarys_surface_is_called_as_a_subsystem_is(make_fleet):
+    fleet = make_fleet("ab", log={**SAID["log"], "channel": 20_000.0})
+    tenants = {name: CountingTenant([("c", name)]) for name in "ab"}
+    for name, tenant in tenants.items():
+        fleet.parts[name].register(library.TenantSubsystem(tenant))
+    fleet.run(3)
+    assert tenants["a"].told["b"] >= tenants["b"].turns - 2 > 5
+    assert sorted(e for e in tenants["a"].events if e in (b'"a"', b'"b"')) == [b'"a"', b'"b"']
+    tenants["a"].nodes = {7: 2.5}
+    fleet.run(1)
+    assert fleet.parts["a"].gateway.bounds == [{7: 2.5}]
+    assert fleet.parts["a"].report()["counting"] == {"turns": tenants["a"].turns}
+    for number in range(60):
+        fleet.parts["a"].append("fleet", {"what": "counted", "number": number})
+    fleet.run(130)  # over two whole minutes, in which channel `fleet` is compacted
+    assert len(json.loads(fleet.parts["b"].log.snapshot("fleet").value)["counting"]) == 60
+    tenants["b"].sight = lambda now: b"not json"
+    fleet.run(1)
+    assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
+
+
 def test_decisions_that_others_replaced_go_and_a_lost_disk_still_knows_what_stands(make_fleet):
     zones = {"window": 2000.0}
     fleet = make_fleet("abc", zones=zones, log={**SAID["log"], "channel": 20_000.0})
@@ -534,10 +588,10 @@
         leg(job, 1, now, now + 30 * MS)
     assert watch.pace[0] == 30 * MS
     leg(20, 2, now)
-    watch.turn(now + 200 * MS)
+    watch.beat_passed(now + 200 * MS)
     assert 2 not in zones.own.nodes  # four times its usual time, but a pause of one process is as long
     for beat in range(3):
-        watch.turn(now + 300 * MS + beat * 250 * MS)
+        watch.beat_passed(now + 300 * MS + beat * 250 * MS)
     assert zones.own.nodes[2].run == 1
     watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
     assert zones.own.nodes[2].run == 1  # the same leg, counted already
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -125,7 +125,7 @@
         self.purger.copies = self.copies
         self.out = {}
         for entry in sorted(self.entries.values(), key=lambda each: each.place):
-            self.purger.event(entry, 0)
+            self.purger.entry_received(entry, 0)
 
     def lose_disk(self):
         """Starts anew with nothing; what nobody else holds, and nothing on its way, was never written."""
@@ -157,7 +157,7 @@
         if key not in self.entries:
             self.entries[key] = entry
             self.clock = max(self.clock, entry.at)
-            self.purger.event(entry, 0)
+            self.purger.entry_received(entry, 0)
 
     def beat(self):
         """What the part does at each beat."""
@@ -169,11 +169,11 @@
                 self.rows[row.name].beat,
             ):
                 self.rows[row.name] = row
-                self.purger.heard(row.name, 0, told, 0)
+                self.purger.status_received(row.name, 0, told, 0)
         self.inbox.clear()
-        self.purger.turn(0)
+        self.purger.beat_passed(0)
         for _ in range(64):
-            wanted = self.purger.wants(0, {})
+            wanted = self.purger.next_entry(0, {})
             if wanted is None:
                 break
             self.append(*wanted)
@@ -182,7 +182,7 @@
         self.clock = max(self.clock, Stamp(self.wall(), 0))
         self.rows[self.name] = Row(
             self.name, self.life, self.world.beats, 0, self.seq, b"", self.clock, Stamp(0, 0), (),
-            {"purges": self.purger.sight(self.world.true * MS)},
+            {"purges": self.purger.status(self.world.true * MS)},
         )  # fmt: skip
 
     def told(self):
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -55,8 +55,7 @@
     "fleet/member_zones.py": ["leg", "legs"],
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
     "fleet/peer_links.py": ["life", "came", "cut"],
-    "fleet/subsystem.py": ["sight"],
-    "fleet/subsystem_host.py": ["sight", "told"],
+    "fleet/subsystem_host.py": ["told"],
 }
 
 
