--- a/ochrecourse/fleet/zones.py
+++ b/ochrecourse/fleet/zones.py
@@ -19,7 +19,14 @@
 from ochrecourse.fleet.entries import Entry
 from ochrecourse.fleet.evidence import SAMPLE, Own, Sight, View, read, weigh
 from ochrecourse.fleet.needs import Needs, borrower, named
-from ochrecourse.fleet.standing import CHANNEL, UNSAID, WORDS, Decision, Standing, Standings
+from ochrecourse.fleet.zone_state import (
+    CHANNEL,
+    NO_DECISION,
+    STATE_WORDS,
+    ZoneDecision,
+    ZoneState,
+    ZoneDecisions,
+)
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -76,7 +83,7 @@
     fall: int = 0
     failing: int = 0
     untried: int = 0
-    due: Standing | None = None  # what is to be said, if this gateway has to
+    due: ZoneState | None = None  # what is to be said, if this gateway has to
     due_at: int = 0
     said: tuple[int, int] = (0, 0)  # the last number that this gateway said, and when
 
@@ -94,7 +101,7 @@
         self.figure = {key: value if key in _PLAIN else value * MS for key, value in said.items()}
         self.name, self.own_zone, self.gateways = name, own_zone, max(1, gateways)
         self.own = Own(int(self.figure["window"]), int(self.figure["life"]), self.figure["slow"])
-        self.standings = Standings(zones, names)
+        self.standings = ZoneDecisions(zones, names)
         self.strangers: Those[str] = frozenset()  # gateways that mean other zones
         self.allot = Allot(name, self.gateways, int(said["lend"]), int(said["clock_bound"]))
         self.sights: dict[str, tuple[int, int, Sight]] = {}  # by gateway: when heard, its zone, what it told
@@ -123,7 +130,7 @@
 
     def nodes_are(self, entries: Mapping[int, tuple[int, int, bool, int]], now: int) -> None:
         """The whole list: by node its zone, shard, whether it is ready, and until when it is cold."""
-        zones = self.standings.zones
+        zones = self.standings.zone_count
         self.own.drop(self.nodes.keys() - entries.keys())
         self.lived = {node: at for node, at in self.lived.items() if node in entries}
         self.nodes = {node: each for node, each in entries.items() if 0 <= each[0] < zones}
@@ -181,11 +188,11 @@
             return
         if kind == "lend":
             self.allot.event(entry)
-        elif (zone := self.standings.event(entry)) is not None:
+        elif (zone := self.standings.apply(entry)) is not None:
             self.bounded = None
             before, came = self.since.get(zone, _Since()), max(now, self.looked, 0)
             self.since[zone] = _Since(came=came, warm=self._warm_at(zone), said=before.said)
-            if self.standings.of(zone).standing is Standing.DOUBT:
+            if self.standings.of(zone).state is ZoneState.SUSPECT:
                 self.since[zone].silent, self.since[zone].sole = before.silent, before.sole
                 self.since[zone].hollow = before.hollow
 
@@ -205,7 +212,7 @@
             each.node for at, _, sight in self.sights.values() if now - at <= STALE for each in sight.nodes
             if each.run
         }  # fmt: skip
-        troubled = {zone for zone, each in self.standings.held.items() if each.standing is not Standing.IN}
+        troubled = {zone for zone, each in self.standings.by_zone.items() if each.state is not ZoneState.IN}
         hungry = [zone for zone in self._bounded_zones() if self._hungry(zone, now)]
         sight = self.own.sight(self.zone_of, troubled, accused & self.zone_of.keys(), hungry, now)
         short = {
@@ -265,11 +272,11 @@
             self.whole.bad += begun - fulfilled - busy
             self.whole.slow += slow + busy
         for zone in self.views.keys() | {
-            zone for zone, each in self.standings.held.items() if each.standing is not Standing.IN
+            zone for zone, each in self.standings.by_zone.items() if each.state is not ZoneState.IN
         }:
             self._watch(zone, self.views.get(zone) or View(len(self.ready.get(zone, ()))), past, now)
         for zone in self.since.keys() - self.views.keys():
-            if self.standings.of(zone).standing is Standing.IN:
+            if self.standings.of(zone).state is ZoneState.IN:
                 since = self.since[zone]
                 since.suspect, since.due = 0, None
                 since.silent = max(0, since.silent - past // FORGET)
@@ -291,7 +298,7 @@
         since.calm = 0 if view.suspect or view.hollow else since.calm + past
         if view.begun:
             since.untried = 0
-            most = 1 if held.standing is Standing.LEFT else 3
+            most = 1 if held.state is ZoneState.EVACUATED else 3
             fine = view.good >= min(2, view.ready) and view.good >= most * view.bad
             # Guards against nodes that answer what is small, as probes may be, and lose the rest.
             fine = fine and view.served >= view.lost
@@ -328,46 +335,46 @@
             return True, False
         return False, all(zone == home for zone in view.tellers.values())
 
-    def _due(self, zone: int, view: View, since: _Since, held: Decision, now: int) -> Standing | None:
-        if held.hand and held.standing is not Standing.IN:
+    def _due(self, zone: int, view: View, since: _Since, held: ZoneDecision, now: int) -> ZoneState | None:
+        if held.by_operator and held.state is not ZoneState.IN:
             return None
-        if held.standing is not Standing.IN and not self.ready.get(zone):
+        if held.state is not ZoneState.IN and not self.ready.get(zone):
             return None  # a list without its nodes sees nothing of it: those decide whose lists have some
         # Guards against a zone that half answers, where few legs tell that nothing does.
         gone = (since.silent >= self._lasts(view) or since.sole >= self.figure["sole"]) and (
             view.bad >= 2 * view.good
         )
-        if held.standing is Standing.IN:
+        if held.state is ZoneState.IN:
             if since.suspect >= self.figure["doubt"] or since.hollow >= self.figure["silence"]:
-                return Standing.DOUBT
-        elif held.standing is Standing.DOUBT:
+                return ZoneState.SUSPECT
+        elif held.state is ZoneState.SUSPECT:
             # It answers, so leaving it earns more only where the others can bear what it loses.
             hollow = since.hollow >= self.figure["sole"] and self._bearable(view) > HOLLOW_BORNE
             if (gone or hollow) and self._may_leave(zone, view):
-                return Standing.LEFT
-            if since.calm >= max(self.figure["clear"], held.clear * MS):
-                return Standing.IN
-        elif held.standing is Standing.LEFT:
-            rested = now - since.came >= held.rest * MS
+                return ZoneState.EVACUATED
+            if since.calm >= max(self.figure["clear"], held.clear_ms * MS):
+                return ZoneState.IN
+        elif held.state is ZoneState.EVACUATED:
+            rested = now - since.came >= held.rest_ms * MS
             tried = since.well >= self.figure["well"]
             # Where nobody has work for it, nobody would ever learn that it is back.
-            if self.ready.get(zone) and rested and (tried or since.untried >= held.rest * MS):
-                return Standing.RETURNING
+            if self.ready.get(zone) and rested and (tried or since.untried >= held.rest_ms * MS):
+                return ZoneState.SLOW_START
         else:
             # At the gentlest pace still losing more than it serves: it was no return.
-            worse = held.part <= self._first() and since.worse >= self.figure["step"]
+            worse = held.fraction <= self._first() and since.worse >= self.figure["step"]
             if (since.fall >= self.figure["doubt"] or worse) and self._may_leave(zone, view):
-                return Standing.LEFT
-            if since.failing >= self.figure["step"] / 2 and held.part > self._first():
-                return Standing.RETURNING
-            held_for = self.figure["hold"] if held.part >= 1 else self.figure["step"]
+                return ZoneState.EVACUATED
+            if since.failing >= self.figure["step"] / 2 and held.fraction > self._first():
+                return ZoneState.SLOW_START
+            held_for = self.figure["hold"] if held.fraction >= 1 else self.figure["step"]
             if since.well >= held_for or since.untried >= 2 * held_for:
-                if held.part < 1:
-                    return Standing.RETURNING
+                if held.fraction < 1:
+                    return ZoneState.SLOW_START
                 # Guards against bounds that end while nodes are cold: each gateway's own limit, which grows
                 # with what is answered there, is then all that holds the sum. Nodes that start only during
                 # the full pace do not hold it up.
-                return Standing.IN if now >= since.warm else None
+                return ZoneState.IN if now >= since.warm else None
         return None
 
     def _warm_at(self, zone: int) -> int:
@@ -381,7 +388,7 @@
         """Never the last zone that is in; a second one only if it is wholly silent, and never if what then
         remains is too small a part of the fleet's nodes."""
         others = [each for each in self.ready if each != zone]
-        firm = [each for each in others if self.standings.of(each).standing is Standing.IN]
+        firm = [each for each in others if self.standings.of(each).state is ZoneState.IN]
         remain = sum(len(self.ready[each]) for each in firm)
         if not firm or remain < self.figure["remain"] * sum(map(len, self.ready.values())):
             return False
@@ -401,33 +408,33 @@
 
     # --- the words of a decision ---
 
-    def _body(self, zone: int, standing: Standing, number: int, now: int) -> dict[str, object]:
+    def _body(self, zone: int, standing: ZoneState, number: int, now: int) -> dict[str, object]:
         held, since, view = self.standings.of(zone), self.since[zone], self.views.get(zone) or View()
-        rest, clear, part = float(held.rest), float(held.clear), 1.0
-        if held.standing is Standing.IN:
+        rest, clear, part = float(held.rest_ms), float(held.clear_ms), 1.0
+        if held.state is ZoneState.IN:
             eased = 0.5 ** ((now - since.came) / self.figure["ease"])
             rest, clear = rest * eased, clear * eased
-            if standing is Standing.DOUBT:
+            if standing is ZoneState.SUSPECT:
                 least = self.figure["clear"] / MS
                 clear = min(self.figure["longest_clear"] / MS, max(least, 2 * clear))
-        if standing is Standing.LEFT:
+        if standing is ZoneState.EVACUATED:
             # A return that no probe spoke for was no return: the zone was left all along.
-            further = 1 if held.blind and held.part <= self._first() else 2
+            further = 1 if held.unprobed and held.fraction <= self._first() else 2
             least = self.figure["rest"] / MS
             rest = min(self.figure["longest_rest"] / MS, max(least, further * rest))
             part = self._bearable(view)
-        elif standing is Standing.RETURNING:
+        elif standing is ZoneState.SLOW_START:
             part = self._pace(held, since)
-        blind = standing is Standing.RETURNING and since.well < self.figure["well"]
-        blind = blind and (held.blind or held.standing is Standing.LEFT)
+        blind = standing is ZoneState.SLOW_START and since.well < self.figure["well"]
+        blind = blind and (held.unprobed or held.state is ZoneState.EVACUATED)
         return {
-            "what": "zone", "zone": zone, "standing": WORDS[standing], "number": number,
+            "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": number,
             "part": round(part, 4), "rest": round(rest), "clear": round(clear), "blind": blind,
             "evidence": view.evidence(), **self._named(zone),
         }  # fmt: skip
 
     def _named(self, zone: int) -> dict[str, str]:
-        return {"name": self.standings.names[zone]} if self.standings.names else {}
+        return {"name": self.standings.zone_names[zone]} if self.standings.zone_names else {}
 
     def _bearable(self, view: View) -> float:
         """Of a zone's load, what the others can take: less by the part of their own legs that are late,
@@ -439,32 +446,32 @@
     def _first(self) -> float:
         return min(1.0, max(self.figure["first"], self.figure["cold"] / self.figure["full"]))
 
-    def _pace(self, held: Decision, since: _Since) -> float:
+    def _pace(self, held: ZoneDecision, since: _Since) -> float:
         first = self._first()
-        if held.standing is not Standing.RETURNING:
+        if held.state is not ZoneState.SLOW_START:
             return first
         back = since.failing >= self.figure["step"] / 2
-        return max(first, held.part / 2) if back else min(1.0, held.part * 2)
+        return max(first, held.fraction / 2) if back else min(1.0, held.fraction * 2)
 
     # --- what may begin ---
 
-    def standing(self, zone: int) -> tuple[Standing, int]:
+    def standing(self, zone: int) -> tuple[ZoneState, int]:
         """What stands for it and the number of that decision. Where all zones with nodes are left, as after
         two sides each left the other's, one of them is only in doubt."""
         held = self.standings.of(zone)
         self._bounded_zones()
-        if held.standing is Standing.LEFT and zone == self.kept:
-            return Standing.DOUBT, held.number
-        return held.standing, held.number
+        if held.state is ZoneState.EVACUATED and zone == self.kept:
+            return ZoneState.SUSPECT, held.number
+        return held.state, held.number
 
     def _bounded_zones(self) -> set[int]:
         if self.bounded is not None:
             return self.bounded
         self.elsewhere = None
-        self.kept = self.standings.kept(self.ready)
+        self.kept = self.standings.exempt_zone(self.ready)
         said = {
-            zone for zone, each in self.standings.held.items()
-            if each.standing in (Standing.LEFT, Standing.RETURNING) and zone != self.kept
+            zone for zone, each in self.standings.by_zone.items()
+            if each.state in (ZoneState.EVACUATED, ZoneState.SLOW_START) and zone != self.kept
         }  # fmt: skip
         # Guards against bounds everywhere: what this side finds alone never takes its last zone.
         self.bounded = said | self.alone if self.ready.keys() - said - self.alone else said
@@ -473,29 +480,29 @@
     def _limit(self, zone: int, node: int, now: int) -> float:
         """Units a second that the whole fleet may begin at a node of a left or returning zone."""
         held, cold = self.standings.of(zone), self.figure["cold"]
-        if held.standing is Standing.RETURNING and zone not in self.alone:
-            limit = self.figure["full"] * held.part
+        if held.state is ZoneState.SLOW_START and zone not in self.alone:
+            limit = self.figure["full"] * held.fraction
             return min(limit, cold) if self.nodes[node][3] > now else limit
         view, limit = self.views.get(zone), min(cold, self.figure["probes"])
-        if held.standing is not Standing.LEFT:
+        if held.state is not ZoneState.EVACUATED:
             return limit
         if not self._only(node):
             if self._resting(zone, now) or node not in self._tried(zone):
                 limit = 0.0  # no answer of it is needed, so nobody's job need pay for one
-        elif not held.hand and now - self.lived.get(node, -STALE) < self.figure["window"]:
+        elif not held.by_operator and now - self.lived.get(node, -STALE) < self.figure["window"]:
             limit = cold  # it answers: what nobody else holds need not wait until the zone returns
-        if held.part < 1 and view is not None and view.alive:
+        if held.fraction < 1 and view is not None and view.alive:
             # What the others can't take stays where some of it is still served.
-            limit = max(limit, min(cold, (1 - held.part) * self.figure["full"]))
+            limit = max(limit, min(cold, (1 - held.fraction) * self.figure["full"]))
         return limit
 
     def _resting(self, zone: int, now: int) -> bool:
         """Whether a left zone is not yet due to be tried: until its probes can be answered as its rest ends,
         or for as long as a person left it."""
         held, since = self.standings.of(zone), self.since.get(zone)
-        if held.standing is not Standing.LEFT or since is None or zone in self.alone:
+        if held.state is not ZoneState.EVACUATED or since is None or zone in self.alone:
             return False
-        return held.hand or now - since.came < held.rest * MS - self.figure["window"]
+        return held.by_operator or now - since.came < held.rest_ms * MS - self.figure["window"]
 
     def _tried(self, zone: int) -> set[int]:
         """The nodes of a left zone whose answers tell that it is back: some of them, then the others."""
@@ -540,8 +547,8 @@
     def _begins(self, node: int, rate: float, now: int) -> float:
         """A rate that lets less than a job begin at once, from a moment within one job's time on."""
         zone, only = self.zone_of[node], self._only(node)
-        standing, job = self.standings.of(zone).standing, self.needs.largest if only else 1.0
-        rush = only or standing is Standing.LEFT
+        standing, job = self.standings.of(zone).state, self.needs.largest if only else 1.0
+        rush = only or standing is ZoneState.EVACUATED
         if rate * AT_ONCE >= job * SECOND or zone in self.alone or not rush:
             return rate  # work with a choice does not wait for a node, so no more comes than is due
         # Guards against a rush: where each gateway has far less than a job a second, the first ones of all
@@ -567,9 +574,9 @@
         """Its parts of nodes that its own jobs have no use for, to those who need more there, each node's to
         one: from when a left zone answers probes, so that loans are in force when it returns."""
         for zone in sorted(self._bounded_zones() - self.alone):
-            view, standing = self.views.get(zone), self.standings.of(zone).standing
+            view, standing = self.views.get(zone), self.standings.of(zone).state
             answers = view is not None and view.good and view.good >= view.bad
-            if standing is Standing.LEFT and (not answers or self._resting(zone, now)):
+            if standing is ZoneState.EVACUATED and (not answers or self._resting(zone, now)):
                 continue
             needs = self._needs_of_others(zone, order)
             keeps = self.figure["cold"] * (1 - LENDABLE) / self.gateways
@@ -603,12 +610,12 @@
     def report(self) -> dict[str, object]:
         """By zone whose standing was ever said: what stands, and what was last seen of it."""
         said = {}
-        for zone, held in sorted(self.standings.held.items()):
+        for zone, held in sorted(self.standings.by_zone.items()):
             standing, number = self.standing(zone)
             view = self.views.get(zone)
             said[str(zone)] = {
-                "standing": WORDS[standing], "number": number, "part": held.part, "rest_ms": held.rest,
-                "hand": held.hand, "seen": view.evidence() if view else None,
+                "standing": STATE_WORDS[standing], "number": number, "part": held.fraction,
+                "rest_ms": held.rest_ms, "hand": held.by_operator, "seen": view.evidence() if view else None,
             }  # fmt: skip
         return {"zones": said, "spared": sorted(self.alone), "reached": len(self.reached)}
 
@@ -625,10 +632,12 @@
     what: str = ""
 
 
-def order(zone: int, standing: Standing, held: Decision = UNSAID, name: str = "") -> dict[str, object]:
+def order(
+    zone: int, standing: ZoneState, held: ZoneDecision = NO_DECISION, name: str = ""
+) -> dict[str, object]:
     """The body of an entry by which a person says what stands. What is left by hand stays left until a
     person takes it back. `name`: the zone's, if it is known."""
     return {
-        "what": "zone", "zone": zone, "standing": WORDS[standing], "number": held.number + 1, "hand": True,
-        "rest": held.rest, "evidence": {"witnesses": 0}, **({"name": name} if name else {}),
+        "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": held.number + 1,
+        "hand": True, "rest": held.rest_ms, "evidence": {"witnesses": 0}, **({"name": name} if name else {}),
     }  # fmt: skip
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.standing import CHANNEL, WORDS, Standing, Standings, name_of
+from ochrecourse.fleet.zone_state import CHANNEL, STATE_WORDS, ZoneState, ZoneDecisions, zone_name_of
 from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.common.request_records import RequestRecord, AttemptRecord
 from ochrecourse.interface import Ending, Health, NodeEntry
@@ -132,29 +132,29 @@
         that may still be in use. Depends on nothing but the events and `upto`."""
         loans: list[Entry] = []
         # By name too: gateways whose settings differ hold the same events, and each keeps what others mean.
-        standings: dict[str, Standings] = {}
+        standings: dict[str, ZoneDecisions] = {}
         latest: dict[tuple[int, str], Entry] = {}
         for entry in events:
             if (until := loan_until(entry)) is not None:
                 if until + OVER_MS > upto.ms:
                     loans.append(entry)
                 continue
-            name = name_of(entry.body)
-            of = standings.setdefault(name, Standings(self.zones.standings.zones))
-            if (zone := of.event(entry)) is not None:
+            name = zone_name_of(entry.body)
+            of = standings.setdefault(name, ZoneDecisions(self.zones.standings.zone_count))
+            if (zone := of.apply(entry)) is not None:
                 latest[zone, name] = entry
         return [*(latest[at] for at in sorted(latest)), *loans]
 
     def changes(self) -> list[dict[str, object]]:
         """What people were not yet told: zones whose standing changed, and who said so."""
         told: list[dict[str, object]] = []
-        for zone, held in sorted(self.zones.standings.held.items()):
+        for zone, held in sorted(self.zones.standings.by_zone.items()):
             standing, number = self.zones.standing(zone)
-            if self.shown.get(zone) != (WORDS[standing], number):
-                self.shown[zone] = (WORDS[standing], number)
+            if self.shown.get(zone) != (STATE_WORDS[standing], number):
+                self.shown[zone] = (STATE_WORDS[standing], number)
                 told.append({
-                    "zone": zone, "standing": WORDS[standing], "number": number, "part": held.part,
-                    "rest_ms": held.rest, "witnesses": held.witnesses, "hand": held.hand,
+                    "zone": zone, "standing": STATE_WORDS[standing], "number": number, "part": held.fraction,
+                    "rest_ms": held.rest_ms, "witnesses": held.witnesses, "hand": held.by_operator,
                     "by": held.place.writer if held.place else "",
                 })  # fmt: skip
         return told
@@ -163,12 +163,14 @@
         """Channel and value of the entry by which a person leaves a zone, takes it back, or lets it return at
         a pace that its nodes bear, on which evidence decides from then on; None if `word` is none of these,
         or there is no such zone."""
-        orders = {WORDS[each]: each for each in (Standing.LEFT, Standing.RETURNING, Standing.IN)}
-        if word not in orders or not 0 <= zone < self.zones.standings.zones:
+        orders = {
+            STATE_WORDS[each]: each for each in (ZoneState.EVACUATED, ZoneState.SLOW_START, ZoneState.IN)
+        }
+        if word not in orders or not 0 <= zone < self.zones.standings.zone_count:
             return None
-        names = self.zones.standings.names
+        names = self.zones.standings.zone_names
         body = order(zone, orders[word], self.zones.standings.of(zone), names[zone] if names else "")
-        if orders[word] is Standing.RETURNING:
+        if orders[word] is ZoneState.SLOW_START:
             body.update(hand=False, part=self.zones.figure["first"])
         return CHANNEL, body
 
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -8,7 +8,7 @@
 
 from ochrecourse.fleet.kept import SLACK
 from ochrecourse.fleet.log import HARD
-from ochrecourse.fleet.standing import CHANNEL
+from ochrecourse.fleet.zone_state import CHANNEL, ZoneState
 from ochrecourse.lab.fleet_instance import FleetSeat
 from ochrecourse.lab.fleet_notes import NOTES
 from ochrecourse.lab.fleet_site import CHANNELS
@@ -85,7 +85,7 @@
                     unequal.add(zone)
                 self._moved(seat, zone, *stood)
             stood_all = [word for word, _ in seat.stands().values()]
-            if stood_all and all(word == "LEFT" for word in stood_all):
+            if stood_all and all(word == ZoneState.EVACUATED.name for word in stood_all):
                 self.seen.breach("last zone left", now - self.play.began, f"{seat.name} holds all zones left")
         return unequal
 
@@ -115,7 +115,7 @@
         if number < last:
             text = f"{seat.name} held number {last} of zone {zone}, then {number}"
             self.seen.breach("standing went back", at, text)
-        if word == "LEFT" and not self._troubled(zone, at):
+        if word == ZoneState.EVACUATED.name and not self._troubled(zone, at):
             text = f"{seat.name} holds zone {zone} left, in which nothing failed"
             self.seen.breach("whole zone left", at, text)
         self.numbers[key] = number
--- a/ochrecourse/lab/fleet_judge.py
+++ b/ochrecourse/lab/fleet_judge.py
@@ -10,6 +10,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import Verdict, audit
+from ochrecourse.fleet.zone_state import ZoneState
 from ochrecourse.lab.figures import figures_of
 from ochrecourse.lab.fleet_checks import BIN
 from ochrecourse.lab.fleet_world import ZONE_FAULTS, Fault
@@ -94,7 +95,7 @@
     left: set[str] = set()
     for at, name, zone, word, _ in play.seen.changes:
         if zone == fault.zone and fault.at_s <= at <= fault.at_s + fault.len_s and name in names:
-            left = left | {name} if word == "LEFT" else left - {name}
+            left = left | {name} if word == ZoneState.EVACUATED.name else left - {name}
             if left == names:
                 return at - fault.at_s
     return fault.len_s
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 
 from ochrecourse.audit import records as r
-from ochrecourse.fleet.standing import CHANNEL
+from ochrecourse.fleet.zone_state import CHANNEL
 from ochrecourse.lab.day import volumes
 from ochrecourse.lab.fleet_checks import BIN
 from ochrecourse.lab.fleet_faults import Faults
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -23,7 +23,7 @@
 from ochrecourse.fleet.kept import Kept
 from ochrecourse.fleet.log import Log
 from ochrecourse.fleet.purges import Purges
-from ochrecourse.fleet.standing import Standings
+from ochrecourse.fleet.zone_state import ZoneDecisions
 from ochrecourse.fleet.zones import Zones
 
 Patch = Callable[[Any, str, Any], None]
@@ -41,7 +41,7 @@
 
 def goes_back(patch: Patch) -> None:
     """The decision heard last stands, whatever its number."""
-    patch(Standings, "prevails", lambda self, said, held: True)
+    patch(ZoneDecisions, "supersedes", lambda self, said, held: True)
 
 
 def few_speak(patch: Patch) -> None:
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -6,6 +6,7 @@
 
 from ochrecourse.audit import capacity as seen
 from ochrecourse.audit import records as r
+from ochrecourse.fleet.zone_state import ZoneState
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.lab import mistakes
 from ochrecourse.lab.day import BadDay, check
@@ -46,7 +47,7 @@
     assert judged.kinds() == [], judged.lines()
     assert not seen.never_fell(play.records).breaches
     assert 0 < judged.figures["cold_share"] < 1
-    left = {zone for _, _, zone, word, _ in play.seen.changes if word == "LEFT"}
+    left = {zone for _, _, zone, word, _ in play.seen.changes if word == ZoneState.EVACUATED.name}
     assert left == {1, 2}  # both were lost; the last one is never left (a breach of the world else)
 
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -13,7 +13,7 @@
 from ochrecourse.fleet.messages import SLOW, BadPeer, Rows, frame
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
-from ochrecourse.fleet.standing import Standing, Standings
+from ochrecourse.fleet.zone_state import ZoneState, ZoneDecisions
 from ochrecourse.fleet.terms import Terms
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
@@ -78,7 +78,7 @@
     world.lost, world.loses = {}, dict.fromkeys(of_zone(world, 1), 1)
     for _ in range(160):
         world.run(0.25)
-        world.units = (1, 4, 4) if world.standing(1) is Standing.RETURNING else (1,)
+        world.units = (1, 4, 4) if world.standing(1) is ZoneState.SLOW_START else (1,)
     rests = [body["rest"] for _, _, body, _ in world.said if body.get("standing") == "left"]
     assert not world.changes(1, what="in")
     assert (rests[:3] == [3000, 6000, 12_000]) is falls
@@ -119,7 +119,7 @@
     """Who sees none of a zone's nodes on its list decides on it all the same."""
 
     def _due(self, zone, view, since, held, now):
-        if held.standing is Standing.LEFT or zone in self.ready:
+        if held.state is ZoneState.EVACUATED or zone in self.ready:
             return super()._due(zone, view, since, held, now)
         self.ready[zone] = {-1}
         due = super()._due(zone, view, since, held, now)
@@ -136,14 +136,14 @@
     world.regain(1)
     first = world.gates["g0"].zones
     first.nodes_are({node: each for node, each in world.list().items() if each[0] != 1}, world.now)
-    while world.standing(1) is not Standing.RETURNING:
+    while world.standing(1) is not ZoneState.SLOW_START:
         world.step()
     world.lose(1)
     since = world.now
     world.run(30)
     said = [name for at, name, body, _ in world.said if at > since and body["what"] == "zone"]
     assert ("g0" in said) is alternate and "g1" in said
-    assert world.standing(1, "g1") is Standing.LEFT or alternate
+    assert world.standing(1, "g1") is ZoneState.EVACUATED or alternate
 
 
 # --- settings that differ ---
@@ -213,9 +213,9 @@
     assert set(zones.reached) == {"g0", "g2"}
     said = {"what": "zone", "zone": 1, "standing": "left", "number": 1}
     zones.event(entry("g1", name="north", **said))
-    assert zones.standing(1)[0] is Standing.IN
+    assert zones.standing(1)[0] is ZoneState.IN
     zones.event(entry("g1", 4, **said))  # of an older version, which names none
-    assert zones.standing(1)[0] is Standing.LEFT
+    assert zones.standing(1)[0] is ZoneState.EVACUATED
 
 
 def test_a_snapshot_keeps_what_each_side_means_whoever_makes_it():
@@ -229,9 +229,9 @@
         watch = ZoneWatch(Zones({}, 2, "g0", 0, 2, names), RequestLog(), 0, lambda: 0)
         kept.append(watch.keeps(events, Stamp(9, 0)))
     assert kept[0] == kept[1] == [events[1], events[2]]
-    held = Standings(2, ("north", "south"))
+    held = ZoneDecisions(2, ("north", "south"))
     for each in kept[0]:
-        held.event(each)
+        held.apply(each)
     assert held.of(1).number == 2
 
 
@@ -342,8 +342,8 @@
     channel, body = made["c"].zone_watch.by_hand(1, "left")
     made["c"].append(channel, body)
     network.advance(2)
-    assert made["c"].zones.standing(1)[0] is Standing.LEFT
-    assert made["a"].zones.standing(1)[0] is made["b"].zones.standing(1)[0] is Standing.IN
+    assert made["c"].zones.standing(1)[0] is ZoneState.EVACUATED
+    assert made["a"].zones.standing(1)[0] is made["b"].zones.standing(1)[0] is ZoneState.IN
     assert set(made["a"].zones.reached) == {"a", "b"} and set(made["c"].zones.reached) == {"c"}
     assert made["a"].dump("fleet") == made["c"].dump("fleet")
 
@@ -402,12 +402,12 @@
         Fault(kind="late", at_s=3, len_s=8, who=(1,), size=0.5),
         Fault(kind="grey_each", at_s=6, len_s=10, size=1),
     )
-    assert not [each for each in play.seen.changes if each[3] == "LEFT"]
+    assert not [each for each in play.seen.changes if each[3] == ZoneState.EVACUATED.name]
 
 
 def test_a_zone_that_loses_large_jobs_is_left_and_that_earns_more_than_to_stay():
     grey = Fault(kind="zone_grey", at_s=3, len_s=18, zone=1, size=1)
     play, shared = world(grey)
     _, alone = world(grey, sharing=False)
-    assert [each for each in play.seen.changes if each[2] == 1 and each[3] == "LEFT"]
+    assert [each for each in play.seen.changes if each[2] == 1 and each[3] == ZoneState.EVACUATED.name]
     assert shared.figures["payoff"] >= alone.figures["payoff"]
--- a/tests/test_fleet_needs.py
+++ b/tests/test_fleet_needs.py
@@ -6,7 +6,7 @@
 
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.needs import HALF, Needs, borrower, named
-from ochrecourse.fleet.standing import Standing
+from ochrecourse.fleet.zone_state import ZoneState
 from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -46,7 +46,7 @@
     world.regain(1)
     for _ in range(100):
         world.step()
-        if world.standing(1) is Standing.RETURNING:
+        if world.standing(1) is ZoneState.SLOW_START:
             return world
     raise AssertionError("it never returned")
 
@@ -72,7 +72,7 @@
     world.lose(1)
     world.run(5)
     zones = world.gates["g0"].zones
-    assert world.standing(1) is Standing.LEFT
+    assert world.standing(1) is ZoneState.EVACUATED
     assert zones._limit(1, 100, world.now) == 2  # each shard of the small world is in one zone
     entries = {node: (zone, node % 100, *rest) for node, (zone, _, *rest) in zones.nodes.items()}
     zones.nodes_are(entries, world.now)
@@ -98,7 +98,7 @@
             1,
             Stamp(1, 0),
             (),
-            msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False}),
+            msgspec.json.encode(order(1, ZoneState.EVACUATED) | {"hand": False}),
         ),
         S,
     )
@@ -115,18 +115,18 @@
     world.lose(1)
     world.run(5)
     zones = world.gates["g0"].zones
-    assert world.standing(1) is Standing.LEFT
+    assert world.standing(1) is ZoneState.EVACUATED
     assert [zones._limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
     world.regain(1)
     limits = set()
     for _ in range(80):
         world.step()
         limits.add(tuple(zones._limit(1, node, world.now) for node in (100, 101, 102)))
-    assert world.standing(1) is Standing.LEFT and (5, 5, 5) in limits  # `cold` units a second
+    assert world.standing(1) is ZoneState.EVACUATED and (5, 5, 5) in limits  # `cold` units a second
     world.lose(1)
     world.run(4)
     assert [zones._limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
-    zones.standings.held[1] = zones.standings.of(1)._replace(hand=True)
+    zones.standings.by_zone[1] = zones.standings.of(1)._replace(by_operator=True)
     zones.lived = dict.fromkeys((100, 101, 102), world.now)
     assert zones._limit(1, 100, world.now) == 2  # a person wants it left
 
@@ -135,7 +135,13 @@
     names = [f"g{i}" for i in range(120)]
     nodes = {100 * zone + i: (zone, i, True, 0) for zone in (0, 1) for i in range(8)}
     left = Entry(
-        "fleet", "g1", 1, 1, Stamp(1, 0), (), msgspec.json.encode(order(1, Standing.LEFT) | {"hand": False})
+        "fleet",
+        "g1",
+        1,
+        1,
+        Stamp(1, 0),
+        (),
+        msgspec.json.encode(order(1, ZoneState.EVACUATED) | {"hand": False}),
     )
     first = []
     for name in names:
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -651,7 +651,7 @@
     fleet.run(1)
     stands = [part.zones.standings.of(0) for part in fleet.parts.values()]
     # From here on evidence leads: the pace rises step by step, and nobody has to take it back by hand.
-    assert all(each.number >= 4 and not each.hand and 0.1 < each.part < 0.3 for each in stands)
+    assert all(each.number >= 4 and not each.by_operator and 0.1 < each.fraction < 0.3 for each in stands)
 
 
 def test_the_control_socket_appends_reads_and_dumps(make_fleet):
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.evidence import BadSight, NodeTold, Own, ZoneTold, read, weigh
-from ochrecourse.fleet.standing import WORDS, Standing, Standings
+from ochrecourse.fleet.zone_state import STATE_WORDS, ZoneState, ZoneDecisions
 from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
@@ -141,16 +141,16 @@
 # --- standing ---
 
 
-def decided(zone=1, standing=Standing.LEFT, number=1, witnesses=2, writer="a", ms=1, **more):
+def decided(zone=1, standing=ZoneState.EVACUATED, number=1, witnesses=2, writer="a", ms=1, **more):
     body = {
-        "what": "zone", "zone": zone, "standing": WORDS[standing], "number": number, "evidence": {"witnesses": witnesses},
+        "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": number, "evidence": {"witnesses": witnesses},
         **more,
     }  # fmt: skip
     return Entry("fleet", writer, 1, ms, Stamp(ms, 0), (), msgspec.json.encode(body))
 
 
 decisions = st.builds(
-    decided, st.integers(0, 2), st.sampled_from(Standing), st.integers(1, 4), st.integers(0, 3), st.sampled_from("abc"),
+    decided, st.integers(0, 2), st.sampled_from(ZoneState), st.integers(1, 4), st.integers(0, 3), st.sampled_from("abc"),
     st.integers(1, 50),
 )  # fmt: skip
 
@@ -158,29 +158,29 @@
 @given(st.lists(decisions, max_size=8, unique_by=lambda entry: entry.place), st.randoms())
 @settings(max_examples=200, deadline=None)
 def test_standings_are_a_function_of_the_set_of_entries(entries, chance):
-    once, again = Standings(3), Standings(3)
+    once, again = ZoneDecisions(3), ZoneDecisions(3)
     numbers = dict.fromkeys(range(3), 0)
     for entry in entries:
-        once.event(entry)
+        once.apply(entry)
         for zone in range(3):
             assert once.of(zone).number >= numbers[zone]
             numbers[zone] = once.of(zone).number
     shuffled = entries * 2
     chance.shuffle(shuffled)
     for entry in shuffled:
-        again.event(entry)
-    assert once.held == again.held and once.kept(range(3)) == again.kept(range(3))
-    if all(once.of(zone).standing is Standing.LEFT for zone in range(3)):
-        assert once.kept(range(3)) is not None
+        again.apply(entry)
+    assert once.by_zone == again.by_zone and once.exempt_zone(range(3)) == again.exempt_zone(range(3))
+    if all(once.of(zone).state is ZoneState.EVACUATED for zone in range(3)):
+        assert once.exempt_zone(range(3)) is not None
 
 
 def test_of_one_number_the_decision_with_more_witnesses_stands_then_the_later():
-    held = Standings(3)
-    for entry in (decided(witnesses=3), decided(witnesses=2, standing=Standing.IN, ms=9)):
-        held.event(entry)
-    assert held.of(1).standing is Standing.LEFT
-    held.event(decided(witnesses=3, standing=Standing.IN, ms=9, writer="b"))
-    assert held.of(1).standing is Standing.IN
+    held = ZoneDecisions(3)
+    for entry in (decided(witnesses=3), decided(witnesses=2, standing=ZoneState.IN, ms=9)):
+        held.apply(entry)
+    assert held.of(1).state is ZoneState.EVACUATED
+    held.apply(decided(witnesses=3, standing=ZoneState.IN, ms=9, writer="b"))
+    assert held.of(1).state is ZoneState.IN
 
 
 @pytest.mark.parametrize(
@@ -195,7 +195,7 @@
     zones = Zones({}, 3, "a", 0, 3)
     zones.event(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
     zones.event(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
-    assert zones.standings.held == {} and zones.bounds(0) == {}
+    assert zones.standings.by_zone == {} and zones.bounds(0) == {}
 
 
 # --- a zone lost and regained ---
@@ -281,7 +281,7 @@
     world.kill("g1")
     world.regain(1)
     world.run(35)
-    assert world.standing(1, "g2") is Standing.IN
+    assert world.standing(1, "g2") is ZoneState.IN
 
 
 def test_a_second_fall_rests_longer_and_a_zone_that_flaps_is_left_with_growing_rests():
@@ -304,13 +304,13 @@
     world.lose(1)
     world.run(5)
     world.regain(1)
-    while world.standing(1) is not Standing.RETURNING:
+    while world.standing(1) is not ZoneState.SLOW_START:
         world.step()
     world.run(1.5)
     world.lose(1)
     world.run(6)
     assert left(world, 1)
-    assert world.gates["g0"].zones.standings.of(1).rest == 2 * world.figures["rest"]
+    assert world.gates["g0"].zones.standings.of(1).rest_ms == 2 * world.figures["rest"]
 
 
 # --- what is no lost zone ---
@@ -373,27 +373,27 @@
     world.run(6)
     assert {name for _, name, _, _ in world.said} <= {"g0", "g1", "g4", "g5"}
     for name in ("g0", "g1", "g4", "g5"):
-        assert world.standing(1, name) is Standing.LEFT
+        assert world.standing(1, name) is ZoneState.EVACUATED
     # The small side spares itself what it does not reach, without a word to the others.
     assert {world.nodes[node] for node in world.gates["g2"].zones.bounds(world.now)} == {0, 2}
     world.heal()
     world.run(25)
     assert all(gate.zones.standing(1) == world.gates["g0"].zones.standing(1) for gate in world.gates.values())
-    assert world.standing(1) is Standing.IN and world.standing(0) is Standing.IN
+    assert world.standing(1) is ZoneState.IN and world.standing(0) is ZoneState.IN
 
 
 def test_two_halves_each_leave_the_others_zone_and_when_they_meet_one_is_held_in():
     world = World(7, zones=2, places=(0, 0, 0, 1, 1, 1)).run(3)
     world.cut({"g0", "g1", "g2"}, {0})
     world.run(6)
-    assert world.standing(1, "g0") is Standing.LEFT and world.standing(0, "g3") is Standing.LEFT
+    assert world.standing(1, "g0") is ZoneState.EVACUATED and world.standing(0, "g3") is ZoneState.EVACUATED
     world.heal()
     world.run(3)
     for zone in (0, 1):
         assert len({gate.zones.standing(zone) for gate in world.gates.values()}) == 1
-    assert {world.standing(0), world.standing(1)} != {Standing.LEFT}
+    assert {world.standing(0), world.standing(1)} != {ZoneState.EVACUATED}
     world.run(30)
-    assert world.standing(0) is world.standing(1) is Standing.IN
+    assert world.standing(0) is world.standing(1) is ZoneState.IN
 
 
 def test_the_last_zone_is_never_left_and_of_three_two_may_be():
@@ -401,12 +401,12 @@
     for zone in (0, 1, 2):
         world.lose(zone)
         world.run(6)
-    assert sum(world.standing(zone) is Standing.LEFT for zone in range(3)) == 2
+    assert sum(world.standing(zone) is ZoneState.EVACUATED for zone in range(3)) == 2
     world = World(9, zones=2, places=(0, 0, 1, 1)).run(3)
     world.lose(0)
     world.lose(1)
     world.run(10)
-    assert [world.standing(zone) for zone in (0, 1)].count(Standing.LEFT) <= 1
+    assert [world.standing(zone) for zone in (0, 1)].count(ZoneState.EVACUATED) <= 1
 
 
 def test_a_second_zone_is_not_left_where_too_little_would_remain():
@@ -414,18 +414,18 @@
     for zone in (0, 1):
         world.lose(zone)
         world.run(6)
-    assert world.standing(0) is Standing.LEFT and world.standing(1) is Standing.DOUBT
+    assert world.standing(0) is ZoneState.EVACUATED and world.standing(1) is ZoneState.SUSPECT
 
 
 def test_what_is_left_by_hand_stays_left_until_a_hand_takes_it_back():
     world = World(11).run(3)
     zones = world.gates["g0"].zones
-    world.gates["g0"].say(order(1, Standing.LEFT, zones.standings.of(1)))
+    world.gates["g0"].say(order(1, ZoneState.EVACUATED, zones.standings.of(1)))
     world.run(30)
     assert left(world, 1) and len(world.said) == 1
-    world.gates["g0"].say(order(1, Standing.IN, zones.standings.of(1)))
+    world.gates["g0"].say(order(1, ZoneState.IN, zones.standings.of(1)))
     world.run(2)
-    assert world.standing(1, "g5") is Standing.IN
+    assert world.standing(1, "g5") is ZoneState.IN
 
 
 def test_a_process_that_stood_still_takes_nothing_away():
@@ -528,7 +528,7 @@
 
     def __init__(self, *given):
         super().__init__(*given)
-        self.standings.prevails = lambda said, held: True
+        self.standings.supersedes = lambda said, held: True
 
 
 class Believed(Zones):
@@ -624,10 +624,10 @@
 # --- all interleavings of a small world: three gateways, two zones ---
 
 
-class Arrival(Standings):
+class Arrival(ZoneDecisions):
     """A mistake: of one number, the first to arrive stands."""
 
-    def prevails(self, said, held):
+    def supersedes(self, said, held):
         return said.number > held.number
 
 
@@ -637,7 +637,7 @@
     def holds(arrived, said):
         held = make(2)
         for at in arrived:
-            held.event(said[at])
+            held.apply(said[at])
         return held
 
     def successors(state):
@@ -647,12 +647,12 @@
             for zone in (0, 1):
                 if len(said) == most:
                     break
-                other = held.of(1 - zone).standing
+                other = held.of(1 - zone).state
                 was = held.of(zone)
-                if was.standing is Standing.LEFT:
-                    becomes = Standing.IN
-                elif other is Standing.IN:
-                    becomes = Standing.LEFT
+                if was.state is ZoneState.EVACUATED:
+                    becomes = ZoneState.IN
+                elif other is ZoneState.IN:
+                    becomes = ZoneState.EVACUATED
                 else:
                     continue
                 entry = decided(zone, becomes, was.number + 1, 1 + i % 2, "abc"[i], len(said) + 1)
@@ -670,14 +670,16 @@
         by_set = {}
         for arrived in fields["arrived"]:
             held = holds(arrived, fields["said"])
-            by_set.setdefault(frozenset(arrived), set()).add((held.of(0), held.of(1), held.kept((0, 1))))
+            by_set.setdefault(frozenset(arrived), set()).add(
+                (held.of(0), held.of(1), held.exempt_zone((0, 1)))
+            )
         return all(len(each) == 1 for each in by_set.values())
 
     def one_in(fields):
         for arrived in fields["arrived"]:
             held = holds(arrived, fields["said"])
-            lefts = [zone for zone in (0, 1) if held.of(zone).standing is Standing.LEFT]
-            if len(lefts) == 2 and held.kept((0, 1)) is None:
+            lefts = [zone for zone in (0, 1) if held.of(zone).state is ZoneState.EVACUATED]
+            if len(lefts) == 2 and held.exempt_zone((0, 1)) is None:
                 return False
         return True
 
@@ -700,7 +702,7 @@
 
 
 def test_in_every_interleaving_equal_entries_give_equal_standings():
-    assert explored(Standings) == {"equal": True, "one in": True, "rises": True}
+    assert explored(ZoneDecisions) == {"equal": True, "one in": True, "rises": True}
 
 
 def test_the_interleavings_find_a_tie_that_goes_by_arrival():
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -20,6 +20,7 @@
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
 from ochrecourse.cli.control import answer as control_answer
+from ochrecourse.fleet.zone_state import STATE_WORDS
 from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
@@ -659,7 +660,7 @@
         fleet.run(1.5)
         for name, part in fleet.parts.items():
             standing, number = part.zones.standing(0)
-            tap.note(fleet.network, f"at {name} zone 0 is {standing.name.lower()}, by decision {number}")
+            tap.note(fleet.network, f"at {name} zone 0 is {STATE_WORDS[standing]}, by decision {number}")
 
 
 @story
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.standing import Standing
+from ochrecourse.fleet.zone_state import ZoneState
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
@@ -249,7 +249,7 @@
                 if number < gate.top.get(zone, 0):
                     raise Broken(f"{gate.name}: the number of zone {zone} went back to {number}")
                 gate.top[zone] = number
-            if ready and all(held[gate.name][self.nodes[node]][0] is Standing.LEFT for node in ready):
+            if ready and all(held[gate.name][self.nodes[node]][0] is ZoneState.EVACUATED for node in ready):
                 raise Broken(f"{gate.name} has left every zone")
             for node, rate in gate.zones.bounds(self.now).items():
                 sums[node] = sums.get(node, 0.0) + rate
@@ -283,4 +283,6 @@
 
 
 def left(world, zone):
-    return all(gate.zones.standing(zone)[0] is Standing.LEFT for gate in world.gates.values() if gate.up)
+    return all(
+        gate.zones.standing(zone)[0] is ZoneState.EVACUATED for gate in world.gates.values() if gate.up
+    )
