--- a/ochrecourse/fleet/zones.py
+++ b/ochrecourse/fleet/zones.py
@@ -17,7 +17,9 @@
 
 from ochrecourse.fleet.allot import LENDABLE, Allot
 from ochrecourse.fleet.entries import Entry
-from ochrecourse.fleet.evidence import SAMPLE, Own, Sight, View, read, weigh
+from ochrecourse.fleet.zone_evidence import MAX_NODES_PER_ZONE, EndedAttempt, LocalObservations, ReportScope
+from ochrecourse.fleet.zone_report import ZoneReport, decode_report
+from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, ZoneSummary, summarize
 from ochrecourse.fleet.needs import Needs, borrower, named
 from ochrecourse.fleet.zone_state import (
     CHANNEL,
@@ -100,11 +102,15 @@
         said = {**DEFAULTS, **figures}
         self.figure = {key: value if key in _PLAIN else value * MS for key, value in said.items()}
         self.name, self.own_zone, self.gateways = name, own_zone, max(1, gateways)
-        self.own = Own(int(self.figure["window"]), int(self.figure["life"]), self.figure["slow"])
+        self.own = LocalObservations(
+            int(self.figure["window"]), int(self.figure["life"]), self.figure["slow"]
+        )
         self.standings = ZoneDecisions(zones, names)
         self.strangers: Those[str] = frozenset()  # gateways that mean other zones
         self.allot = Allot(name, self.gateways, int(said["lend"]), int(said["clock_bound"]))
-        self.sights: dict[str, tuple[int, int, Sight]] = {}  # by gateway: when heard, its zone, what it told
+        self.sights: dict[
+            str, tuple[int, int, ZoneReport]
+        ] = {}  # by gateway: when heard, its zone, what it told
         self.needs = Needs()
         self.nodes: dict[int, tuple[int, int, bool, int]] = {}
         self.zone_of: dict[int, int] = {}
@@ -112,13 +118,13 @@
         self.ready: dict[int, set[int]] = {}
         self.listed: dict[int, set[int]] = {}
         self.since: dict[int, _Since] = {}
-        self.views: dict[int, View] = {}
+        self.views: dict[int, ZoneSummary] = {}
         self.alone: set[int] = set()  # zones lost to this side, which is too small to speak for the fleet
         self.reached: dict[str, int] = {name: own_zone}
         self.looked = -1
         self.met = 0  # ns, when it last came to reach enough of the fleet to speak for it
-        self.whole = View()  # all zones together
-        self.last: tuple[int, Sight] | None = None  # its own sight, and of when
+        self.whole = ZoneSummary()  # all zones together
+        self.last: tuple[int, ZoneReport] | None = None  # its own sight, and of when
         self.bounded: set[int] | None = None  # zones at whose nodes it is bounded; None: to be found anew
         self.elsewhere: set[int] | None = None  # shards that nodes without bounds hold; None: as `bounded`
         self.tried: dict[int, tuple[int, set[int]]] = {}  # by zone: since which turn which nodes are tried
@@ -131,7 +137,7 @@
     def nodes_are(self, entries: Mapping[int, tuple[int, int, bool, int]], now: int) -> None:
         """The whole list: by node its zone, shard, whether it is ready, and until when it is cold."""
         zones = self.standings.zone_count
-        self.own.drop(self.nodes.keys() - entries.keys())
+        self.own.forget(self.nodes.keys() - entries.keys())
         self.lived = {node: at for node, at in self.lived.items() if node in entries}
         self.nodes = {node: each for node, each in entries.items() if 0 <= each[0] < zones}
         self.zone_of = {node: each[0] for node, each in self.nodes.items()}
@@ -149,7 +155,7 @@
         """A leg ended, or has been silent for too long and counts as TIMEOUT. `took`: ns; `pace`: ns that
         such a leg usually takes, 0 if that is not known."""
         if now - took >= self.met or ending is Ending.SERVED:
-            self.own.leg_over(node, ending, took, pace, now, units)
+            self.own.attempt_ended(EndedAttempt(node, ending, took, pace, now, units))
         self.spent(node, now, units)
 
     def spent(self, node: int, now: int, units: float = 1.0) -> None:
@@ -157,12 +163,12 @@
         if node in self.nodes:
             self.needs.leg(self.nodes[node][1], units, now)
         if (zone := self.zone_of.get(node)) is not None and zone in self._bounded_zones():
-            self.own.spend(node, units, self._rate(zone, node, now), now)
+            self.own.use_rate(node, units, self._rate(zone, node, now), now)
 
     def heard(self, name: str, zone: int, sight: bytes, now: int) -> None:
-        """What another gateway tells. Raises BadSight."""
+        """What another gateway tells. Raises ZoneReportError."""
         if name != self.name:
-            self.sights[name] = (now, zone, read(sight))
+            self.sights[name] = (now, zone, decode_report(sight))
 
     def terms_are(self, strangers: Those[str], size: int, clock_bound: float, cold: float) -> None:
         """What all gateways heard of mean by the settings that must be alike, on the safe side: who means
@@ -202,25 +208,27 @@
         """What this gateway tells the others, to be told anew at each beat."""
         return msgspec.json.encode(self._sight(now))
 
-    def _sight(self, now: int) -> Sight:
+    def _sight(self, now: int) -> ZoneReport:
         if self.last is None or self.last[0] != now:
             self.last = (now, self._look(now))
         return self.last[1]
 
-    def _look(self, now: int) -> Sight:
+    def _look(self, now: int) -> ZoneReport:
         accused = {
             each.node for at, _, sight in self.sights.values() if now - at <= STALE for each in sight.nodes
-            if each.run
+            if each.failures
         }  # fmt: skip
         troubled = {zone for zone, each in self.standings.by_zone.items() if each.state is not ZoneState.IN}
         hungry = [zone for zone in self._bounded_zones() if self._hungry(zone, now)]
-        sight = self.own.sight(self.zone_of, troubled, accused & self.zone_of.keys(), hungry, now)
+        sight = self.own.report(
+            ReportScope(self.zone_of, troubled, accused & self.zone_of.keys(), hungry), now
+        )
         short = {
             node: need - have
             for zone in self._bounded_zones() for node in self.ready.get(zone, ())
             if (need := self._need(node, now)) > (have := self._cold_part(zone, node, now))
         }  # fmt: skip
-        return msgspec.structs.replace(sight, needs=named(short, SAMPLE)) if short else sight
+        return msgspec.structs.replace(sight, demand=named(short, MAX_NODES_PER_ZONE)) if short else sight
 
     def wants(self, now: int, reached: Mapping[str, int]) -> dict[str, object] | None:
         """The body of an entry for channel `fleet`, to be pulled until None. `reached`: the gateways that
@@ -248,7 +256,7 @@
         if few and 2 * len(self.reached) >= self.gateways:
             # Guards against a side that was cut off and is believed when it is back: what it failed at and
             # what was due to be said are its own failure, not that of the zones that it could not reach.
-            self.own.drop(list(self.own.nodes))
+            self.own.forget(list(self.own.by_node))
             self.since = {
                 zone: _Since(came=each.came, warm=each.warm, said=each.said)
                 for zone, each in self.since.items()
@@ -259,22 +267,24 @@
         past = min(STEP, now - self.looked) if self.looked >= 0 else 0
         self.looked = now
         sights = {
-            name: (zone, sight) for name, (at, zone, sight) in self.sights.items()
+            name: GatewayReport(zone, sight) for name, (at, zone, sight) in self.sights.items()
             if name in self.reached and now - at <= STALE
         }  # fmt: skip
-        sights[self.name] = (self.own_zone, self._sight(now))
-        self.views = weigh(sights, self.zone_of, self.ready, self._bounded_zones())
+        sights[self.name] = GatewayReport(self.own_zone, self._sight(now))
+        self.views = summarize(sights, ListedZones(self.zone_of, self.ready, self._bounded_zones()))
         for _, sight in sights.values():
-            self.lived.update((each.node, now) for each in sight.nodes if each.alive and not each.run)
-        self.whole = View()
-        for _, (begun, fulfilled, busy, slow) in ((name, sight.whole) for name, (_, sight) in sights.items()):
-            self.whole.begun += begun
-            self.whole.bad += begun - fulfilled - busy
+            self.lived.update((each.node, now) for each in sight.nodes if each.is_alive and not each.failures)
+        self.whole = ZoneSummary()
+        for _, (begun, fulfilled, busy, slow) in (
+            (name, sight.totals) for name, (_, sight) in sights.items()
+        ):
+            self.whole.attempts += begun
+            self.whole.failed += begun - fulfilled - busy
             self.whole.slow += slow + busy
         for zone in self.views.keys() | {
             zone for zone, each in self.standings.by_zone.items() if each.state is not ZoneState.IN
         }:
-            self._watch(zone, self.views.get(zone) or View(len(self.ready.get(zone, ()))), past, now)
+            self._watch(zone, self.views.get(zone) or ZoneSummary(len(self.ready.get(zone, ()))), past, now)
         for zone in self.since.keys() - self.views.keys():
             if self.standings.of(zone).state is ZoneState.IN:
                 since = self.since[zone]
@@ -286,35 +296,39 @@
 
     # --- how a zone fares ---
 
-    def _watch(self, zone: int, view: View, past: int, now: int) -> None:
+    def _watch(self, zone: int, view: ZoneSummary, past: int, now: int) -> None:
         """Adds what has passed to what it has been like, and finds what is due to be said of it."""
         since, held = self.since.setdefault(zone, _Since()), self.standings.of(zone)
         lost, sole = self._lost(view)
-        troubled = view.dead > 0 and view.dead >= view.alive
-        since.suspect = since.suspect + past if view.suspect else 0
-        since.hollow = since.hollow + past if view.hollow else max(0, since.hollow - past // FORGET)
+        troubled = view.failing_nodes > 0 and view.failing_nodes >= view.alive_nodes
+        since.suspect = since.suspect + past if view.is_suspect else 0
+        since.hollow = since.hollow + past if view.is_degraded else max(0, since.hollow - past // FORGET)
         since.silent = since.silent + past if lost else max(0, since.silent - past // FORGET)
         since.sole = since.sole + past if sole else 0
-        since.calm = 0 if view.suspect or view.hollow else since.calm + past
-        if view.begun:
+        since.calm = 0 if view.is_suspect or view.is_degraded else since.calm + past
+        if view.attempts:
             since.untried = 0
             most = 1 if held.state is ZoneState.EVACUATED else 3
-            fine = view.good >= min(2, view.ready) and view.good >= most * view.bad
+            fine = view.answered >= min(2, view.ready_nodes) and view.answered >= most * view.failed
             # Guards against nodes that answer what is small, as probes may be, and lose the rest.
-            fine = fine and view.served >= view.lost
+            fine = fine and view.units_served >= view.units_lost
             since.well = 0 if troubled else since.well + past * fine
-            since.failing = since.failing + past if view.bad > self.figure["failed"] * view.begun else 0
-            since.worse = since.worse + past if view.lost > view.served else 0
+            since.failing = since.failing + past if view.failed > self.figure["failed"] * view.attempts else 0
+            since.worse = since.worse + past if view.units_lost > view.units_served else 0
         elif not self._resting(zone, now):
             since.untried += past
-        fell = view.dead >= min(2, view.ready) and view.dead >= view.alive and not view.good
-        since.fall = since.fall + past if view.begun and fell else since.fall // 2
+        fell = (
+            view.failing_nodes >= min(2, view.ready_nodes)
+            and view.failing_nodes >= view.alive_nodes
+            and not view.answered
+        )
+        since.fall = since.fall + past if view.attempts and fell else since.fall // 2
         due = self._due(zone, view, since, held, now)
         if due is not since.due:
             since.due, since.due_at = due, now
         self._see_alone(zone, lost, since)
 
-    def _lost(self, view: View) -> tuple[bool, bool]:
+    def _lost(self, view: ZoneSummary) -> tuple[bool, bool]:
         """Whether nothing but the zone itself explains what is seen, and whether that waits for others.
 
         A zone is lost if next to none of its nodes lives, gateways of several zones say so of their own
@@ -322,27 +336,29 @@
         themselves: then it is lost only where nobody sits elsewhere, or nobody elsewhere has tried it for
         long, and nobody saw any sign of life.
         """
-        if not view.silent or 2 * len(view.accusers) < len(view.tellers) or view.defenders:
+        if not view.is_unresponsive or 2 * len(view.accusers) < len(view.observers) or view.defenders:
             return False, False
         if len(view.accusers) < min(2, len(self.reached)):
-            return False, view.alive == 0 and len(view.tellers) == 1
+            return False, view.alive_nodes == 0 and len(view.observers) == 1
         if len(set(view.accusers.values())) > 1:
             return True, False
         (home,) = set(view.accusers.values())
-        if view.alive:
+        if view.alive_nodes:
             return False, False
         if all(zone == home for zone in self.reached.values()):
             return True, False
-        return False, all(zone == home for zone in view.tellers.values())
+        return False, all(zone == home for zone in view.observers.values())
 
-    def _due(self, zone: int, view: View, since: _Since, held: ZoneDecision, now: int) -> ZoneState | None:
+    def _due(
+        self, zone: int, view: ZoneSummary, since: _Since, held: ZoneDecision, now: int
+    ) -> ZoneState | None:
         if held.by_operator and held.state is not ZoneState.IN:
             return None
         if held.state is not ZoneState.IN and not self.ready.get(zone):
             return None  # a list without its nodes sees nothing of it: those decide whose lists have some
         # Guards against a zone that half answers, where few legs tell that nothing does.
         gone = (since.silent >= self._lasts(view) or since.sole >= self.figure["sole"]) and (
-            view.bad >= 2 * view.good
+            view.failed >= 2 * view.answered
         )
         if held.state is ZoneState.IN:
             if since.suspect >= self.figure["doubt"] or since.hollow >= self.figure["silence"]:
@@ -381,10 +397,14 @@
         """When the last of its ready nodes that are cold is warm, by the list; 0 if none was ever cold."""
         return max((self.nodes[node][3] for node in self.ready.get(zone, ())), default=0)
 
-    def _lasts(self, view: View) -> float:
-        return self.figure["lasts"] if 4 * view.hard >= 3 * view.dead else self.figure["silence"]
+    def _lasts(self, view: ZoneSummary) -> float:
+        return (
+            self.figure["lasts"]
+            if 4 * view.refusing_nodes >= 3 * view.failing_nodes
+            else self.figure["silence"]
+        )
 
-    def _may_leave(self, zone: int, view: View) -> bool:
+    def _may_leave(self, zone: int, view: ZoneSummary) -> bool:
         """Never the last zone that is in; a second one only if it is wholly silent, and never if what then
         remains is too small a part of the fleet's nodes."""
         others = [each for each in self.ready if each != zone]
@@ -392,7 +412,7 @@
         remain = sum(len(self.ready[each]) for each in firm)
         if not firm or remain < self.figure["remain"] * sum(map(len, self.ready.values())):
             return False
-        return len(firm) == len(others) or view.alive == 0
+        return len(firm) == len(others) or view.alive_nodes == 0
 
     def _see_alone(self, zone: int, lost: bool, since: _Since) -> None:
         """A side that is too small to speak for the fleet spares itself the zone, and says nothing."""
@@ -409,7 +429,7 @@
     # --- the words of a decision ---
 
     def _body(self, zone: int, standing: ZoneState, number: int, now: int) -> dict[str, object]:
-        held, since, view = self.standings.of(zone), self.since[zone], self.views.get(zone) or View()
+        held, since, view = self.standings.of(zone), self.since[zone], self.views.get(zone) or ZoneSummary()
         rest, clear, part = float(held.rest_ms), float(held.clear_ms), 1.0
         if held.state is ZoneState.IN:
             eased = 0.5 ** ((now - since.came) / self.figure["ease"])
@@ -430,17 +450,17 @@
         return {
             "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": number,
             "part": round(part, 4), "rest": round(rest), "clear": round(clear), "blind": blind,
-            "evidence": view.evidence(), **self._named(zone),
+            "evidence": view.as_evidence(), **self._named(zone),
         }  # fmt: skip
 
     def _named(self, zone: int) -> dict[str, str]:
         return {"name": self.standings.zone_names[zone]} if self.standings.zone_names else {}
 
-    def _bearable(self, view: View) -> float:
+    def _bearable(self, view: ZoneSummary) -> float:
         """Of a zone's load, what the others can take: less by the part of their own legs that are late,
         turned away or failed."""
-        begun = self.whole.begun - view.begun
-        strained = self.whole.slow + self.whole.bad - view.slow - view.bad
+        begun = self.whole.attempts - view.attempts
+        strained = self.whole.slow + self.whole.failed - view.slow - view.failed
         return 1.0 - min(1.0, max(0, strained) / begun) if begun > 0 else 1.0
 
     def _first(self) -> float:
@@ -491,7 +511,7 @@
                 limit = 0.0  # no answer of it is needed, so nobody's job need pay for one
         elif not held.by_operator and now - self.lived.get(node, -STALE) < self.figure["window"]:
             limit = cold  # it answers: what nobody else holds need not wait until the zone returns
-        if held.fraction < 1 and view is not None and view.alive:
+        if held.fraction < 1 and view is not None and view.alive_nodes:
             # What the others can't take stays where some of it is still served.
             limit = max(limit, min(cold, (1 - held.fraction) * self.figure["full"]))
         return limit
@@ -568,21 +588,21 @@
     def _hungry(self, zone: int, now: int) -> bool:
         """Whether it used up its part at most of the zone's nodes; gateways of before lend by that."""
         nodes = self.ready.get(zone, set())
-        return 2 * sum(self.own.owing(node, now) for node in nodes) > len(nodes)
+        return 2 * sum(self.own.is_rate_used_up(node, now) for node in nodes) > len(nodes)
 
     def _lends(self, now: int, order: list[str]) -> dict[str, object] | None:
         """Its parts of nodes that its own jobs have no use for, to those who need more there, each node's to
         one: from when a left zone answers probes, so that loans are in force when it returns."""
         for zone in sorted(self._bounded_zones() - self.alone):
             view, standing = self.views.get(zone), self.standings.of(zone).state
-            answers = view is not None and view.good and view.good >= view.bad
+            answers = view is not None and view.answered and view.answered >= view.failed
             if standing is ZoneState.EVACUATED and (not answers or self._resting(zone, now)):
                 continue
             needs = self._needs_of_others(zone, order)
             keeps = self.figure["cold"] * (1 - LENDABLE) / self.gateways
             wanted: dict[str, list[int]] = {}
             for node, of in sorted(needs.items()):
-                if self._need(node, now) > keeps or self.own.owing(node, now):
+                if self._need(node, now) > keeps or self.own.is_rate_used_up(node, now):
                     continue
                 if to := borrower(order.index(self.name), node, of):
                     wanted.setdefault(to, []).append(node)
@@ -600,7 +620,7 @@
         needs: dict[int, list[tuple[str, float]]] = {}
         for name in order:
             if name != self.name and name in self.sights:
-                for node, need in self.sights[name][2].needs:
+                for node, need in self.sights[name][2].demand:
                     if node in self.ready.get(zone, ()):
                         needs.setdefault(node, []).append((name, need))
         return needs
@@ -615,7 +635,8 @@
             view = self.views.get(zone)
             said[str(zone)] = {
                 "standing": STATE_WORDS[standing], "number": number, "part": held.fraction,
-                "rest_ms": held.rest_ms, "hand": held.by_operator, "seen": view.evidence() if view else None,
+                "rest_ms": held.rest_ms, "hand": held.by_operator,
+                "seen": view.as_evidence() if view else None,
             }  # fmt: skip
         return {"zones": said, "spared": sorted(self.alone), "reached": len(self.reached)}
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -9,7 +9,7 @@
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.stall_detector import StallDetector
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.evidence import View
+from ochrecourse.fleet.zone_summary import ZoneSummary
 from ochrecourse.fleet.messages import SLOW, BadPeer, Rows, frame
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
@@ -58,13 +58,14 @@
     def heard(self, *given):
         super().heard(*given)
         for name, (at, zone, sight) in self.sights.items():
-            blind = tuple(msgspec.structs.replace(each, served=0, lost=0) for each in sight.zones)
+            blind = tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones)
             self.sights[name] = (at, zone, msgspec.structs.replace(sight, zones=blind))
 
     def _look(self, now):
         sight = super()._look(now)
         return msgspec.structs.replace(
-            sight, zones=tuple(msgspec.structs.replace(each, served=0, lost=0) for each in sight.zones)
+            sight,
+            zones=tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones),
         )
 
 
@@ -104,12 +105,14 @@
 
 
 def test_those_who_lose_in_one_zone_alone_are_no_witnesses_of_a_hollow_one():
-    view = View(ready=3, served=99, lost=100, losers={"a": 0, "b": 0}, tellers={"a": 0, "b": 0})
-    assert not view.hollow
+    view = ZoneSummary(
+        ready_nodes=3, units_served=99, units_lost=100, losers={"a": 0, "b": 0}, observers={"a": 0, "b": 0}
+    )
+    assert not view.is_degraded
     view.losers["b"] = 1
-    assert view.hollow
-    view.tellers |= {"c": 2, "d": 2, "e": 2}
-    assert not view.hollow
+    assert view.is_degraded
+    view.observers |= {"c": 2, "d": 2, "e": 2}
+    assert not view.is_degraded
 
 
 # --- lists that differ ---
@@ -251,7 +254,7 @@
     leg = story.legs[0]
     leg.ending, leg.took = ending, now - sent
     watch.leg_over(story, leg, now)
-    return watch.zones.own.nodes.get(node)
+    return watch.zones.own.by_node.get(node)
 
 
 @pytest.mark.parametrize("ending", [Ending.TIMEOUT, Ending.UNREACHABLE])
@@ -264,14 +267,14 @@
         if not first:
             watch.beat_passed(now)
         seen = ends(watch, ending, SECOND, now)
-        assert (seen.run if seen else 0) == counts
+        assert (seen.failures if seen else 0) == counts
 
 
 def test_an_answer_or_a_reset_counts_however_late_the_loop_is():
     watch = watched()
     watch.beat_passed(SECOND)
-    assert ends(watch, Ending.SERVED, SECOND, 2 * SECOND).run == 0
-    assert ends(watch, Ending.RESET, SECOND, 2 * SECOND, number=2).run == 1
+    assert ends(watch, Ending.SERVED, SECOND, 2 * SECOND).failures == 0
+    assert ends(watch, Ending.RESET, SECOND, 2 * SECOND, number=2).failures == 1
 
 
 class Beaten:
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -589,14 +589,14 @@
     assert watch.pace[0] == 30 * MS
     leg(20, 2, now)
     watch.beat_passed(now + 200 * MS)
-    assert 2 not in zones.own.nodes  # four times its usual time, but a pause of one process is as long
+    assert 2 not in zones.own.by_node  # four times its usual time, but a pause of one process is as long
     for beat in range(3):
         watch.beat_passed(now + 300 * MS + beat * 250 * MS)
-    assert zones.own.nodes[2].run == 1
+    assert zones.own.by_node[2].failures == 1
     watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
-    assert zones.own.nodes[2].run == 1  # the same leg, counted already
+    assert zones.own.by_node[2].failures == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
-    assert zones.own.nodes[2].run == 2
+    assert zones.own.by_node[2].failures == 2
 
 
 def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -11,8 +11,10 @@
 from zone_world import BOUND, Broken, World, left
 
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.evidence import BadSight, NodeTold, Own, ZoneTold, read, weigh
+from ochrecourse.fleet.zone_evidence import EndedAttempt, LocalObservations, ReportScope
+from ochrecourse.fleet.zone_report import NodeReport, ZoneCounts, ZoneReportError, decode_report
 from ochrecourse.fleet.zone_state import STATE_WORDS, ZoneState, ZoneDecisions
+from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, summarize
 from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
@@ -26,14 +28,14 @@
 
 def own(legs, now=SECOND):
     """`legs`: node and ending, the last ones just now."""
-    seen = Own(2 * SECOND, 500 * MS, 4)
+    seen = LocalObservations(2 * SECOND, 500 * MS, 4)
     for node, ending in legs:
-        seen.leg_over(node, ending, 20 * MS, PACE, now)
+        seen.attempt_ended(EndedAttempt(node, ending, 20 * MS, PACE, now))
     return seen
 
 
 def sight(legs, now=SECOND, troubled=(), accused=()):
-    return own(legs, now).sight(NODES, set(troubled), set(accused), (), now)
+    return own(legs, now).report(ReportScope(NODES, set(troubled), set(accused)), now)
 
 
 GOOD, SILENT, REFUSED = Ending.SERVED, Ending.TIMEOUT, Ending.UNREACHABLE
@@ -41,14 +43,14 @@
 
 def test_where_all_is_well_a_sight_tells_next_to_nothing():
     told = sight([(node, GOOD) for node in NODES] * 9)
-    assert (told.whole, told.zones, told.nodes) == ((54, 54, 0, 0), (), ())
+    assert (told.totals, told.zones, told.nodes) == ((54, 54, 0, 0), (), ())
     assert len(msgspec.json.encode(told)) < 40
 
 
 def test_a_node_that_another_gateway_accuses_is_told_of_with_its_zone():
     told = sight([(0, GOOD), (1, GOOD), (100, GOOD)], accused=[1])
-    assert told.nodes == (NodeTold(1, 0, True),)
-    assert told.zones == (ZoneTold(0, 2, 2, tried=2, alive=2, served=200),)
+    assert told.nodes == (NodeReport(1, 0, True),)
+    assert told.zones == (ZoneCounts(0, 2, 2, nodes_tried=2, nodes_alive=2, units_served=200),)
 
 
 @pytest.mark.parametrize(
@@ -61,15 +63,15 @@
 def test_each_ending_has_its_count(ending, counts):
     (told,) = sight([(0, ending)], troubled=[0]).zones
     assert (
-        told.begun,
-        told.fulfilled,
-        told.busy,
+        told.attempts,
+        told.served,
+        told.full,
         told.refused,
         told.reset,
-        told.silent,
+        told.timed_out,
         told.errors,
     ) == counts
-    assert told.alive == (ending in (GOOD, Ending.FULL)) and told.failing == 1 - told.alive
+    assert told.nodes_alive == (ending in (GOOD, Ending.FULL)) and told.nodes_failing == 1 - told.nodes_alive
 
 
 @pytest.mark.parametrize("ending", [Ending.WITHDRAWN, Ending.MOOT])
@@ -79,23 +81,21 @@
 
 def test_what_is_older_than_the_window_is_not_told():
     seen = own([(0, SILENT)] * 3)
-    assert seen.sight(NODES, set(), set(), (), 2 * SECOND).nodes == (NodeTold(0, 3, False),)
-    assert seen.sight(NODES, set(), set(), (), 4 * SECOND).nodes == ()
+    assert seen.report(ReportScope(NODES), 2 * SECOND).nodes == (NodeReport(0, 3, False),)
+    assert seen.report(ReportScope(NODES), 4 * SECOND).nodes == ()
 
 
 def test_a_thousand_nodes_and_zones_fit_and_of_a_large_zone_all_tell_of_the_same_nodes():
     zone_of = {node: node for node in range(1500)}
-    told = own([(node, SILENT) for node in zone_of]).sight(zone_of, set(), set(), (), SECOND)
+    told = own([(node, SILENT) for node in zone_of]).report(ReportScope(zone_of), SECOND)
     assert len(told.nodes) == len(told.zones) == 1024
-    assert read(msgspec.json.encode(told)) == told
+    assert decode_report(msgspec.json.encode(told)) == told
     zone_of = dict.fromkeys(range(1000), 0)
     one, other = (
-        own([(node, SILENT) for node in zone_of if node % 10 != left]).sight(
-            zone_of, set(), set(), (), SECOND
-        )
+        own([(node, SILENT) for node in zone_of if node % 10 != left]).report(ReportScope(zone_of), SECOND)
         for left in (3, 7)
     )
-    assert len(one.nodes) == 64 and one.zones[0].failing == 900
+    assert len(one.nodes) == 64 and one.zones[0].nodes_failing == 900
     assert len({each.node for each in one.nodes} & {each.node for each in other.nodes}) > 45
 
 
@@ -107,15 +107,15 @@
     ],
 )  # fmt: skip
 def test_a_sight_that_is_none_is_turned_away_with_one_line(told):
-    with pytest.raises(BadSight, match="tells of zones") as wrong:
-        read(told)
+    with pytest.raises(ZoneReportError, match="tells of zones") as wrong:
+        decode_report(told)
     assert "\n" not in str(wrong.value)
 
 
 def weighed(*told):
     """`told`: by gateway its zone and legs."""
-    sights = {f"g{i}": (zone, sight(legs, troubled=[1])) for i, (zone, legs) in enumerate(told)}
-    return weigh(sights, NODES, READY)[1]
+    sights = {f"g{i}": GatewayReport(zone, sight(legs, troubled=[1])) for i, (zone, legs) in enumerate(told)}
+    return summarize(sights, ListedZones(NODES, READY))[1]
 
 
 FAILS = [(100, SILENT), (101, SILENT), (102, SILENT)] * 2
@@ -124,18 +124,18 @@
 
 def test_a_zone_at_which_all_fail_is_silent_and_who_fails_everywhere_is_no_witness():
     view = weighed((0, FINE + FAILS), (1, FINE + FAILS), (0, FAILS))
-    assert view.silent and view.accusers == {"g0": 0, "g1": 1} and view.dead == 3
+    assert view.is_unresponsive and view.accusers == {"g0": 0, "g1": 1} and view.failing_nodes == 3
 
 
 def test_one_gateway_that_sees_the_zone_live_is_heard():
     view = weighed((0, FINE + FAILS), (1, FINE + [(node, GOOD) for node in READY[1]]))
-    assert not view.suspect and view.defenders == {"g1": 1}
+    assert not view.is_suspect and view.defenders == {"g1": 1}
 
 
 def test_one_bad_node_is_no_lost_zone():
     assert not weighed(
         (0, FINE + [(100, SILENT)] * 9 + [(101, GOOD)]), (1, FINE + [(100, SILENT)] * 9)
-    ).suspect
+    ).is_suspect
 
 
 # --- standing ---
@@ -563,7 +563,7 @@
     """Accusers of one zone alone are believed."""
 
     def _lost(self, view):
-        return view.silent, False
+        return view.is_unresponsive, False
 
 
 class PartOfTheReached(Zones):
