--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -21,6 +21,7 @@
 
 import click
 
+from ochrecourse.fleet.zone_evidence import EndedAttempt
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
@@ -95,7 +96,9 @@
 
     def _leg(self, i: int, part: FleetMember) -> None:
         if not part.stopped and part.zones is not None:
-            part.zones.leg_over(i % NODES, Ending.SERVED, 20 * MS, 20.0 * MS, now_ns(self.network))
+            part.zones.attempt_ended(
+                EndedAttempt(i % NODES, Ending.SERVED, 20 * MS, 20.0 * MS, now_ns(self.network))
+            )
             self.network.callLater(self.network.chance.expovariate(self.legs), self._leg, i, part)
 
     def _written(self, here: str, there: str, size: int) -> None:
--- a/ochrecourse/fleet/member_zones.py
+++ b/ochrecourse/fleet/member_zones.py
@@ -10,7 +10,9 @@
 from ochrecourse.fleet.member_settings import MemberSettings
 from ochrecourse.fleet.operator_log import OperatorLog
 from ochrecourse.fleet.terms import Terms
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.fleet.zonewatch import ZoneWatch
 
 
@@ -26,23 +28,19 @@
     ) -> None:
         self.network = environment.network
         self.gateway = environment.gateway
-        self.zones: Zones | None = None
+        self.zones: ZoneController | None = None
         self.zone_watch: ZoneWatch | None = None
         fleet_size = len({peer["name"] for peer in settings.peers}) + 1
         if settings.zones is not None:
-            self.zones = Zones(
-                settings.zones,
-                placement.zone_count,
-                self.gateway.name,
-                placement.zone,
-                fleet_size,
-                placement.names,
+            fleet_placement = FleetPlacement(
+                placement.zone_count, self.gateway.name, placement.zone, fleet_size, placement.names
             )
+            self.zones = ZoneController(ZoneSettings.from_map(settings.zones), fleet_placement)
             self.zone_watch = ZoneWatch(
                 self.zones, self.gateway.ledger, placement.warm_up, wall_ms, settings.beat_interval
             )
             self.gateway.legs_over.append(self.attempt_ended)
-        cold_limit = self.zones.figure["cold"] if self.zones is not None else 0.0
+        cold_limit = self.zones.context.cold_node_rate if self.zones is not None else 0.0
         self.terms = Terms(placement.names, fleet_size, settings.clock_bound_ms, cold_limit)
 
     def attempt_ended(self, request: RequestRecord, attempt: AttemptRecord) -> None:
@@ -62,4 +60,6 @@
             operator_log.write("fleet settings alike" if is_same else "fleet settings differ", **change)
         if self.zones is not None:
             terms = self.terms
-            self.zones.terms_are(terms.strangers(), terms.size(), terms.clock_bound(), terms.cold())
+            self.zones.apply_shared_settings(
+                terms.strangers(), terms.size(), terms.clock_bound(), terms.cold()
+            )
--- a/ochrecourse/fleet/needs.py
+++ b/ochrecourse/fleet/needs.py
@@ -23,7 +23,7 @@
         self.held: dict[int, tuple[float, int]] = {}  # by shard: units a second, and of when, in ns
         self.usual = self.largest = 1.0  # units of a job in the mean, and of the largest seen
 
-    def leg(self, shard: int, units: float, now: int) -> None:
+    def units_sent(self, shard: int, units: float, now: int) -> None:
         """A leg went to a node that holds the shard."""
         self.held[shard] = (self.of(shard, now) + units * 0.693 * SECOND / HALF, now)
         self.usual += USUAL * (units - self.usual)
--- /dev/null
+++ b/ochrecourse/fleet/zone_controller.py
@@ -0,0 +1,300 @@
+"""Which zones the fleet evacuates and when it returns to them: one gateway's evidence in, decisions out.
+
+Own evidence goes out as a status, other gateways' come in; together they show how each zone fares. A decision
+is one entry of the log, written by the first gateway in the order of names among those that reach each other,
+by the next one if that one does not, and so on. docs/fleet.md has the rules in words. Free of I/O, clocks and
+chance; durations in ns unless a name says otherwise, times on a clock that only goes on.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from collections.abc import Set as AbstractSet
+
+import msgspec
+
+from ochrecourse.common.time_units import MS
+from ochrecourse.fleet.entries import Entry
+from ochrecourse.fleet.zone_context import FleetPlacement, ReceivedReport, ZoneContext
+from ochrecourse.fleet.zone_decision_entry import DecisionWriter
+from ochrecourse.fleet.zone_evidence import EndedAttempt, ReportScope
+from ochrecourse.fleet.zone_limits import RateLimitedZones
+from ochrecourse.fleet.zone_loans import ZoneLoans
+from ochrecourse.fleet.zone_nodes import ZoneNode
+from ochrecourse.fleet.zone_policy import ZonePolicy
+from ochrecourse.fleet.zone_rates import STALE_AFTER, NodeRates
+from ochrecourse.fleet.zone_report import ZoneReport, decode_report
+from ochrecourse.fleet.zone_settings import ZoneSettings
+from ochrecourse.fleet.zone_state import CHANNEL, DECISION_KIND, STATE_WORDS, ZoneState
+from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, ZoneSummary, summarize
+from ochrecourse.fleet.zone_timers import Observation, ZoneTimers
+from ochrecourse.interface import Ending
+
+EVALUATION_INTERVAL = 100 * MS  # ns; finer than a beat, and cheap
+MAX_ELAPSED = 500 * MS  # ns that one evaluation may count; more means that this process stood still
+LOAN_KIND = "lend"  # in field `what` of an entry
+
+
+class ZoneController:
+    """One gateway's side of the fleet's decisions on zones."""
+
+    def __init__(self, settings: ZoneSettings, placement: FleetPlacement) -> None:
+        self.context = ZoneContext(settings, placement)
+        self.policy = ZonePolicy(self.context)
+        self.limited = RateLimitedZones(self.context)
+        self.rates = NodeRates(self.context, self.limited)
+        self.loans = ZoneLoans(self.context, self.limited)
+        self.writer = DecisionWriter(self.context, self.policy)
+        self._evaluated_at = -1
+        self._majority_since = 0  # when it last began to reach enough of the fleet to decide for it
+        self._own_report: tuple[int, ZoneReport] | None = None  # and of when
+
+    # --- what is observed and received ---
+
+    def update_nodes(self, entries: Mapping[int, ZoneNode]) -> None:
+        """The complete endpoint list, by node."""
+        context = self.context
+        context.observations.forget(context.nodes.by_node.keys() - entries.keys())
+        context.node_alive_at = {node: at for node, at in context.node_alive_at.items() if node in entries}
+        context.nodes.update(entries)
+        self.rates.endpoint_list_changed()
+        self.limited.invalidate()
+
+    def attempt_ended(self, attempt: EndedAttempt) -> None:
+        """An attempt ended, or has been without an answer for too long and counts as TIMEOUT."""
+        began_at = attempt.ended_at - attempt.duration
+        if began_at >= self._majority_since or attempt.ending is Ending.SERVED:
+            self.context.observations.attempt_ended(attempt)
+        self.units_sent(attempt.node, attempt.ended_at, attempt.units)
+
+    def units_sent(self, node: int, now: int, units: float = 1.0) -> None:
+        """An attempt that ended and is no evidence of its node: the units that it took count all the same."""
+        nodes = self.context.nodes
+        if node in nodes.by_node:
+            self.context.shard_demand.units_sent(nodes.by_node[node].shard, units, now)
+        zone = nodes.zone_of.get(node)
+        if zone is not None and zone in self.limited.zones():
+            rate = self.rates.rate(zone, node, now)
+            self.context.observations.use_rate(node, units, rate, now)
+
+    def report_received(self, name: str, zone: int, status: bytes, now: int) -> None:
+        """Another gateway's status. Raises ZoneReportError."""
+        if name != self.context.name:
+            self.context.reports[name] = ReceivedReport(now, zone, decode_report(status))
+
+    def gateway_unreachable(self, name: str) -> None:
+        """A gateway is no longer reached: its report is no evidence."""
+        self.context.reports.pop(name, None)
+
+    def apply_shared_settings(
+        self,
+        gateways_with_other_zones: AbstractSet[str],
+        gateway_count: int,
+        clock_bound_ms: float,
+        cold_node_rate: float,
+    ) -> None:
+        """What the fleet has for the settings that must be the same at all gateways, on the safe side."""
+        context = self.context
+        context.gateways_with_other_zones = gateways_with_other_zones
+        for name in sorted(gateways_with_other_zones & context.reports.keys()):
+            del context.reports[name]
+        context.gateway_count = context.quota.size = max(1, gateway_count)
+        context.quota.bound = round(clock_bound_ms)
+        context.cold_node_rate = cold_node_rate
+
+    def set_time(self, now: int, wall_ms: int) -> None:
+        """The wall clock in ms since 1970; without it nothing is lent or borrowed."""
+        self.context.quota.time_is(now, wall_ms)
+
+    def entry_received(self, entry: Entry, now: int = 0) -> None:
+        """An entry of channel `fleet`, in any order and any number of times; others are ignored."""
+        if entry.channel != CHANNEL:
+            return
+        kind = _kind_of(entry.body)
+        if kind == LOAN_KIND:
+            self.context.quota.event(entry)
+        elif kind == DECISION_KIND:
+            zone = self.context.decisions.apply(entry)
+            if zone is not None:
+                self._decision_changed(zone, max(now, self._evaluated_at, 0))
+
+    def _decision_changed(self, zone: int, decided_at: int) -> None:
+        self.limited.invalidate()
+        timers = self.context.timers.get(zone) or ZoneTimers()
+        warm_at = self.context.nodes.warm_at(zone)
+        is_suspect = self.context.decisions.of(zone).state is ZoneState.SUSPECT
+        restart = timers.restarted_as_suspect if is_suspect else timers.restarted
+        self.context.timers[zone] = restart(decided_at, warm_at)
+
+    # --- what is reported and decided ---
+
+    def status(self, now: int) -> bytes:
+        """This gateway's report for its next heartbeat."""
+        return msgspec.json.encode(self._report_at(now))
+
+    def _report_at(self, now: int) -> ZoneReport:
+        if self._own_report is None or self._own_report[0] != now:
+            self._own_report = (now, self.make_report(now))
+        return self._own_report[1]
+
+    def make_report(self, now: int) -> ZoneReport:
+        """What this gateway observed over the window that ends now."""
+        context = self.context
+        accused_nodes = {
+            each.node
+            for received in context.reports.values()
+            if now - received.received_at <= STALE_AFTER
+            for each in received.report.nodes
+            if each.failures
+        }
+        scope = ReportScope(
+            context.nodes.zone_of,
+            context.zones_not_in(),
+            accused_nodes & context.nodes.zone_of.keys(),
+            self.loans.exhausted_zones(now),
+        )
+        report = context.observations.report(scope, now)
+        demand = self.loans.unmet_demand(now)
+        return msgspec.structs.replace(report, demand=demand) if demand else report
+
+    def next_entry(self, now: int, reached: Mapping[str, int]) -> dict[str, object] | None:
+        """The body of an entry for channel `fleet`; called until None. `reached`: the gateways that this one
+        reaches, itself included, each with its zone.
+        """
+        self.evaluate(now, reached)
+        if self.context.is_minority():
+            return None  # what it observes limits its own rates alone
+        order = sorted(self.context.reached)
+        rank = order.index(self.context.name)
+        for zone, timers in self.context.timers.items():
+            number = self.context.decisions.of(zone).number + 1
+            if timers.due is not None and self._is_to_write(timers, rank, number, now):
+                timers.proposed_number, timers.proposed_at = number, now
+                return self.writer.body(zone, timers.due, number, now)
+        return self.loans.next_loan(now, order)
+
+    def _is_to_write(self, timers: ZoneTimers, rank: int, number: int, now: int) -> bool:
+        timeout = self.context.settings.decider_timeout
+        if now - timers.due_at < rank * timeout:
+            return False  # a gateway before this one may write it
+        # Written, and either refused by the log or on its way.
+        is_pending = timers.proposed_number == number and now - timers.proposed_at < timeout
+        return not is_pending
+
+    def evaluate(self, now: int, reached: Mapping[str, int]) -> None:
+        """Looks at all evidence; a few times a beat is often enough."""
+        self._set_reached(now, reached)
+        if self._evaluated_at >= 0 and now - self._evaluated_at < EVALUATION_INTERVAL:
+            return
+        elapsed = min(MAX_ELAPSED, now - self._evaluated_at) if self._evaluated_at >= 0 else 0
+        self._evaluated_at = now
+        self._summarize(now)
+        context = self.context
+        for zone in context.summaries.keys() | context.zones_not_in():
+            self._evaluate_zone(zone, elapsed, now)
+        for zone in context.timers.keys() - context.summaries.keys():
+            if context.decisions.of(zone).state is ZoneState.IN:
+                self._evaluate_without_evidence(zone, elapsed)
+
+    def _set_reached(self, now: int, reached: Mapping[str, int]) -> None:
+        context = self.context
+        was_minority = context.is_minority()
+        others = context.gateways_with_other_zones
+        same_zones = {name: zone for name, zone in reached.items() if name not in others}
+        context.reached = {**same_zones, context.name: context.zone}
+        if was_minority and not context.is_minority():
+            # Guards against a side that was isolated and is believed afterwards: its failures and what was
+            # due for decision are its own failure, not that of the zones that it could not reach.
+            context.observations.forget(list(context.observations.by_node))
+            context.timers = {
+                zone: each.restarted(each.decided_at, each.warm_at) for zone, each in context.timers.items()
+            }
+            self._majority_since = now
+
+    def _summarize(self, now: int) -> None:
+        context = self.context
+        reports = {
+            name: GatewayReport(each.gateway_zone, each.report)
+            for name, each in context.reports.items()
+            if name in context.reached and now - each.received_at <= STALE_AFTER
+        }
+        reports[context.name] = GatewayReport(context.zone, self._report_at(now))
+        listed = ListedZones(context.nodes.zone_of, context.nodes.ready, self.limited.zones())
+        context.summaries = summarize(reports, listed)
+        context.fleet_summary = ZoneSummary()
+        for _, report in reports.values():
+            self.rates.report_received(report, now)
+            context.fleet_summary.add_totals(report.totals)
+
+    def _evaluate_zone(self, zone: int, elapsed: int, now: int) -> None:
+        """Adds the elapsed time to the zone's timers, and finds the state that is due."""
+        context = self.context
+        summary = context.summaries.get(zone) or ZoneSummary(len(context.nodes.ready.get(zone, ())))
+        timers = context.timers.setdefault(zone, ZoneTimers())
+        observation = Observation(
+            elapsed,
+            summary,
+            self.policy.loss_of(summary),
+            context.decisions.of(zone).state,
+            self.limited.is_resting(zone, now),
+            context.settings.max_failed_fraction,
+        )
+        timers.advance(observation)
+        due = self.policy.due_state(zone, summary, now)
+        if due is not timers.due:
+            timers.due, timers.due_at = due, now
+        self._update_isolation(zone, observation.loss.is_lost, timers)
+
+    def _evaluate_without_evidence(self, zone: int, elapsed: int) -> None:
+        timers = self.context.timers[zone]
+        timers.advance_without_evidence(elapsed)
+        # Guards against an isolated zone that is seldom tried, and for that reason is no longer in evidence.
+        if not timers.lost or not self.context.is_minority():
+            self.limited.set_isolated(zone, False)
+
+    def _update_isolation(self, zone: int, is_lost: bool, timers: ZoneTimers) -> None:
+        """A side that is too small to decide for the fleet limits its own rates at a lost zone."""
+        settings = self.context.settings
+        if not self.context.is_minority() or timers.calm >= settings.clear_after:
+            self.limited.set_isolated(zone, False)
+        elif is_lost and timers.lost >= settings.silent_loss_after:
+            self.limited.set_isolated(zone, True)
+
+    # --- what follows ---
+
+    def state_of(self, zone: int) -> tuple[ZoneState, int]:
+        """Its state at this gateway, and the number of the decision in force."""
+        return self.limited.state_of(zone)
+
+    def node_rates(self, now: int) -> dict[int, float]:
+        """By node, units a second that this gateway may begin there; a node left out has no such limit."""
+        return self.rates.rates(now)
+
+    def report(self) -> dict[str, object]:
+        """For operators, by zone with any decision: its state, and what was last observed of it."""
+        zones = {}
+        for zone, decision in sorted(self.context.decisions.by_zone.items()):
+            state, number = self.state_of(zone)
+            summary = self.context.summaries.get(zone)
+            zones[str(zone)] = {
+                "standing": STATE_WORDS[state],
+                "number": number,
+                "part": decision.fraction,
+                "rest_ms": decision.rest_ms,
+                "hand": decision.by_operator,
+                "seen": summary.as_evidence() if summary else None,
+            }
+        isolated = sorted(self.context.isolated_zones)
+        return {"zones": zones, "spared": isolated, "reached": len(self.context.reached)}
+
+
+class _EntryKind(msgspec.Struct):
+    what: str = ""
+
+
+def _kind_of(body: bytes) -> str:
+    """What an entry of the channel is about; empty if it does not say."""
+    try:
+        return msgspec.json.decode(body, type=_EntryKind).what
+    except (msgspec.MsgspecError, RecursionError):
+        return ""
--- a/ochrecourse/fleet/zone_summary.py
+++ b/ochrecourse/fleet/zone_summary.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ochrecourse.fleet.zone_report import UNIT_FRACTIONS, ZoneCounts, ZoneReport
+from ochrecourse.fleet.zone_report import UNIT_FRACTIONS, AttemptTotals, ZoneCounts, ZoneReport
 
 FAILURES_OF_FAILING_NODE = 3  # in a row, of all gateways together; by chance there are two
 MIN_FAILURES_OF_ACCUSER = 2  # by which one gateway accuses a zone; one may be the attempt's own
@@ -80,6 +80,12 @@
             "zones": sorted({*self.accusers.values(), *self.losers.values()}),
         }
 
+    def add_totals(self, totals: AttemptTotals) -> None:
+        """Adds one gateway's attempts in all zones; those that a full node rejected count as slow."""
+        self.attempts += totals.attempts
+        self.failed += totals.attempts - totals.served - totals.full
+        self.slow += totals.slow + totals.full
+
     def add_counts(self, gateway: str, reported: GatewayReport, counts: ZoneCounts) -> None:
         """Adds what one gateway reports of the zone."""
         self.attempts += counts.attempts
--- a/ochrecourse/fleet/zonewatch.py
+++ b/ochrecourse/fleet/zonewatch.py
@@ -1,6 +1,6 @@
 """Zones as a tenant of the fleet's part: legs that ended here go in, and out come sights, events and bounds.
 
-What it all means is said in zones.py. Free of I/O, clocks and chance.
+What it all means is said in zone_controller.py. Free of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -11,8 +11,11 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_decision_entry import operator_decision
+from ochrecourse.fleet.zone_evidence import EndedAttempt
+from ochrecourse.fleet.zone_nodes import ZoneNode
 from ochrecourse.fleet.zone_state import CHANNEL, STATE_WORDS, ZoneState, ZoneDecisions, zone_name_of
-from ochrecourse.fleet.zones import Zones, order
 from ochrecourse.common.request_records import RequestRecord, AttemptRecord
 from ochrecourse.interface import Ending, Health, NodeEntry
 from ochrecourse.common.time_units import MS
@@ -37,7 +40,7 @@
     name = "zones"
 
     def __init__(
-        self, zones: Zones, books: Books, cold: int, wall_ms: Callable[[], int], beat: int = 0
+        self, zones: ZoneController, books: Books, cold: int, wall_ms: Callable[[], int], beat: int = 0
     ) -> None:
         self.zones = zones
         self.books = books
@@ -52,9 +55,9 @@
 
     def nodes_are(self, entries: Iterable[NodeEntry], now: int) -> None:
         """The whole list of nodes."""
-        self.zones.nodes_are(
+        self.zones.update_nodes(
             {
-                each.node: (
+                each.node: ZoneNode(
                     each.zone,
                     each.shard,
                     each.health is Health.READY,
@@ -62,8 +65,7 @@
                 )
                 for each in entries
                 if each.health is not Health.GONE
-            },
-            now,
+            }
         )
 
     def leg_over(self, story: RequestRecord, leg: AttemptRecord, now: int) -> None:
@@ -78,11 +80,11 @@
         if self._late(now):
             # Guards against a gateway whose own loop is slow: its timers ran before it read what had come.
             if leg.ending in (Ending.TIMEOUT, Ending.UNREACHABLE):
-                self.zones.spent(leg.node, now, story.units)
+                self.zones.units_sent(leg.node, now, story.units)
                 return
-            self.zones.leg_over(leg.node, leg.ending, leg.took, 0.0, now, story.units)
+            self.zones.attempt_ended(EndedAttempt(leg.node, leg.ending, leg.took, 0.0, now, story.units))
             return
-        self.zones.leg_over(leg.node, leg.ending, leg.took, usual, now, story.units)
+        self.zones.attempt_ended(EndedAttempt(leg.node, leg.ending, leg.took, usual, now, story.units))
         if leg.ending is Ending.SERVED:
             self.pace[story.product] = usual + (leg.took - usual) * SMOOTH if usual else float(leg.took)
 
@@ -92,7 +94,7 @@
         return self.beat > 0 and (overdue or now < self.late_until)
 
     def beat_passed(self, now: int) -> None:
-        self.zones.time_is(now, self.wall_ms())
+        self.zones.set_time(now, self.wall_ms())
         if self._late(now) and now >= self.late_until:
             self.late_until = now + self.beat
         self.turned = now
@@ -107,25 +109,27 @@
                 at = (story.number, leg.number)
                 if leg.ending is None and now - leg.sent > longest and at not in self.silent:
                     self.silent.add(at)
-                    self.zones.leg_over(leg.node, Ending.TIMEOUT, now - leg.sent, usual, now, story.units)
+                    self.zones.attempt_ended(
+                        EndedAttempt(leg.node, Ending.TIMEOUT, now - leg.sent, usual, now, story.units)
+                    )
 
     def status(self, now: int) -> bytes | None:
-        return self.zones.sight(now)
+        return self.zones.status(now)
 
     def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
-        self.zones.heard(name, zone, told, now)
+        self.zones.report_received(name, zone, told, now)
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        self.zones.event(entry, now)
+        self.zones.entry_received(entry, now)
 
     def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
-        body = self.zones.wants(now, reached)
+        body = self.zones.next_entry(now, reached)
         return None if body is None else (CHANNEL, body)
 
     def node_rates(self, now: int) -> Mapping[int, float]:
         # Guards against a process that stood still: a loan ends by the wall clock, whoever asks first.
-        self.zones.time_is(now, self.wall_ms())
-        return self.zones.bounds(now)
+        self.zones.set_time(now, self.wall_ms())
+        return self.zones.node_rates(now)
 
     def keeps(self, events: Sequence[Entry], upto: Stamp) -> list[Entry]:
         """Of these events, those that still say something: for each zone the decision that stands, and loans
@@ -140,7 +144,7 @@
                     loans.append(entry)
                 continue
             name = zone_name_of(entry.body)
-            of = standings.setdefault(name, ZoneDecisions(self.zones.standings.zone_count))
+            of = standings.setdefault(name, ZoneDecisions(self.zones.context.decisions.zone_count))
             if (zone := of.apply(entry)) is not None:
                 latest[zone, name] = entry
         return [*(latest[at] for at in sorted(latest)), *loans]
@@ -148,8 +152,8 @@
     def changes(self) -> list[dict[str, object]]:
         """What people were not yet told: zones whose standing changed, and who said so."""
         told: list[dict[str, object]] = []
-        for zone, held in sorted(self.zones.standings.by_zone.items()):
-            standing, number = self.zones.standing(zone)
+        for zone, held in sorted(self.zones.context.decisions.by_zone.items()):
+            standing, number = self.zones.state_of(zone)
             if self.shown.get(zone) != (STATE_WORDS[standing], number):
                 self.shown[zone] = (STATE_WORDS[standing], number)
                 told.append({
@@ -166,12 +170,14 @@
         orders = {
             STATE_WORDS[each]: each for each in (ZoneState.EVACUATED, ZoneState.SLOW_START, ZoneState.IN)
         }
-        if word not in orders or not 0 <= zone < self.zones.standings.zone_count:
+        if word not in orders or not 0 <= zone < self.zones.context.decisions.zone_count:
             return None
-        names = self.zones.standings.zone_names
-        body = order(zone, orders[word], self.zones.standings.of(zone), names[zone] if names else "")
+        names = self.zones.context.decisions.zone_names
+        body = operator_decision(
+            zone, orders[word], self.zones.context.decisions.of(zone), names[zone] if names else ""
+        )
         if orders[word] is ZoneState.SLOW_START:
-            body.update(hand=False, part=self.zones.figure["first"])
+            body.update(hand=False, part=self.zones.context.settings.first_fraction)
         return CHANNEL, body
 
     def report(self) -> dict[str, object]:
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -135,8 +135,8 @@
         for seat in self.seats:
             zones = seat.zones()
             if zones is not None and seat.daemon is not None:
-                limit = zones.figure["cold"]
-                for node, rate in zones.bounds(now_ns(self.network)).items():
+                limit = zones.context.cold_node_rate
+                for node, rate in zones.node_rates(now_ns(self.network)).items():
                     sums[node] += rate
         for node, total in sorted(sums.items()):
             machine = self.play.fleet.nodes[node].machine if node in self.play.fleet.nodes else None
--- a/ochrecourse/lab/fleet_instance.py
+++ b/ochrecourse/lab/fleet_instance.py
@@ -68,7 +68,7 @@
         zones = self.zones()
         if zones is None:
             return {}
-        told = {zone: zones.standing(zone) for zone in range(len(self.play.day.zones))}
+        told = {zone: zones.state_of(zone) for zone in range(len(self.play.day.zones))}
         return {zone: (standing.name, number) for zone, (standing, number) in told.items()}
 
     def zones(self) -> Any:
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from ochrecourse.fleet.zone_policy import ZonePolicy
+from ochrecourse.fleet.zone_rates import NodeRates
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import kept as kept_module
 from ochrecourse.fleet import purger as purger_module
@@ -24,7 +26,7 @@
 from ochrecourse.fleet.log import Log
 from ochrecourse.fleet.purges import Purges
 from ochrecourse.fleet.zone_state import ZoneDecisions
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_controller import ZoneController
 
 Patch = Callable[[Any, str, Any], None]
 
@@ -46,33 +48,33 @@
 
 def few_speak(patch: Patch) -> None:
     """A side that is too small to speak for the fleet decides all the same."""
-    wants = Zones.wants
+    next_entry = ZoneController.next_entry
 
-    def speaks(self: Zones, now: int, reached: Any) -> Any:
-        size, self.gateways = self.gateways, 1
+    def speaks(self: ZoneController, now: int, reached: Any) -> Any:
+        size, self.context.gateway_count = self.context.gateway_count, 1
         try:
-            return wants(self, now, reached)
+            return next_entry(self, now, reached)
         finally:
-            self.gateways = size
+            self.context.gateway_count = size
 
-    patch(Zones, "wants", speaks)
+    patch(ZoneController, "next_entry", speaks)
 
 
 def believes_itself(patch: Patch) -> None:
     """A side that was cut off holds against the others' zone what it failed at alone."""
-    turn = Zones.turn
+    evaluate = ZoneController.evaluate
 
-    def remembers(self: Zones, now: int, reached: Any) -> None:
-        if 2 * len(self.reached) < self.gateways:
-            self.reached = dict.fromkeys(map(str, range(self.gateways)), 0)
-        turn(self, now, reached)
+    def remembers(self: ZoneController, now: int, reached: Any) -> None:
+        if self.context.is_minority():
+            self.context.reached = dict.fromkeys(map(str, range(self.context.gateway_count)), 0)
+        evaluate(self, now, reached)
 
-    patch(Zones, "turn", remembers)
+    patch(ZoneController, "evaluate", remembers)
 
 
 def leaves_any(patch: Patch) -> None:
     """A zone is left however little remains."""
-    patch(Zones, "_may_leave", lambda self, zone, view: True)
+    patch(ZonePolicy, "may_evacuate", lambda self, zone, summary: True)
 
 
 # --- cold nodes ---
@@ -106,16 +108,18 @@
 
 def knows_no_cold(patch: Patch) -> None:
     """What a returning zone's nodes may be sent does not heed that they just started."""
-    limit = Zones._limit
+    limit = NodeRates.limit
 
-    def warm(self: Zones, zone: int, node: int, now: int) -> float:
-        nodes, self.nodes = self.nodes, {number: (*each[:3], 0) for number, each in self.nodes.items()}
+    def warm(self: NodeRates, zone: int, node: int, now: int) -> float:
+        listed = self.context.nodes
+        nodes = listed.by_node
+        listed.by_node = {number: each._replace(warm_at=0) for number, each in nodes.items()}
         try:
             return limit(self, zone, node, now)
         finally:
-            self.nodes = nodes
+            listed.by_node = nodes
 
-    patch(Zones, "_limit", warm)
+    patch(NodeRates, "limit", warm)
 
 
 # --- the log ---
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -6,8 +6,9 @@
 
 from ochrecourse.audit import capacity as seen
 from ochrecourse.audit import records as r
+from ochrecourse.fleet.zone_nodes import ZoneNodes
 from ochrecourse.fleet.zone_state import ZoneState
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_controller import ZoneController
 from ochrecourse.lab import mistakes
 from ochrecourse.lab.day import BadDay, check
 from ochrecourse.lab.fleet_judge import judge
@@ -89,16 +90,20 @@
 
 
 def some_ignore_bounds(patch):
-    bounds = Zones.bounds
-    patch(Zones, "bounds", lambda self, now: {} if self.name in ("g0", "g3") else bounds(self, now))
+    rates = ZoneController.node_rates
+    patch(
+        ZoneController,
+        "node_rates",
+        lambda self, now: {} if self.context.name in ("g0", "g3") else rates(self, now),
+    )
 
 
 def all_ignore_bounds(patch):
-    patch(Zones, "bounds", lambda self, now: {})
+    patch(ZoneController, "node_rates", lambda self, now: {})
 
 
 def returns_end_while_nodes_are_cold(patch):
-    patch(Zones, "_warm_at", lambda self, zone: 0)
+    patch(ZoneNodes, "warm_at", lambda self, zone: 0)
 
 
 AT_ONCE, SUM = "what only a lost zone holds is denied at once", "the sum at each cold node within the limit"
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -1,11 +1,16 @@
 """What is neither up nor down: zones that answer and lose, lists and settings that differ, processes that run late."""
 
+import dataclasses
 import msgspec
 import pytest
 from test_fleet_part import EPOCH
 from test_fleet_part import SAID as BASE
 from zone_world import World, left
 
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_nodes import ZoneNode
+from ochrecourse.fleet.zone_policy import ZonePolicy
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.stall_detector import StallDetector
 from ochrecourse.fleet.entries import Entry, Stamp
@@ -15,7 +20,7 @@
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.zone_state import ZoneState, ZoneDecisions
 from ochrecourse.fleet.terms import Terms
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_controller import ZoneController
 from ochrecourse.fleet.zonewatch import ZoneWatch
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
@@ -52,24 +57,26 @@
     assert left(world, 1) and not world.changes(0) and not world.changes(2)
 
 
-class ByCount(Zones):
+class ByCount(ZoneController):
     """Goes by how many legs are answered."""
 
-    def heard(self, *given):
-        super().heard(*given)
-        for name, (at, zone, sight) in self.sights.items():
+    def report_received(self, *given):
+        super().report_received(*given)
+        for name, received in self.context.reports.items():
+            sight = received.report
             blind = tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones)
-            self.sights[name] = (at, zone, msgspec.structs.replace(sight, zones=blind))
+            sight = msgspec.structs.replace(sight, zones=blind)
+            self.context.reports[name] = dataclasses.replace(received, report=sight)
 
-    def _look(self, now):
-        sight = super()._look(now)
+    def make_report(self, now):
+        sight = super().make_report(now)
         return msgspec.structs.replace(
             sight,
             zones=tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones),
         )
 
 
-@pytest.mark.parametrize("make, falls", [(Zones, True), (ByCount, False)])
+@pytest.mark.parametrize("make, falls", [(ZoneController, True), (ByCount, False)])
 def test_it_does_not_come_back_by_small_probes_and_rests_longer_after_each_fall(make, falls):
     """Its probes are small; of the jobs that come as it returns two in three are large."""
     world = World(2, make=make).run(3)
@@ -118,19 +125,26 @@
 # --- lists that differ ---
 
 
-class Blind(Zones):
+class BlindPolicy(ZonePolicy):
+    def due_state(self, zone, summary, now):
+        ready = self.context.nodes.ready
+        if self.context.decisions.of(zone).state is ZoneState.EVACUATED or zone in ready:
+            return super().due_state(zone, summary, now)
+        ready[zone] = {-1}
+        due = super().due_state(zone, summary, now)
+        del ready[zone]
+        return due
+
+
+class Blind(ZoneController):
     """Who sees none of a zone's nodes on its list decides on it all the same."""
 
-    def _due(self, zone, view, since, held, now):
-        if held.state is ZoneState.EVACUATED or zone in self.ready:
-            return super()._due(zone, view, since, held, now)
-        self.ready[zone] = {-1}
-        due = super()._due(zone, view, since, held, now)
-        del self.ready[zone]
-        return due
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy = self.writer.policy = BlindPolicy(self.context)
 
 
-@pytest.mark.parametrize("make, alternate", [(Zones, False), (Blind, True)])
+@pytest.mark.parametrize("make, alternate", [(ZoneController, False), (Blind, True)])
 def test_one_whose_list_lacks_a_zone_does_not_bring_it_back_blind(make, alternate):
     """The first in order, who would decide, sees none of the zone's nodes."""
     world = World(4, make=make).run(3)
@@ -138,7 +152,7 @@
     world.run(8)
     world.regain(1)
     first = world.gates["g0"].zones
-    first.nodes_are({node: each for node, each in world.list().items() if each[0] != 1}, world.now)
+    first.update_nodes({node: each for node, each in world.list().items() if each[0] != 1})
     while world.standing(1) is not ZoneState.SLOW_START:
         world.step()
     world.lose(1)
@@ -207,18 +221,22 @@
 
 
 def test_evidence_and_decisions_of_one_who_means_another_zone_are_not_taken():
-    zones = Zones({}, 2, "g0", 0, 4, ("north", "south"))
-    zones.heard("g1", 1, b"[[5,0,0,0],[[1,5]]]", 0)
-    zones.terms_are({"g1"}, 6, 700.0, 3.0)
-    assert not zones.sights and (zones.gateways, zones.allot.size, zones.allot.bound) == (6, 6, 700)
-    assert zones.figure["cold"] == 3.0
-    zones.turn(0, {"g0": 0, "g1": 1, "g2": 1})
-    assert set(zones.reached) == {"g0", "g2"}
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 4, ("north", "south")))
+    zones.report_received("g1", 1, b"[[5,0,0,0],[[1,5]]]", 0)
+    zones.apply_shared_settings({"g1"}, 6, 700.0, 3.0)
+    assert not zones.context.reports and (
+        zones.context.gateway_count,
+        zones.context.quota.size,
+        zones.context.quota.bound,
+    ) == (6, 6, 700)
+    assert zones.context.cold_node_rate == 3.0
+    zones.evaluate(0, {"g0": 0, "g1": 1, "g2": 1})
+    assert set(zones.context.reached) == {"g0", "g2"}
     said = {"what": "zone", "zone": 1, "standing": "left", "number": 1}
-    zones.event(entry("g1", name="north", **said))
-    assert zones.standing(1)[0] is ZoneState.IN
-    zones.event(entry("g1", 4, **said))  # of an older version, which names none
-    assert zones.standing(1)[0] is ZoneState.EVACUATED
+    zones.entry_received(entry("g1", name="north", **said))
+    assert zones.state_of(1)[0] is ZoneState.IN
+    zones.entry_received(entry("g1", 4, **said))  # of an older version, which names none
+    assert zones.state_of(1)[0] is ZoneState.EVACUATED
 
 
 def test_a_snapshot_keeps_what_each_side_means_whoever_makes_it():
@@ -229,7 +247,9 @@
     ]
     kept = []
     for names in (("north", "south"), ("south", "north")):
-        watch = ZoneWatch(Zones({}, 2, "g0", 0, 2, names), RequestLog(), 0, lambda: 0)
+        watch = ZoneWatch(
+            ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2, names)), RequestLog(), 0, lambda: 0
+        )
         kept.append(watch.keeps(events, Stamp(9, 0)))
     assert kept[0] == kept[1] == [events[1], events[2]]
     held = ZoneDecisions(2, ("north", "south"))
@@ -242,8 +262,8 @@
 
 
 def watched(beat=250 * MS):
-    zones = Zones({}, 2, "g0", 0, 2)
-    zones.nodes_are({1: (0, 0, True, 0), 2: (1, 1, True, 0)}, 0)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2))
+    zones.update_nodes({1: ZoneNode(0, 0, True, 0), 2: ZoneNode(1, 1, True, 0)})
     return ZoneWatch(zones, RequestLog(), 0, lambda: 0, beat)
 
 
@@ -254,7 +274,7 @@
     leg = story.legs[0]
     leg.ending, leg.took = ending, now - sent
     watch.leg_over(story, leg, now)
-    return watch.zones.own.by_node.get(node)
+    return watch.zones.context.observations.by_node.get(node)
 
 
 @pytest.mark.parametrize("ending", [Ending.TIMEOUT, Ending.UNREACHABLE])
@@ -345,9 +365,11 @@
     channel, body = made["c"].zone_watch.by_hand(1, "left")
     made["c"].append(channel, body)
     network.advance(2)
-    assert made["c"].zones.standing(1)[0] is ZoneState.EVACUATED
-    assert made["a"].zones.standing(1)[0] is made["b"].zones.standing(1)[0] is ZoneState.IN
-    assert set(made["a"].zones.reached) == {"a", "b"} and set(made["c"].zones.reached) == {"c"}
+    assert made["c"].zones.state_of(1)[0] is ZoneState.EVACUATED
+    assert made["a"].zones.state_of(1)[0] is made["b"].zones.state_of(1)[0] is ZoneState.IN
+    assert set(made["a"].zones.context.reached) == {"a", "b"} and set(made["c"].zones.context.reached) == {
+        "c"
+    }
     assert made["a"].dump("fleet") == made["c"].dump("fleet")
 
 
@@ -362,13 +384,13 @@
     network.advance(2.6)
     a = made["a"]
     with_loan = dict(a.gateway.bounds)
-    assert with_loan[11] > 1.4 * a.zones._limit(1, 11, now_ns(network)) / 3
+    assert with_loan[11] > 1.4 * a.zones.rates.limit(1, 11, now_ns(network)) / 3
     clock = StallDetector(a.network, a)
     a.network.stand_still(True)
     network.advance(20)
     assert a.gateway.bounds == with_loan
     clock.seconds()  # a job that is read first thing after the stop
-    assert a.gateway.bounds[11] <= a.zones._limit(1, 11, now_ns(network)) / 3 + 1e-9
+    assert a.gateway.bounds[11] <= a.zones.rates.limit(1, 11, now_ns(network)) / 3 + 1e-9
 
 
 def test_what_lay_unread_over_a_standstill_is_no_news():
--- a/tests/test_fleet_needs.py
+++ b/tests/test_fleet_needs.py
@@ -6,8 +6,12 @@
 
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.needs import HALF, Needs, borrower, named
+from ochrecourse.fleet.zone_nodes import ZoneNode
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.fleet.zone_state import ZoneState
-from ochrecourse.fleet.zones import Zones, order
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_decision_entry import operator_decision
 from ochrecourse.common.time_units import MS, SECOND
 
 S = SECOND
@@ -18,7 +22,7 @@
 def test_a_shards_need_is_seen_wherever_it_is_served_and_fades():
     needs = Needs()
     for i in range(400):
-        needs.leg(3, 2.0, i * S // 4)  # eight units a second
+        needs.units_sent(3, 2.0, i * S // 4)  # eight units a second
     assert needs.of(3, 100 * S) == pytest.approx(8, rel=0.05)
     assert needs.of(3, 100 * S + HALF) == pytest.approx(4, rel=0.05)
     assert needs.of(4, 0) == 0 and needs.usual == pytest.approx(2, rel=0.01)
@@ -60,7 +64,7 @@
     lent = [body for _, _, body, _ in world.said if body["what"] == "lend"]
     assert lent and {to for body in lent for to in body["to"]} <= {"g0", "g1"}
     now = world.now
-    whole = sum(world.gates[name].zones.allot.usable(1, 100, now) for name in ("g0", "g1"))
+    whole = sum(world.gates[name].zones.context.quota.usable(1, 100, now) for name in ("g0", "g1"))
     assert whole > 0.5  # two of eight own a quarter
 
 
@@ -73,24 +77,28 @@
     world.run(5)
     zones = world.gates["g0"].zones
     assert world.standing(1) is ZoneState.EVACUATED
-    assert zones._limit(1, 100, world.now) == 2  # each shard of the small world is in one zone
-    entries = {node: (zone, node % 100, *rest) for node, (zone, _, *rest) in zones.nodes.items()}
-    zones.nodes_are(entries, world.now)
-    came = zones.since[1].came
-    assert zones.bounds(came + 5900 * MS) == dict.fromkeys((100, 101, 102), 0.0)
-    assert all(zones._limit(1, node, came + 6100 * MS) == 2 for node in (100, 101, 102))
+    assert zones.rates.limit(1, 100, world.now) == 2  # each shard of the small world is in one zone
     entries = {
-        node: (zone, node % 100 + 3 * (node == 101), *rest) for node, (zone, _, *rest) in entries.items()
+        node: ZoneNode(zone, node % 100, *rest)
+        for node, (zone, _, *rest) in zones.context.nodes.by_node.items()
     }
-    zones.nodes_are(entries, world.now)
-    assert [zones._limit(1, node, came + 5900 * MS) for node in (100, 101, 102)] == [0, 2, 0]
+    zones.update_nodes(entries)
+    came = zones.context.timers[1].decided_at
+    assert zones.node_rates(came + 5900 * MS) == dict.fromkeys((100, 101, 102), 0.0)
+    assert all(zones.rates.limit(1, node, came + 6100 * MS) == 2 for node in (100, 101, 102))
+    entries = {
+        node: ZoneNode(zone, node % 100 + 3 * (node == 101), *rest)
+        for node, (zone, _, *rest) in entries.items()
+    }
+    zones.update_nodes(entries)
+    assert [zones.rates.limit(1, node, came + 5900 * MS) for node in (100, 101, 102)] == [0, 2, 0]
 
 
 def test_of_a_large_left_zone_some_nodes_are_tried_and_the_others_after_them():
-    zones = Zones({}, 2, "g0", 0, 3)
-    nodes = {100 * zone + i: (zone, i, True, 0) for zone in (0, 1) for i in range(12)}
-    zones.nodes_are(nodes, S)
-    zones.event(
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 3))
+    nodes = {100 * zone + i: ZoneNode(zone, i, True, 0) for zone in (0, 1) for i in range(12)}
+    zones.update_nodes(nodes)
+    zones.entry_received(
         Entry(
             "fleet",
             "g1",
@@ -98,16 +106,18 @@
             1,
             Stamp(1, 0),
             (),
-            msgspec.json.encode(order(1, ZoneState.EVACUATED) | {"hand": False}),
+            msgspec.json.encode(operator_decision(1, ZoneState.EVACUATED) | {"hand": False}),
         ),
         S,
     )
     tried = []
     for wall in (20_000, 29_999, 30_000):
-        zones.time_is(S + wall * MS, wall)
-        tried.append({node for node in zones.listed[1] if zones._limit(1, node, S + wall * MS)})
+        zones.set_time(S + wall * MS, wall)
+        tried.append(
+            {node for node in zones.context.nodes.listed[1] if zones.rates.limit(1, node, S + wall * MS)}
+        )
     assert tried[0] == tried[1] and len(tried[0]) == len(tried[2]) == 6
-    assert tried[0] | tried[2] == zones.listed[1]
+    assert tried[0] | tried[2] == zones.context.nodes.listed[1]
 
 
 def test_a_left_zones_node_that_alone_holds_a_shard_may_be_sent_what_a_cold_one_bears_once_it_answers():
@@ -116,24 +126,24 @@
     world.run(5)
     zones = world.gates["g0"].zones
     assert world.standing(1) is ZoneState.EVACUATED
-    assert [zones._limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
+    assert [zones.rates.limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
     world.regain(1)
     limits = set()
     for _ in range(80):
         world.step()
-        limits.add(tuple(zones._limit(1, node, world.now) for node in (100, 101, 102)))
+        limits.add(tuple(zones.rates.limit(1, node, world.now) for node in (100, 101, 102)))
     assert world.standing(1) is ZoneState.EVACUATED and (5, 5, 5) in limits  # `cold` units a second
     world.lose(1)
     world.run(4)
-    assert [zones._limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
-    zones.standings.by_zone[1] = zones.standings.of(1)._replace(by_operator=True)
-    zones.lived = dict.fromkeys((100, 101, 102), world.now)
-    assert zones._limit(1, 100, world.now) == 2  # a person wants it left
+    assert [zones.rates.limit(1, node, world.now) for node in (100, 101, 102)] == [2, 2, 2]
+    zones.context.decisions.by_zone[1] = zones.context.decisions.of(1)._replace(by_operator=True)
+    zones.context.node_alive_at = dict.fromkeys((100, 101, 102), world.now)
+    assert zones.rates.limit(1, 100, world.now) == 2  # a person wants it left
 
 
 def test_in_a_large_fleet_each_gateway_has_its_turn_to_try_a_left_zone_however_long_that_takes():
     names = [f"g{i}" for i in range(120)]
-    nodes = {100 * zone + i: (zone, i, True, 0) for zone in (0, 1) for i in range(8)}
+    nodes = {100 * zone + i: ZoneNode(zone, i, True, 0) for zone in (0, 1) for i in range(8)}
     left = Entry(
         "fleet",
         "g1",
@@ -141,16 +151,16 @@
         1,
         Stamp(1, 0),
         (),
-        msgspec.json.encode(order(1, ZoneState.EVACUATED) | {"hand": False}),
+        msgspec.json.encode(operator_decision(1, ZoneState.EVACUATED) | {"hand": False}),
     )
     first = []
     for name in names:
-        zones = Zones({}, 2, name, 0, len(names))
-        zones.nodes_are(nodes, S)
-        zones.event(left, S)
+        zones = ZoneController(ZoneSettings(), FleetPlacement(2, name, 0, len(names)))
+        zones.update_nodes(nodes)
+        zones.entry_received(left, S)
         for second in range(2, 200):
-            zones.time_is(second * S, 1000 * second)
-            if any(zones.bounds(second * S).values()):
+            zones.set_time(second * S, 1000 * second)
+            if any(zones.node_rates(second * S).values()):
                 first.append(second)
                 break
     # A unit each second at each node, so one gateway after the other; in the mean a half of 60 s, and as long closed.
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -13,6 +13,8 @@
 
 from ochrecourse import library
 from ochrecourse.cli.control import answer
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused
@@ -21,7 +23,7 @@
 from ochrecourse.fleet.member_environment import JOURNAL, MemberEnvironment
 from ochrecourse.fleet.peer_links import MAX_UNGREETED_LINKS
 from ochrecourse.gateway.daemon import Daemon
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_controller import ZoneController
 from ochrecourse.fleet.zonewatch import ZoneWatch
 from ochrecourse.gateway.socket_handover import in_the_way
 from ochrecourse.common.request_records import RequestRecord
@@ -556,24 +558,24 @@
         fleet.parts["a"].append("fleet", body)
     fleet.run(130)  # over two whole minutes
     for part in fleet.parts.values():
-        assert part.log.bytes_of("fleet") < 10_000 and part.zones.standing(0)[1] >= 60
+        assert part.log.bytes_of("fleet") < 10_000 and part.zones.state_of(0)[1] >= 60
     assert len(fleet.dumps("fleet")) == 1
-    number = fleet.parts["a"].zones.standing(0)[1]
+    number = fleet.parts["a"].zones.state_of(0)[1]
     fleet.parts["c"].kill()
     fleet.journals["c"] = MemoryJournal()
     fleet.start("c")
     fleet.run(3)
-    assert fleet.parts["c"].zones.standing(0)[1] == number
+    assert fleet.parts["c"].zones.state_of(0)[1] == number
     assert fleet.parts["c"].log.frontier() > Stamp(EPOCH, 0)
 
 
 def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
-    zones = Zones({}, 2, "a", 0, 3)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "a", 0, 3))
     books = RequestLog()
     watch = ZoneWatch(zones, books, 15 * SECOND, lambda: EPOCH)
     nodes = [NodeEntry(1, 0, 0, Health.READY, 0), NodeEntry(2, 1, 0, Health.READY, 50 * SECOND)]
     watch.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
-    assert zones.nodes == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
+    assert zones.context.nodes.by_node == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
 
     def leg(job, node, sent, ended=None, ending=Ending.SERVED):
         if job not in books.jobs:
@@ -589,18 +591,20 @@
     assert watch.pace[0] == 30 * MS
     leg(20, 2, now)
     watch.beat_passed(now + 200 * MS)
-    assert 2 not in zones.own.by_node  # four times its usual time, but a pause of one process is as long
+    assert (
+        2 not in zones.context.observations.by_node
+    )  # four times its usual time, but a pause of one process is as long
     for beat in range(3):
         watch.beat_passed(now + 300 * MS + beat * 250 * MS)
-    assert zones.own.by_node[2].failures == 1
+    assert zones.context.observations.by_node[2].failures == 1
     watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
-    assert zones.own.by_node[2].failures == 1  # the same leg, counted already
+    assert zones.context.observations.by_node[2].failures == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
-    assert zones.own.by_node[2].failures == 2
+    assert zones.context.observations.by_node[2].failures == 2
 
 
 def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
-    zones = Zones({}, 3, "a", 0, 3)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
     watch = ZoneWatch(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
@@ -649,7 +653,7 @@
         ]
     assert ask(zone=0, standing="left")["done"] and ask(zone=0, standing="returning")["done"]
     fleet.run(1)
-    stands = [part.zones.standings.of(0) for part in fleet.parts.values()]
+    stands = [part.zones.context.decisions.of(0) for part in fleet.parts.values()]
     # From here on evidence leads: the pace rises step by step, and nobody has to take it back by hand.
     assert all(each.number >= 4 and not each.by_operator and 0.1 < each.fraction < 0.3 for each in stands)
 
@@ -762,8 +766,6 @@
 
 
 def test_a_fleet_of_1024_resolves_and_zones_have_the_figures_of_the_module():
-    from ochrecourse.fleet.zones import DEFAULTS
-
     peers = ", ".join(f'{{name: "p{i:04d}", address: "10.0.{i >> 8}.{i & 255}:7"}}' for i in range(1023))
     start, end = GOOD.index("peers: [") + 8, GOOD.index("]", GOOD.index("peers: ["))
     record = resolve(GOOD[:start] + peers + GOOD[end:], "g.cue")
@@ -772,7 +774,7 @@
     # What a cold node bears is no default: the rules say it, as the next test has it.
     elsewhere = ("clock_bound", "cold")
     assert record["fleet"]["zones"] == {
-        name: value for name, value in DEFAULTS.items() if name not in elsewhere
+        name: value for name, value in ZoneSettings().to_map().items() if name not in elsewhere
     }
     assert not in_the_way(record)  # its journal goes with its sockets
 
@@ -782,7 +784,7 @@
     rules = "\nrules: {cold_units: 18, cold_fall: 2s}\n"
     record = resolve(GOOD.replace("zones: {}", zones) + rules, "g.cue")
     daemon = Daemon(record, VirtualNetwork(1), [], lambda note: None, lambda: None)
-    assert daemon.part.zones.figure["cold"] == cold
+    assert daemon.part.zones.context.cold_node_rate == cold
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -12,10 +12,15 @@
 
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.zone_evidence import EndedAttempt, LocalObservations, ReportScope
+from ochrecourse.fleet.zone_limits import RateLimitedZones
 from ochrecourse.fleet.zone_report import NodeReport, ZoneCounts, ZoneReportError, decode_report
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.fleet.zone_state import STATE_WORDS, ZoneState, ZoneDecisions
 from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, summarize
-from ochrecourse.fleet.zones import Zones, order
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_decision_entry import DecisionWriter, operator_decision
+from ochrecourse.fleet.zone_timers import ZoneLoss
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -192,10 +197,10 @@
     ],
 )  # fmt: skip
 def test_an_entry_that_is_no_decision_changes_nothing(body):
-    zones = Zones({}, 3, "a", 0, 3)
-    zones.event(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
-    zones.event(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
-    assert zones.standings.by_zone == {} and zones.bounds(0) == {}
+    zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
+    zones.entry_received(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
+    zones.entry_received(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
+    assert zones.context.decisions.by_zone == {} and zones.node_rates(0) == {}
 
 
 # --- a zone lost and regained ---
@@ -214,16 +219,18 @@
     began = world.now
     world.run(most)
     assert left(world, 1) and words(world, 1) == ["in doubt", "left"]
-    bounds = world.gates["g0"].zones.bounds(world.now)
+    bounds = world.gates["g0"].zones.node_rates(world.now)
     assert set(bounds) == {100, 101, 102}
-    assert sum(gate.zones.bounds(world.now)[100] for gate in world.gates.values()) <= world.figures["cold"]
+    assert (
+        sum(gate.zones.node_rates(world.now)[100] for gate in world.gates.values()) <= world.figures["cold"]
+    )
     world.run(6)
     world.regain(1)
     world.run(25)
     assert words(world, 1) == ["in doubt", "left", *["returning"] * 4, "in"]
     parts = [body["part"] for _, _, body, _ in world.said if body.get("standing") == "returning"]
     assert parts == [0.125, 0.25, 0.5, 1.0]
-    assert all(gate.zones.bounds(world.now) == {} for gate in world.gates.values())
+    assert all(gate.zones.node_rates(world.now) == {} for gate in world.gates.values())
     assert world.said[0][0] - began < most * SECOND
 
 
@@ -275,7 +282,7 @@
 def test_who_says_it_dies_and_the_next_one_does():
     world = World(3).run(3)
     world.lose(1)
-    world.gates["g0"].zones.wants = lambda now, reached: None  # it is heard, yet says nothing
+    world.gates["g0"].zones.next_entry = lambda now, reached: None  # it is heard, yet says nothing
     world.run(7)
     assert left(world, 1) and {name for _, name, _, _ in world.said} == {"g1"}
     world.kill("g1")
@@ -310,7 +317,7 @@
     world.lose(1)
     world.run(6)
     assert left(world, 1)
-    assert world.gates["g0"].zones.standings.of(1).rest_ms == 2 * world.figures["rest"]
+    assert world.gates["g0"].zones.context.decisions.of(1).rest_ms == 2 * world.figures["rest"]
 
 
 # --- what is no lost zone ---
@@ -363,7 +370,9 @@
         trouble(world)
         world.run(12)
         assert not world.changes(1, what="left") and not world.changes(0, what="left")
-        assert all(gate.zones.bounds(world.now) == {} for name, gate in world.gates.items() if name != "g0")
+        assert all(
+            gate.zones.node_rates(world.now) == {} for name, gate in world.gates.items() if name != "g0"
+        )
 
 
 @pytest.mark.parametrize("seed", [3, 6, 11, 12])  # in three of these one was once spared no longer
@@ -375,10 +384,10 @@
     for name in ("g0", "g1", "g4", "g5"):
         assert world.standing(1, name) is ZoneState.EVACUATED
     # The small side spares itself what it does not reach, without a word to the others.
-    assert {world.nodes[node] for node in world.gates["g2"].zones.bounds(world.now)} == {0, 2}
+    assert {world.nodes[node] for node in world.gates["g2"].zones.node_rates(world.now)} == {0, 2}
     world.heal()
     world.run(25)
-    assert all(gate.zones.standing(1) == world.gates["g0"].zones.standing(1) for gate in world.gates.values())
+    assert all(gate.zones.state_of(1) == world.gates["g0"].zones.state_of(1) for gate in world.gates.values())
     assert world.standing(1) is ZoneState.IN and world.standing(0) is ZoneState.IN
 
 
@@ -390,7 +399,7 @@
     world.heal()
     world.run(3)
     for zone in (0, 1):
-        assert len({gate.zones.standing(zone) for gate in world.gates.values()}) == 1
+        assert len({gate.zones.state_of(zone) for gate in world.gates.values()}) == 1
     assert {world.standing(0), world.standing(1)} != {ZoneState.EVACUATED}
     world.run(30)
     assert world.standing(0) is world.standing(1) is ZoneState.IN
@@ -420,10 +429,10 @@
 def test_what_is_left_by_hand_stays_left_until_a_hand_takes_it_back():
     world = World(11).run(3)
     zones = world.gates["g0"].zones
-    world.gates["g0"].say(order(1, ZoneState.EVACUATED, zones.standings.of(1)))
+    world.gates["g0"].say(operator_decision(1, ZoneState.EVACUATED, zones.context.decisions.of(1)))
     world.run(30)
     assert left(world, 1) and len(world.said) == 1
-    world.gates["g0"].say(order(1, ZoneState.IN, zones.standings.of(1)))
+    world.gates["g0"].say(operator_decision(1, ZoneState.IN, zones.context.decisions.of(1)))
     world.run(2)
     assert world.standing(1, "g5") is ZoneState.IN
 
@@ -435,7 +444,7 @@
     world.kill("g0")
     for node in (100, 101, 102):
         for _ in range(4):
-            zones.leg_over(node, SILENT, 250 * MS, PACE, world.now)
+            zones.attempt_ended(EndedAttempt(node, SILENT, 250 * MS, PACE, world.now))
     world.run(20)
     world.gates["g0"].up = True
     world.run(6)
@@ -445,7 +454,7 @@
 # --- days by chance ---
 
 
-def day(seed, make=Zones):
+def day(seed, make=ZoneController):
     """A small zone day: four gateways, three zones of two nodes, and four troubles."""
     chance = random.Random(seed)
     world = World(seed, nodes=2, places=(0, 1, 2, 0), legs=3, make=make, step=250 * MS)
@@ -510,7 +519,7 @@
             self.world.regain(zone)
         self.world.run(8)
         first, *others = [
-            [gate.zones.standing(zone) for zone in range(3)] for gate in self.world.gates.values()
+            [gate.zones.state_of(zone) for zone in range(3)] for gate in self.world.gates.values()
         ]
         assert all(each == first for each in others)
 
@@ -523,55 +532,66 @@
 # --- mistakes made on purpose ---
 
 
-class GoesBack(Zones):
+class GoesBack(ZoneController):
     """What came last stands."""
 
     def __init__(self, *given):
         super().__init__(*given)
-        self.standings.supersedes = lambda said, held: True
+        self.context.decisions.supersedes = lambda said, held: True
 
 
-class Believed(Zones):
+class Believed(ZoneController):
     """A gateway that is cut off speaks for the fleet."""
 
-    def wants(self, now, reached):
-        self.gateways = 1
-        return super().wants(now, reached)
+    def next_entry(self, now, reached):
+        self.context.gateway_count = 1
+        return super().next_entry(now, reached)
+
 
+class NoExemptZone(RateLimitedZones):
+    def zones(self):
+        zones = super().zones()
+        self.exempt_zone = None
+        return zones
 
-class LastZone(Zones):
+
+class LastZone(ZoneController):
     """Nothing keeps the last zone."""
 
-    def _may_leave(self, zone, view):
-        return True
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy.may_evacuate = lambda zone, summary: True
+        self.limited = self.rates.limited = self.loans.limited = NoExemptZone(self.context)
+
 
-    def _bounded_zones(self):
-        super()._bounded_zones()
-        self.kept = None
-        return self.bounded
+class ShortRests(DecisionWriter):
+    def body(self, *given):
+        said = super().body(*given)
+        return {**said, "rest": min(said["rest"], round(self.context.settings.min_rest / MS))}
 
 
-class NoRest(Zones):
+class NoRest(ZoneController):
     """A further fall rests as long as the first."""
 
-    def _body(self, *given):
-        said = super()._body(*given)
-        return {**said, "rest": min(said["rest"], round(self.figure["rest"] / MS))}
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.writer = ShortRests(self.context, self.policy)
 
 
-class OneZoneEnough(Zones):
+class OneZoneEnough(ZoneController):
     """Accusers of one zone alone are believed."""
 
-    def _lost(self, view):
-        return view.is_unresponsive, False
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy.loss_of = lambda summary: ZoneLoss(summary.is_unresponsive, False)
 
 
-class PartOfTheReached(Zones):
+class PartOfTheReached(ZoneController):
     """A part of those that it hears of, in place of the known size."""
 
-    def bounds(self, now):
-        self.allot.size = len(self.reached)
-        return super().bounds(now)
+    def node_rates(self, now):
+        self.context.quota.size = len(self.context.reached)
+        return super().node_rates(now)
 
 
 def caught(make, seeds=60):
@@ -596,7 +616,7 @@
     assert any(name == "g0" for _, name, _, _ in world.said)
 
 
-@pytest.mark.parametrize("make, leaves", [(Zones, False), (OneZoneEnough, True)])
+@pytest.mark.parametrize("make, leaves", [(ZoneController, False), (OneZoneEnough, True)])
 def test_accusers_of_one_zone_that_are_believed_would_be_seen(make, leaves):
     """Nobody but those two has any work for the zone in the first seconds, so they alone speak."""
     world = World(1, make=make).run(3)
@@ -610,7 +630,7 @@
 
 def test_a_rest_that_does_not_grow_would_be_seen():
     counts = []
-    for make in (Zones, NoRest):
+    for make in (ZoneController, NoRest):
         world = World(4, make=make, step=250 * MS).run(3)
         for _ in range(24):
             world.lose(1)
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -20,6 +20,8 @@
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
 from ochrecourse.cli.control import answer as control_answer
+from ochrecourse.fleet.zone_evidence import EndedAttempt
+from ochrecourse.fleet.zone_nodes import ZoneNode
 from ochrecourse.fleet.zone_state import STATE_WORDS
 from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
@@ -659,7 +661,7 @@
         control_answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps(asked).encode())
         fleet.run(1.5)
         for name, part in fleet.parts.items():
-            standing, number = part.zones.standing(0)
+            standing, number = part.zones.state_of(0)
             tap.note(fleet.network, f"at {name} zone 0 is {STATE_WORDS[standing]}, by decision {number}")
 
 
@@ -668,7 +670,7 @@
     """A zone returns with a cold node. Gateway b uses up its part there, a has no work for it and lends half of its own."""
     fleet = fleet_of(tap, "ab", zones=SLOW)
     for part in fleet.parts.values():
-        part.zones.nodes_are({70: (0, 0, True, 0), 71: (1, 1, True, 0)}, 0)
+        part.zones.update_nodes({70: ZoneNode(0, 0, True, 0), 71: ZoneNode(1, 1, True, 0)})
     fleet.run(20)  # until no loan of an earlier life can be out
     for word in ("left", "returning"):
         control_answer(
@@ -677,12 +679,12 @@
         )
         fleet.run(1)
     for _ in range(40):
-        fleet.parts["b"].zones.leg_over(
-            70, Ending.SERVED, 30 * MS, 0.0, round(fleet.network.seconds() * SECOND), 8.0
+        fleet.parts["b"].zones.attempt_ended(
+            EndedAttempt(70, Ending.SERVED, 30 * MS, 0.0, round(fleet.network.seconds() * SECOND), 8.0)
         )
         fleet.run(0.1)
     for name, part in fleet.parts.items():
-        rate = part.zones.bounds(round(fleet.network.seconds() * SECOND))[70]
+        rate = part.zones.node_rates(round(fleet.network.seconds() * SECOND))[70]
         tap.note(fleet.network, f"{name} may begin {rate:.2f} units a second at node 70")
 
 
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -1,5 +1,5 @@
 """A small world for zones of a fleet: gateways, zones of nodes, losses, cuts, kills and wrong clocks, in steps of
-an eighth of a second or a quarter. Gateways are the real `Zones`; what is between them are calls that may be lost.
+an eighth of a second or a quarter. Gateways are the real `ZoneController`s; what is between them are calls that may be lost.
 
 After each step the world checks what must always hold, from what all of them hold, and raises Broken.
 """
@@ -10,8 +10,12 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_evidence import EndedAttempt
+from ochrecourse.fleet.zone_nodes import ZoneNode
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.fleet.zone_state import ZoneState
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_controller import ZoneController
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -48,13 +52,12 @@
         self.heard = {}
         self.free_at = {}
         self.top = {}
-        self.zones = self.world.make(
-            self.world.figures, self.world.zones, self.name, self.zone, len(self.world.places)
-        )
-        self.zones.nodes_are(self.world.list(), self.world.now)
-        self.zones.time_is(self.world.now, self.wall())
+        placement = FleetPlacement(self.world.zones, self.name, self.zone, len(self.world.places))
+        self.zones = self.world.make(ZoneSettings.from_map(self.world.figures), placement)
+        self.zones.update_nodes(self.world.list())
+        self.zones.set_time(self.world.now, self.wall())
         for entry in self.held.values():
-            self.zones.event(entry)
+            self.zones.entry_received(entry)
 
     def wall(self):
         return self.world.now // MS + 1_000_000 + self.shift
@@ -67,7 +70,7 @@
     def take(self, entry):
         if entry.place not in self.held:
             self.held[entry.place] = entry
-            self.zones.event(entry)
+            self.zones.entry_received(entry)
 
     def say(self, body):
         self.seq += 1
@@ -86,7 +89,7 @@
         nodes=3,
         places=(0, 0, 1, 1, 2, 2),
         legs=2,
-        make=Zones,
+        make=ZoneController,
         loss=0.05,
         figures=None,
         step=125 * MS,
@@ -120,14 +123,14 @@
 
     def list(self):
         return {
-            node: (zone, node, node not in self.absent, self.cold_until.get(node, 0))
+            node: ZoneNode(zone, node, node not in self.absent, self.cold_until.get(node, 0))
             for node, zone in self.nodes.items()
         }
 
     def listed(self):
         for gate in self.gates.values():
             if gate.up:
-                gate.zones.nodes_are(self.list(), self.now)
+                gate.zones.update_nodes(self.list())
 
     def lose(self, zone, ending=Ending.TIMEOUT):
         self.lost.update({node: ending for node, its in self.nodes.items() if its == zone})
@@ -169,7 +172,7 @@
         gates = [gate for gate in self.gates.values() if gate.up]
         self._answers()
         for gate in gates:
-            gate.zones.time_is(self.now, gate.wall())
+            gate.zones.set_time(self.now, gate.wall())
             self._begin(gate)
         if beat:
             for gate in gates:
@@ -178,9 +181,9 @@
             for name, at in list(gate.heard.items()):
                 if self.now - at > QUIET:
                     del gate.heard[name]
-                    gate.zones.gone(name)
+                    gate.zones.gateway_unreachable(name)
             for _ in range(50):
-                if (body := gate.zones.wants(self.now, gate.reached())) is None:
+                if (body := gate.zones.next_entry(self.now, gate.reached())) is None:
                     break
                 gate.say(body)
             else:
@@ -190,7 +193,7 @@
     def _begin(self, gate):
         if gate.name in self.idle:
             return
-        bounds = gate.zones.bounds(self.now)
+        bounds = gate.zones.node_rates(self.now)
         nodes = [node for node in self.nodes if node not in self.absent]
         free = [node for node in nodes if node not in bounds]
         chosen = [free[self.chance.randrange(len(free))] for _ in range(self.legs)] if free else []
@@ -221,15 +224,15 @@
         while self.out and self.out[0][0] <= self.now:
             at, _, gate, life, node, ending, took, units = self.out.pop(0)
             if gate.up and gate.life == life:
-                gate.zones.leg_over(node, ending, took, 20.0 * MS, at, units)
+                gate.zones.attempt_ended(EndedAttempt(node, ending, took, 20.0 * MS, at, units))
 
     def _tell(self, gate, gates):
-        sight = gate.zones.sight(self.now)
+        status = gate.zones.status(self.now)
         for other in gates:
             if other is gate or not self._hears(gate.name, other.name) or self.chance.random() < self.loss:
                 continue
             other.heard[gate.name] = self.now
-            other.zones.heard(gate.name, gate.zone, sight, self.now)
+            other.zones.report_received(gate.name, gate.zone, status, self.now)
             missing = [entry for place, entry in gate.held.items() if place not in other.held]
             self.chance.shuffle(missing)
             for entry in missing:
@@ -244,18 +247,18 @@
         ready = {node for node in self.nodes if node not in self.absent}
         held, sums = {}, {}
         for gate in gates:
-            held[gate.name] = [gate.zones.standing(zone) for zone in range(self.zones)]
+            held[gate.name] = [gate.zones.state_of(zone) for zone in range(self.zones)]
             for zone, (_, number) in enumerate(held[gate.name]):
                 if number < gate.top.get(zone, 0):
                     raise Broken(f"{gate.name}: the number of zone {zone} went back to {number}")
                 gate.top[zone] = number
             if ready and all(held[gate.name][self.nodes[node]][0] is ZoneState.EVACUATED for node in ready):
                 raise Broken(f"{gate.name} has left every zone")
-            for node, rate in gate.zones.bounds(self.now).items():
+            for node, rate in gate.zones.node_rates(self.now).items():
                 sums[node] = sums.get(node, 0.0) + rate
         for zone in range(self.zones):
             whole = max(
-                sum(gate.zones.allot.usable(zone, node, self.now) for gate in gates)
+                sum(gate.zones.context.quota.usable(zone, node, self.now) for gate in gates)
                 for node, its in self.nodes.items() if its == zone
             )  # fmt: skip
             self.most = max(self.most, whole)
@@ -273,7 +276,7 @@
                 raise Broken(f"{pair} reach each other and hold different standings")
 
     def standing(self, zone, name="g0"):
-        return self.gates[name].zones.standing(zone)[0]
+        return self.gates[name].zones.state_of(zone)[0]
 
     def changes(self, zone, since=0, what=None):
         return [
@@ -284,5 +287,5 @@
 
 def left(world, zone):
     return all(
-        gate.zones.standing(zone)[0] is ZoneState.EVACUATED for gate in world.gates.values() if gate.up
+        gate.zones.state_of(zone)[0] is ZoneState.EVACUATED for gate in world.gates.values() if gate.up
     )
