--- a/ochrecourse/fleet/zone_context.py
+++ b/ochrecourse/fleet/zone_context.py
@@ -9,8 +9,8 @@
 from collections.abc import Set as AbstractSet
 from dataclasses import dataclass
 
-from ochrecourse.fleet.allot import Allot
-from ochrecourse.fleet.needs import Needs
+from ochrecourse.fleet.quota import GatewayQuota
+from ochrecourse.fleet.shard_demand import ShardDemand
 from ochrecourse.fleet.zone_evidence import LocalObservations
 from ochrecourse.fleet.zone_nodes import ZoneNodes
 from ochrecourse.fleet.zone_report import ZoneReport
@@ -56,8 +56,8 @@
         self.observations = LocalObservations(
             int(settings.window), int(settings.alive_time), settings.slow_factor
         )
-        self.shard_demand = Needs()
-        self.quota = Allot(
+        self.shard_demand = ShardDemand()
+        self.quota = GatewayQuota(
             placement.name, self.gateway_count, int(settings.loan_time_ms), int(settings.clock_bound_ms)
         )
         self.gateways_with_other_zones: AbstractSet[str] = frozenset()
--- a/ochrecourse/fleet/zone_controller.py
+++ b/ochrecourse/fleet/zone_controller.py
@@ -98,13 +98,13 @@
         context.gateways_with_other_zones = gateways_with_other_zones
         for name in sorted(gateways_with_other_zones & context.reports.keys()):
             del context.reports[name]
-        context.gateway_count = context.quota.size = max(1, gateway_count)
-        context.quota.bound = round(clock_bound_ms)
+        context.gateway_count = context.quota.gateway_count = max(1, gateway_count)
+        context.quota.clock_bound_ms = round(clock_bound_ms)
         context.cold_node_rate = cold_node_rate
 
     def set_time(self, now: int, wall_ms: int) -> None:
         """The wall clock in ms since 1970; without it nothing is lent or borrowed."""
-        self.context.quota.time_is(now, wall_ms)
+        self.context.quota.set_time(now, wall_ms)
 
     def entry_received(self, entry: Entry, now: int = 0) -> None:
         """An entry of channel `fleet`, in any order and any number of times; others are ignored."""
@@ -112,7 +112,7 @@
             return
         kind = _kind_of(entry.body)
         if kind == LOAN_KIND:
-            self.context.quota.event(entry)
+            self.context.quota.apply(entry)
         elif kind == DECISION_KIND:
             zone = self.context.decisions.apply(entry)
             if zone is not None:
--- a/ochrecourse/fleet/zone_loans.py
+++ b/ochrecourse/fleet/zone_loans.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from ochrecourse.fleet.allot import LENDABLE
-from ochrecourse.fleet.needs import borrower, named
+from ochrecourse.fleet.quota import LENDABLE_FRACTION
+from ochrecourse.fleet.shard_demand import choose_borrower, largest_demands
 from ochrecourse.fleet.zone_context import ZoneContext
 from ochrecourse.fleet.zone_evidence import MAX_NODES_PER_ZONE
 from ochrecourse.fleet.zone_limits import RateLimitedZones
@@ -41,14 +41,14 @@
         return bool(answers) and not self.limited.is_resting(zone, now)
 
     def _nodes_by_borrower(self, zone: int, order: list[str], now: int) -> dict[str, list[int]]:
-        not_lendable = self.context.cold_node_rate * (1 - LENDABLE) / self.context.gateway_count
+        not_lendable = self.context.cold_node_rate * (1 - LENDABLE_FRACTION) / self.context.gateway_count
         rank = order.index(self.context.name)
         nodes: dict[str, list[int]] = {}
         for node, demand in sorted(self._demand_of_others(zone, order).items()):
             is_used_up = self.context.observations.is_rate_used_up(node, now)
             if self.demand(node, now) > not_lendable or is_used_up:
                 continue
-            if to := borrower(rank, node, demand):
+            if to := choose_borrower(rank, node, demand):
                 nodes.setdefault(to, []).append(node)
         return nodes
 
@@ -79,7 +79,7 @@
                 rate = self.context.cold_node_rate * self.context.quota.usable(zone, node, now)
                 if demand > rate:
                     unmet[node] = demand - rate
-        return named(unmet, MAX_NODES_PER_ZONE) if unmet else ()
+        return largest_demands(unmet, MAX_NODES_PER_ZONE) if unmet else ()
 
     def exhausted_zones(self, now: int) -> list[int]:
         """Zones at most of whose nodes it used up its rate; gateways of an earlier version lend by that."""
--- a/ochrecourse/fleet/zone_rates.py
+++ b/ochrecourse/fleet/zone_rates.py
@@ -89,7 +89,7 @@
 
     def _probed_nodes(self, zone: int) -> set[int]:
         """The nodes of an evacuated zone whose answers show its recovery: some, then the others."""
-        turn = (self.context.quota.wall or 0) // PROBED_NODES_TURN_MS
+        turn = (self.context.quota.wall_ms or 0) // PROBED_NODES_TURN_MS
         if zone not in self._probed or self._probed[zone].turn != turn:
             nodes = sorted(self.context.nodes.ready.get(zone, ()))
             count = min(len(nodes), max(MIN_PROBED_NODES, (len(nodes) + 1) // 2))
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -304,12 +304,12 @@
         """Another process accepts on this one's sockets, which are closed here: what is held is finished."""
         self.listening = None
         if self.given is not None:
-            from ochrecourse.fleet.allot import LENDABLE, SETTLE
+            from ochrecourse.fleet.quota import LENDABLE_FRACTION, SETTLE_MS
 
             # The next process uses half of its part at cold nodes at first; the other half is for what is
             # held here, until what is over of earlier uses would be another's.
-            self.given.share(LENDABLE)
-            self.network.callLater(SETTLE / 1000, self.given.share, 0.0)
+            self.given.share(LENDABLE_FRACTION)
+            self.network.callLater(SETTLE_MS / 1000, self.given.share, 0.0)
         if self.enrolled is not None:
             # The entry is the next process's: given back here it would be gone until that one writes it anew.
             self.enrolled.stop()
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -17,7 +17,7 @@
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import kept as kept_module
 from ochrecourse.fleet import purger as purger_module
-from ochrecourse.fleet.allot import ALL, Allot
+from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanPlace
 from ochrecourse.fleet.calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
 from ochrecourse.fleet.frontier import Frontier
@@ -82,28 +82,31 @@
 
 def uses_all(patch: Patch) -> None:
     """A gateway that starts anew uses its whole share, and what it lent too."""
-    patch(Allot, "new", lambda self, now: False)
-    patch(Allot, "out", lambda self, zone, node: 0.0)
+    patch(GatewayQuota, "may_have_lost_loans", lambda self, now: False)
+    patch(GatewayQuota, "lent_fraction", lambda self, zone, node: 0.0)
 
 
 def uses_what_it_lent(patch: Patch) -> None:
     """What is lent stays in its lender's use."""
-    patch(Allot, "out", lambda self, zone, node: 0.0)
+    patch(GatewayQuota, "lent_fraction", lambda self, zone, node: 0.0)
 
 
 def is_not_divided(patch: Patch) -> None:
     """Each gateway takes a cold node's limit for its own."""
-    patch(Allot, "usable", lambda self, zone, node, now: 1.0)
+    patch(GatewayQuota, "usable", lambda self, zone, node, now: 1.0)
 
 
 def outlives_its_lease(patch: Patch) -> None:
     """What was borrowed once stays in its borrower's use."""
 
-    def for_ever(self: Allot, zone: int, node: int) -> float:
-        of = [*self.borrowed.get((ALL, node), {}).values(), *self.borrowed.get((zone, ALL), {}).values()]
-        return sum(loan.units for loan in of)
+    def for_ever(self: GatewayQuota, zone: int, node: int) -> float:
+        of = [
+            *self.borrowed.get(LoanPlace(ALL_NODES, node), {}).values(),
+            *self.borrowed.get(LoanPlace(zone, ALL_NODES), {}).values(),
+        ]
+        return sum(loan.fraction for loan in of)
 
-    patch(Allot, "had", for_ever)
+    patch(GatewayQuota, "borrowed_fraction", for_ever)
 
 
 def knows_no_cold(patch: Patch) -> None:
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -226,8 +226,8 @@
     zones.apply_shared_settings({"g1"}, 6, 700.0, 3.0)
     assert not zones.context.reports and (
         zones.context.gateway_count,
-        zones.context.quota.size,
-        zones.context.quota.bound,
+        zones.context.quota.gateway_count,
+        zones.context.quota.clock_bound_ms,
     ) == (6, 6, 700)
     assert zones.context.cold_node_rate == 3.0
     zones.evaluate(0, {"g0": 0, "g1": 1, "g2": 1})
--- a/tests/test_fleet_allot.py
+++ b/tests/test_fleet_quota.py
@@ -18,7 +18,7 @@
 )
 from minicheck import Protocol, check_safety
 
-from ochrecourse.fleet.allot import LENDABLE, Allot, _of
+from ochrecourse.fleet.quota import LENDABLE_FRACTION, GatewayQuota, loans_of
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.common.time_units import MS
 
@@ -38,35 +38,35 @@
     return {"what": "lend", "zone": zone, "to": to, "units": units, "until": until}
 
 
-def lend(allot, to, now):
-    return allot.lend(ZONE, {to: [NODE]}, now)
+def lend(quota, to, now):
+    return quota.lend(ZONE, {to: [NODE]}, now)
 
 
-def started(name="a", size=2, longest=4000, bound=500, now=0, wall=0, make=Allot):
-    allot = make(name, size, longest, bound, 1000)
-    allot.time_is(now, wall)
-    return allot
+def started(name="a", size=2, longest=4000, bound=500, now=0, wall=0, make=GatewayQuota):
+    quota = make(name, size, longest, bound, 1000)
+    quota.set_time(now, wall)
+    return quota
 
 
 def test_a_part_is_one_in_the_known_size_and_what_is_never_lent_of_it_in_the_first_while_of_a_life():
-    allot = started(size=4)
-    assert allot.usable(ZONE, NODE, 0) == 0.25 * (1 - LENDABLE)
-    assert lend(allot, "b", 0) is None
-    assert allot.usable(ZONE, NODE, 7001 * MS) == 0.25
+    quota = started(size=4)
+    assert quota.usable(ZONE, NODE, 0) == 0.25 * (1 - LENDABLE_FRACTION)
+    assert lend(quota, "b", 0) is None
+    assert quota.usable(ZONE, NODE, 7001 * MS) == 0.25
 
 
-KEPT = (1 - LENDABLE) / 2  # of the two gateways' parts, by a lender
+KEPT = (1 - LENDABLE_FRACTION) / 2  # of the two gateways' parts, by a lender
 
 
 def test_a_loan_has_one_user_at_any_instant():
     lender, borrower = started(now=0, wall=0), started("b")
     later = 20_000
     for each in (lender, borrower):
-        each.time_is(later * MS, later)
+        each.set_time(later * MS, later)
     body = lend(lender, "b", later * MS)
-    assert body == loan(units=LENDABLE / 2, until=later + 4000)
+    assert body == loan(units=LENDABLE_FRACTION / 2, until=later + 4000)
     told = entry(body)
-    assert lender.event(told) and borrower.event(told)
+    assert lender.apply(told) and borrower.apply(told)
     assert borrower.usable(ZONE, NODE + 1, later * MS) == 0.5  # another node is not lent
     # What the lender began, then what the borrower began, is over before the part is used again.
     for wall, mine, theirs in (
@@ -74,34 +74,34 @@
         (5500, KEPT, 0.5), (5501, 0.5, 0.5),
     ):  # fmt: skip
         for each in (lender, borrower):
-            each.time_is((later + wall) * MS, later + wall)
+            each.set_time((later + wall) * MS, later + wall)
         now = (later + wall) * MS
         assert (lender.usable(ZONE, NODE, now), borrower.usable(ZONE, NODE, now)) == (mine, theirs)
 
 
 def test_a_loan_counts_once_however_often_it_is_told_and_is_known_again_from_the_log():
-    allot = started(now=0, wall=8000)
+    quota = started(now=0, wall=8000)
     for _ in range(3):
-        allot.event(entry(loan()))
-    assert allot.usable(ZONE, NODE, 20_000 * MS) == 0.25
+        quota.apply(entry(loan()))
+    assert quota.usable(ZONE, NODE, 20_000 * MS) == 0.25
 
 
 def test_no_more_than_may_be_is_ever_lent_and_no_part_to_two():
-    allot, now = started(wall=0), 20_000 * MS
-    allot.time_is(now, 20_000)
-    body = allot.lend(ZONE, {"b": [NODE], "c": [NODE, NODE + 1], "a": [NODE + 2]}, now)
+    quota, now = started(wall=0), 20_000 * MS
+    quota.set_time(now, 20_000)
+    body = quota.lend(ZONE, {"b": [NODE], "c": [NODE, NODE + 1], "a": [NODE + 2]}, now)
     assert body["to"] == {"b": [NODE], "c": [NODE + 1]}
-    allot.event(entry(body))
-    assert lend(allot, "c", now) is None
-    assert allot.usable(ZONE, NODE, now) == KEPT
+    quota.apply(entry(body))
+    assert lend(quota, "c", now) is None
+    assert quota.usable(ZONE, NODE, now) == KEPT
 
 
 def test_a_loan_of_a_whole_zone_as_gateways_of_before_lend_counts_at_each_of_its_nodes():
     lender, borrower = started(wall=8000), started("b", wall=8000)
     told = entry(whole())
-    assert lender.event(told) and borrower.event(told)
+    assert lender.apply(told) and borrower.apply(told)
     for each in (lender, borrower):
-        each.time_is(8000 * MS, 8000)
+        each.set_time(8000 * MS, 8000)
     for node in (NODE, NODE + 1):
         assert (lender.usable(ZONE, node, 8000 * MS), borrower.usable(ZONE, node, 8000 * MS)) == (0.25, 0.75)
     assert borrower.usable(ZONE + 1, NODE, 8000 * MS) == 0.5
@@ -125,60 +125,62 @@
     ],
 )
 def test_an_entry_that_is_no_loan_is_counted_and_nothing_else(body):
-    allot = started()
-    assert not allot.event(entry(body))
-    assert allot.ignored == 1 and not allot.lent
+    quota = started()
+    assert not quota.apply(entry(body))
+    assert quota.ignored_entries == 1 and not quota.lent
 
 
 def test_a_loan_that_ends_later_than_any_honest_one_is_not_used():
     borrower = started("b", wall=20_000)
-    borrower.event(entry(loan(until=26_000)))
+    borrower.apply(entry(loan(until=26_000)))
     assert borrower.usable(ZONE, NODE, 60_000 * MS) == 0.5
 
 
 # --- mistakes made on purpose ---
 
 
-class Outlives(Allot):
+class Outlives(GatewayQuota):
     """Uses a loan until its end, as if its own clock were right, and nothing were under way then."""
 
-    def had(self, zone, node):
-        return sum(each.units for each in _of(self.borrowed, zone, node) if self.wall < each.until)
+    def borrowed_fraction(self, zone, node):
+        return sum(
+            each.fraction for each in loans_of(self.borrowed, zone, node) if self.wall_ms < each.until_ms
+        )
 
 
-class TooEarly(Allot):
+class TooEarly(GatewayQuota):
     """Takes back what it lent when the loan ends by its own clock."""
 
-    def out(self, zone, node):
-        return sum(each.units for each in _of(self.lent, zone, node) if self.wall < each.until)
+    def lent_fraction(self, zone, node):
+        return sum(each.fraction for each in loans_of(self.lent, zone, node) if self.wall_ms < each.until_ms)
 
 
-class Forgets(Allot):
+class Forgets(GatewayQuota):
     """Uses all of its own at once in a new life."""
 
-    def new(self, now):
+    def may_have_lost_loans(self, now):
         return False
 
 
-class Deals(Allot):
+class Deals(GatewayQuota):
     """Lends as if nothing were out."""
 
     def lend(self, zone, wanted, now):
-        out, self.out = self.out, lambda zone, node: 0.0
+        out, self.lent_fraction = self.lent_fraction, lambda zone, node: 0.0
         try:
             return super().lend(zone, wanted, now)
         finally:
-            self.out = out
+            self.lent_fraction = out
 
 
-class UsesOn(Allot):
+class UsesOn(GatewayQuota):
     """Goes on using what it lent: two users of one part."""
 
-    def out(self, zone, node):
+    def lent_fraction(self, zone, node):
         return 0.0
 
 
-class Greedy(Allot):
+class Greedy(GatewayQuota):
     """Takes a part of those that it knows of rather than of the fleet's known size."""
 
     def __init__(self, name, size, *others):
@@ -195,12 +197,12 @@
 @functools.cache
 def part(make, name, now, skew, began, known):
     """What one of the three may use, and what it would lend, from an object that knows just this."""
-    allot = make(name, 3, LONGEST, BOUND, 0)
-    allot.time_is(began * MS, 0)
+    quota = make(name, 3, LONGEST, BOUND, 0)
+    quota.set_time(began * MS, 0)
     for number, until, to in known:
-        allot.event(entry(loan(to, LENDABLE / 3, until), "a", 1, number + 1))
-    allot.time_is(now * MS, 100 + now + skew)
-    return allot.usable(ZONE, NODE, now * MS), lend(allot, "b", now * MS)
+        quota.apply(entry(loan(to, LENDABLE_FRACTION / 3, until), "a", 1, number + 1))
+    quota.set_time(now * MS, 100 + now + skew)
+    return quota.usable(ZONE, NODE, now * MS), lend(quota, "b", now * MS)
 
 
 def of_lender(make, state):
@@ -237,7 +239,7 @@
 
 def explored(make):
     model = Protocol(
-        name="allotments", candidate=False, fields=("state",), initial=((FIRST, (0, 0), -1, (), 0),),
+        name="quotas", candidate=False, fields=("state",), initial=((FIRST, (0, 0), -1, (), 0),),
         transitions=lambda state: [(name, (after,)) for name, after in moves(make, state[0])],
         invariants={"within": lambda fields: usable(make, fields["state"]) <= 1 + 1e-9},
     )  # fmt: skip
@@ -245,7 +247,7 @@
 
 
 def test_in_every_interleaving_the_sum_stays_within_what_a_node_bears():
-    assert explored(Allot) is True
+    assert explored(GatewayQuota) is True
 
 
 @pytest.mark.parametrize("mistake", [Outlives, TooEarly, Forgets, Deals])
@@ -273,10 +275,10 @@
             self.up[name] = make(name, len(NAMES), 4000, 500, 0)
             self.tick(name)
             for at in self.held[name]:
-                self.up[name].event(self.log[at])
+                self.up[name].apply(self.log[at])
 
         def tick(self, name):
-            self.up[name].time_is(self.now * MS, 100_000 + self.now + self.skew[name])
+            self.up[name].set_time(self.now * MS, 100_000 + self.now + self.skew[name])
 
         @rule(past=st.sampled_from([100, 499, 1000, 3501, 9000]))
         def wait(self, past):
@@ -301,7 +303,7 @@
         def hear(self, name, at):
             if at not in self.held[name] and name in self.up:
                 self.held[name].add(at)
-                self.up[name].event(self.log[at])
+                self.up[name].apply(self.log[at])
 
         @precondition(lambda self: self.log)
         @rule(name=st.sampled_from(NAMES), at=st.integers(0, 200))
@@ -328,7 +330,7 @@
 
 
 def test_whatever_happens_the_sum_stays_within_what_a_node_bears():
-    run_state_machine_as_test(machine(Allot), settings=RUNS)
+    run_state_machine_as_test(machine(GatewayQuota), settings=RUNS)
 
 
 def walk(make, seeds):
@@ -358,4 +360,4 @@
 
 
 def test_long_runs_find_none_in_what_is_shipped():
-    walk(Allot, 50)
+    walk(GatewayQuota, 50)
--- a/tests/test_fleet_needs.py
+++ b/tests/test_fleet_shard_demand.py
@@ -5,7 +5,7 @@
 from zone_world import World as Small
 
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.needs import HALF, Needs, borrower, named
+from ochrecourse.fleet.shard_demand import HALF_TIME, ShardDemand, choose_borrower, largest_demands
 from ochrecourse.fleet.zone_nodes import ZoneNode
 from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.fleet.zone_state import ZoneState
@@ -20,11 +20,11 @@
 
 
 def test_a_shards_need_is_seen_wherever_it_is_served_and_fades():
-    needs = Needs()
+    needs = ShardDemand()
     for i in range(400):
         needs.units_sent(3, 2.0, i * S // 4)  # eight units a second
     assert needs.of(3, 100 * S) == pytest.approx(8, rel=0.05)
-    assert needs.of(3, 100 * S + HALF) == pytest.approx(4, rel=0.05)
+    assert needs.of(3, 100 * S + HALF_TIME) == pytest.approx(4, rel=0.05)
     assert needs.of(4, 0) == 0 and needs.usual == pytest.approx(2, rel=0.01)
 
 
@@ -32,14 +32,14 @@
     told = [("a", 6.0), ("b", 3.0), ("c", 1.0), ("d", 0.01)]
     counts = dict.fromkeys("abcd", 0)
     for rank in range(200):
-        counts[borrower(rank, 104, told)] += 1
+        counts[choose_borrower(rank, 104, told)] += 1
     assert counts["d"] == 0  # next to nothing: its part would lie idle there too
     assert [round(counts[name] / 20) for name in "abc"] == [6, 3, 1]
-    assert borrower(0, 104, []) is None and borrower(5, 104, [("a", 0.0)]) is None
+    assert choose_borrower(0, 104, []) is None and choose_borrower(5, 104, [("a", 0.0)]) is None
 
 
 def test_the_largest_needs_are_told_by_node():
-    assert named({5: 1.234, 4: 0.001, 7: 9.0, 6: 0.5}, 2) == ((5, 1.23), (7, 9.0))
+    assert largest_demands({5: 1.234, 4: 0.001, 7: 9.0, 6: 0.5}, 2) == ((5, 1.23), (7, 9.0))
 
 
 def returning(world):
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -590,7 +590,7 @@
     """A part of those that it hears of, in place of the known size."""
 
     def node_rates(self, now):
-        self.context.quota.size = len(self.context.reached)
+        self.context.quota.gateway_count = len(self.context.reached)
         return super().node_rates(now)
 
 
