--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -212,8 +212,8 @@
 
     zone = asked.get("zone")
     wanted = (
-        part.zone_watch.by_hand(zone, asked.get("standing"))
-        if part.zone_watch and type(zone) is int
+        part.zone_subsystem.operator_entry(zone, asked.get("standing"))
+        if part.zone_subsystem and type(zone) is int
         else None
     )
     if wanted is None:
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -139,11 +139,11 @@
             self.register(self.forms)
         self.log_state.update_journal_form()
         self.member_zones = MemberZones(self.settings, self.environment, self.placement, self.wall_ms)
-        self.zones, self.zone_watch = self.member_zones.zones, self.member_zones.zone_watch
-        self.terms = self.member_zones.terms
-        self.register(self.terms)  # before what depends on them
-        if self.zone_watch is not None:
-            self.register(self.zone_watch)
+        self.zones, self.zone_subsystem = self.member_zones.zones, self.member_zones.zone_subsystem
+        self.shared_settings = self.member_zones.shared_settings
+        self.register(self.shared_settings)  # before what depends on them
+        if self.zone_subsystem is not None:
+            self.register(self.zone_subsystem)
 
     # --- for a host program: start and stop ---
 
@@ -227,8 +227,8 @@
 
     def nodes_are(self, entries: Mapping[int, NodeEntry]) -> None:
         """The endpoint list as it is now."""
-        if self.zone_watch is not None:
-            self.zone_watch.nodes_are(entries.values(), now_ns(self.network))
+        if self.zone_subsystem is not None:
+            self.zone_subsystem.nodes_are(entries.values(), now_ns(self.network))
 
     def report(self) -> dict[str, Any]:
         """The state now, as operators read it."""
@@ -315,7 +315,7 @@
         self.operator_log.beat_began()
         heartbeats, self._new_heartbeats = self._new_heartbeats, {}
         self.subsystem_host.deliver_statuses(heartbeats.values(), now)
-        self.member_zones.apply_terms(self.operator_log)
+        self.member_zones.apply_shared_settings(self.operator_log)
         self.subsystem_host.beat(now)
         self.log_state.begin_incarnation_if_due()
         self._append_wanted(now)
@@ -362,6 +362,6 @@
 
     def _write_changes(self, now: int) -> None:
         self.operator_log.write_reached(self.members.reached(now))
-        if self.zone_watch is not None:
-            self.operator_log.write_zone_changes(self.zone_watch.changes())
+        if self.zone_subsystem is not None:
+            self.operator_log.write_zone_changes(self.zone_subsystem.changes())
         self.operator_log.write_notes([*self.log.notes, *self.log_store.notes])
--- a/ochrecourse/fleet/member_zones.py
+++ b/ochrecourse/fleet/member_zones.py
@@ -9,15 +9,15 @@
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.member_settings import MemberSettings
 from ochrecourse.fleet.operator_log import OperatorLog
-from ochrecourse.fleet.terms import Terms
+from ochrecourse.fleet.shared_settings import SharedSettingsSubsystem
 from ochrecourse.fleet.zone_context import FleetPlacement
 from ochrecourse.fleet.zone_controller import ZoneController
 from ochrecourse.fleet.zone_settings import ZoneSettings
-from ochrecourse.fleet.zonewatch import ZoneWatch
+from ochrecourse.fleet.zone_subsystem import ZoneSubsystem
 
 
 class MemberZones:
-    """`zones` and `zone_watch` are None where the settings have no zones. `wall_ms`: ms since 1970."""
+    """`zones` and `zone_subsystem` are None where the settings have no zones. `wall_ms`: ms since 1970."""
 
     def __init__(
         self,
@@ -29,37 +29,42 @@
         self.network = environment.network
         self.gateway = environment.gateway
         self.zones: ZoneController | None = None
-        self.zone_watch: ZoneWatch | None = None
+        self.zone_subsystem: ZoneSubsystem | None = None
         fleet_size = len({peer["name"] for peer in settings.peers}) + 1
         if settings.zones is not None:
             fleet_placement = FleetPlacement(
                 placement.zone_count, self.gateway.name, placement.zone, fleet_size, placement.names
             )
             self.zones = ZoneController(ZoneSettings.from_map(settings.zones), fleet_placement)
-            self.zone_watch = ZoneWatch(
+            self.zone_subsystem = ZoneSubsystem(
                 self.zones, self.gateway.ledger, placement.warm_up, wall_ms, settings.beat_interval
             )
             self.gateway.legs_over.append(self.attempt_ended)
-        cold_limit = self.zones.context.cold_node_rate if self.zones is not None else 0.0
-        self.terms = Terms(placement.names, fleet_size, settings.clock_bound_ms, cold_limit)
+        cold_node_rate = self.zones.context.cold_node_rate if self.zones is not None else 0.0
+        self.shared_settings = SharedSettingsSubsystem(
+            placement.names, fleet_size, settings.clock_bound_ms, cold_node_rate
+        )
 
     def attempt_ended(self, request: RequestRecord, attempt: AttemptRecord) -> None:
         """An attempt of the gateway ended: what it shows of the node's zone."""
-        if self.zone_watch is not None:
-            self.zone_watch.leg_over(request, attempt, now_ns(self.network))
+        if self.zone_subsystem is not None:
+            self.zone_subsystem.attempt_ended(request, attempt, now_ns(self.network))
 
     def detach(self) -> None:
         """Attempts of the gateway are no longer observed."""
         if self.attempt_ended in self.gateway.legs_over:
             self.gateway.legs_over.remove(self.attempt_ended)
 
-    def apply_terms(self, operator_log: OperatorLog) -> None:
+    def apply_shared_settings(self, operator_log: OperatorLog) -> None:
         """Applies what the other gateways have for the settings that must be the same for all."""
-        for change in self.terms.changes():
-            is_same = change["what"] == "all"
-            operator_log.write("fleet settings alike" if is_same else "fleet settings differ", **change)
+        for change in self.shared_settings.changes():
+            event = "fleet settings alike" if change.is_over else "fleet settings differ"
+            operator_log.write(event, **change.log_fields())
         if self.zones is not None:
-            terms = self.terms
+            settings = self.shared_settings
             self.zones.apply_shared_settings(
-                terms.strangers(), terms.size(), terms.clock_bound(), terms.cold()
+                settings.gateways_with_other_zones(),
+                settings.fleet_size(),
+                settings.clock_bound_ms(),
+                settings.cold_node_rate(),
             )
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -19,9 +19,9 @@
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.zone_state import ZoneState, ZoneDecisions
-from ochrecourse.fleet.terms import Terms
+from ochrecourse.fleet.shared_settings import SharedSettingsSubsystem
 from ochrecourse.fleet.zone_controller import ZoneController
-from ochrecourse.fleet.zonewatch import ZoneWatch
+from ochrecourse.fleet.zone_subsystem import ZoneSubsystem
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
@@ -171,7 +171,7 @@
 
 
 def terms(zones=("a", "b"), size=3, bound=500.0, cold=5.0):
-    return Terms(zones, size, bound, cold)
+    return SharedSettingsSubsystem(zones, size, bound, cold)
 
 
 def meet(one, other):
@@ -184,22 +184,22 @@
     for _ in range(3):
         meet(one, other)
     told = one.changes()
-    assert [(line["peer"], line["what"], line["here"], line["there"]) for line in told] == [
+    assert [(line.peer, line.setting, line.here, line.there) for line in told] == [
         ("other", "zones", "a, b", "b, a"), ("other", "size", "3", "4"), ("other", "cold", "5", "9"),
     ]  # fmt: skip
-    assert [line["what"] for line in other.changes()] == ["zones", "size", "cold"]
+    assert [line.setting for line in other.changes()] == ["zones", "size", "cold"]
     assert one.report() == {"other": ["zones", "size", "cold"]} and one.changes() == []
     meet(one, terms())
-    assert [line["what"] for line in one.changes()] == ["all"] and one.report() == {}
+    assert [line.setting for line in one.changes()] == ["all"] and one.report() == {}
 
 
 def test_meanwhile_both_keep_to_the_safe_side():
     one, other = terms(), terms(zones=("b", "a"), size=4, bound=900.0, cold=4.0)
     meet(one, other)
     for each in (one, other):
-        assert (each.size(), each.clock_bound(), each.cold()) == (4, 900.0, 4.0)
-    assert one.strangers() == {"other"} and other.strangers() == {"one"}
-    assert terms(cold=0.0).cold() == 0.0
+        assert (each.fleet_size(), each.clock_bound_ms(), each.cold_node_rate()) == (4, 900.0, 4.0)
+    assert one.gateways_with_other_zones() == {"other"} and other.gateways_with_other_zones() == {"one"}
+    assert terms(cold=0.0).cold_node_rate() == 0.0
 
 
 def test_a_thousand_zones_are_told_as_one_digest_that_tells_their_order():
@@ -207,9 +207,9 @@
     one, other = terms(zones=names), terms(zones=names[::-1])
     assert len(one.status(0)) < 200
     meet(one, other)
-    assert one.strangers() == {"other"}
+    assert one.gateways_with_other_zones() == {"other"}
     meet(one, terms(zones=names))
-    assert not one.strangers()
+    assert not one.gateways_with_other_zones()
 
 
 @pytest.mark.parametrize(
@@ -247,7 +247,7 @@
     ]
     kept = []
     for names in (("north", "south"), ("south", "north")):
-        watch = ZoneWatch(
+        watch = ZoneSubsystem(
             ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2, names)), RequestLog(), 0, lambda: 0
         )
         kept.append(watch.keeps(events, Stamp(9, 0)))
@@ -264,16 +264,16 @@
 def watched(beat=250 * MS):
     zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2))
     zones.update_nodes({1: ZoneNode(0, 0, True, 0), 2: ZoneNode(1, 1, True, 0)})
-    return ZoneWatch(zones, RequestLog(), 0, lambda: 0, beat)
+    return ZoneSubsystem(zones, RequestLog(), 0, lambda: 0, beat)
 
 
 def ends(watch, ending, sent, now, node=2, number=1):
     story = RequestRecord(number, 0, 0, 1, 1.0, sent, now + SECOND, now + SECOND, "t")
-    watch.books.take(story)
-    watch.books.send(number, 0, node, sent)
+    watch.requests.take(story)
+    watch.requests.send(number, 0, node, sent)
     leg = story.legs[0]
     leg.ending, leg.took = ending, now - sent
-    watch.leg_over(story, leg, now)
+    watch.attempt_ended(story, leg, now)
     return watch.zones.context.observations.by_node.get(node)
 
 
@@ -362,7 +362,7 @@
     assert [(by, more["peer"], more["what"]) for by, more in sorted(differ, key=str)] == [
         ("a", "c", "zones"), ("b", "c", "zones"), ("c", "a", "zones"), ("c", "b", "zones"),
     ]  # fmt: skip
-    channel, body = made["c"].zone_watch.by_hand(1, "left")
+    channel, body = made["c"].zone_subsystem.operator_entry(1, "left")
     made["c"].append(channel, body)
     network.advance(2)
     assert made["c"].zones.state_of(1)[0] is ZoneState.EVACUATED
@@ -375,7 +375,7 @@
 
 def test_in_the_first_turn_after_a_standstill_nothing_is_used_that_was_lent_until_before():
     network, made, _ = parts(dict.fromkeys("abc", ("x", "y")))
-    channel, body = made["a"].zone_watch.by_hand(1, "returning")
+    channel, body = made["a"].zone_subsystem.operator_entry(1, "returning")
     made["a"].append(channel, body)
     network.advance(12)  # the first while of a life is over
     wall = made["b"].wall_ms()
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -24,7 +24,7 @@
 from ochrecourse.fleet.peer_links import MAX_UNGREETED_LINKS
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.fleet.zone_controller import ZoneController
-from ochrecourse.fleet.zonewatch import ZoneWatch
+from ochrecourse.fleet.zone_subsystem import ZoneSubsystem
 from ochrecourse.gateway.socket_handover import in_the_way
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
@@ -572,7 +572,7 @@
 def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
     zones = ZoneController(ZoneSettings(), FleetPlacement(2, "a", 0, 3))
     books = RequestLog()
-    watch = ZoneWatch(zones, books, 15 * SECOND, lambda: EPOCH)
+    watch = ZoneSubsystem(zones, books, 15 * SECOND, lambda: EPOCH)
     nodes = [NodeEntry(1, 0, 0, Health.READY, 0), NodeEntry(2, 1, 0, Health.READY, 50 * SECOND)]
     watch.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
     assert zones.context.nodes.by_node == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
@@ -582,13 +582,13 @@
             books.take(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
         story = books.send(job, len(books.jobs[job].legs), node, sent)
         if ended is not None:
-            watch.leg_over(*books.ended(job, story.legs[-1].number, ending, "", ended), ended)
+            watch.attempt_ended(*books.ended(job, story.legs[-1].number, ending, "", ended), ended)
         return story
 
     now = 100 * SECOND
     for job in range(10):
         leg(job, 1, now, now + 30 * MS)
-    assert watch.pace[0] == 30 * MS
+    assert watch.usual_duration[0] == 30 * MS
     leg(20, 2, now)
     watch.beat_passed(now + 200 * MS)
     assert (
@@ -597,7 +597,7 @@
     for beat in range(3):
         watch.beat_passed(now + 300 * MS + beat * 250 * MS)
     assert zones.context.observations.by_node[2].failures == 1
-    watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
+    watch.attempt_ended(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
     assert zones.context.observations.by_node[2].failures == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
     assert zones.context.observations.by_node[2].failures == 2
@@ -605,7 +605,7 @@
 
 def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
     zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
-    watch = ZoneWatch(zones, RequestLog(), 0, lambda: EPOCH)
+    watch = ZoneSubsystem(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
         return Entry("fleet", "a", 1, seq, Stamp(EPOCH + seq, 0), (), json.dumps(body).encode())
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -33,7 +33,7 @@
     "fleet/log_state.py", "fleet/member.py", "fleet/member_environment.py", "fleet/member_report.py",
     "fleet/member_settings.py", "fleet/member_timer.py", "fleet/member_zones.py", "fleet/operator_log.py",
     "fleet/peer_addresses.py", "fleet/peer_links.py", "fleet/stall_detector.py", "fleet/subsystem.py",
-    "fleet/subsystem_host.py", "fleet/quota.py", "fleet/shard_demand.py", "fleet/zone_context.py", "fleet/zone_controller.py", "fleet/zone_decision_entry.py",
+    "fleet/subsystem_host.py", "fleet/quota.py", "fleet/shared_settings.py", "fleet/zone_subsystem.py", "fleet/shard_demand.py", "fleet/zone_context.py", "fleet/zone_controller.py", "fleet/zone_decision_entry.py",
     "fleet/zone_evidence.py", "fleet/zone_limits.py", "fleet/zone_loans.py", "fleet/zone_nodes.py",
     "fleet/zone_policy.py", "fleet/zone_rates.py", "fleet/zone_report.py", "fleet/zone_settings.py",
     "fleet/zone_state.py", "fleet/zone_summary.py", "fleet/zone_timers.py",
@@ -55,10 +55,11 @@
     "fleet/member.py": ["Told", "told", "PART", "Door", "life", "cut", "came"],
     "fleet/member_environment.py": ["legs", "came"],
     "fleet/member_report.py": ["life"],
-    "fleet/member_zones.py": ["leg", "legs"],
+    "fleet/member_zones.py": ["legs"],
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
     "fleet/peer_links.py": ["life", "came", "cut"],
     "fleet/subsystem_host.py": ["told"],
+    "fleet/zone_subsystem.py": ["jobs", "legs", "product"],  # of common/request_records.py
 }
 
 
--- a/tests/transcripts/test_grey.py
+++ b/tests/transcripts/test_grey.py
@@ -22,7 +22,7 @@
                 network,
                 f"{by} logs: {event}, peer {more['peer']}, {more['what']}: here {more['here']}, there {more['there']}",
             )
-    channel, body = made["b"].zone_watch.by_hand(1, "left")
+    channel, body = made["b"].zone_subsystem.operator_entry(1, "left")
     made["b"].append(channel, body)
     network.advance(1)
     for name, part in made.items():
