--- a/ochrecourse/fleet/member_environment.py
+++ b/ochrecourse/fleet/member_environment.py
@@ -9,7 +9,7 @@
 from ochrecourse.common.request_records import AttemptRecord, RequestRecord
 from ochrecourse.common.runtime import Network
 from ochrecourse.fleet.forms import FIRST, NEWEST
-from ochrecourse.fleet.zonewatch import OpenRequests
+from ochrecourse.fleet.zone_subsystem import InFlightRequests
 from ochrecourse.storage.journal import Journal
 
 
@@ -31,7 +31,7 @@
     attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]]
 
     @property
-    def request_log(self) -> OpenRequests:
+    def request_log(self) -> InFlightRequests:
         """Its requests that are not over."""
 
     def node_rates_received(self, rates: Mapping[int, float]) -> None:
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -121,12 +121,12 @@
         """
         self.client_port = None
         if self.released_member is not None:
-            from ochrecourse.fleet.allot import LENDABLE, SETTLE
+            from ochrecourse.fleet.quota import LENDABLE_FRACTION, SETTLE_MS
 
             # The next process uses half of the quota at nodes that warm up at first; the other half is for
             # what is in flight here, until what remains of earlier uses counts as another's.
-            self.released_member.share(LENDABLE)
-            self.network.callLater(SETTLE / 1000, self.released_member.share, 0.0)
+            self.released_member.share(LENDABLE_FRACTION)
+            self.network.callLater(SETTLE_MS / 1000, self.released_member.share, 0.0)
         if self.registration is not None:
             # Guards against an entry that is missing until the next process, whose it is now, writes it anew.
             self.registration.stop()
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -12,10 +12,12 @@
 
 import msgspec
 
+from ochrecourse.fleet.zone_policy import ZonePolicy
+from ochrecourse.fleet.zone_rates import NodeRates
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import kept as kept_module
 from ochrecourse.fleet import purger as purger_module
-from ochrecourse.fleet.allot import ALL, Allot
+from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanPlace
 from ochrecourse.fleet.calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
 from ochrecourse.fleet.frontier import Frontier
@@ -23,8 +25,8 @@
 from ochrecourse.fleet.kept import Kept
 from ochrecourse.fleet.log import Log
 from ochrecourse.fleet.purges import Purges
-from ochrecourse.fleet.standing import Standings
-from ochrecourse.fleet.zones import Zones
+from ochrecourse.fleet.zone_state import ZoneDecisions
+from ochrecourse.fleet.zone_controller import ZoneController
 
 Patch = Callable[[Any, str, Any], None]
 
@@ -41,38 +43,38 @@
 
 def goes_back(patch: Patch) -> None:
     """The decision heard last stands, whatever its number."""
-    patch(Standings, "prevails", lambda self, said, held: True)
+    patch(ZoneDecisions, "supersedes", lambda self, said, held: True)
 
 
 def few_speak(patch: Patch) -> None:
     """A side that is too small to speak for the fleet decides all the same."""
-    wants = Zones.wants
+    next_entry = ZoneController.next_entry
 
-    def speaks(self: Zones, now: int, reached: Any) -> Any:
-        size, self.gateways = self.gateways, 1
+    def speaks(self: ZoneController, now: int, reached: Any) -> Any:
+        size, self.context.gateway_count = self.context.gateway_count, 1
         try:
-            return wants(self, now, reached)
+            return next_entry(self, now, reached)
         finally:
-            self.gateways = size
+            self.context.gateway_count = size
 
-    patch(Zones, "wants", speaks)
+    patch(ZoneController, "next_entry", speaks)
 
 
 def believes_itself(patch: Patch) -> None:
     """A side that was cut off holds against the others' zone what it failed at alone."""
-    turn = Zones.turn
+    evaluate = ZoneController.evaluate
 
-    def remembers(self: Zones, now: int, reached: Any) -> None:
-        if 2 * len(self.reached) < self.gateways:
-            self.reached = dict.fromkeys(map(str, range(self.gateways)), 0)
-        turn(self, now, reached)
+    def remembers(self: ZoneController, now: int, reached: Any) -> None:
+        if self.context.is_minority():
+            self.context.reached = dict.fromkeys(map(str, range(self.context.gateway_count)), 0)
+        evaluate(self, now, reached)
 
-    patch(Zones, "turn", remembers)
+    patch(ZoneController, "evaluate", remembers)
 
 
 def leaves_any(patch: Patch) -> None:
     """A zone is left however little remains."""
-    patch(Zones, "_may_leave", lambda self, zone, view: True)
+    patch(ZonePolicy, "may_evacuate", lambda self, zone, summary: True)
 
 
 # --- cold nodes ---
@@ -80,42 +82,47 @@
 
 def uses_all(patch: Patch) -> None:
     """A gateway that starts anew uses its whole share, and what it lent too."""
-    patch(Allot, "new", lambda self, now: False)
-    patch(Allot, "out", lambda self, zone, node: 0.0)
+    patch(GatewayQuota, "may_have_lost_loans", lambda self, now: False)
+    patch(GatewayQuota, "lent_fraction", lambda self, zone, node: 0.0)
 
 
 def uses_what_it_lent(patch: Patch) -> None:
     """What is lent stays in its lender's use."""
-    patch(Allot, "out", lambda self, zone, node: 0.0)
+    patch(GatewayQuota, "lent_fraction", lambda self, zone, node: 0.0)
 
 
 def is_not_divided(patch: Patch) -> None:
     """Each gateway takes a cold node's limit for its own."""
-    patch(Allot, "usable", lambda self, zone, node, now: 1.0)
+    patch(GatewayQuota, "usable", lambda self, zone, node, now: 1.0)
 
 
 def outlives_its_lease(patch: Patch) -> None:
     """What was borrowed once stays in its borrower's use."""
 
-    def for_ever(self: Allot, zone: int, node: int) -> float:
-        of = [*self.borrowed.get((ALL, node), {}).values(), *self.borrowed.get((zone, ALL), {}).values()]
-        return sum(loan.units for loan in of)
+    def for_ever(self: GatewayQuota, zone: int, node: int) -> float:
+        of = [
+            *self.borrowed.get(LoanPlace(ALL_NODES, node), {}).values(),
+            *self.borrowed.get(LoanPlace(zone, ALL_NODES), {}).values(),
+        ]
+        return sum(loan.fraction for loan in of)
 
-    patch(Allot, "had", for_ever)
+    patch(GatewayQuota, "borrowed_fraction", for_ever)
 
 
 def knows_no_cold(patch: Patch) -> None:
     """What a returning zone's nodes may be sent does not heed that they just started."""
-    limit = Zones._limit
+    limit = NodeRates.limit
 
-    def warm(self: Zones, zone: int, node: int, now: int) -> float:
-        nodes, self.nodes = self.nodes, {number: (*each[:3], 0) for number, each in self.nodes.items()}
+    def warm(self: NodeRates, zone: int, node: int, now: int) -> float:
+        listed = self.context.nodes
+        nodes = listed.by_node
+        listed.by_node = {number: each._replace(warm_at=0) for number, each in nodes.items()}
         try:
             return limit(self, zone, node, now)
         finally:
-            self.nodes = nodes
+            listed.by_node = nodes
 
-    patch(Zones, "_limit", warm)
+    patch(NodeRates, "limit", warm)
 
 
 # --- the log ---
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -1,22 +1,27 @@
 """What is neither up nor down: zones that answer and lose, lists and settings that differ, processes that run late."""
 
+import dataclasses
 import msgspec
 import pytest
 from test_fleet_part import EPOCH
 from test_fleet_part import SAID as BASE
 from zone_world import World, left
 
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_nodes import ZoneNode
+from ochrecourse.fleet.zone_policy import ZonePolicy
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.stall_detector import StallDetector
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.evidence import View
+from ochrecourse.fleet.zone_summary import ZoneSummary
 from ochrecourse.fleet.messages import SLOW, BadPeer, Rows, frame
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
-from ochrecourse.fleet.standing import Standing, Standings
-from ochrecourse.fleet.terms import Terms
-from ochrecourse.fleet.zones import Zones
-from ochrecourse.fleet.zonewatch import ZoneWatch
+from ochrecourse.fleet.zone_state import ZoneState, ZoneDecisions
+from ochrecourse.fleet.shared_settings import SharedSettingsSubsystem
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_subsystem import ZoneSubsystem
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
@@ -52,23 +57,26 @@
     assert left(world, 1) and not world.changes(0) and not world.changes(2)
 
 
-class ByCount(Zones):
+class ByCount(ZoneController):
     """Goes by how many legs are answered."""
 
-    def heard(self, *given):
-        super().heard(*given)
-        for name, (at, zone, sight) in self.sights.items():
-            blind = tuple(msgspec.structs.replace(each, served=0, lost=0) for each in sight.zones)
-            self.sights[name] = (at, zone, msgspec.structs.replace(sight, zones=blind))
+    def report_received(self, *given):
+        super().report_received(*given)
+        for name, received in self.context.reports.items():
+            sight = received.report
+            blind = tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones)
+            sight = msgspec.structs.replace(sight, zones=blind)
+            self.context.reports[name] = dataclasses.replace(received, report=sight)
 
-    def _look(self, now):
-        sight = super()._look(now)
+    def make_report(self, now):
+        sight = super().make_report(now)
         return msgspec.structs.replace(
-            sight, zones=tuple(msgspec.structs.replace(each, served=0, lost=0) for each in sight.zones)
+            sight,
+            zones=tuple(msgspec.structs.replace(each, units_served=0, units_lost=0) for each in sight.zones),
         )
 
 
-@pytest.mark.parametrize("make, falls", [(Zones, True), (ByCount, False)])
+@pytest.mark.parametrize("make, falls", [(ZoneController, True), (ByCount, False)])
 def test_it_does_not_come_back_by_small_probes_and_rests_longer_after_each_fall(make, falls):
     """Its probes are small; of the jobs that come as it returns two in three are large."""
     world = World(2, make=make).run(3)
@@ -78,7 +86,7 @@
     world.lost, world.loses = {}, dict.fromkeys(of_zone(world, 1), 1)
     for _ in range(160):
         world.run(0.25)
-        world.units = (1, 4, 4) if world.standing(1) is Standing.RETURNING else (1,)
+        world.units = (1, 4, 4) if world.standing(1) is ZoneState.SLOW_START else (1,)
     rests = [body["rest"] for _, _, body, _ in world.said if body.get("standing") == "left"]
     assert not world.changes(1, what="in")
     assert (rests[:3] == [3000, 6000, 12_000]) is falls
@@ -104,30 +112,39 @@
 
 
 def test_those_who_lose_in_one_zone_alone_are_no_witnesses_of_a_hollow_one():
-    view = View(ready=3, served=99, lost=100, losers={"a": 0, "b": 0}, tellers={"a": 0, "b": 0})
-    assert not view.hollow
+    view = ZoneSummary(
+        ready_nodes=3, units_served=99, units_lost=100, losers={"a": 0, "b": 0}, observers={"a": 0, "b": 0}
+    )
+    assert not view.is_degraded
     view.losers["b"] = 1
-    assert view.hollow
-    view.tellers |= {"c": 2, "d": 2, "e": 2}
-    assert not view.hollow
+    assert view.is_degraded
+    view.observers |= {"c": 2, "d": 2, "e": 2}
+    assert not view.is_degraded
 
 
 # --- lists that differ ---
 
 
-class Blind(Zones):
+class BlindPolicy(ZonePolicy):
+    def due_state(self, zone, summary, now):
+        ready = self.context.nodes.ready
+        if self.context.decisions.of(zone).state is ZoneState.EVACUATED or zone in ready:
+            return super().due_state(zone, summary, now)
+        ready[zone] = {-1}
+        due = super().due_state(zone, summary, now)
+        del ready[zone]
+        return due
+
+
+class Blind(ZoneController):
     """Who sees none of a zone's nodes on its list decides on it all the same."""
 
-    def _due(self, zone, view, since, held, now):
-        if held.standing is Standing.LEFT or zone in self.ready:
-            return super()._due(zone, view, since, held, now)
-        self.ready[zone] = {-1}
-        due = super()._due(zone, view, since, held, now)
-        del self.ready[zone]
-        return due
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy = self.writer.policy = BlindPolicy(self.context)
 
 
-@pytest.mark.parametrize("make, alternate", [(Zones, False), (Blind, True)])
+@pytest.mark.parametrize("make, alternate", [(ZoneController, False), (Blind, True)])
 def test_one_whose_list_lacks_a_zone_does_not_bring_it_back_blind(make, alternate):
     """The first in order, who would decide, sees none of the zone's nodes."""
     world = World(4, make=make).run(3)
@@ -135,15 +152,15 @@
     world.run(8)
     world.regain(1)
     first = world.gates["g0"].zones
-    first.nodes_are({node: each for node, each in world.list().items() if each[0] != 1}, world.now)
-    while world.standing(1) is not Standing.RETURNING:
+    first.update_nodes({node: each for node, each in world.list().items() if each[0] != 1})
+    while world.standing(1) is not ZoneState.SLOW_START:
         world.step()
     world.lose(1)
     since = world.now
     world.run(30)
     said = [name for at, name, body, _ in world.said if at > since and body["what"] == "zone"]
     assert ("g0" in said) is alternate and "g1" in said
-    assert world.standing(1, "g1") is Standing.LEFT or alternate
+    assert world.standing(1, "g1") is ZoneState.EVACUATED or alternate
 
 
 # --- settings that differ ---
@@ -154,12 +171,12 @@
 
 
 def terms(zones=("a", "b"), size=3, bound=500.0, cold=5.0):
-    return Terms(zones, size, bound, cold)
+    return SharedSettingsSubsystem(zones, size, bound, cold)
 
 
 def meet(one, other):
-    one.heard("other", 0, other.sight(0), 0)
-    other.heard("one", 0, one.sight(0), 0)
+    one.status_received("other", 0, other.status(0), 0)
+    other.status_received("one", 0, one.status(0), 0)
 
 
 def test_both_sides_name_each_difference_once_and_say_when_it_is_over():
@@ -167,32 +184,32 @@
     for _ in range(3):
         meet(one, other)
     told = one.changes()
-    assert [(line["peer"], line["what"], line["here"], line["there"]) for line in told] == [
+    assert [(line.peer, line.setting, line.here, line.there) for line in told] == [
         ("other", "zones", "a, b", "b, a"), ("other", "size", "3", "4"), ("other", "cold", "5", "9"),
     ]  # fmt: skip
-    assert [line["what"] for line in other.changes()] == ["zones", "size", "cold"]
+    assert [line.setting for line in other.changes()] == ["zones", "size", "cold"]
     assert one.report() == {"other": ["zones", "size", "cold"]} and one.changes() == []
     meet(one, terms())
-    assert [line["what"] for line in one.changes()] == ["all"] and one.report() == {}
+    assert [line.setting for line in one.changes()] == ["all"] and one.report() == {}
 
 
 def test_meanwhile_both_keep_to_the_safe_side():
     one, other = terms(), terms(zones=("b", "a"), size=4, bound=900.0, cold=4.0)
     meet(one, other)
     for each in (one, other):
-        assert (each.size(), each.clock_bound(), each.cold()) == (4, 900.0, 4.0)
-    assert one.strangers() == {"other"} and other.strangers() == {"one"}
-    assert terms(cold=0.0).cold() == 0.0
+        assert (each.fleet_size(), each.clock_bound_ms(), each.cold_node_rate()) == (4, 900.0, 4.0)
+    assert one.gateways_with_other_zones() == {"other"} and other.gateways_with_other_zones() == {"one"}
+    assert terms(cold=0.0).cold_node_rate() == 0.0
 
 
 def test_a_thousand_zones_are_told_as_one_digest_that_tells_their_order():
     names = [f"zone-{i}-of-a-large-fleet" for i in range(1024)]
     one, other = terms(zones=names), terms(zones=names[::-1])
-    assert len(one.sight(0)) < 200
+    assert len(one.status(0)) < 200
     meet(one, other)
-    assert one.strangers() == {"other"}
+    assert one.gateways_with_other_zones() == {"other"}
     meet(one, terms(zones=names))
-    assert not one.strangers()
+    assert not one.gateways_with_other_zones()
 
 
 @pytest.mark.parametrize(
@@ -200,22 +217,26 @@
 )
 def test_terms_that_are_none_are_turned_away(told):
     with pytest.raises(ValueError):
-        terms().heard("x", 0, told, 0)
+        terms().status_received("x", 0, told, 0)
 
 
 def test_evidence_and_decisions_of_one_who_means_another_zone_are_not_taken():
-    zones = Zones({}, 2, "g0", 0, 4, ("north", "south"))
-    zones.heard("g1", 1, b"[[5,0,0,0],[[1,5]]]", 0)
-    zones.terms_are({"g1"}, 6, 700.0, 3.0)
-    assert not zones.sights and (zones.gateways, zones.allot.size, zones.allot.bound) == (6, 6, 700)
-    assert zones.figure["cold"] == 3.0
-    zones.turn(0, {"g0": 0, "g1": 1, "g2": 1})
-    assert set(zones.reached) == {"g0", "g2"}
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 4, ("north", "south")))
+    zones.report_received("g1", 1, b"[[5,0,0,0],[[1,5]]]", 0)
+    zones.apply_shared_settings({"g1"}, 6, 700.0, 3.0)
+    assert not zones.context.reports and (
+        zones.context.gateway_count,
+        zones.context.quota.gateway_count,
+        zones.context.quota.clock_bound_ms,
+    ) == (6, 6, 700)
+    assert zones.context.cold_node_rate == 3.0
+    zones.evaluate(0, {"g0": 0, "g1": 1, "g2": 1})
+    assert set(zones.context.reached) == {"g0", "g2"}
     said = {"what": "zone", "zone": 1, "standing": "left", "number": 1}
-    zones.event(entry("g1", name="north", **said))
-    assert zones.standing(1)[0] is Standing.IN
-    zones.event(entry("g1", 4, **said))  # of an older version, which names none
-    assert zones.standing(1)[0] is Standing.LEFT
+    zones.entry_received(entry("g1", name="north", **said))
+    assert zones.state_of(1)[0] is ZoneState.IN
+    zones.entry_received(entry("g1", 4, **said))  # of an older version, which names none
+    assert zones.state_of(1)[0] is ZoneState.EVACUATED
 
 
 def test_a_snapshot_keeps_what_each_side_means_whoever_makes_it():
@@ -226,12 +247,14 @@
     ]
     kept = []
     for names in (("north", "south"), ("south", "north")):
-        watch = ZoneWatch(Zones({}, 2, "g0", 0, 2, names), RequestLog(), 0, lambda: 0)
+        watch = ZoneSubsystem(
+            ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2, names)), RequestLog(), 0, lambda: 0
+        )
         kept.append(watch.keeps(events, Stamp(9, 0)))
     assert kept[0] == kept[1] == [events[1], events[2]]
-    held = Standings(2, ("north", "south"))
+    held = ZoneDecisions(2, ("north", "south"))
     for each in kept[0]:
-        held.event(each)
+        held.apply(each)
     assert held.of(1).number == 2
 
 
@@ -239,19 +262,19 @@
 
 
 def watched(beat=250 * MS):
-    zones = Zones({}, 2, "g0", 0, 2)
-    zones.nodes_are({1: (0, 0, True, 0), 2: (1, 1, True, 0)}, 0)
-    return ZoneWatch(zones, RequestLog(), 0, lambda: 0, beat)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2))
+    zones.update_nodes({1: ZoneNode(0, 0, True, 0), 2: ZoneNode(1, 1, True, 0)})
+    return ZoneSubsystem(zones, RequestLog(), 0, lambda: 0, beat)
 
 
 def ends(watch, ending, sent, now, node=2, number=1):
     story = RequestRecord(number, 0, 0, 1, 1.0, sent, now + SECOND, now + SECOND, "t")
-    watch.books.add(story)
-    watch.books.attempt_sent(number, 0, node, sent)
+    watch.requests.add(story)
+    watch.requests.attempt_sent(number, 0, node, sent)
     leg = story.attempts[0]
     leg.ending, leg.took = ending, now - sent
-    watch.leg_over(story, leg, now)
-    return watch.zones.own.nodes.get(node)
+    watch.attempt_ended(story, leg, now)
+    return watch.zones.context.observations.by_node.get(node)
 
 
 @pytest.mark.parametrize("ending", [Ending.TIMEOUT, Ending.UNREACHABLE])
@@ -259,19 +282,19 @@
 def test_what_timed_out_while_the_loop_was_late_is_no_evidence(ending, gap, counts):
     for first in (False, True):  # the leg's timer ran before the beat, or after it
         watch = watched()
-        watch.turn(SECOND)
+        watch.beat_passed(SECOND)
         now = SECOND + gap * MS
         if not first:
-            watch.turn(now)
+            watch.beat_passed(now)
         seen = ends(watch, ending, SECOND, now)
-        assert (seen.run if seen else 0) == counts
+        assert (seen.failures if seen else 0) == counts
 
 
 def test_an_answer_or_a_reset_counts_however_late_the_loop_is():
     watch = watched()
-    watch.turn(SECOND)
-    assert ends(watch, Ending.SERVED, SECOND, 2 * SECOND).run == 0
-    assert ends(watch, Ending.RESET, SECOND, 2 * SECOND, number=2).run == 1
+    watch.beat_passed(SECOND)
+    assert ends(watch, Ending.SERVED, SECOND, 2 * SECOND).failures == 0
+    assert ends(watch, Ending.RESET, SECOND, 2 * SECOND, number=2).failures == 1
 
 
 class Beaten:
@@ -339,18 +362,20 @@
     assert [(by, more["peer"], more["what"]) for by, more in sorted(differ, key=str)] == [
         ("a", "c", "zones"), ("b", "c", "zones"), ("c", "a", "zones"), ("c", "b", "zones"),
     ]  # fmt: skip
-    channel, body = made["c"].zone_watch.by_hand(1, "left")
+    channel, body = made["c"].zone_subsystem.operator_entry(1, "left")
     made["c"].append(channel, body)
     network.advance(2)
-    assert made["c"].zones.standing(1)[0] is Standing.LEFT
-    assert made["a"].zones.standing(1)[0] is made["b"].zones.standing(1)[0] is Standing.IN
-    assert set(made["a"].zones.reached) == {"a", "b"} and set(made["c"].zones.reached) == {"c"}
+    assert made["c"].zones.state_of(1)[0] is ZoneState.EVACUATED
+    assert made["a"].zones.state_of(1)[0] is made["b"].zones.state_of(1)[0] is ZoneState.IN
+    assert set(made["a"].zones.context.reached) == {"a", "b"} and set(made["c"].zones.context.reached) == {
+        "c"
+    }
     assert made["a"].dump("fleet") == made["c"].dump("fleet")
 
 
 def test_in_the_first_turn_after_a_standstill_nothing_is_used_that_was_lent_until_before():
     network, made, _ = parts(dict.fromkeys("abc", ("x", "y")))
-    channel, body = made["a"].zone_watch.by_hand(1, "returning")
+    channel, body = made["a"].zone_subsystem.operator_entry(1, "returning")
     made["a"].append(channel, body)
     network.advance(12)  # the first while of a life is over
     wall = made["b"].wall_ms()
@@ -359,13 +384,13 @@
     network.advance(2.6)
     a = made["a"]
     with_loan = dict(a.gateway.bounds)
-    assert with_loan[11] > 1.4 * a.zones._limit(1, 11, now_ns(network)) / 3
+    assert with_loan[11] > 1.4 * a.zones.rates.limit(1, 11, now_ns(network)) / 3
     clock = StallDetector(a.network, a)
     a.network.stand_still(True)
     network.advance(20)
     assert a.gateway.bounds == with_loan
     clock.seconds()  # a job that is read first thing after the stop
-    assert a.gateway.bounds[11] <= a.zones._limit(1, 11, now_ns(network)) / 3 + 1e-9
+    assert a.gateway.bounds[11] <= a.zones.rates.limit(1, 11, now_ns(network)) / 3 + 1e-9
 
 
 def test_what_lay_unread_over_a_standstill_is_no_news():
@@ -402,12 +427,12 @@
         Fault(kind="late", at_s=3, len_s=8, who=(1,), size=0.5),
         Fault(kind="grey_each", at_s=6, len_s=10, size=1),
     )
-    assert not [each for each in play.seen.changes if each[3] == "LEFT"]
+    assert not [each for each in play.seen.changes if each[3] == ZoneState.EVACUATED.name]
 
 
 def test_a_zone_that_loses_large_jobs_is_left_and_that_earns_more_than_to_stay():
     grey = Fault(kind="zone_grey", at_s=3, len_s=18, zone=1, size=1)
     play, shared = world(grey)
     _, alone = world(grey, sharing=False)
-    assert [each for each in play.seen.changes if each[2] == 1 and each[3] == "LEFT"]
+    assert [each for each in play.seen.changes if each[2] == 1 and each[3] == ZoneState.EVACUATED.name]
     assert shared.figures["payoff"] >= alone.figures["payoff"]
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -13,6 +13,8 @@
 
 from ochrecourse import library
 from ochrecourse.cli.control import answer
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused
@@ -21,9 +23,9 @@
 from ochrecourse.fleet.member_environment import JOURNAL, MemberEnvironment
 from ochrecourse.fleet.peer_links import MAX_UNGREETED_LINKS
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_subsystem import ZoneSubsystem
 from ochrecourse.gateway.daemon_parts import HostProgram
-from ochrecourse.fleet.zones import Zones
-from ochrecourse.fleet.zonewatch import ZoneWatch
 from ochrecourse.gateway.socket_handover import handover_obstacle
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
@@ -436,6 +438,33 @@
 
     name = "counting"
 
+    def __init__(self, wants=()):
+        self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
+
+    def status(self, now):
+        return b'{"turns":%d}' % self.turns
+
+    def status_received(self, name, zone, told, now):
+        self.told[name] = json.loads(told)["turns"]
+
+    def entry_received(self, entry, now):
+        self.events.append(entry.body)
+
+    def next_entry(self, now, reached):
+        return self.wanted.pop(0) if self.wanted else None
+
+    def node_rates(self, now):
+        return self.nodes
+
+    def beat_passed(self, now):
+        self.turns += 1
+
+
+class CountingTenant:
+    """The same with the method names of library surface 1, and the two that a tenant need not have."""
+
+    name = "counting"
+
     def __init__(self, wants=()):
         self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
 
@@ -457,6 +486,12 @@
     def turn(self, now):
         self.turns += 1
 
+    def keeps(self, events, upto):
+        return [each for each in events if b"counted" in each.body]
+
+    def report(self):
+        return {"turns": self.turns}
+
 
 def test_subsystems_receive_each_others_statuses_append_entries_and_limit_nodes(make_fleet):
     fleet = make_fleet("ab")
@@ -473,7 +508,7 @@
     late.name = "late"
     fleet.parts["b"].register(late)
     assert sorted(late.events) == sorted(subsystems["b"].events)
-    subsystems["b"].sight = lambda now: b"not json"
+    subsystems["b"].status = lambda now: b"not json"
     fleet.run(1)
     assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
 
@@ -485,7 +520,7 @@
         say=lambda event, **more: lines.append(event), zone=1, zones=2, cold=0, names=("x", "y"),
     )  # fmt: skip
     part.start(where="127.0.0.1:20000")
-    tenant: library.Tenant = CountingSubsystem([("c", 1)])
+    tenant: library.Tenant = CountingTenant([("c", 1)])
     part.lodge(tenant)
     part.follow("c", "", told=lambda told, cursor: got.extend(told))
     network.advance(3)
@@ -494,6 +529,27 @@
     part.stop()
 
 
+def test_a_tenant_with_the_method_names_of_the_librarys_surface_is_called_as_a_subsystem_is(make_fleet):
+    fleet = make_fleet("ab", log={**SAID["log"], "channel": 20_000.0})
+    tenants = {name: CountingTenant([("c", name)]) for name in "ab"}
+    for name, tenant in tenants.items():
+        fleet.parts[name].register(library.TenantSubsystem(tenant))
+    fleet.run(3)
+    assert tenants["a"].told["b"] >= tenants["b"].turns - 2 > 5
+    assert sorted(e for e in tenants["a"].events if e in (b'"a"', b'"b"')) == [b'"a"', b'"b"']
+    tenants["a"].nodes = {7: 2.5}
+    fleet.run(1)
+    assert fleet.parts["a"].gateway.bounds == [{7: 2.5}]
+    assert fleet.parts["a"].report()["counting"] == {"turns": tenants["a"].turns}
+    for number in range(60):
+        fleet.parts["a"].append("fleet", {"what": "counted", "number": number})
+    fleet.run(130)  # over two whole minutes, in which channel `fleet` is compacted
+    assert len(json.loads(fleet.parts["b"].log.snapshot("fleet").value)["counting"]) == 60
+    tenants["b"].sight = lambda now: b"not json"
+    fleet.run(1)
+    assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
+
+
 def test_decisions_that_others_replaced_go_and_a_lost_disk_still_knows_what_stands(make_fleet):
     zones = {"window": 2000.0}
     fleet = make_fleet("abc", zones=zones, log={**SAID["log"], "channel": 20_000.0})
@@ -503,52 +559,56 @@
         fleet.parts["a"].append("fleet", body)
     fleet.run(130)  # over two whole minutes
     for part in fleet.parts.values():
-        assert part.log.bytes_of("fleet") < 10_000 and part.zones.standing(0)[1] >= 60
+        assert part.log.bytes_of("fleet") < 10_000 and part.zones.state_of(0)[1] >= 60
     assert len(fleet.dumps("fleet")) == 1
-    number = fleet.parts["a"].zones.standing(0)[1]
+    number = fleet.parts["a"].zones.state_of(0)[1]
     fleet.parts["c"].kill()
     fleet.journals["c"] = MemoryJournal()
     fleet.start("c")
     fleet.run(3)
-    assert fleet.parts["c"].zones.standing(0)[1] == number
+    assert fleet.parts["c"].zones.state_of(0)[1] == number
     assert fleet.parts["c"].log.frontier() > Stamp(EPOCH, 0)
 
 
 def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
-    zones = Zones({}, 2, "a", 0, 3)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(2, "a", 0, 3))
     books = RequestLog()
-    watch = ZoneWatch(zones, books, 15 * SECOND, lambda: EPOCH)
+    watch = ZoneSubsystem(zones, books, 15 * SECOND, lambda: EPOCH)
     nodes = [NodeEntry(1, 0, 0, Health.READY, 0), NodeEntry(2, 1, 0, Health.READY, 50 * SECOND)]
     watch.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
-    assert zones.nodes == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
+    assert zones.context.nodes.by_node == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
 
     def leg(job, node, sent, ended=None, ending=Ending.SERVED):
         if job not in books.requests:
             books.add(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
         story = books.attempt_sent(job, len(books.requests[job].attempts), node, sent)
         if ended is not None:
-            watch.leg_over(*books.attempt_ended(job, story.attempts[-1].number, ending, "", ended), ended)
+            watch.attempt_ended(
+                *books.attempt_ended(job, story.attempts[-1].number, ending, "", ended), ended
+            )
         return story
 
     now = 100 * SECOND
     for job in range(10):
         leg(job, 1, now, now + 30 * MS)
-    assert watch.pace[0] == 30 * MS
+    assert watch.usual_duration[0] == 30 * MS
     leg(20, 2, now)
-    watch.turn(now + 200 * MS)
-    assert 2 not in zones.own.nodes  # four times its usual time, but a pause of one process is as long
+    watch.beat_passed(now + 200 * MS)
+    assert (
+        2 not in zones.context.observations.by_node
+    )  # four times its usual time, but a pause of one process is as long
     for beat in range(3):
-        watch.turn(now + 300 * MS + beat * 250 * MS)
-    assert zones.own.nodes[2].run == 1
-    watch.leg_over(*books.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
-    assert zones.own.nodes[2].run == 1  # the same leg, counted already
+        watch.beat_passed(now + 300 * MS + beat * 250 * MS)
+    assert zones.context.observations.by_node[2].failures == 1
+    watch.attempt_ended(*books.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
+    assert zones.context.observations.by_node[2].failures == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
-    assert zones.own.nodes[2].run == 2
+    assert zones.context.observations.by_node[2].failures == 2
 
 
 def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
-    zones = Zones({}, 3, "a", 0, 3)
-    watch = ZoneWatch(zones, RequestLog(), 0, lambda: EPOCH)
+    zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
+    watch = ZoneSubsystem(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
         return Entry("fleet", "a", 1, seq, Stamp(EPOCH + seq, 0), (), json.dumps(body).encode())
@@ -598,9 +658,9 @@
         ]
     assert ask(zone=0, standing="left")["done"] and ask(zone=0, standing="returning")["done"]
     fleet.run(1)
-    stands = [part.zones.standings.of(0) for part in fleet.parts.values()]
+    stands = [part.zones.context.decisions.of(0) for part in fleet.parts.values()]
     # From here on evidence leads: the pace rises step by step, and nobody has to take it back by hand.
-    assert all(each.number >= 4 and not each.hand and 0.1 < each.part < 0.3 for each in stands)
+    assert all(each.number >= 4 and not each.by_operator and 0.1 < each.fraction < 0.3 for each in stands)
 
 
 def test_the_control_socket_appends_reads_and_dumps(make_fleet):
@@ -711,8 +771,6 @@
 
 
 def test_a_fleet_of_1024_resolves_and_zones_have_the_figures_of_the_module():
-    from ochrecourse.fleet.zones import DEFAULTS
-
     peers = ", ".join(f'{{name: "p{i:04d}", address: "10.0.{i >> 8}.{i & 255}:7"}}' for i in range(1023))
     start, end = GOOD.index("peers: [") + 8, GOOD.index("]", GOOD.index("peers: ["))
     record = resolve(GOOD[:start] + peers + GOOD[end:], "g.cue")
@@ -721,7 +779,7 @@
     # What a cold node bears is no default: the rules say it, as the next test has it.
     elsewhere = ("clock_bound", "cold")
     assert record["fleet"]["zones"] == {
-        name: value for name, value in DEFAULTS.items() if name not in elsewhere
+        name: value for name, value in ZoneSettings().to_map().items() if name not in elsewhere
     }
     assert not handover_obstacle(record)  # its journal goes with its sockets
 
@@ -731,7 +789,7 @@
     rules = "\nrules: {cold_units: 18, cold_fall: 2s}\n"
     record = resolve(GOOD.replace("zones: {}", zones) + rules, "g.cue")
     daemon = Daemon(record, HostProgram(VirtualNetwork(1), [], lambda note: None, lambda: None))
-    assert daemon.fleet_member.zones.figure["cold"] == cold
+    assert daemon.fleet_member.zones.context.cold_node_rate == cold
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -11,9 +11,16 @@
 from zone_world import BOUND, Broken, World, left
 
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.evidence import BadSight, NodeTold, Own, ZoneTold, read, weigh
-from ochrecourse.fleet.standing import WORDS, Standing, Standings
-from ochrecourse.fleet.zones import Zones, order
+from ochrecourse.fleet.zone_evidence import EndedAttempt, LocalObservations, ReportScope
+from ochrecourse.fleet.zone_limits import RateLimitedZones
+from ochrecourse.fleet.zone_report import NodeReport, ZoneCounts, ZoneReportError, decode_report
+from ochrecourse.fleet.zone_settings import ZoneSettings
+from ochrecourse.fleet.zone_state import STATE_WORDS, ZoneState, ZoneDecisions
+from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, summarize
+from ochrecourse.fleet.zone_context import FleetPlacement
+from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.zone_decision_entry import DecisionWriter, operator_decision
+from ochrecourse.fleet.zone_timers import ZoneLoss
 from ochrecourse.interface import Ending
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -26,14 +33,14 @@
 
 def own(legs, now=SECOND):
     """`legs`: node and ending, the last ones just now."""
-    seen = Own(2 * SECOND, 500 * MS, 4)
+    seen = LocalObservations(2 * SECOND, 500 * MS, 4)
     for node, ending in legs:
-        seen.leg_over(node, ending, 20 * MS, PACE, now)
+        seen.attempt_ended(EndedAttempt(node, ending, 20 * MS, PACE, now))
     return seen
 
 
 def sight(legs, now=SECOND, troubled=(), accused=()):
-    return own(legs, now).sight(NODES, set(troubled), set(accused), (), now)
+    return own(legs, now).report(ReportScope(NODES, set(troubled), set(accused)), now)
 
 
 GOOD, SILENT, REFUSED = Ending.SERVED, Ending.TIMEOUT, Ending.UNREACHABLE
@@ -41,14 +48,14 @@
 
 def test_where_all_is_well_a_sight_tells_next_to_nothing():
     told = sight([(node, GOOD) for node in NODES] * 9)
-    assert (told.whole, told.zones, told.nodes) == ((54, 54, 0, 0), (), ())
+    assert (told.totals, told.zones, told.nodes) == ((54, 54, 0, 0), (), ())
     assert len(msgspec.json.encode(told)) < 40
 
 
 def test_a_node_that_another_gateway_accuses_is_told_of_with_its_zone():
     told = sight([(0, GOOD), (1, GOOD), (100, GOOD)], accused=[1])
-    assert told.nodes == (NodeTold(1, 0, True),)
-    assert told.zones == (ZoneTold(0, 2, 2, tried=2, alive=2, served=200),)
+    assert told.nodes == (NodeReport(1, 0, True),)
+    assert told.zones == (ZoneCounts(0, 2, 2, nodes_tried=2, nodes_alive=2, units_served=200),)
 
 
 @pytest.mark.parametrize(
@@ -61,15 +68,15 @@
 def test_each_ending_has_its_count(ending, counts):
     (told,) = sight([(0, ending)], troubled=[0]).zones
     assert (
-        told.begun,
-        told.fulfilled,
-        told.busy,
+        told.attempts,
+        told.served,
+        told.full,
         told.refused,
         told.reset,
-        told.silent,
+        told.timed_out,
         told.errors,
     ) == counts
-    assert told.alive == (ending in (GOOD, Ending.FULL)) and told.failing == 1 - told.alive
+    assert told.nodes_alive == (ending in (GOOD, Ending.FULL)) and told.nodes_failing == 1 - told.nodes_alive
 
 
 @pytest.mark.parametrize("ending", [Ending.WITHDRAWN, Ending.MOOT])
@@ -79,23 +86,21 @@
 
 def test_what_is_older_than_the_window_is_not_told():
     seen = own([(0, SILENT)] * 3)
-    assert seen.sight(NODES, set(), set(), (), 2 * SECOND).nodes == (NodeTold(0, 3, False),)
-    assert seen.sight(NODES, set(), set(), (), 4 * SECOND).nodes == ()
+    assert seen.report(ReportScope(NODES), 2 * SECOND).nodes == (NodeReport(0, 3, False),)
+    assert seen.report(ReportScope(NODES), 4 * SECOND).nodes == ()
 
 
 def test_a_thousand_nodes_and_zones_fit_and_of_a_large_zone_all_tell_of_the_same_nodes():
     zone_of = {node: node for node in range(1500)}
-    told = own([(node, SILENT) for node in zone_of]).sight(zone_of, set(), set(), (), SECOND)
+    told = own([(node, SILENT) for node in zone_of]).report(ReportScope(zone_of), SECOND)
     assert len(told.nodes) == len(told.zones) == 1024
-    assert read(msgspec.json.encode(told)) == told
+    assert decode_report(msgspec.json.encode(told)) == told
     zone_of = dict.fromkeys(range(1000), 0)
     one, other = (
-        own([(node, SILENT) for node in zone_of if node % 10 != left]).sight(
-            zone_of, set(), set(), (), SECOND
-        )
+        own([(node, SILENT) for node in zone_of if node % 10 != left]).report(ReportScope(zone_of), SECOND)
         for left in (3, 7)
     )
-    assert len(one.nodes) == 64 and one.zones[0].failing == 900
+    assert len(one.nodes) == 64 and one.zones[0].nodes_failing == 900
     assert len({each.node for each in one.nodes} & {each.node for each in other.nodes}) > 45
 
 
@@ -107,15 +112,15 @@
     ],
 )  # fmt: skip
 def test_a_sight_that_is_none_is_turned_away_with_one_line(told):
-    with pytest.raises(BadSight, match="tells of zones") as wrong:
-        read(told)
+    with pytest.raises(ZoneReportError, match="tells of zones") as wrong:
+        decode_report(told)
     assert "\n" not in str(wrong.value)
 
 
 def weighed(*told):
     """`told`: by gateway its zone and legs."""
-    sights = {f"g{i}": (zone, sight(legs, troubled=[1])) for i, (zone, legs) in enumerate(told)}
-    return weigh(sights, NODES, READY)[1]
+    sights = {f"g{i}": GatewayReport(zone, sight(legs, troubled=[1])) for i, (zone, legs) in enumerate(told)}
+    return summarize(sights, ListedZones(NODES, READY))[1]
 
 
 FAILS = [(100, SILENT), (101, SILENT), (102, SILENT)] * 2
@@ -124,33 +129,33 @@
 
 def test_a_zone_at_which_all_fail_is_silent_and_who_fails_everywhere_is_no_witness():
     view = weighed((0, FINE + FAILS), (1, FINE + FAILS), (0, FAILS))
-    assert view.silent and view.accusers == {"g0": 0, "g1": 1} and view.dead == 3
+    assert view.is_unresponsive and view.accusers == {"g0": 0, "g1": 1} and view.failing_nodes == 3
 
 
 def test_one_gateway_that_sees_the_zone_live_is_heard():
     view = weighed((0, FINE + FAILS), (1, FINE + [(node, GOOD) for node in READY[1]]))
-    assert not view.suspect and view.defenders == {"g1": 1}
+    assert not view.is_suspect and view.defenders == {"g1": 1}
 
 
 def test_one_bad_node_is_no_lost_zone():
     assert not weighed(
         (0, FINE + [(100, SILENT)] * 9 + [(101, GOOD)]), (1, FINE + [(100, SILENT)] * 9)
-    ).suspect
+    ).is_suspect
 
 
 # --- standing ---
 
 
-def decided(zone=1, standing=Standing.LEFT, number=1, witnesses=2, writer="a", ms=1, **more):
+def decided(zone=1, standing=ZoneState.EVACUATED, number=1, witnesses=2, writer="a", ms=1, **more):
     body = {
-        "what": "zone", "zone": zone, "standing": WORDS[standing], "number": number, "evidence": {"witnesses": witnesses},
+        "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": number, "evidence": {"witnesses": witnesses},
         **more,
     }  # fmt: skip
     return Entry("fleet", writer, 1, ms, Stamp(ms, 0), (), msgspec.json.encode(body))
 
 
 decisions = st.builds(
-    decided, st.integers(0, 2), st.sampled_from(Standing), st.integers(1, 4), st.integers(0, 3), st.sampled_from("abc"),
+    decided, st.integers(0, 2), st.sampled_from(ZoneState), st.integers(1, 4), st.integers(0, 3), st.sampled_from("abc"),
     st.integers(1, 50),
 )  # fmt: skip
 
@@ -158,29 +163,29 @@
 @given(st.lists(decisions, max_size=8, unique_by=lambda entry: entry.place), st.randoms())
 @settings(max_examples=200, deadline=None)
 def test_standings_are_a_function_of_the_set_of_entries(entries, chance):
-    once, again = Standings(3), Standings(3)
+    once, again = ZoneDecisions(3), ZoneDecisions(3)
     numbers = dict.fromkeys(range(3), 0)
     for entry in entries:
-        once.event(entry)
+        once.apply(entry)
         for zone in range(3):
             assert once.of(zone).number >= numbers[zone]
             numbers[zone] = once.of(zone).number
     shuffled = entries * 2
     chance.shuffle(shuffled)
     for entry in shuffled:
-        again.event(entry)
-    assert once.held == again.held and once.kept(range(3)) == again.kept(range(3))
-    if all(once.of(zone).standing is Standing.LEFT for zone in range(3)):
-        assert once.kept(range(3)) is not None
+        again.apply(entry)
+    assert once.by_zone == again.by_zone and once.exempt_zone(range(3)) == again.exempt_zone(range(3))
+    if all(once.of(zone).state is ZoneState.EVACUATED for zone in range(3)):
+        assert once.exempt_zone(range(3)) is not None
 
 
 def test_of_one_number_the_decision_with_more_witnesses_stands_then_the_later():
-    held = Standings(3)
-    for entry in (decided(witnesses=3), decided(witnesses=2, standing=Standing.IN, ms=9)):
-        held.event(entry)
-    assert held.of(1).standing is Standing.LEFT
-    held.event(decided(witnesses=3, standing=Standing.IN, ms=9, writer="b"))
-    assert held.of(1).standing is Standing.IN
+    held = ZoneDecisions(3)
+    for entry in (decided(witnesses=3), decided(witnesses=2, standing=ZoneState.IN, ms=9)):
+        held.apply(entry)
+    assert held.of(1).state is ZoneState.EVACUATED
+    held.apply(decided(witnesses=3, standing=ZoneState.IN, ms=9, writer="b"))
+    assert held.of(1).state is ZoneState.IN
 
 
 @pytest.mark.parametrize(
@@ -192,10 +197,10 @@
     ],
 )  # fmt: skip
 def test_an_entry_that_is_no_decision_changes_nothing(body):
-    zones = Zones({}, 3, "a", 0, 3)
-    zones.event(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
-    zones.event(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
-    assert zones.standings.held == {} and zones.bounds(0) == {}
+    zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
+    zones.entry_received(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
+    zones.entry_received(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
+    assert zones.context.decisions.by_zone == {} and zones.node_rates(0) == {}
 
 
 # --- a zone lost and regained ---
@@ -214,16 +219,18 @@
     began = world.now
     world.run(most)
     assert left(world, 1) and words(world, 1) == ["in doubt", "left"]
-    bounds = world.gates["g0"].zones.bounds(world.now)
+    bounds = world.gates["g0"].zones.node_rates(world.now)
     assert set(bounds) == {100, 101, 102}
-    assert sum(gate.zones.bounds(world.now)[100] for gate in world.gates.values()) <= world.figures["cold"]
+    assert (
+        sum(gate.zones.node_rates(world.now)[100] for gate in world.gates.values()) <= world.figures["cold"]
+    )
     world.run(6)
     world.regain(1)
     world.run(25)
     assert words(world, 1) == ["in doubt", "left", *["returning"] * 4, "in"]
     parts = [body["part"] for _, _, body, _ in world.said if body.get("standing") == "returning"]
     assert parts == [0.125, 0.25, 0.5, 1.0]
-    assert all(gate.zones.bounds(world.now) == {} for gate in world.gates.values())
+    assert all(gate.zones.node_rates(world.now) == {} for gate in world.gates.values())
     assert world.said[0][0] - began < most * SECOND
 
 
@@ -275,13 +282,13 @@
 def test_who_says_it_dies_and_the_next_one_does():
     world = World(3).run(3)
     world.lose(1)
-    world.gates["g0"].zones.wants = lambda now, reached: None  # it is heard, yet says nothing
+    world.gates["g0"].zones.next_entry = lambda now, reached: None  # it is heard, yet says nothing
     world.run(7)
     assert left(world, 1) and {name for _, name, _, _ in world.said} == {"g1"}
     world.kill("g1")
     world.regain(1)
     world.run(35)
-    assert world.standing(1, "g2") is Standing.IN
+    assert world.standing(1, "g2") is ZoneState.IN
 
 
 def test_a_second_fall_rests_longer_and_a_zone_that_flaps_is_left_with_growing_rests():
@@ -304,13 +311,13 @@
     world.lose(1)
     world.run(5)
     world.regain(1)
-    while world.standing(1) is not Standing.RETURNING:
+    while world.standing(1) is not ZoneState.SLOW_START:
         world.step()
     world.run(1.5)
     world.lose(1)
     world.run(6)
     assert left(world, 1)
-    assert world.gates["g0"].zones.standings.of(1).rest == 2 * world.figures["rest"]
+    assert world.gates["g0"].zones.context.decisions.of(1).rest_ms == 2 * world.figures["rest"]
 
 
 # --- what is no lost zone ---
@@ -363,7 +370,9 @@
         trouble(world)
         world.run(12)
         assert not world.changes(1, what="left") and not world.changes(0, what="left")
-        assert all(gate.zones.bounds(world.now) == {} for name, gate in world.gates.items() if name != "g0")
+        assert all(
+            gate.zones.node_rates(world.now) == {} for name, gate in world.gates.items() if name != "g0"
+        )
 
 
 @pytest.mark.parametrize("seed", [3, 6, 11, 12])  # in three of these one was once spared no longer
@@ -373,27 +382,27 @@
     world.run(6)
     assert {name for _, name, _, _ in world.said} <= {"g0", "g1", "g4", "g5"}
     for name in ("g0", "g1", "g4", "g5"):
-        assert world.standing(1, name) is Standing.LEFT
+        assert world.standing(1, name) is ZoneState.EVACUATED
     # The small side spares itself what it does not reach, without a word to the others.
-    assert {world.nodes[node] for node in world.gates["g2"].zones.bounds(world.now)} == {0, 2}
+    assert {world.nodes[node] for node in world.gates["g2"].zones.node_rates(world.now)} == {0, 2}
     world.heal()
     world.run(25)
-    assert all(gate.zones.standing(1) == world.gates["g0"].zones.standing(1) for gate in world.gates.values())
-    assert world.standing(1) is Standing.IN and world.standing(0) is Standing.IN
+    assert all(gate.zones.state_of(1) == world.gates["g0"].zones.state_of(1) for gate in world.gates.values())
+    assert world.standing(1) is ZoneState.IN and world.standing(0) is ZoneState.IN
 
 
 def test_two_halves_each_leave_the_others_zone_and_when_they_meet_one_is_held_in():
     world = World(7, zones=2, places=(0, 0, 0, 1, 1, 1)).run(3)
     world.cut({"g0", "g1", "g2"}, {0})
     world.run(6)
-    assert world.standing(1, "g0") is Standing.LEFT and world.standing(0, "g3") is Standing.LEFT
+    assert world.standing(1, "g0") is ZoneState.EVACUATED and world.standing(0, "g3") is ZoneState.EVACUATED
     world.heal()
     world.run(3)
     for zone in (0, 1):
-        assert len({gate.zones.standing(zone) for gate in world.gates.values()}) == 1
-    assert {world.standing(0), world.standing(1)} != {Standing.LEFT}
+        assert len({gate.zones.state_of(zone) for gate in world.gates.values()}) == 1
+    assert {world.standing(0), world.standing(1)} != {ZoneState.EVACUATED}
     world.run(30)
-    assert world.standing(0) is world.standing(1) is Standing.IN
+    assert world.standing(0) is world.standing(1) is ZoneState.IN
 
 
 def test_the_last_zone_is_never_left_and_of_three_two_may_be():
@@ -401,12 +410,12 @@
     for zone in (0, 1, 2):
         world.lose(zone)
         world.run(6)
-    assert sum(world.standing(zone) is Standing.LEFT for zone in range(3)) == 2
+    assert sum(world.standing(zone) is ZoneState.EVACUATED for zone in range(3)) == 2
     world = World(9, zones=2, places=(0, 0, 1, 1)).run(3)
     world.lose(0)
     world.lose(1)
     world.run(10)
-    assert [world.standing(zone) for zone in (0, 1)].count(Standing.LEFT) <= 1
+    assert [world.standing(zone) for zone in (0, 1)].count(ZoneState.EVACUATED) <= 1
 
 
 def test_a_second_zone_is_not_left_where_too_little_would_remain():
@@ -414,18 +423,18 @@
     for zone in (0, 1):
         world.lose(zone)
         world.run(6)
-    assert world.standing(0) is Standing.LEFT and world.standing(1) is Standing.DOUBT
+    assert world.standing(0) is ZoneState.EVACUATED and world.standing(1) is ZoneState.SUSPECT
 
 
 def test_what_is_left_by_hand_stays_left_until_a_hand_takes_it_back():
     world = World(11).run(3)
     zones = world.gates["g0"].zones
-    world.gates["g0"].say(order(1, Standing.LEFT, zones.standings.of(1)))
+    world.gates["g0"].say(operator_decision(1, ZoneState.EVACUATED, zones.context.decisions.of(1)))
     world.run(30)
     assert left(world, 1) and len(world.said) == 1
-    world.gates["g0"].say(order(1, Standing.IN, zones.standings.of(1)))
+    world.gates["g0"].say(operator_decision(1, ZoneState.IN, zones.context.decisions.of(1)))
     world.run(2)
-    assert world.standing(1, "g5") is Standing.IN
+    assert world.standing(1, "g5") is ZoneState.IN
 
 
 def test_a_process_that_stood_still_takes_nothing_away():
@@ -435,7 +444,7 @@
     world.kill("g0")
     for node in (100, 101, 102):
         for _ in range(4):
-            zones.leg_over(node, SILENT, 250 * MS, PACE, world.now)
+            zones.attempt_ended(EndedAttempt(node, SILENT, 250 * MS, PACE, world.now))
     world.run(20)
     world.gates["g0"].up = True
     world.run(6)
@@ -445,7 +454,7 @@
 # --- days by chance ---
 
 
-def day(seed, make=Zones):
+def day(seed, make=ZoneController):
     """A small zone day: four gateways, three zones of two nodes, and four troubles."""
     chance = random.Random(seed)
     world = World(seed, nodes=2, places=(0, 1, 2, 0), legs=3, make=make, step=250 * MS)
@@ -510,7 +519,7 @@
             self.world.regain(zone)
         self.world.run(8)
         first, *others = [
-            [gate.zones.standing(zone) for zone in range(3)] for gate in self.world.gates.values()
+            [gate.zones.state_of(zone) for zone in range(3)] for gate in self.world.gates.values()
         ]
         assert all(each == first for each in others)
 
@@ -523,55 +532,66 @@
 # --- mistakes made on purpose ---
 
 
-class GoesBack(Zones):
+class GoesBack(ZoneController):
     """What came last stands."""
 
     def __init__(self, *given):
         super().__init__(*given)
-        self.standings.prevails = lambda said, held: True
+        self.context.decisions.supersedes = lambda said, held: True
 
 
-class Believed(Zones):
+class Believed(ZoneController):
     """A gateway that is cut off speaks for the fleet."""
 
-    def wants(self, now, reached):
-        self.gateways = 1
-        return super().wants(now, reached)
+    def next_entry(self, now, reached):
+        self.context.gateway_count = 1
+        return super().next_entry(now, reached)
 
 
-class LastZone(Zones):
+class NoExemptZone(RateLimitedZones):
+    def zones(self):
+        zones = super().zones()
+        self.exempt_zone = None
+        return zones
+
+
+class LastZone(ZoneController):
     """Nothing keeps the last zone."""
 
-    def _may_leave(self, zone, view):
-        return True
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy.may_evacuate = lambda zone, summary: True
+        self.limited = self.rates.limited = self.loans.limited = NoExemptZone(self.context)
 
-    def _bounded_zones(self):
-        super()._bounded_zones()
-        self.kept = None
-        return self.bounded
 
+class ShortRests(DecisionWriter):
+    def body(self, *given):
+        said = super().body(*given)
+        return {**said, "rest": min(said["rest"], round(self.context.settings.min_rest / MS))}
 
-class NoRest(Zones):
+
+class NoRest(ZoneController):
     """A further fall rests as long as the first."""
 
-    def _body(self, *given):
-        said = super()._body(*given)
-        return {**said, "rest": min(said["rest"], round(self.figure["rest"] / MS))}
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.writer = ShortRests(self.context, self.policy)
 
 
-class OneZoneEnough(Zones):
+class OneZoneEnough(ZoneController):
     """Accusers of one zone alone are believed."""
 
-    def _lost(self, view):
-        return view.silent, False
+    def __init__(self, *given):
+        super().__init__(*given)
+        self.policy.loss_of = lambda summary: ZoneLoss(summary.is_unresponsive, False)
 
 
-class PartOfTheReached(Zones):
+class PartOfTheReached(ZoneController):
     """A part of those that it hears of, in place of the known size."""
 
-    def bounds(self, now):
-        self.allot.size = len(self.reached)
-        return super().bounds(now)
+    def node_rates(self, now):
+        self.context.quota.gateway_count = len(self.context.reached)
+        return super().node_rates(now)
 
 
 def caught(make, seeds=60):
@@ -596,7 +616,7 @@
     assert any(name == "g0" for _, name, _, _ in world.said)
 
 
-@pytest.mark.parametrize("make, leaves", [(Zones, False), (OneZoneEnough, True)])
+@pytest.mark.parametrize("make, leaves", [(ZoneController, False), (OneZoneEnough, True)])
 def test_accusers_of_one_zone_that_are_believed_would_be_seen(make, leaves):
     """Nobody but those two has any work for the zone in the first seconds, so they alone speak."""
     world = World(1, make=make).run(3)
@@ -610,7 +630,7 @@
 
 def test_a_rest_that_does_not_grow_would_be_seen():
     counts = []
-    for make in (Zones, NoRest):
+    for make in (ZoneController, NoRest):
         world = World(4, make=make, step=250 * MS).run(3)
         for _ in range(24):
             world.lose(1)
@@ -624,10 +644,10 @@
 # --- all interleavings of a small world: three gateways, two zones ---
 
 
-class Arrival(Standings):
+class Arrival(ZoneDecisions):
     """A mistake: of one number, the first to arrive stands."""
 
-    def prevails(self, said, held):
+    def supersedes(self, said, held):
         return said.number > held.number
 
 
@@ -637,7 +657,7 @@
     def holds(arrived, said):
         held = make(2)
         for at in arrived:
-            held.event(said[at])
+            held.apply(said[at])
         return held
 
     def successors(state):
@@ -647,12 +667,12 @@
             for zone in (0, 1):
                 if len(said) == most:
                     break
-                other = held.of(1 - zone).standing
+                other = held.of(1 - zone).state
                 was = held.of(zone)
-                if was.standing is Standing.LEFT:
-                    becomes = Standing.IN
-                elif other is Standing.IN:
-                    becomes = Standing.LEFT
+                if was.state is ZoneState.EVACUATED:
+                    becomes = ZoneState.IN
+                elif other is ZoneState.IN:
+                    becomes = ZoneState.EVACUATED
                 else:
                     continue
                 entry = decided(zone, becomes, was.number + 1, 1 + i % 2, "abc"[i], len(said) + 1)
@@ -670,14 +690,16 @@
         by_set = {}
         for arrived in fields["arrived"]:
             held = holds(arrived, fields["said"])
-            by_set.setdefault(frozenset(arrived), set()).add((held.of(0), held.of(1), held.kept((0, 1))))
+            by_set.setdefault(frozenset(arrived), set()).add(
+                (held.of(0), held.of(1), held.exempt_zone((0, 1)))
+            )
         return all(len(each) == 1 for each in by_set.values())
 
     def one_in(fields):
         for arrived in fields["arrived"]:
             held = holds(arrived, fields["said"])
-            lefts = [zone for zone in (0, 1) if held.of(zone).standing is Standing.LEFT]
-            if len(lefts) == 2 and held.kept((0, 1)) is None:
+            lefts = [zone for zone in (0, 1) if held.of(zone).state is ZoneState.EVACUATED]
+            if len(lefts) == 2 and held.exempt_zone((0, 1)) is None:
                 return False
         return True
 
@@ -700,7 +722,7 @@
 
 
 def test_in_every_interleaving_equal_entries_give_equal_standings():
-    assert explored(Standings) == {"equal": True, "one in": True, "rises": True}
+    assert explored(ZoneDecisions) == {"equal": True, "one in": True, "rises": True}
 
 
 def test_the_interleavings_find_a_tie_that_goes_by_arrival():
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -45,7 +45,12 @@
     "resp/pipeline.py", "resp/client_connection.py", "resp/server.py", "service/__init__.py",
     "service/discovery.py", "service/discovery_watch.py", "service/gateway_service.py", "service/main.py",
     "service/signals.py", "service/start_file.py", "service/start_settings.py",
-    "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py",
+    "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py", "fleet/quota.py",
+    "fleet/shared_settings.py", "fleet/zone_subsystem.py", "fleet/shard_demand.py", "fleet/zone_context.py",
+    "fleet/zone_controller.py", "fleet/zone_decision_entry.py", "fleet/zone_evidence.py",
+    "fleet/zone_limits.py", "fleet/zone_loans.py", "fleet/zone_nodes.py", "fleet/zone_policy.py",
+    "fleet/zone_rates.py", "fleet/zone_report.py", "fleet/zone_settings.py", "fleet/zone_state.py",
+    "fleet/zone_summary.py", "fleet/zone_timers.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -64,7 +69,7 @@
     "fleet/member.py": ["Told", "told", "PART", "Door", "life", "cut", "came"],
     "fleet/member_environment.py": ["legs", "came"],
     "fleet/member_report.py": ["life"],
-    "fleet/member_zones.py": ["leg", "legs"],
+    "fleet/member_zones.py": ["legs"],
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
     "fleet/peer_links.py": ["life", "came", "cut"],
     "fleet/subsystem.py": ["sight"],
@@ -95,6 +100,7 @@
     "cli/serve.py": ["held"],  # in the command's help, which is for users
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
+    "fleet/zone_subsystem.py": ["jobs", "legs", "product"],  # of common/request_records.py
 }
 
 
--- a/tests/transcripts/test_grey.py
+++ b/tests/transcripts/test_grey.py
@@ -22,14 +22,14 @@
                 network,
                 f"{by} logs: {event}, peer {more['peer']}, {more['what']}: here {more['here']}, there {more['there']}",
             )
-    channel, body = made["b"].zone_watch.by_hand(1, "left")
+    channel, body = made["b"].zone_subsystem.operator_entry(1, "left")
     made["b"].append(channel, body)
     network.advance(1)
     for name, part in made.items():
         told = part.zones.report()["zones"]
         tap.note(
             network,
-            f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.reached)}",
+            f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.context.reached)}",
         )
     text = tap.text(test_two_gateways_name_their_zones_in_another_order.__doc__)
     assert text == snapshot(extension_class=Approved)
