--- a/ochrecourse/cli/gateway_process.py
+++ b/ochrecourse/cli/gateway_process.py
@@ -19,7 +19,7 @@
 from ochrecourse.cli.admin import admin_site
 from ochrecourse.cli.control import serve_control
 from ochrecourse.cli.handover import Sockets
-from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
+from ochrecourse.cli.logs import LOG_LEVELS, AccessLog, BackgroundWriter, RequestLogWriter, make_logger
 from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.common.monotonic_reactor import CycleCollector, raise_open_file_limit
 from ochrecourse.common.time_units import MS
@@ -53,9 +53,9 @@
         self.settings = settings
         self.reactor = reactor
         self.failure = ""  # why a process that began to start ends
-        self.log_writer = Aside(sys.stderr)
+        self.log_writer = BackgroundWriter(sys.stderr)
         log_settings = settings["log"]
-        log = set_up(log_settings["form"], log_settings["level"], self.log_writer)
+        log = make_logger(log_settings["form"], log_settings["level"], self.log_writer)
         self.log = log.bind(gateway=settings["gateway"]["name"])
         self.sampler = LogSampler(log_settings["sample"])
         if take_over and "webdav" in settings:  # before its state is touched, which the running process has
@@ -73,7 +73,7 @@
     def _make_daemon(self, join_later: bool) -> Daemon:
         host = HostProgram(
             self.reactor,
-            [JobLog(self.log, self.sampler)],
+            [RequestLogWriter(self.log, self.sampler)],
             self.log.warning,
             self.reactor.stop,
             self.log.info,
@@ -172,6 +172,6 @@
         self.sampler.rate = settings["log"]["sample"]
         self.sampler.burst = max(1.0, self.sampler.rate)
         if any(each.startswith("log.level") for each in result.in_force):
-            level = LEVELS[settings["log"]["level"]]
+            level = LOG_LEVELS[settings["log"]["level"]]
             structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(level))
         self.log.info("settings read again", in_force=result.in_force, needs_restart=result.needs_restart)
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -1,4 +1,8 @@
-"""Structured logging: JSON lines or a console, one line a job, sampled under load."""
+"""Structured logging: JSON lines or a console, one line a request, sampled under load.
+
+The texts and keys of the lines are an interface: operators search for them. `request_line_fields` maps this
+code's names to them.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +15,24 @@
 
 import structlog
 
-from ochrecourse.gateway.gateway import Gateway
-from ochrecourse.common.request_records import RequestOutcome, RequestRecord
-from ochrecourse.gateway.log_sampling import LogSampler
+from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
 from ochrecourse.common.runtime import Clock, now_ns
 from ochrecourse.common.time_units import MS
+from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.gateway.log_sampling import LogSampler
+
+LOG_LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING}
+MAX_QUEUED_LINES = 10_000
+CLOSE_TIMEOUT_S = 1.0
+SUCCESSFUL_WEBDAV_OUTCOMES = ("fulfilled", "done")
 
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING}
 
+def make_logger(form: str, level: str, file: BackgroundWriter) -> Any:
+    """A logger that writes to `file`.
 
-def set_up(form: str, level: str, file: Aside) -> Any:
-    """A logger that writes to `file`. `form`: json, console, or auto (console where people look)."""
+    `form` is json, console, or auto, which means console where standard error is a terminal; `level` is a key
+    of LOG_LEVELS.
+    """
     console = form == "console" or (form == "auto" and sys.stderr.isatty())
     renderer: Any = structlog.dev.ConsoleRenderer() if console else structlog.processors.JSONRenderer()
     structlog.configure(
@@ -30,99 +41,110 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
+        wrapper_class=structlog.make_filtering_bound_logger(LOG_LEVELS[level]),
         logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, file)),
     )
     return structlog.get_logger()
 
 
-class Aside:
+class BackgroundWriter:
     """A file written by a thread of its own. Lines that do not fit its queue are dropped and counted.
 
-    Guards against a reader of the log that stands still: a full pipe would stop the gateway in the middle of
-    a job.
+    Guards against a reader of the log that stands still: a full pipe would block the event loop in the middle
+    of a request.
     """
 
-    def __init__(self, file: TextIO, most: int = 10_000) -> None:
+    def __init__(self, file: TextIO, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
         self.file = file
-        self.lines: queue.Queue[str | None] = queue.Queue(most)
+        self.lines: queue.Queue[str | None] = queue.Queue(max_queued_lines)
         self.dropped = 0
-        self.thread = threading.Thread(target=self._write, daemon=True)
+        self.thread = threading.Thread(target=self._write_queued_lines, daemon=True)
         self.thread.start()
 
     def write(self, text: str) -> None:
+        """Queues a text, or drops and counts it if the queue is full; never blocks."""
         try:
             self.lines.put_nowait(text)
         except queue.Full:
             self.dropped += 1
 
     def flush(self) -> None:
-        """The thread flushes after each line."""
+        """Does nothing: the thread flushes after each line."""
 
-    def close(self, patience: float = 1.0) -> None:
-        """Writes what is queued, for so many seconds at the most."""
+    def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
+        """Waits until the queued lines are written, `timeout_s` seconds at most."""
         with contextlib.suppress(queue.Full):
             self.lines.put_nowait(None)
-        self.thread.join(patience)
+        self.thread.join(timeout_s)
 
-    def _write(self) -> None:
+    def _write_queued_lines(self) -> None:
         while (text := self.lines.get()) is not None:
             try:
                 self.file.write(text)
                 self.file.flush()
             except OSError:
-                self.dropped += 1  # nobody reads the log any more; the gateway serves on
+                # Guards against a log whose reader has closed it: the gateway serves on.
+                self.dropped += 1
 
 
-class JobLog:
-    """Writes one line a job that is over; what did not go well is never left out unless the log itself is
-    flooded.
-    """
+class RequestLogWriter:
+    """Writes one line for each finished request, sampled; the sampler puts unsuccessful ones first."""
 
-    def __init__(self, log: Any, sampling: LogSampler) -> None:
+    def __init__(self, log: Any, sampler: LogSampler) -> None:
         self.log = log
-        self.sampling = sampling
+        self.sampler = sampler
 
-    def request_finished(self, gateway: Gateway, story: RequestRecord) -> None:
-        well = story.outcome is RequestOutcome.SERVED and len(story.attempts) <= 1  # without one: from a copy
-        if not self.sampling.should_log(well, now_ns(gateway.clock)):
+    def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
+        """Called by the gateway with the record of each finished request."""
+        # A request that was served without an attempt was answered from the object cache.
+        successful = record.outcome is RequestOutcome.SERVED and len(record.attempts) <= 1
+        if not self.sampler.should_log(successful, now_ns(gateway.clock)):
             return
-        kinds = gateway.settings_index
-        dropped = self.sampling.take_dropped()
-        self.log.info(
-            "job",
-            job=story.number,
-            trace=story.trace,
-            product=kinds.class_names[story.request_class],
-            plan=kinds.tenant_names[story.tenant],
-            volume=story.volume,
-            units=story.units,
-            ending=story.outcome.value if story.outcome else "open",
-            why=story.why(),
-            ms=round((story.answered_at - story.received_at) / MS, 3),
-            left_ms=round((story.answer_by - story.answered_at) / MS, 3),
-            legs=[
-                {
-                    "node": leg.node,
-                    "after_ms": round((leg.sent_at - story.received_at) / MS, 3),
-                    "ms": round(leg.took / MS, 3),
-                    "ending": leg.ending.value if leg.ending else "out",
-                    "why": leg.reason,
-                }
-                for leg in story.attempts
-            ],
-            **({"lines_left_out": dropped} if dropped else {}),
-        )
+        fields = request_line_fields(gateway, record)
+        dropped = self.sampler.take_dropped()
+        if dropped:
+            fields["lines_left_out"] = dropped
+        self.log.info("job", **fields)
+
+
+def request_line_fields(gateway: Gateway, record: RequestRecord) -> dict[str, Any]:
+    """The fields of a finished request's line, under the keys that operators search for; times in ms."""
+    settings_index = gateway.settings_index
+    return {
+        "job": record.number,
+        "trace": record.trace,
+        "product": settings_index.class_names[record.request_class],
+        "plan": settings_index.tenant_names[record.tenant],
+        "volume": record.volume,
+        "units": record.units,
+        "ending": record.outcome.value if record.outcome else "open",
+        "why": record.why(),
+        "ms": round((record.answered_at - record.received_at) / MS, 3),
+        "left_ms": round((record.answer_by - record.answered_at) / MS, 3),
+        "legs": [_attempt_fields(record, attempt) for attempt in record.attempts],
+    }
+
+
+def _attempt_fields(record: RequestRecord, attempt: AttemptRecord) -> dict[str, Any]:
+    return {
+        "node": attempt.node,
+        "after_ms": round((attempt.sent_at - record.received_at) / MS, 3),
+        "ms": round(attempt.took / MS, 3),
+        "ending": attempt.ending.value if attempt.ending else "out",
+        "why": attempt.reason,
+    }
 
 
 class AccessLog:
-    """Writes one line a WebDAV request, sampled as the jobs' lines are: what did not go well comes first."""
+    """Writes one line for each WebDAV request, sampled like those of RequestLogWriter."""
 
-    def __init__(self, log: Any, sampling: LogSampler, clock: Clock) -> None:
+    def __init__(self, log: Any, sampler: LogSampler, clock: Clock) -> None:
         self.log = log
-        self.sampling = sampling
+        self.sampler = sampler
         self.clock = clock
 
     def __call__(self, **fields: Any) -> None:
-        if self.sampling.should_log(fields["how"] in ("fulfilled", "done"), now_ns(self.clock)):
+        """Called by the WebDAV server with the fields of the line of each finished request."""
+        successful = fields["how"] in SUCCESSFUL_WEBDAV_OUTCOMES
+        if self.sampler.should_log(successful, now_ns(self.clock)):
             self.log.info("request", **fields)
