--- a/ochrecourse/cli/control.py
+++ b/ochrecourse/cli/control.py
@@ -17,7 +17,7 @@
 
 import click
 
-from ochrecourse.cli.handover import Sockets
+from ochrecourse.cli.handover import ListeningSockets
 from ochrecourse.gateway.socket_handover import Handover, HandoverStep
 
 LONGEST_LINE = 1 << 18  # bytes; holds an append of the longest entry
@@ -26,7 +26,7 @@
 FLEET = ("fleet", "append", "read", "compact", "dump", "zone", "give up", "form")
 
 
-def serve_control(reactor: Any, path: str, daemon: Any, sockets: Sockets) -> None:
+def serve_control(reactor: Any, path: str, daemon: Any, sockets: ListeningSockets) -> None:
     """Listens on a path with mode 0600; `sockets` may be handed over. Raises CannotListenError."""
     from twisted.internet.protocol import Factory
     from twisted.protocols.basic import LineReceiver
@@ -66,7 +66,7 @@
             if not handover.release(self):
                 self._say({"error": "the sockets were not handed over"})
                 return
-            sockets.keep("fleet")
+            sockets.retain("fleet")
             daemon.release_fleet()
             self._say({"released": True})
 
@@ -74,8 +74,8 @@
             if not handover.complete(self):
                 self._say({"error": "the sockets were not handed over"})
                 return
-            sockets.close()
-            sockets.give_back()
+            sockets.close_ports()
+            sockets.close_unused()
             # The path must be free before the other process listens there: its own would be unlinked else.
             listening.stopListening().addCallback(lambda _: self._left())
 
@@ -92,7 +92,7 @@
     listening = reactor.listenUNIX(path, factory, mode=0o600)
 
 
-def take_back(reactor: Any, daemon: Any, sockets: Sockets, alone: Callable[[], bool]) -> None:
+def take_back(reactor: Any, daemon: Any, sockets: ListeningSockets, alone: Callable[[], bool]) -> None:
     """The process that was to take over ended first: its place in the fleet is this one's again, as long as
     no other has asked for it meanwhile (`alone`) and this one does not leave."""
     from twisted.internet.error import CannotListenError
--- a/ochrecourse/cli/gateway_process.py
+++ b/ochrecourse/cli/gateway_process.py
@@ -18,7 +18,7 @@
 
 from ochrecourse.cli.admin import admin_site
 from ochrecourse.cli.control import serve_control
-from ochrecourse.cli.handover import Sockets
+from ochrecourse.cli.handover import ListeningSockets
 from ochrecourse.cli.logs import LOG_LEVELS, AccessLog, BackgroundWriter, RequestLogWriter, make_logger
 from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.common.monotonic_reactor import CycleCollector, raise_open_file_limit
@@ -66,7 +66,7 @@
         # Before the first line on standard output: who reads it may send a signal at once.
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, self._on_signal)
-        self.sockets = Sockets(reactor)
+        self.sockets = ListeningSockets(reactor)
         self.control_path: str = settings["gateway"]["control"]
         self.admin_address = self._admin_address()
 
@@ -92,10 +92,10 @@
         admin = self.settings["gateway"]["admin"]
         if not admin:
             return None
-        where = parse_address(admin)
-        if where is None:
+        address = parse_address(admin)
+        if address is None:
             raise StartError(f"{self.file}: gateway.admin is not HOST:PORT", EXIT_BAD_SETTINGS)
-        return where
+        return address
 
     def start(self) -> None:
         """Watches the endpoint list, accepts and says where. Raises StartError."""
@@ -116,15 +116,15 @@
             admin_host, admin_port = self.admin_address
             site = self.sockets.listen("admin", admin_port, admin_site(daemon), admin_host)
             self.log.info("health page", port=site.getHost().port)
-        self.sockets.give_back()
+        self.sockets.close_unused()
         self.log.info("serving", host=host, port=port, pid=os.getpid(), open_files=self.open_files)
         lines = [f"listening {host}:{port}"]
         if daemon.webdav_port is not None:
-            at = daemon.webdav_port.getHost()
-            lines.append(f"webdav {at.host}:{at.port}")
+            webdav = daemon.webdav_port.getHost()
+            lines.append(f"webdav {webdav.host}:{webdav.port}")
         if daemon.fleet_member is not None:
-            at = daemon.fleet_member.listening_port.getHost()
-            lines.append(f"fleet {at.host}:{at.port}")
+            fleet = daemon.fleet_member.listening_port.getHost()
+            lines.append(f"fleet {fleet.host}:{fleet.port}")
         return lines
 
     def announce(self, lines: list[str]) -> None:
@@ -158,8 +158,8 @@
     # --- signals ---
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        ends = number in (signal.SIGTERM, signal.SIGINT)
-        self.reactor.callFromThread(self.daemon.drain if ends else self.reload)
+        action = self.daemon.drain if number in (signal.SIGTERM, signal.SIGINT) else self.reload
+        self.reactor.callFromThread(action)
 
     def reload(self) -> None:
         """Reads the settings again and takes over what may change."""
--- a/ochrecourse/cli/successor.py
+++ b/ochrecourse/cli/successor.py
@@ -1,7 +1,7 @@
 """`serve --take-over`: the steps by which this process takes the place of the one that runs now.
 
 The sockets first, then the endpoint list, then the journal of the fleet, and only then does it accept. Until
-that is confirmed the running process goes on as before. cli/handover.py has the messages.
+that is confirmed the running process goes on as before. cli/handover.py describes the messages.
 
 Imported only once the process's reactor is installed.
 """
@@ -13,7 +13,8 @@
 from ochrecourse.cli import handover
 from ochrecourse.cli.control import serve_control
 from ochrecourse.cli.gateway_process import EXIT_BAD_SETTINGS, GatewayProcess, StartError
-from ochrecourse.cli.handover import Says
+from ochrecourse.cli.handover import HandoverRequest, socket_address
+from ochrecourse.cli.handover_client import SendRequest, request_sockets
 from ochrecourse.gateway.socket_handover import moved_socket
 from ochrecourse.storage.journal import JournalError
 
@@ -36,48 +37,49 @@
                 EXIT_BAD_SETTINGS,
             )
         self.daemon.watch_endpoints()
-        self.reactor.callLater(handover.START_TIME, self._timed_out)
-        handover.ask_for(self.reactor, control, self._sockets_received, self.process.fail)
+        self.reactor.callLater(handover.TAKEOVER_TIMEOUT_S, self._timed_out)
+        request_sockets(self.reactor, control, self._sockets_received, self.process.fail)
 
-    def _sockets_received(self, descriptors: dict[str, int], says: Says) -> None:
+    def _sockets_received(self, descriptors: dict[str, int], send_request: SendRequest) -> None:
         """The endpoint list first: until it is there, the running process serves better than this one."""
-        self.process.sockets.taken = descriptors
-        addresses = {name: handover.where(number) for name, number in descriptors.items()}
+        self.process.sockets.descriptors = descriptors
+        addresses = {name: socket_address(descriptor) for name, descriptor in descriptors.items()}
         moved = moved_socket(self.settings, addresses)
         if moved:
             self.process.fail(moved)
         else:
-            self._wait_for_list(says)
+            self._wait_for_list(send_request)
 
-    def _wait_for_list(self, says: Says) -> None:
+    def _wait_for_list(self, send_request: SendRequest) -> None:
         if not self.daemon.gateway.entries:
-            self.reactor.callLater(handover.LOOK, self._wait_for_list, says)
+            self.reactor.callLater(handover.POLL_INTERVAL_S, self._wait_for_list, send_request)
         elif "fleet" in self.settings:
-            says("release", lambda: self._join_fleet(says))
+            send_request(HandoverRequest.RELEASE_FLEET, lambda: self._join_fleet(send_request))
         else:
-            self._accept(says)
+            self._accept(send_request)
 
-    def _join_fleet(self, says: Says, waited: float = 0.0) -> None:
+    def _join_fleet(self, send_request: SendRequest, waited_s: float = 0.0) -> None:
         """The journal of the fleet is this process's; one that was just killed may lock it for a moment."""
         if self.process.failure:
             return
         try:
             self.daemon.join_fleet()
         except (JournalError, OSError) as error:
-            if waited >= handover.LOCK_TIME:
+            if waited_s >= handover.LOCK_TIMEOUT_S:
                 self.process.fail(f"what the state folder keeps is not to be had: {error}")
             else:
-                self.reactor.callLater(handover.LOOK, self._join_fleet, says, waited + handover.LOOK)
+                waited_s += handover.POLL_INTERVAL_S
+                self.reactor.callLater(handover.POLL_INTERVAL_S, self._join_fleet, send_request, waited_s)
             return
-        self._accept(says)
+        self._accept(send_request)
 
-    def _accept(self, says: Says) -> None:
+    def _accept(self, send_request: SendRequest) -> None:
         try:
             lines = self.process.accept()
         except CannotListenError as error:
             self.process.fail(f"cannot listen: {error.socketError}")
             return
-        says("accepts", lambda: self._control_path_free(lines))
+        send_request(HandoverRequest.ACCEPTS, lambda: self._control_path_free(lines))
 
     def _control_path_free(self, lines: list[str]) -> None:
         """The process before this one has closed its control socket."""
@@ -93,6 +95,6 @@
     def _timed_out(self) -> None:
         """Guards against a running process that hangs: it takes the connection and never answers."""
         if self.daemon.client_port is None and self.daemon.gateway.shutdown.accepts_requests():
-            received = self.process.sockets.taken
+            received = self.process.sockets.descriptors
             missing = "list of nodes came" if received else "answer came from the running gateway"
-            self.process.fail(f"no {missing} within {handover.START_TIME:g} s")
+            self.process.fail(f"no {missing} within {handover.TAKEOVER_TIMEOUT_S:g} s")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -205,7 +205,7 @@
     for left in (path, tmp_path / "g0.nodes"):
         left.unlink(missing_ok=True)
     gateway.path.write_text(gateway.path.read_text().replace(gateway.nodes.address, "127.0.0.1:1"))
-    soon = "from ochrecourse.cli import handover, main; handover.START_TIME = 0.5; main.main()"
+    soon = "from ochrecourse.cli import handover, main; handover.TAKEOVER_TIMEOUT_S = 0.5; main.main()"
     with socket.create_server(("127.0.0.1", 0)) as held, socket.socket(socket.AF_UNIX) as control:
         control.bind(str(path))
         control.listen()
