--- /dev/null
+++ b/ochrecourse/cli/control_answers.py
@@ -0,0 +1,89 @@
+"""The commands of the control socket: what a running gateway answers to one line of JSON.
+
+A line is an object whose `do` names the command; the other members are its arguments. The answer is an object
+too; one with `error` says why nothing was done. The words of both are an interface to operators' scripts.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from ochrecourse.cli.control_requests import Answer, ControlError, ControlRequest
+from ochrecourse.cli.fleet_answers import FLEET_COMMANDS, answer_fleet_command
+
+
+def parse_request(line: bytes) -> ControlRequest | None:
+    """The request in a line; None if there is none."""
+    try:
+        arguments = json.loads(line)
+        command = arguments["do"]
+    except (ValueError, TypeError, KeyError, RecursionError):
+        return None
+    if not isinstance(command, str) or not command:
+        return None
+    return ControlRequest(command, arguments)
+
+
+def answer(daemon: Any, line: bytes) -> Answer:
+    """Carries out the command in a line and answers it; never raises ControlError."""
+    try:
+        return _answer(daemon, parse_request(line))
+    except ControlError as error:
+        return {"error": str(error)}
+
+
+def _answer(daemon: Any, request: ControlRequest | None) -> Answer:
+    if request is None:
+        raise ControlError(
+            'a line is {"do": "show"}, drain, undrain, members, accept, or a word of the fleet'
+        )
+    if request.command in FLEET_COMMANDS:
+        return answer_fleet_command(daemon.fleet_member, request)
+    if request.command in GATEWAY_COMMANDS:
+        return GATEWAY_COMMANDS[request.command](daemon)
+    commands = ", ".join((*GATEWAY_COMMANDS, *FLEET_COMMANDS))
+    raise ControlError(f"nothing is done for {request.command!r}; there are {commands}")
+
+
+def _bgp_speaker(daemon: Any) -> Any:
+    if daemon.speaker is None:
+        raise ControlError("this gateway's settings have no part bgp")
+    return daemon.speaker
+
+
+def _show(daemon: Any) -> Answer:
+    report: Answer = _bgp_speaker(daemon).report()
+    return report
+
+
+def _drain(daemon: Any) -> Answer:
+    speaker = _bgp_speaker(daemon)
+    done = speaker.begin_drain()
+    return {"done": done, "stage": speaker.drain.stage.name.lower()}
+
+
+def _undrain(daemon: Any) -> Answer:
+    speaker = _bgp_speaker(daemon)
+    done = speaker.undo_drain()
+    return {"done": done, "stage": speaker.drain.stage.name.lower()}
+
+
+def _members(daemon: Any) -> Answer:
+    report: Answer = daemon.endpoint_report()
+    return report
+
+
+def _accept(daemon: Any) -> Answer:
+    return {"done": daemon.accept_registry(), "stage": "the registry is read anew"}
+
+
+# In the order in which an answer to an unknown command names them.
+GATEWAY_COMMANDS: dict[str, Callable[[Any], Answer]] = {
+    "show": _show,
+    "drain": _drain,
+    "undrain": _undrain,
+    "members": _members,
+    "accept": _accept,
+}
--- /dev/null
+++ b/ochrecourse/cli/control_client.py
@@ -0,0 +1,50 @@
+"""The client side of the control socket, for the commands that speak to a running gateway."""
+
+from __future__ import annotations
+
+import json
+import socket
+import sys
+from pathlib import Path
+from typing import Any, NoReturn
+
+import click
+
+TIMEOUT_S = 5
+READ_BYTES = 65_536
+EXIT_NOTHING_DONE = 1
+EXIT_NO_ANSWER = 2
+
+
+def ask(path: Path, command: str) -> dict[str, Any]:
+    """The answer of a daemon; what goes wrong goes to standard error and ends the process with 2."""
+    try:
+        answer: dict[str, Any] = json.loads(_exchange(path, command))
+    except (OSError, ValueError) as error:
+        click.echo(f"{path}: no gateway answers there: {error}", err=True)
+        sys.exit(EXIT_NO_ANSWER)
+    if "error" in answer:
+        click.echo(answer["error"], err=True)
+        sys.exit(EXIT_NO_ANSWER)
+    return answer
+
+
+def _exchange(path: Path, command: str) -> bytes:
+    """Sends a command and reads one line. Raises OSError."""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
+        connection.settimeout(TIMEOUT_S)
+        connection.connect(str(path))
+        connection.sendall(json.dumps({"do": command}).encode() + b"\n")
+        data = b""
+        while not data.endswith(b"\n"):
+            received = connection.recv(READ_BYTES)
+            if not received:
+                break
+            data += received
+    return data
+
+
+def exit_with_result(answer: dict[str, Any]) -> NoReturn:
+    """Prints what a command that changes something did, and ends the process: 0 done, 1 nothing done."""
+    click.echo(f"{'done' if answer['done'] else 'nothing was done'}: {answer['stage']}")
+    sys.exit(0 if answer["done"] else EXIT_NOTHING_DONE)
--- /dev/null
+++ b/ochrecourse/cli/control_server.py
@@ -0,0 +1,128 @@
+"""The control socket of a daemon: a Unix socket that only its owner may use.
+
+One JSON object a line each way: control_answers.py has the commands, handover.py the messages by which the
+next process of this gateway takes over, which this module answers.
+
+Imported only once the process's reactor is installed.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+from twisted.internet.error import CannotListenError
+from twisted.internet.protocol import Factory
+from twisted.protocols.basic import LineReceiver
+
+from ochrecourse.cli.control_answers import answer, parse_request
+from ochrecourse.cli.control_requests import Answer
+from ochrecourse.cli.handover import HandoverRequest, ListeningSockets
+from ochrecourse.gateway.socket_handover import Handover, HandoverStep
+from ochrecourse.storage.journal import JournalError
+
+MAX_LINE_BYTES = 1 << 18  # holds an append of the longest entry
+REJOIN_INTERVAL_S = 0.5  # between attempts to take the place in the fleet back from a process that ended
+NOT_HANDED_OVER = "the sockets were not handed over"
+
+
+def serve_control(reactor: Any, path: str, daemon: Any, sockets: ListeningSockets) -> None:
+    """Listens on a path with mode 0600; `sockets` may be handed over. Raises CannotListenError."""
+    Path(path).unlink(missing_ok=True)  # a killed process leaves it behind
+    server = ControlServer(reactor, daemon, sockets)
+    server.listening_port = reactor.listenUNIX(path, server, mode=0o600)
+
+
+class ControlConnection(LineReceiver):
+    """One client of the control socket."""
+
+    delimiter = b"\n"
+    MAX_LENGTH = MAX_LINE_BYTES
+    transport: Any
+    factory: Any  # the ControlServer
+
+    def lineReceived(self, line: bytes) -> None:
+        """Answers a command, or a step of a handover."""
+        request = parse_request(line)
+        command = request.command if request is not None else ""
+        if command == HandoverRequest.SOCKETS:
+            self.factory.offer_sockets(self)
+        elif command == HandoverRequest.RELEASE_FLEET:
+            self.factory.release_fleet(self)
+        elif command == HandoverRequest.ACCEPTS:
+            self.factory.successor_accepts(self)
+        else:
+            self.send(answer(self.factory.daemon, line))
+
+    def connectionLost(self, reason: Any = None) -> None:
+        """The client closed the connection or ended."""
+        self.factory.connection_lost(self)
+
+    def send(self, message: Answer) -> None:
+        """Sends one line."""
+        self.sendLine(json.dumps(message).encode())  # type: ignore[no-untyped-call]
+
+
+class ControlServer(Factory):
+    """Makes the connections of the control socket, and hands the sockets over to a successor."""
+
+    noisy = False
+    protocol = ControlConnection
+
+    def __init__(self, reactor: Any, daemon: Any, sockets: ListeningSockets) -> None:
+        self.reactor = reactor
+        self.daemon = daemon
+        self.sockets = sockets
+        self.handover = Handover(daemon.record)
+        self.listening_port: Any = None
+
+    def offer_sockets(self, connection: ControlConnection) -> None:
+        """Sends a successor the listening sockets, which this process goes on accepting on."""
+        obstacle = self.handover.offer(connection, self.daemon.gateway.shutdown.accepts_requests())
+        if obstacle:
+            connection.send({"error": f"the sockets are not handed over: {obstacle}"})
+            return
+        for port in self.sockets.ports.values():
+            connection.transport.sendFileDescriptor(port.fileno())
+        connection.send({"sockets": list(self.sockets.ports)})
+
+    def release_fleet(self, connection: ControlConnection) -> None:
+        """Leaves the place in the fleet, and the fleet's journal, to the successor."""
+        if not self.handover.release(connection):
+            connection.send({"error": NOT_HANDED_OVER})
+            return
+        self.sockets.retain("fleet")
+        self.daemon.release_fleet()
+        connection.send({"released": True})
+
+    def successor_accepts(self, connection: ControlConnection) -> None:
+        """Stops accepting, and finishes what is in flight."""
+        if not self.handover.complete(connection):
+            connection.send({"error": NOT_HANDED_OVER})
+            return
+        self.sockets.close_ports()
+        self.sockets.close_unused()
+        # Guards against unlinking the successor's path: this one must be closed before that listens there.
+        self.listening_port.stopListening().addCallback(lambda _: self._finish_handover(connection))
+
+    def _finish_handover(self, connection: ControlConnection) -> None:
+        connection.send({"done": True})
+        self.daemon.hand_over()
+
+    def connection_lost(self, connection: ControlConnection) -> None:
+        """Takes the place in the fleet back if it was released to this successor, which did not accept."""
+        if self.handover.successor_lost(connection):
+            self._rejoin_fleet()
+
+    def _rejoin_fleet(self) -> None:
+        """Joins the fleet again, unless another successor has asked meanwhile or this process shuts down."""
+        superseded = self.handover.step is not HandoverStep.NONE
+        if superseded or not self.daemon.gateway.shutdown.accepts_requests():
+            return
+        try:
+            self.daemon.rejoin_fleet(self.sockets.listen)
+        except (JournalError, OSError, CannotListenError) as error:
+            # Guards against a successor that is still ending: its lock of the journal ends with it.
+            self.daemon.host.log_event("fleet not joined again", why=str(error))
+            self.reactor.callLater(REJOIN_INTERVAL_S, self._rejoin_fleet)
--- a/ochrecourse/cli/gateway_process.py
+++ b/ochrecourse/cli/gateway_process.py
@@ -17,7 +17,7 @@
 from twisted.internet.error import CannotListenError
 
 from ochrecourse.cli.admin import admin_site
-from ochrecourse.cli.control import serve_control
+from ochrecourse.cli.control_server import serve_control
 from ochrecourse.cli.handover import ListeningSockets
 from ochrecourse.cli.logs import LOG_LEVELS, AccessLog, BackgroundWriter, RequestLogWriter, make_logger
 from ochrecourse.common.errors import OchrecourseError
--- a/ochrecourse/cli/handover.py
+++ b/ochrecourse/cli/handover.py
@@ -5,7 +5,8 @@
 of a fleet, with `{"released": true}`, after which the fleet's journal belongs to the successor; `{"do":
 "accepts"}` with `{"done": true}`, after which the process that gave the sockets shuts down. Which sockets may
 be handed over, and when, is decided in gateway/socket_handover.py; the side that takes over is
-cli/handover_client.py, the side that gives is cli/control.py.
+cli/handover_client.py, the side that gives is
+cli/control_server.py.
 """
 
 from __future__ import annotations
--- a/ochrecourse/cli/main.py
+++ b/ochrecourse/cli/main.py
@@ -40,10 +40,10 @@
     ),
     "day": CommandEntry("ochrecourse.cli.day", "day", "List, run and convert scripted days."),
     "bgp": CommandEntry(
-        "ochrecourse.cli.control", "bgp", "Show, drain and undrain a running gateway's service addresses."
+        "ochrecourse.cli.bgp", "bgp", "Show, drain and undrain a running gateway's service addresses."
     ),
     "members": CommandEntry(
-        "ochrecourse.cli.control", "members", "Show and accept the list of nodes that a gateway holds."
+        "ochrecourse.cli.members", "members", "Show and accept the list of nodes that a gateway holds."
     ),
     "alike": CommandEntry(
         "ochrecourse.cli.alike", "alike", "Run one scenario through library and daemon, and compare."
--- a/ochrecourse/cli/successor.py
+++ b/ochrecourse/cli/successor.py
@@ -11,7 +11,7 @@
 from twisted.internet.error import CannotListenError
 
 from ochrecourse.cli import handover
-from ochrecourse.cli.control import serve_control
+from ochrecourse.cli.control_server import serve_control
 from ochrecourse.cli.gateway_process import EXIT_BAD_SETTINGS, GatewayProcess, StartError
 from ochrecourse.cli.handover import HandoverRequest, socket_address
 from ochrecourse.cli.handover_client import SendRequest, request_sockets
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -10,7 +10,7 @@
 from test_fleet_exchange import HELLO, QUIET, WALL, End, hand, meet, talk
 from test_fleet_part import EPOCH, GOOD, SAID, Fleet
 
-from ochrecourse.cli.control import answer
+from ochrecourse.cli.control_answers import answer
 from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
 from ochrecourse.storage.process_lock import ProcessLock
 from ochrecourse.fleet import forms
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse import library
-from ochrecourse.cli.control import answer
+from ochrecourse.cli.control_answers import answer
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.log import Refused
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrecourse.cli import control
+from ochrecourse.cli import control_answers, members
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.interface import Health
@@ -441,13 +441,13 @@
 
 
 def asks(daemon, do):
-    return control.answer(daemon, json.dumps({"do": do}).encode())
+    return control_answers.answer(daemon, json.dumps({"do": do}).encode())
 
 
 def test_operators_see_the_list_and_where_it_comes_from(served):
     _, daemon = served
     told = asks(daemon, "members")
-    lines = control.member_lines(told)
+    lines = members.report_lines(told)
     assert (
         told["from"] == "registry" and told["connected"] and len(told["nodes"]) == 3 and told["lease"] is True
     )
@@ -469,7 +469,7 @@
     assert (
         "cluster" in told["not_believed"]
         and len(told["nodes"]) == 3
-        and any("not believed" in line for line in control.member_lines(told))
+        and any("not believed" in line for line in members.report_lines(told))
     )
     assert asks(daemon, "accept")["done"]
     play.network.advance(3)
--- a/tests/transcripts/test_lives.py
+++ b/tests/transcripts/test_lives.py
@@ -8,7 +8,7 @@
 from test_fleet_part import bodies
 from transcript import Approved, Fleet, Tap
 
-from ochrecourse.cli.control import answer
+from ochrecourse.cli.control_answers import answer
 
 
 @pytest.fixture
--- a/tests/transcripts/test_rolling.py
+++ b/tests/transcripts/test_rolling.py
@@ -8,7 +8,7 @@
 from test_transcripts import tap  # noqa: F401  (a fixture)
 from transcript import Approved, Fleet
 
-from ochrecourse.cli.control import answer
+from ochrecourse.cli.control_answers import answer
 from ochrecourse.storage.journal import MemoryJournal
 
 
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -19,7 +19,7 @@
 from test_state import listed as line
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
-from ochrecourse.cli.control import answer as control_answer
+from ochrecourse.cli.control_answers import answer as control_answer
 from ochrecourse.gateway.client_connection import ClientConnectionFactory
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork, Way
