--- a/ochrecourse/cli/audit.py
+++ b/ochrecourse/cli/audit.py
@@ -5,11 +5,15 @@
 import json
 import sys
 from pathlib import Path
+from typing import Any
 
 import click
 
 from ochrecourse.cli.days import day_or_exit
 
+EXIT_BROKEN = 1
+EXIT_BAD_RECORDS = 2
+
 
 @click.command("audit")
 @click.argument("records", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
@@ -34,32 +38,32 @@
     from ochrecourse.lab.people import overlapping
 
     try:
-        every = list(read(records))
-    except BadRecord as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    verdict = audit(figures_of(day_or_exit(name, seed), webdav), every)
-    beside = overlapping(every) if webdav else []
+        all_records = list(read(records))
+    except BadRecord as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_BAD_RECORDS)
+    result = audit(figures_of(day_or_exit(name, seed), webdav), all_records)
+    overlaps = overlapping(all_records) if webdav else []
     if as_json:
-        click.echo(
-            json.dumps(
-                {
-                    "jobs": verdict.jobs,
-                    "answered": verdict.answered,
-                    "legs": verdict.legs,
-                    "overlapping": beside,
-                    "rules": [
-                        {"rule": each.rule, "tested": each.tested, "breaches": each.breaches}
-                        for each in verdict.findings
-                    ],
-                }
-            )
-        )
+        click.echo(json.dumps(_result_map(result, overlaps)))
     else:
-        for line in verdict.lines():
+        for line in [*result.lines(), *overlaps[:SHOWN]]:
             click.echo(line)
-        for text in beside[:SHOWN]:
-            click.echo(text)
         if webdav:
-            click.echo(f"requests with two legs out at once: {len(beside)}")
-    sys.exit(0 if verdict.kept() and not beside else 1)
+            click.echo(f"requests with two legs out at once: {len(overlaps)}")
+    sys.exit(0 if result.kept() and not overlaps else EXIT_BROKEN)
+
+
+def _result_map(result: Any, overlaps: list[str]) -> dict[str, Any]:
+    """The findings under the keys that scripts read."""
+    rules = [
+        {"rule": finding.rule, "tested": finding.tested, "breaches": finding.breaches}
+        for finding in result.findings
+    ]
+    return {
+        "jobs": result.jobs,
+        "answered": result.answered,
+        "legs": result.legs,
+        "overlapping": overlaps,
+        "rules": rules,
+    }
--- a/ochrecourse/cli/days.py
+++ b/ochrecourse/cli/days.py
@@ -1,4 +1,4 @@
-"""Days by name or file, for all commands that take one."""
+"""Scenarios by name or file, for all commands that take one."""
 
 from __future__ import annotations
 
@@ -11,15 +11,20 @@
 from ochrecourse.lab.day import BadDay, Day, read
 from ochrecourse.lab.days import built_in
 
+EXIT_BAD_CALL = 2
+FILE_SUFFIXES = (".json", ".toml")
+
 
 def day_or_exit(name: str, seed: int | None) -> Day:
-    """A built-in day or one from a file; what is wrong with it goes to standard error and ends the command
-    with 2.
+    """A built-in scenario or one from a file, with `seed` in place of its own if there is one.
+
+    What is wrong with it goes to standard error and ends the command with 2.
     """
     try:
         path = Path(name)
-        day = read(path) if path.suffix in (".json", ".toml") or path.exists() else built_in(name)
-    except BadDay as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    return day if seed is None else msgspec.structs.replace(day, seed=seed)
+        is_file = path.suffix in FILE_SUFFIXES or path.exists()
+        scenario = read(path) if is_file else built_in(name)
+    except BadDay as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_BAD_CALL)
+    return scenario if seed is None else msgspec.structs.replace(scenario, seed=seed)
--- a/ochrecourse/cli/load.py
+++ b/ochrecourse/cli/load.py
@@ -1,9 +1,11 @@
-"""`load day`, `load webdav`: clients against gateways that run already."""
+"""`load day`, `load webdav`: simulated clients against gateways that run already."""
 
 from __future__ import annotations
 
+import json
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -12,11 +14,30 @@
 from ochrecourse.cli.days import day_or_exit
 from ochrecourse.lab.day import Day
 
-seeds = click.option("--seed", default=None, type=int, help="The day's seed, in place of its own.")
-kept = click.option(
+EXIT_FAULTS = 1
+EXIT_BAD_CALL = 2
+MAX_FAULTS_SHOWN = 20
+STOP_DELAY_S = 0.5  # from the last answer until the run stops
+
+seed_option = click.option("--seed", default=None, type=int, help="The day's seed, in place of its own.")
+records_option = click.option(
     "--records", type=click.Path(path_type=Path), help="Write what crosses the clients' sockets to this file."
 )
-json_too = click.option("--json", "as_json", is_flag=True, help="The outcomes as JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="The outcomes as JSON.")
+
+# Makes and starts the clients, from the reactor, the day, the gateways' addresses and the recorder.
+StartClients = Callable[[Any, Day, Any, Any], Any]
+
+
+@dataclass(slots=True)
+class LoadOptions:
+    """What the commands have in common; `gateways` are HOST:PORT, `seed` takes the place of the day's own."""
+
+    day: str
+    gateways: tuple[str, ...]
+    seed: int | None
+    records: Path | None
+    as_json: bool
 
 
 @click.group()
@@ -27,37 +48,33 @@
 @load.command("day")
 @click.argument("day")
 @click.argument("gateways", nargs=-1, required=True)
-@seeds
-@kept
-@json_too
-def native(
-    day: str, gateways: tuple[str, ...], seed: int | None, records: Path | None, as_json: bool
-) -> None:
+@seed_option
+@records_option
+@json_option
+def native(**options: Any) -> None:
     """Send the jobs of DAY to GATEWAYS (HOST:PORT each), in the native framing."""
     from ochrecourse.lab.load import Load, schedule
     from ochrecourse.lab.play import TAIL, WARM_UP
 
-    def start(reactor: Any, this: Day, places: Any, record: Any) -> Any:
-        sending = Load(reactor, this, places, record)
-        sending.finished = lambda: reactor.callLater(0.5, reactor.stop)
-        sending.connect()
-        reactor.callLater(WARM_UP, lambda: sending.start(schedule(this)))
-        reactor.callLater(WARM_UP + this.length_s + TAIL, reactor.stop)
-        return sending
+    def start(reactor: Any, day: Day, addresses: Any, record: Any) -> Any:
+        clients = Load(reactor, day, addresses, record)
+        clients.finished = lambda: reactor.callLater(STOP_DELAY_S, reactor.stop)
+        clients.connect()
+        reactor.callLater(WARM_UP, lambda: clients.start(schedule(day)))
+        reactor.callLater(WARM_UP + day.length_s + TAIL, reactor.stop)
+        return clients
 
-    _run(day, gateways, seed, records, as_json, start)
+    _run(LoadOptions(**options), start)
 
 
-@load.command()
+@load.command("webdav")
 @click.argument("day")
 @click.argument("gateways", nargs=-1, required=True)
-@click.option("--people", default=2000, help="How many there are; they spread over the gateways.")
-@seeds
-@kept
-@json_too
-def webdav(
-    day: str, gateways: tuple[str, ...], people: int, seed: int | None, records: Path | None, as_json: bool
-) -> None:
+@click.option("--people", "users", default=2000, help="How many there are; they spread over the gateways.")
+@seed_option
+@records_option
+@json_option
+def webdav(users: int, **options: Any) -> None:
     """Send PEOPLE (readers, savers, browsers, lockers, resenders, leavers) to the WebDAV doors of GATEWAYS.
 
     First the shared files are put in their places; `everybody comes` on standard error says when the day
@@ -66,61 +83,68 @@
     """
     from ochrecourse.lab.people import People
 
-    def start(reactor: Any, this: Day, places: Any, record: Any) -> Any:
-        sending = People(reactor, this, places, record, people)
-        sending.finished = lambda: reactor.callLater(0.5, reactor.stop)
-        sending.everybody_comes = lambda: click.echo("everybody comes", err=True)
-        sending.start()
-        return sending
+    def start(reactor: Any, day: Day, addresses: Any, record: Any) -> Any:
+        clients = People(reactor, day, addresses, record, users)
+        clients.finished = lambda: reactor.callLater(STOP_DELAY_S, reactor.stop)
+        clients.everybody_comes = lambda: click.echo("everybody comes", err=True)
+        clients.start()
+        return clients
 
-    crowd = _run(day, gateways, seed, records, as_json, start)
-    for fault in crowd.faults[:20]:
+    clients = _run(LoadOptions(**options), start)
+    for fault in clients.faults[:MAX_FAULTS_SHOWN]:
         click.echo(f"fault: {fault}", err=True)
-    sys.exit(1 if crowd.faults else 0)
-
-
-def _run(
-    day: str,
-    gateways: tuple[str, ...],
-    seed: int | None,
-    records: Path | None,
-    as_json: bool,
-    start: Callable[[Any, Day, Any, Any], Any],
-) -> Any:
-    """Runs what `start` makes until it stops the reactor, and prints its outcomes."""
+    sys.exit(EXIT_FAULTS if clients.faults else 0)
+
+
+def _run(options: LoadOptions, start: StartClients) -> Any:
+    """Runs the clients that `start` makes until they stop the reactor, and prints their outcomes."""
     import msgspec
 
     from ochrecourse.common.monotonic_reactor import (
         CycleCollector,
-        raise_open_file_limit,
         install_monotonic_reactor,
+        raise_open_file_limit,
     )
-    from ochrecourse.settings.addresses import parse_address
 
-    places = [parse_address(each) for each in gateways]
-    for each, place in zip(gateways, places, strict=True):
-        if place is None:
-            click.echo(f"{each!r} is no address; an address is HOST:PORT", err=True)
-            sys.exit(2)
-    this = msgspec.structs.replace(day_or_exit(day, seed), gateways=len(gateways))
+    addresses = _parse_gateways(options.gateways)
+    day = msgspec.structs.replace(day_or_exit(options.day, options.seed), gateways=len(addresses))
     reactor = install_monotonic_reactor()
 
+    # Guards against the global reactor: what follows imports Twisted, which would install another one.
     from ochrecourse.audit.records import ToFile, nowhere
-    from ochrecourse.lab.report import outcome_lines, outcome_map
 
     raise_open_file_limit()
-    to_file = ToFile(records) if records else None
-    sending = start(reactor, this, {i: lambda i=i: places[i] for i in range(len(places))}, to_file or nowhere)
+    recorder = ToFile(options.records) if options.records else None
+    address_getters = {number: lambda number=number: addresses[number] for number in range(len(addresses))}
+    clients = start(reactor, day, address_getters, recorder or nowhere)
     # Guards against clients that stand still for some 80 ms and take that for a late answer.
-    CycleCollector(reactor, lambda: False, lambda: sending.conns)
+    CycleCollector(reactor, lambda: False, lambda: clients.conns)
     reactor.run()
-    if to_file:
-        to_file.close()
-    if as_json:
-        import json
+    if recorder:
+        recorder.close()
+    _print_outcomes(clients, options.as_json)
+    return clients
+
+
+def _parse_gateways(gateways: tuple[str, ...]) -> list[tuple[str, int]]:
+    """Addresses of HOST:PORT; the first that is none goes to standard error and ends the command with 2."""
+    from ochrecourse.settings.addresses import parse_address
 
-        click.echo(json.dumps({**outcome_map(sending.outcomes), "counts": dict(sending.counts)}))
-    else:
-        for line in outcome_lines(sending.outcomes):
-            click.echo(line)
-    return sending
+    addresses = []
+    for text in gateways:
+        address = parse_address(text)
+        if address is None:
+            click.echo(f"{text!r} is no address; an address is HOST:PORT", err=True)
+            sys.exit(EXIT_BAD_CALL)
+        addresses.append(address)
+    return addresses
+
+
+def _print_outcomes(clients: Any, as_json: bool) -> None:
+    from ochrecourse.lab.report import outcome_lines, outcome_map
+
+    if as_json:
+        click.echo(json.dumps({**outcome_map(clients.outcomes), "counts": dict(clients.counts)}))
+        return
+    for line in outcome_lines(clients.outcomes):
+        click.echo(line)
--- a/ochrecourse/cli/settings.py
+++ b/ochrecourse/cli/settings.py
@@ -1,4 +1,4 @@
-"""`check` and `show`."""
+"""`check` and `show`: settings files checked, and shown as they resolve."""
 
 from __future__ import annotations
 
@@ -9,17 +9,20 @@
 import click
 
 from ochrecourse.settings.load import SettingsError, load
-from ochrecourse.settings.writer import write
 from ochrecourse.settings.plain import plain_map
+from ochrecourse.settings.syntax import InvalidSettingError
+from ochrecourse.settings.writer import write
+
+EXIT_MISTAKES = 1
 
 
 def read_or_exit(path: Path) -> dict[str, object]:
     """The record of a settings file; its mistakes go to standard error and end the command with 1."""
     try:
         return load(path)
-    except SettingsError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(1)
+    except SettingsError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_MISTAKES)
 
 
 @click.command()
@@ -27,22 +30,24 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a mistake.")
 def check(files: tuple[Path, ...], as_json: bool) -> None:
     """Check settings FILES; one line for each mistake, exit code 1 if there is any."""
-    wrong = 0
+    mistakes = 0
     for path in files:
         try:
             load(path)
-        except SettingsError as trouble:
-            wrong += len(trouble.errors)
-            for each in trouble.errors:
-                place = {
-                    "file": each.location.file,
-                    "line": each.location.line,
-                    "column": each.location.column,
-                }
-                click.echo(json.dumps({**place, "text": each.text}) if as_json else str(each))
-    if not wrong and not as_json:
+        except SettingsError as error:
+            mistakes += len(error.errors)
+            for problem in error.errors:
+                click.echo(_as_json(problem) if as_json else str(problem))
+    if not mistakes and not as_json:
         click.echo(f"{len(files)} file{'s' * (len(files) > 1)} without a mistake")
-    sys.exit(1 if wrong else 0)
+    sys.exit(EXIT_MISTAKES if mistakes else 0)
+
+
+def _as_json(problem: InvalidSettingError) -> str:
+    location = problem.location
+    return json.dumps(
+        {"file": location.file, "line": location.line, "column": location.column, "text": problem.text}
+    )
 
 
 @click.command()
