--- a/benchmarks/absence_day.py
+++ b/benchmarks/absence_day.py
@@ -27,13 +27,13 @@
 
 def one(seed: int, gateways: int, backlog: bool) -> dict[str, Any]:
     """Plays one day in this process, whose reactor runs once."""
-    from ochrecourse.cli.together import _judged, _play
+    from ochrecourse.cli.together import judge_play, play_scenario
     from ochrecourse.lab.worse_absence import long_absence
 
     this = long_absence(seed, gateways, backlog)
     with tempfile.TemporaryDirectory(prefix="ochrecourse-") as folder:
-        (run,) = _play(this, Path(folder), [False])
-        return _judged(this, run, False)
+        (run,) = play_scenario(this, Path(folder), [False])
+        return judge_play(this, run, False)
 
 
 @click.command()
--- a/ochrecourse/cli/alike.py
+++ b/ochrecourse/cli/alike.py
@@ -1,4 +1,4 @@
-"""`alike`: one scenario through library and daemon, and whether the same jobs ended in the same way."""
+"""`alike`: one scenario through library and daemon, and whether the same requests ended in the same way."""
 
 from __future__ import annotations
 
@@ -12,8 +12,13 @@
 
 from ochrecourse.lab.day import BadDay
 
+EXIT_DIFFERENT = 1
+EXIT_BAD_CALL = 2
+LIBRARY_ON_SOCKETS = "library on sockets"
+DAEMON_ON_SOCKETS = "daemon as a process"
 
-@click.command()
+
+@click.command("alike")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--virtual", is_flag=True, help="Only on the virtual clock, where records must be equal.")
 def alike(file: Path, virtual: bool) -> None:
@@ -23,65 +28,80 @@
     process, daemon and nodes in processes of their own) each job must get the answer that it got on the
     virtual clock. All four must keep the seven rules.
     """
-    from ochrecourse.lab import alike as a
+    from ochrecourse.lab import alike as equivalence
 
     try:
-        scenario = a.read(file)
-    except BadDay as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    library, broken = a.on_virtual_clock(scenario, through_daemon=False)
-    daemon, more = a.on_virtual_clock(scenario, through_daemon=True)
-    expected = a.told_by(library)
-    found = [f"virtual clock: {text}" for text in a.differences(expected, a.told_by(daemon))]
-    found += [f"virtual clock, library: {text}" for text in broken]
-    found += [f"virtual clock, daemon: {text}" for text in more]
-    if not found and library != daemon:
-        found.append("virtual clock: the jobs ended alike, at other times or nodes")
-    for told in expected.values():
-        click.echo(f"job {told.trace}: {a.words(told)}")
+        scenario = equivalence.read(file)
+    except BadDay as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_BAD_CALL)
+    library, library_breaches = equivalence.on_virtual_clock(scenario, through_daemon=False)
+    daemon, daemon_breaches = equivalence.on_virtual_clock(scenario, through_daemon=True)
+    expected = equivalence.told_by(library)
+    different_answers = equivalence.differences(expected, equivalence.told_by(daemon))
+    differences = [f"virtual clock: {text}" for text in different_answers]
+    differences += [f"virtual clock, library: {text}" for text in library_breaches]
+    differences += [f"virtual clock, daemon: {text}" for text in daemon_breaches]
+    if not differences and library != daemon:
+        differences.append("virtual clock: the jobs ended alike, at other times or nodes")
+    for answer in expected.values():
+        click.echo(f"job {answer.trace}: {equivalence.words(answer)}")
     if not virtual:
-        found += _on_sockets(scenario, expected)
-    for text in found:
+        differences += _SocketRuns(scenario, expected).run()
+    for text in differences:
         click.echo(text)
-    ways = "library and daemon on the virtual clock" + (" and on sockets" if not virtual else "")
-    click.echo(f"{len(expected)} jobs, {ways}: {'ALIKE' if not found else f'{len(found)} differences'}")
-    sys.exit(1 if found or len(expected) != len(scenario.jobs) else 0)
+    places = "library and daemon on the virtual clock" + (" and on sockets" if not virtual else "")
+    result = f"{len(differences)} differences" if differences else "ALIKE"
+    click.echo(f"{len(expected)} jobs, {places}: {result}")
+    sys.exit(EXIT_DIFFERENT if differences or len(expected) != len(scenario.jobs) else 0)
 
 
-def _on_sockets(scenario: Any, expected: Any) -> list[str]:
-    """The library on sockets, then the daemon as a process; what differs from what is expected."""
-    from ochrecourse.lab import alike as a
-    from ochrecourse.common.monotonic_reactor import raise_open_file_limit, install_monotonic_reactor
+class _SocketRuns:
+    """The library on real sockets, then the daemon as a process, each compared with the expected answers."""
 
-    reactor = install_monotonic_reactor()
-    raise_open_file_limit()
-    found: list[str] = []
-    names = {False: "library on sockets", True: "daemon as a process"}
+    def __init__(self, scenario: Any, expected: Any) -> None:
+        """Installs the process's reactor, so there can be one in a process."""
+        from ochrecourse.common.monotonic_reactor import install_monotonic_reactor, raise_open_file_limit
 
-    def spawn(child: Any, words: list[str]) -> Any:
-        command = [sys.executable, "-m", "ochrecourse", *words]
-        return reactor.spawnProcess(child, sys.executable, command, env=None)
+        self.scenario = scenario
+        self.expected = expected
+        self.reactor = install_monotonic_reactor()
+        raise_open_file_limit()
+        self.differences: list[str] = []
+
+    def run(self) -> list[str]:
+        """Runs both; returns what differs."""
+        self._start(through_daemon=False)
+        self.reactor.run()
+        return self.differences
+
+    def _start(self, through_daemon: bool) -> None:
+        from ochrecourse.lab.alike import OnSockets
 
-    def run(through_daemon: bool) -> None:
         folder = Path(tempfile.mkdtemp(prefix="ochrecourse-"))
 
-        def over(told: Any, trouble: str) -> None:
-            if trouble:
-                found.append(f"{names[through_daemon]}: {trouble}")
-            different = a.differences(expected, told, legs=False)
-            found.extend(f"{names[through_daemon]}: {text}" for text in different)
-            if trouble or different:
-                found.append(f"settings, logs and records: {folder}")
-            else:
-                shutil.rmtree(folder, ignore_errors=True)
+        def finished(answers: Any, fault: str) -> None:
+            self._compare(through_daemon, folder, answers, fault)
             if through_daemon:
-                reactor.stop()
+                self.reactor.stop()
             else:
-                run(True)
+                self._start(through_daemon=True)
+
+        OnSockets(self.scenario, self.reactor, folder, through_daemon, finished).start(self._spawn)
 
-        a.OnSockets(scenario, reactor, folder, through_daemon, over).start(spawn)
+    def _compare(self, through_daemon: bool, folder: Path, answers: Any, fault: str) -> None:
+        from ochrecourse.lab import alike as equivalence
 
-    run(False)
-    reactor.run()
-    return found
+        name = DAEMON_ON_SOCKETS if through_daemon else LIBRARY_ON_SOCKETS
+        if fault:
+            self.differences.append(f"{name}: {fault}")
+        different_answers = equivalence.differences(self.expected, answers, legs=False)
+        self.differences.extend(f"{name}: {text}" for text in different_answers)
+        if fault or different_answers:
+            self.differences.append(f"settings, logs and records: {folder}")
+        else:
+            shutil.rmtree(folder, ignore_errors=True)
+
+    def _spawn(self, protocol: Any, words: list[str]) -> Any:
+        command = [sys.executable, "-m", "ochrecourse", *words]
+        return self.reactor.spawnProcess(protocol, sys.executable, command, env=None)
--- a/ochrecourse/cli/together.py
+++ b/ochrecourse/cli/together.py
@@ -1,4 +1,7 @@
-"""`day run` for days of a fleet: plays them shared, alone or both, judges them and prints what came of it."""
+"""`day run` for the scenarios of a fleet: plays them shared, alone or both, and judges them.
+
+"Shared" gateways are members of one fleet; "alone" is the same scenario with gateways that share nothing.
+"""
 
 from __future__ import annotations
 
@@ -6,125 +9,159 @@
 import shutil
 import sys
 import tempfile
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, NoReturn
 
 import click
 import msgspec
 
-TOGETHER = (
+EXIT_BROKEN = 1
+EXIT_BAD_CALL = 2
+MAX_BREACHES_SHOWN = 5
+MAX_FAULTS_SHOWN = 20
+FLEET_SCENARIOS = (
     "zone-lost", "zone-cut", "sites-reconnect", "purge-night", "long-absence", "two-closes", "all-at-once",
     "rolling-upgrade", "capacity", "grey",
 )  # fmt: skip
 
 
-def run_together(
-    name: str, seed: int, gateways: int | None, keep: Path | None, alone: bool, beside: bool, as_json: bool
-) -> NoReturn:
-    """Ends the command: 0 only if the seven rules and what the day asks held."""
+@dataclass(slots=True)
+class FleetRunOptions:
+    """The options of `day run` that a scenario of a fleet takes; `gateways` None is the default number."""
+
+    seed: int
+    gateways: int | None
+    keep: Path | None
+    alone: bool
+    beside: bool
+    as_json: bool
+
+
+def run_fleet_scenario(name: str, options: FleetRunOptions) -> NoReturn:
+    """Ends the process: 0 only if the seven rules and what the scenario requires were kept."""
     from ochrecourse.lab.day import BadDay
     from ochrecourse.lab.together import GATEWAYS, together
 
     try:
-        this = together(name, seed, gateways or GATEWAYS)
-    except BadDay as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    folder = keep or Path(tempfile.mkdtemp(prefix="ochrecourse-"))
-    forms = [False, True] if beside else [alone]
-    played = _play(this, folder, forms)
-    told = [_judged(this, run, form) for run, form in zip(played, forms, strict=True)]
-    broken = any(each["troubles"] or not each["kept"] for each in told)
-    if as_json:
-        click.echo(json.dumps(told if beside else told[0]))
+        scenario = together(name, options.seed, options.gateways or GATEWAYS)
+    except BadDay as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_BAD_CALL)
+    folder = options.keep or Path(tempfile.mkdtemp(prefix="ochrecourse-"))
+    modes = [False, True] if options.beside else [options.alone]
+    plays = play_scenario(scenario, folder, modes)
+    results = [judge_play(scenario, play, alone) for play, alone in zip(plays, modes, strict=True)]
+    broken = any(result["troubles"] or not result["kept"] for result in results)
+    if options.as_json:
+        click.echo(json.dumps(results if options.beside else results[0]))
     else:
-        for each in told:
-            _show(each)
-        if beside:
-            _show_beside(*told)
-        if keep or broken:
+        for result in results:
+            _print_result(result)
+        if options.beside:
+            _print_comparison(*results)
+        if options.keep or broken:
             click.echo(f"records, settings and logs: {folder}")
-    if not keep and not broken:
+    if not options.keep and not broken:
         shutil.rmtree(folder, ignore_errors=True)
-    sys.exit(1 if broken else 0)
+    sys.exit(EXIT_BROKEN if broken else 0)
+
 
+def play_scenario(scenario: Any, folder: Path, modes: list[bool]) -> list[Any]:
+    """Plays a scenario once for each mode (True: alone), one after the other; the finished plays.
 
-def _play(this: Any, folder: Path, forms: list[bool]) -> list[Any]:
+    Installs the process's reactor and runs it, so it can be called once in a process.
+    """
     from ochrecourse.common.monotonic_reactor import (
         CycleCollector,
-        raise_open_file_limit,
         install_monotonic_reactor,
+        raise_open_file_limit,
     )
 
     reactor = install_monotonic_reactor()
+
+    # Guards against the global reactor: this imports Twisted, which would install another one.
     from ochrecourse.lab.rolling_play import RollingPlay
 
-    player = RollingPlay if this.newest else this.player()
+    play_class = RollingPlay if scenario.newest else scenario.player()
     raise_open_file_limit()
     plays: list[Any] = []
 
-    def next_one() -> None:
-        if len(plays) == len(forms):
+    def start_next() -> None:
+        if len(plays) == len(modes):
             reactor.stop()
             return
-        alone = forms[len(plays)]
-        place = folder / ("alone" if alone else "shared")
-        place.mkdir(parents=True, exist_ok=True)
-        plays.append(player(this, reactor, place, next_one, alone))
+        alone = modes[len(plays)]
+        play_folder = folder / ("alone" if alone else "shared")
+        play_folder.mkdir(parents=True, exist_ok=True)
+        plays.append(play_class(scenario, reactor, play_folder, start_next, alone))
         plays[-1].start()
 
-    reactor.callWhenRunning(next_one)
+    reactor.callWhenRunning(start_next)
     CycleCollector(reactor, lambda: False, lambda: sum(play.load.conns for play in plays))
     reactor.run()
     return plays
 
 
-def _judged(this: Any, run: Any, alone: bool) -> dict[str, Any]:
+def judge_play(scenario: Any, play: Any, alone: bool) -> dict[str, Any]:
+    """The result of a play, under the keys that scripts read."""
     from ochrecourse.audit.judge import audit
     from ochrecourse.audit.records import read
-    from ochrecourse.audit.together import read as read_held
+    from ochrecourse.audit.together import read as read_control_answers
+    from ochrecourse.common.time_units import MS
     from ochrecourse.lab.figures import figures_of
     from ochrecourse.lab.report import outcome_map
-    from ochrecourse.lab.together import TRAVEL, came
-    from ochrecourse.common.time_units import MS
-
-    told: dict[str, Any] = {"day": this.day.name, "seed": this.day.seed, "alone": alone, "kept": False}
-    told |= {"troubles": run.troubles, "rules": [], "figures": {}}
-    if not run.begun:
-        return told
-    records = list(read(run.records()))
-    figures = msgspec.structs.replace(figures_of(this.day), travel=round(TRAVEL * MS))
-    verdict = audit(figures, records)
-    beyond = came(this, records, read_held(run.folder / "seen.jsonl"), run.load.outcomes.payoff(), alone)
-    findings = [*verdict.findings, *beyond.findings]
-    open_jobs = len(run.load.calls) - sum(run.load.outcomes.endings.values())
-    if open_jobs:
-        told["troubles"] = [*told["troubles"], f"{open_jobs} jobs without an end"]
-    told["rules"] = [{"rule": e.rule, "tested": e.tested, "breaches": e.breaches} for e in findings]
-    told["figures"] = beyond.figures
-    told["kept"] = not any(each.breaches for each in findings)
-    return {**told, **outcome_map(run.load.outcomes), "legs": verdict.legs}
-
-
-def _show(told: dict[str, Any]) -> None:
-    form = "nothing shared" if told["alone"] else "shared"
-    click.echo(f"day          {told['day']}, seed {told['seed']}, {form}")
-    if "jobs" in told:
-        endings = ", ".join(f"{count} {name}" for name, count in told["endings"].items())
-        click.echo(f"jobs         {told['jobs']} in {told['tries']} tries: {endings}")
-    for name, value in told["figures"].items():
+    from ochrecourse.lab.together import TRAVEL
+    from ochrecourse.lab.together import came as judge_fleet
+
+    result: dict[str, Any] = {
+        "day": scenario.day.name,
+        "seed": scenario.day.seed,
+        "alone": alone,
+        "kept": False,
+        "troubles": play.troubles,
+        "rules": [],
+        "figures": {},
+    }
+    if not play.begun:
+        return result
+    records = list(read(play.records()))
+    control_answers = read_control_answers(play.folder / "seen.jsonl")
+    outcomes = play.load.outcomes
+    figures = msgspec.structs.replace(figures_of(scenario.day), travel=round(TRAVEL * MS))
+    seven_rules = audit(figures, records)
+    fleet_rules = judge_fleet(scenario, records, control_answers, outcomes.payoff(), alone)
+    findings = [*seven_rules.findings, *fleet_rules.findings]
+    unanswered = len(play.load.calls) - sum(outcomes.endings.values())
+    if unanswered:
+        result["troubles"] = [*result["troubles"], f"{unanswered} jobs without an end"]
+    result["rules"] = [
+        {"rule": finding.rule, "tested": finding.tested, "breaches": finding.breaches} for finding in findings
+    ]
+    result["figures"] = fleet_rules.figures
+    result["kept"] = not any(finding.breaches for finding in findings)
+    return {**result, **outcome_map(outcomes), "legs": seven_rules.legs}
+
+
+def _print_result(result: dict[str, Any]) -> None:
+    mode = "nothing shared" if result["alone"] else "shared"
+    click.echo(f"day          {result['day']}, seed {result['seed']}, {mode}")
+    if "jobs" in result:
+        endings = ", ".join(f"{count} {name}" for name, count in result["endings"].items())
+        click.echo(f"jobs         {result['jobs']} in {result['tries']} tries: {endings}")
+    for name, value in result["figures"].items():
         click.echo(f"             {value:g} {name}")
-    for each in told["rules"]:
-        state = f"BROKEN {len(each['breaches'])} times" if each["breaches"] else "kept"
-        click.echo(f"{state:12} {each['rule']}: put to the test {each['tested']} times")
-        for text in each["breaches"][:5]:
+    for rule in result["rules"]:
+        state = f"BROKEN {len(rule['breaches'])} times" if rule["breaches"] else "kept"
+        click.echo(f"{state:12} {rule['rule']}: put to the test {rule['tested']} times")
+        for text in rule["breaches"][:MAX_BREACHES_SHOWN]:
             click.echo(f"                 {text}")
-    for text in told["troubles"][:20]:
+    for text in result["troubles"][:MAX_FAULTS_SHOWN]:
         click.echo(f"trouble: {text}")
-    click.echo("KEPT: all of it held" if told["kept"] and not told["troubles"] else "BROKEN")
+    click.echo("KEPT: all of it held" if result["kept"] and not result["troubles"] else "BROKEN")
 
 
-def _show_beside(shared: dict[str, Any], alone: dict[str, Any]) -> None:
+def _print_comparison(shared: dict[str, Any], alone: dict[str, Any]) -> None:
     click.echo(f"{'':48} {'shared':>10} {'alone':>10}")
     for name, value in shared["figures"].items():
         if name in alone["figures"]:
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -41,7 +41,7 @@
     "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
     "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py",
     "gateway/settings_index.py", "gateway/socket_handover.py", "cli/serve.py", "cli/gateway_process.py",
-    "cli/successor.py", "cli/logs.py", "cli/admin.py", "cli/main.py", "cli/handover.py", "cli/handover_client.py", "cli/control_server.py", "cli/control_answers.py", "cli/control_requests.py", "cli/fleet_answers.py", "cli/control_client.py", "cli/bgp.py", "cli/members.py", "cli/settings.py", "cli/load.py", "cli/days.py", "cli/nodes.py", "cli/storage_nodes.py", "cli/audit.py", "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py",
+    "cli/successor.py", "cli/logs.py", "cli/admin.py", "cli/main.py", "cli/handover.py", "cli/handover_client.py", "cli/control_server.py", "cli/control_answers.py", "cli/control_requests.py", "cli/fleet_answers.py", "cli/control_client.py", "cli/bgp.py", "cli/members.py", "cli/settings.py", "cli/load.py", "cli/days.py", "cli/nodes.py", "cli/storage_nodes.py", "cli/audit.py", "cli/day.py", "cli/day_run.py", "cli/together.py", "cli/alike.py", "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py",
     "resp/pipeline.py", "resp/client_connection.py", "resp/server.py", "service/__init__.py",
     "service/discovery.py", "service/discovery_watch.py", "service/gateway_service.py", "service/main.py",
     "service/signals.py", "service/start_file.py", "service/start_settings.py",
@@ -99,6 +99,10 @@
     "cli/load.py": ["jobs", "doors", "people", "People", "PEOPLE", "came"],  # in the commands' help; of lab/
     "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # in the commands' help; of lab/day.py
     "cli/audit.py": ["legs", "jobs", "people"],  # in the command's help; of lab/ and audit/
+    "cli/day.py": ["held", "plans", "cut"],  # in the commands' help
+    "cli/day_run.py": ["people", "legs", "jobs", "verdict"],  # of lab/ and audit/
+    "cli/together.py": ["came", "legs"],  # of lab/ and audit/
+    "cli/alike.py": ["alike", "job", "jobs", "legs", "told"],  # the command, its help; of lab/
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
 }
