--- a/ochrecourse/cli/gateway_process.py
+++ b/ochrecourse/cli/gateway_process.py
@@ -17,9 +17,9 @@
 from twisted.internet.error import CannotListenError
 
 from ochrecourse.cli.admin import admin_site
-from ochrecourse.cli.control import serve_control
-from ochrecourse.cli.handover import Sockets
-from ochrecourse.cli.logs import LEVELS, AccessLog, Aside, JobLog, set_up
+from ochrecourse.cli.control_server import serve_control
+from ochrecourse.cli.handover import ListeningSockets
+from ochrecourse.cli.logs import LOG_LEVELS, AccessLog, BackgroundWriter, RequestLogWriter, make_logger
 from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.common.monotonic_reactor import CycleCollector, raise_open_file_limit
 from ochrecourse.common.time_units import MS
@@ -53,9 +53,9 @@
         self.settings = settings
         self.reactor = reactor
         self.failure = ""  # why a process that began to start ends
-        self.log_writer = Aside(sys.stderr)
+        self.log_writer = BackgroundWriter(sys.stderr)
         log_settings = settings["log"]
-        log = set_up(log_settings["form"], log_settings["level"], self.log_writer)
+        log = make_logger(log_settings["form"], log_settings["level"], self.log_writer)
         self.log = log.bind(gateway=settings["gateway"]["name"])
         self.sampler = LogSampler(log_settings["sample"])
         if take_over and "webdav" in settings:  # before its state is touched, which the running process has
@@ -66,14 +66,14 @@
         # Before the first line on standard output: who reads it may send a signal at once.
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, self._on_signal)
-        self.sockets = Sockets(reactor)
+        self.sockets = ListeningSockets(reactor)
         self.control_path: str = settings["gateway"]["control"]
         self.admin_address = self._admin_address()
 
     def _make_daemon(self, join_later: bool) -> Daemon:
         host = HostProgram(
             self.reactor,
-            [JobLog(self.log, self.sampler)],
+            [RequestLogWriter(self.log, self.sampler)],
             self.log.warning,
             self.reactor.stop,
             self.log.info,
@@ -92,10 +92,10 @@
         admin = self.settings["gateway"]["admin"]
         if not admin:
             return None
-        where = parse_address(admin)
-        if where is None:
+        address = parse_address(admin)
+        if address is None:
             raise StartError(f"{self.file}: gateway.admin is not HOST:PORT", EXIT_BAD_SETTINGS)
-        return where
+        return address
 
     def start(self) -> None:
         """Watches the endpoint list, accepts and says where. Raises StartError."""
@@ -116,15 +116,15 @@
             admin_host, admin_port = self.admin_address
             site = self.sockets.listen("admin", admin_port, admin_site(daemon), admin_host)
             self.log.info("health page", port=site.getHost().port)
-        self.sockets.give_back()
+        self.sockets.close_unused()
         self.log.info("serving", host=host, port=port, pid=os.getpid(), open_files=self.open_files)
         lines = [f"listening {host}:{port}"]
         if daemon.webdav_port is not None:
-            at = daemon.webdav_port.getHost()
-            lines.append(f"webdav {at.host}:{at.port}")
+            webdav = daemon.webdav_port.getHost()
+            lines.append(f"webdav {webdav.host}:{webdav.port}")
         if daemon.fleet_member is not None:
-            at = daemon.fleet_member.listening_port.getHost()
-            lines.append(f"fleet {at.host}:{at.port}")
+            fleet = daemon.fleet_member.listening_port.getHost()
+            lines.append(f"fleet {fleet.host}:{fleet.port}")
         return lines
 
     def announce(self, lines: list[str]) -> None:
@@ -158,8 +158,8 @@
     # --- signals ---
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        ends = number in (signal.SIGTERM, signal.SIGINT)
-        self.reactor.callFromThread(self.daemon.drain if ends else self.reload)
+        action = self.daemon.drain if number in (signal.SIGTERM, signal.SIGINT) else self.reload
+        self.reactor.callFromThread(action)
 
     def reload(self) -> None:
         """Reads the settings again and takes over what may change."""
@@ -172,6 +172,6 @@
         self.sampler.rate = settings["log"]["sample"]
         self.sampler.burst = max(1.0, self.sampler.rate)
         if any(each.startswith("log.level") for each in result.in_force):
-            level = LEVELS[settings["log"]["level"]]
+            level = LOG_LEVELS[settings["log"]["level"]]
             structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(level))
         self.log.info("settings read again", in_force=result.in_force, needs_restart=result.needs_restart)
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse import library
-from ochrecourse.cli.control import answer
+from ochrecourse.cli.control_answers import answer
 from ochrecourse.fleet.zone_context import FleetPlacement
 from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -41,16 +41,20 @@
     "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
     "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py",
     "gateway/settings_index.py", "gateway/socket_handover.py", "cli/serve.py", "cli/gateway_process.py",
-    "cli/successor.py", "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py",
-    "resp/pipeline.py", "resp/client_connection.py", "resp/server.py", "service/__init__.py",
-    "service/discovery.py", "service/discovery_watch.py", "service/gateway_service.py", "service/main.py",
-    "service/signals.py", "service/start_file.py", "service/start_settings.py",
-    "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py", "fleet/quota.py",
-    "fleet/shared_settings.py", "fleet/zone_subsystem.py", "fleet/shard_demand.py", "fleet/zone_context.py",
-    "fleet/zone_controller.py", "fleet/zone_decision_entry.py", "fleet/zone_evidence.py",
-    "fleet/zone_limits.py", "fleet/zone_loans.py", "fleet/zone_nodes.py", "fleet/zone_policy.py",
-    "fleet/zone_rates.py", "fleet/zone_report.py", "fleet/zone_settings.py", "fleet/zone_state.py",
-    "fleet/zone_summary.py", "fleet/zone_timers.py",
+    "cli/successor.py", "cli/logs.py", "cli/admin.py", "cli/main.py", "cli/handover.py",
+    "cli/handover_client.py", "cli/control_server.py", "cli/control_answers.py", "cli/control_requests.py",
+    "cli/fleet_answers.py", "cli/control_client.py", "cli/bgp.py", "cli/members.py", "cli/settings.py",
+    "cli/load.py", "cli/days.py", "cli/nodes.py", "cli/storage_nodes.py", "cli/audit.py", "cli/day.py",
+    "cli/day_run.py", "cli/together.py", "cli/alike.py", "resp/__init__.py", "resp/codec.py",
+    "resp/commands.py", "resp/lingering_close.py", "resp/pipeline.py", "resp/client_connection.py",
+    "resp/server.py", "service/__init__.py", "service/discovery.py", "service/discovery_watch.py",
+    "service/gateway_service.py", "service/main.py", "service/signals.py", "service/start_file.py",
+    "service/start_settings.py", "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py",
+    "fleet/quota.py", "fleet/shared_settings.py", "fleet/zone_subsystem.py", "fleet/shard_demand.py",
+    "fleet/zone_context.py", "fleet/zone_controller.py", "fleet/zone_decision_entry.py",
+    "fleet/zone_evidence.py", "fleet/zone_limits.py", "fleet/zone_loans.py", "fleet/zone_nodes.py",
+    "fleet/zone_policy.py", "fleet/zone_rates.py", "fleet/zone_report.py", "fleet/zone_settings.py",
+    "fleet/zone_state.py", "fleet/zone_summary.py", "fleet/zone_timers.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -98,6 +102,16 @@
     ],  # of bgp/ and membership/
     "gateway/webdav_setup.py": ["door", "Door"],  # of webdav/
     "cli/serve.py": ["held"],  # in the command's help, which is for users
+    "cli/bgp.py": ["held", "jobs"],  # in the commands' help, which is for users
+    "cli/members.py": ["went"],  # in the commands' help, which is for users
+    "cli/fleet_answers.py": ["life"],  # of fleet/entries.py
+    "cli/load.py": ["jobs", "doors", "people", "People", "PEOPLE", "came"],  # in the commands' help; of lab/
+    "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # in the commands' help; of lab/day.py
+    "cli/audit.py": ["legs", "jobs", "people"],  # in the command's help; of lab/ and audit/
+    "cli/day.py": ["held", "plans", "cut"],  # in the commands' help
+    "cli/day_run.py": ["people", "legs", "jobs", "verdict"],  # of lab/ and audit/
+    "cli/together.py": ["came", "legs"],  # of lab/ and audit/
+    "cli/alike.py": ["alike", "job", "jobs", "legs", "told"],  # the command, its help; of lab/
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "gateway/request_executor.py": ["product"],  # of wire/messages.py
     "fleet/zone_subsystem.py": ["jobs", "legs", "product"],  # of common/request_records.py
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -19,7 +19,7 @@
 from test_state import listed as line
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
-from ochrecourse.cli.control import answer as control_answer
+from ochrecourse.cli.control_answers import answer as control_answer
 from ochrecourse.fleet.zone_evidence import EndedAttempt
 from ochrecourse.fleet.zone_nodes import ZoneNode
 from ochrecourse.fleet.zone_state import STATE_WORDS
