--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -22,7 +22,7 @@
 
 from ochrecourse.audit import calendars
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet.clocks import WallClock
+from ochrecourse.fleet.clock_confidence import WallClockMonitor
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.purger import Purger
 from ochrecourse.fleet.purges import DAY, Purges
@@ -57,7 +57,7 @@
         self.bodies: list[bytes] = []
         self.fired: list[dict[str, Any]] = []
         self.settings: dict[str, Any] = {}
-        clock = WallClock("e", BOUND, [], 0, self.ms)
+        clock = WallClockMonitor("e", BOUND, [], 0, self.ms)
         self.purges = Purges("e", "s", {"s": ["e"]}, NOTICE, clock, 0, self.ms)
         self.change(True)
         self.purger = Purger(
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -13,7 +13,7 @@
 
 from ochrecourse.settings.site_calendars import CalendarValueError, differences, edition, today
 from ochrecourse.fleet.calendar import BadEdition, Edition, Scope
-from ochrecourse.fleet.clocks import Told, WallClock, ring
+from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row
 from ochrecourse.fleet.held import STEP, Copies
 from ochrecourse.fleet.member import FleetMember
@@ -41,7 +41,7 @@
 class Sight(msgspec.Struct):
     """What an edge tells of itself at each beat."""
 
-    clock: Told
+    clock: ClockReport
     edges: str  # the digest of its site's name and edges
     lives: list[tuple[int, int]] = []  # its earlier ones, and the last entry of each about the calendar
     whole: bool = True  # it knows what it once took (calendar.py); one of an older version does not say
@@ -116,10 +116,10 @@
         # What does not change costs nothing on the way. A clock that is to be confirmed is told at each beat.
         whole = self.purges.whole()
         due = now - self._told_at >= CLOCK_EVERY or whole is not self._told_whole
-        if due or not self.purges.clock.believed:
+        if due or not self.purges.clock.trusted:
             self._told_at, self._told_whole = now, whole
             lives = sorted(self._lives.items())[-LIVES:]
-            sight = Sight(self.purges.clock.told(), self.purges.edges_digest, lives, whole)
+            sight = Sight(self.purges.clock.report(), self.purges.edges_digest, lives, whole)
             self._told = msgspec.json.encode(sight)
         return self._told
 
@@ -128,7 +128,7 @@
         before = self._heard.get(name)
         news = before is None or before[0] != told
         sight = msgspec.json.decode(told, type=Sight) if before is None or news else before[1]
-        if before is None or before[1].clock.turn != sight.clock.turn:
+        if before is None or before[1].clock.epoch != sight.clock.epoch:
             self._told_at = now - CLOCK_EVERY  # it waits for others' clocks: an answer goes out at once
         self._heard[name] = (told, sight)
         self._look()
@@ -255,8 +255,8 @@
         return not seq or (chain is not None and chain.last >= seq)
 
     mates = own["edges"] if own is not None and len(own["edges"]) > MATES else [*part.peer_addresses.by_name]
-    near = ring(name, mates, MATES)
-    wall_clock = WallClock(name, round(said["clock_bound"]), near, now, wall)
+    near = clock_neighbours(name, mates, MATES)
+    wall_clock = WallClockMonitor(name, round(said["clock_bound"]), near, now, wall)
     # Of other sites nothing is kept beside the log: each site's record is with its own edges.
     site_name, edges = (own["name"], {own["name"]: own["edges"]}) if own is not None else ("", {})
     purges = Purges(name, site_name, edges, round(rules["notice"]), wall_clock, now, wall)
--- a/ochrecourse/fleet/purges.py
+++ b/ochrecourse/fleet/purges.py
@@ -4,7 +4,7 @@
 what a rule names a bound before the instant, and serves and holds nothing of it until a bound after. It uses
 copies at all only while it is sure:
 
-- its clock is believed (clocks.py);
+- its clock is believed (clock_confidence.py);
 - it is whole: its disk is not new, or it knows again what it had taken (calendar.py);
 - it has heard lately from more than half of the site's edges, each of them whole, itself counted, and holds
   all that they appended up to `notice` ago: so it knows every edition that is in force (calendar.py);
@@ -26,7 +26,7 @@
 import msgspec
 
 from ochrecourse.fleet.calendar import FAR, LONG_AGO, Due, Edition, Instant, Moment, Scope, SiteCalendar
-from ochrecourse.fleet.clocks import Told, WallClock
+from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor
 from ochrecourse.fleet.entries import Entry, Place
 from ochrecourse.common.time_units import MS
 
@@ -132,7 +132,7 @@
         site: str,
         edges: Mapping[str, Sequence[str]],
         notice: int,
-        clock: WallClock,
+        clock: WallClockMonitor,
         now: int,
         wall: int,
     ) -> None:
@@ -140,7 +140,7 @@
         self.site = site
         self.notice = notice
         self.clock = clock
-        self.bound = clock.bound
+        self.bound = clock.bound_ms
         self.calendars = {each: SiteCalendar(each, names, notice) for each, names in edges.items()}
         self.records = {each: Records() for each in edges}
         self.bad: dict[str, int] = {}
@@ -159,7 +159,7 @@
         self.drops: deque[_Drop] = deque(maxlen=KEPT)
         self.to_drop: deque[tuple[Scope, list[_Drop]]] = deque()
         self.now, self.wall = now, wall
-        self._believed = clock.believed
+        self._believed = clock.trusted
         self._next = LONG_AGO  # ms, when there is something to look at next
         self._seen = -1
         self._drops = 0
@@ -196,12 +196,12 @@
         """Whether this gateway knows what it once took, so that others may count on its word."""
         return self.own is None or (not self.starts_new and self.own.is_whole(self.name))
 
-    def hear(self, edge: str, clock: Told | None, edges: str, whole: bool = True) -> None:
+    def hear(self, edge: str, clock: ClockReport | None, edges: str, whole: bool = True) -> None:
         """A gateway was heard just now: what it says of its clock if that is news, the digest of whom it
         takes for its site's edges, and whether it is whole.
         """
         if clock is not None:
-            self.clock.listen(edge, clock)
+            self.clock.report_received(edge, clock)
         if self.own is not None and edge in self.own.edges:
             if edges == self.edges_digest:
                 self.heard[edge] = self.now
@@ -217,14 +217,14 @@
 
     def look(self, now: int, wall: int) -> None:
         """The time now, ns by the monotonic clock and ms by the wall clock; called before each answer too."""
-        jumped = not self.clock.reading(now, wall)
+        jumped = not self.clock.record_reading(now, wall)
         self.now, self.wall = now, wall
         if self.own is None:
             return
         self.heard[self.name] = now
-        if jumped or self.clock.believed is not self._believed:
+        if jumped or self.clock.trusted is not self._believed:
             # Whatever is held may be older than the clock that it was held by said.
-            self._believed = self.clock.believed
+            self._believed = self.clock.trusted
             self._clear_everything()
         if wall + self.bound >= self._next or self.own.changes != self._seen:
             self._look_at_calendar()
@@ -301,7 +301,7 @@
         """Why no copy may be used now; empty if they may."""
         if self.own is None:
             return ""
-        if not self.clock.believed:
+        if not self.clock.trusted:
             return "its clock is not confirmed by another gateway's"
         if not self.whole():
             return "its disk is new, and too few edges told it what it may have known"
@@ -339,7 +339,7 @@
             return f"calendar/{self.site}", body
         if not self.whole():
             new = [edge for edge in self._lately() if edge in self.not_whole]
-            began = self.own.begins(self.name, self.fresh(), new, self.wall) if self.clock.believed else None
+            began = self.own.begins(self.name, self.fresh(), new, self.wall) if self.clock.trusted else None
             if began is None:
                 return None
             body = {"what": "whole", **told, "life": self.own.new[self.name][0], "with": began}
@@ -392,7 +392,7 @@
 
     def _is_first(self) -> bool:
         """Whether this edge is whole, knows all that is in force, and is the first by name it heard of."""
-        if self.own is None or not self.clock.believed or not self.whole():
+        if self.own is None or not self.clock.trusted or not self.whole():
             return False
         fresh = self.fresh()
         return self.own.reached(self.wall + self.bound, self.name, fresh) and min(fresh) == self.name
@@ -449,9 +449,9 @@
             "site": self.site,
             "sure": self.sure(),
             "why_not": self.why_unsure(),
-            "clock_believed": self.clock.believed,
+            "clock_believed": self.clock.trusted,
             "whole": self.whole(),
-            "clocks_off": {peer: list(each) for peer, each in self.clock.off().items()},
+            "clocks_off": {peer: list(each) for peer, each in self.clock.peers_out_of_bound().items()},
             "edges_unlike": dict(sorted(self.unlike.items())),
             "sites": sites,
         }
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1,6 +1,6 @@
 """Purges at business close: a site of three edges under cuts, sleeps, restarts, clocks apart and new editions.
 
-The world below runs the shipped decisions (calendar, clocks, purges, held) and the tenant that lodges them. It
+The world below runs the shipped decisions (calendar, clock_confidence, purges, held) and the tenant that lodges them. It
 is judged from outside, by true time and by all entries that were ever written.
 """
 
@@ -19,7 +19,7 @@
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet.calendar import SiteCalendar
-from ochrecourse.fleet.clocks import Told, WallClock, ring
+from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.held import Copies, Key, _Waiting
 from ochrecourse.fleet.purger import Purger
@@ -113,7 +113,7 @@
         self.rows, self.inbox = {}, []
         kinds = self.world.kinds
         now = self.world.true * MS
-        clock = WallClock(self.name, BOUND, set(EDGES) - {self.name}, now, self.wall())
+        clock = WallClockMonitor(self.name, BOUND, set(EDGES) - {self.name}, now, self.wall())
         self.purges = kinds["purges"](self.name, "s", {"s": EDGES}, NOTICE, clock, now, self.wall())
         if (calendar := kinds["calendar"]) is not SiteCalendar:
             self.purges.own = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
@@ -497,7 +497,7 @@
     one.offset = 3_600_000
     assert one.read(0).got is None and not one.purges.sure()
     world.run(5000)
-    assert not one.purges.sure() and sorted(one.purges.clock.off()) == ["b", "c"]
+    assert not one.purges.sure() and sorted(one.purges.clock.peers_out_of_bound()) == ["b", "c"]
     assert world.edges["b"].purges.sure()  # one wrong clock of three stops nobody else
     one.offset = 0
     world.run(1000)
@@ -530,7 +530,7 @@
             one.end(job)
         world.run(BEAT)
     assert ("copies are not used", "its clock is not confirmed by another gateway's") in lines
-    assert sorted(one.purges.clock.off()) == ["a", "c"] and world.edges["a"].purges.sure()
+    assert sorted(one.purges.clock.peers_out_of_bound()) == ["a", "c"] and world.edges["a"].purges.sure()
     one.offset -= step
     world.run(2000)
     assert one.purges.sure() and one.read(0).got is None
@@ -585,7 +585,7 @@
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
     one = world.edges["a"].purges
-    clock = Told(one.wall, one.wall)
+    clock = ClockReport(one.wall, one.wall)
     for name in ("b", "c"):
         one.hear(name, clock, "another list")
     assert not one.sure() and sorted(one.unlike) == ["b", "c"]
@@ -639,20 +639,20 @@
 
 def test_clocks_are_asked_of_a_few_and_answered_to_whoever_asks():
     names = [f"g{n:03}" for n in range(190)]
-    near = {name: ring(name, names, 3) for name in names}
+    near = {name: clock_neighbours(name, names, 3) for name in names}
     assert all(len(each) == 6 and all(name in near[other] for other in each) for name, each in near.items())
-    clocks = {name: WallClock(name, 500, near[name], 0, 1000) for name in names}
-    clocks["g000"].near |= {"g100"}  # one of a small site asks another, which does not know of it
+    clocks = {name: WallClockMonitor(name, 500, near[name], 0, 1000) for name in names}
+    clocks["g000"].neighbours |= {"g100"}  # one of a small site asks another, which does not know of it
     for turn in range(1, 4):
         for name, clock in clocks.items():
-            clock.reading(turn * SECOND, 1000 * turn + 1000)
+            clock.record_reading(turn * SECOND, 1000 * turn + 1000)
             for other in names:
                 if other != name:
-                    clock.listen(other, clocks[other].told())
-    assert all(clock.believed and len(clock.heard) <= 8 for clock in clocks.values())
-    assert "g000" in clocks["g100"].heard and "g100" in clocks["g000"].apart
-    lone = WallClock("x", 500, [], 0, 1000)
-    assert lone.believed and not lone.reading(SECOND, 9000) and lone.believed
+                    clock.report_received(other, clocks[other].report())
+    assert all(clock.trusted and len(clock.received) <= 8 for clock in clocks.values())
+    assert "g000" in clocks["g100"].received and "g100" in clocks["g000"].offsets
+    lone = WallClockMonitor("x", 500, [], 0, 1000)
+    assert lone.trusted and not lone.record_reading(SECOND, 9000) and lone.trusted
 
 
 def test_a_large_purge_bars_at_once():
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -29,7 +29,7 @@
     "membership/registrations.py", "membership/registration.py", "membership/server_selection.py",
     "membership/lease.py", "membership/etcd.py", "membership/conflicts.py", "storage/journal.py",
     "storage/record_frames.py", "storage/atomic_file.py", "storage/process_lock.py",
-    "fleet/channel_readers.py", "fleet/event_appender.py", "fleet/event_compaction.py",
+    "fleet/channel_readers.py", "fleet/clock_confidence.py", "fleet/event_appender.py", "fleet/event_compaction.py",
     "fleet/log_state.py", "fleet/member.py", "fleet/member_environment.py", "fleet/member_report.py",
     "fleet/member_settings.py", "fleet/member_timer.py", "fleet/member_zones.py", "fleet/operator_log.py",
     "fleet/peer_addresses.py", "fleet/peer_links.py", "fleet/stall_detector.py", "fleet/subsystem.py",
