--- /dev/null
+++ b/ochrecourse/fleet/disk_recovery.py
@@ -0,0 +1,97 @@
+"""Which edges of a site began with a new disk, and which of them know again what they had accepted. Free of
+I/O and clocks.
+
+An edge whose disk is new may have accepted editions that it no longer knows. It says so, and is not counted
+until it is recovered: enough others acknowledged its new disk, and it accepted all that they had accepted. Or
+more than half of the edges are new: then the site bootstraps.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+from ochrecourse.fleet.calendar_edition import BEFORE_ALL_MS, NEVER_MS
+from ochrecourse.fleet.calendar_events import (
+    DISK_ACKNOWLEDGED,
+    DISK_NEW,
+    EdgeIncarnation,
+    parse_acknowledged_disk,
+    parse_recovery,
+)
+from ochrecourse.fleet.entries import Entry, Stamp
+
+NEVER = Stamp(NEVER_MS, 0)
+
+
+class NewDisk(NamedTuple):
+    """The incarnation that began with a new disk, and the timestamp of its event in ms."""
+
+    incarnation: int
+    at_ms: int
+
+
+class Acknowledgement(NamedTuple):
+    """The incarnation with a new disk that another edge acknowledged last, and when."""
+
+    incarnation: int
+    at: Stamp
+
+
+class Recovery(NamedTuple):
+    """The last incarnation of an edge that recovered; whether it did as the site bootstrapped."""
+
+    incarnation: int
+    bootstrapped: bool
+
+
+NO_NEW_DISK = NewDisk(BEFORE_ALL_MS, 0)
+NO_ACKNOWLEDGEMENT = Acknowledgement(BEFORE_ALL_MS, NEVER)
+NO_RECOVERY = Recovery(BEFORE_ALL_MS, False)
+
+
+class DiskRecovery:
+    """The events of a site about new disks, whatever their order of arrival."""
+
+    def __init__(self) -> None:
+        self.new_disks: dict[str, NewDisk] = {}  # by edge, the last one
+        self.recoveries: dict[str, Recovery] = {}  # by edge, the last one
+        self.recovered_at: dict[EdgeIncarnation, Stamp] = {}  # when each incarnation first said so
+        # By the edge that acknowledges and the edge that is acknowledged.
+        self.acknowledgements: dict[tuple[str, str], Acknowledgement] = {}
+        # By each incarnation that was new as the site bootstrapped: all of them.
+        self.bootstraps: dict[EdgeIncarnation, list[EdgeIncarnation]] = {}
+
+    def event(self, body: Mapping[str, Any], entry: Entry, edge_count: int) -> None:
+        """An event of DISK_EVENTS by an edge of the site. Raises InvalidCalendarEventError."""
+        edge = entry.writer
+        if body["what"] == DISK_NEW:
+            before = self.new_disks.get(edge, NewDisk(0, 0))
+            self.new_disks[edge] = max(NewDisk(entry.life, entry.at.ms), before)
+        elif body["what"] == DISK_ACKNOWLEDGED:
+            other, incarnation = parse_acknowledged_disk(body)
+            known = self.acknowledgements.get((edge, other), Acknowledgement(BEFORE_ALL_MS, entry.at))
+            self.acknowledgements[edge, other] = max(known, Acknowledgement(incarnation, entry.at))
+        else:
+            self._recovered(edge, *parse_recovery(body, edge_count), entry.at)
+
+    def _recovered(self, edge: str, incarnation: int, others: list[EdgeIncarnation], at: Stamp) -> None:
+        recovery = Recovery(incarnation, bool(others))
+        self.recoveries[edge] = max(self.recoveries.get(edge, NO_RECOVERY), recovery)
+        key = EdgeIncarnation(edge, incarnation)
+        self.recovered_at[key] = min(self.recovered_at.get(key, NEVER), at)
+        for each in others:
+            self.bootstraps.setdefault(each, others)
+
+    def is_recovered(self, edge: str) -> bool:
+        """Whether an edge knows what it once accepted, as far as its events are here."""
+        new_disk = self.new_disks.get(edge, NO_NEW_DISK)
+        return self.recoveries.get(edge, NO_RECOVERY).incarnation >= new_disk.incarnation
+
+    def replaced_disk(self, edge: str) -> NewDisk | None:
+        """The new disk of an edge that may have had another one before; None if it had none."""
+        new_disk = self.new_disks.get(edge)
+        if new_disk is None:
+            return None
+        bootstrapped = Recovery(new_disk.incarnation, True)
+        return None if self.recoveries.get(edge, NO_RECOVERY) >= bootstrapped else new_disk
--- a/ochrecourse/fleet/held.py
+++ b/ochrecourse/fleet/held.py
@@ -22,7 +22,7 @@
 
 from cachetools import LRUCache
 
-from ochrecourse.fleet.calendar import Scope
+from ochrecourse.fleet.calendar_edition import Scope
 from ochrecourse.gateway.gateway import ResponseHandler, Request
 
 OVERHEAD = 512  # bytes that a copy costs beside its pieces, as measured on 64-bit CPython
@@ -475,10 +475,10 @@
         else:
             self.epochs[scope] = self.epochs.get(scope, 0) + 1
         for reader in [each for each in self.readers.values() if each.fetch is None]:
-            if scope.holds(reader.key.volume, reader.key.plan):
+            if scope.covers(reader.key.volume, reader.key.plan):
                 self._break_off(reader)
         count = 0
-        for place in [each for each in self.places if scope.holds(each[1], each[0])]:
+        for place in [each for each in self.places if scope.covers(each[1], each[0])]:
             keys = self.places.pop(place)
             count += len(keys)
             self.doomed.append(keys)
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ochrecourse.settings.site_calendars import CalendarValueError, differences, edition, today
-from ochrecourse.fleet.calendar import BadEdition, Edition, Scope
+from ochrecourse.fleet.calendar_edition import InvalidCalendarEventError, Scope, parse_edition
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row
 from ochrecourse.fleet.held import STEP, Copies
@@ -44,7 +44,7 @@
     clock: ClockReport
     edges: str  # the digest of its site's name and edges
     lives: list[tuple[int, int]] = []  # its earlier ones, and the last entry of each about the calendar
-    whole: bool = True  # it knows what it once took (calendar.py); one of an older version does not say
+    whole: bool = True  # it knows what it once took (site_calendar.py); one of an older version does not say
 
 
 class Purger:
@@ -97,7 +97,7 @@
             purges.dropped(count)
             if due.moments or count:
                 why = [f"{rule} of {date}" for rule, date in due.moments] or ["the clock was in doubt"]
-                self.say("copies dropped", scope=due.scope.kind, of=due.scope.of, copies=count, why=why)
+                self.say("copies dropped", scope=due.scope.kind, of=due.scope.name, copies=count, why=why)
             self._step()
 
     def _step(self) -> None:
@@ -154,8 +154,8 @@
         if not isinstance(body, dict) or body.get("what") != "edition":
             return
         try:
-            Edition(body, entry.place)
-        except BadEdition as trouble:
+            parse_edition(body, entry.place)
+        except InvalidCalendarEventError as trouble:
             self.say("calendar refused", site=self.purges.site, by=entry.writer, why=str(trouble))
             return
         if "as" in body and entry.writer != self.purges.name:
--- a/ochrecourse/fleet/purges.py
+++ b/ochrecourse/fleet/purges.py
@@ -5,9 +5,9 @@
 copies at all only while it is sure:
 
 - its clock is believed (clock_confidence.py);
-- it is whole: its disk is not new, or it knows again what it had taken (calendar.py);
+- it is whole: its disk is not new, or it knows again what it had taken (site_calendar.py);
 - it has heard lately from more than half of the site's edges, each of them whole, itself counted, and holds
-  all that they appended up to `notice` ago: so it knows every edition that is in force (calendar.py);
+  all that they appended up to `notice` ago: so it knows every edition that is in force (site_calendar.py);
 - an edition is in force, and its instants reach beyond now.
 
 Otherwise a read asks a node. Dropping is safe at any time, so it is done at each instant of any edition that
@@ -25,7 +25,16 @@
 
 import msgspec
 
-from ochrecourse.fleet.calendar import FAR, LONG_AGO, Due, Edition, Instant, Moment, Scope, SiteCalendar
+from ochrecourse.fleet.calendar_edition import BEFORE_ALL_MS, NEVER_MS, Edition, Instant, Occurrence, Scope
+from ochrecourse.fleet.calendar_events import (
+    DiskAcknowledged,
+    DiskNew,
+    DiskRecovered,
+    EditionAccepted,
+    encode_event,
+)
+from ochrecourse.fleet.edition_timeline import DueOccurrence
+from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor
 from ochrecourse.fleet.entries import Entry, Place
 from ochrecourse.common.time_units import MS
@@ -51,7 +60,7 @@
     dropped: int
     place: Place
 
-    def covers(self, moment: Moment) -> bool:
+    def covers(self, moment: Occurrence) -> bool:
         return self.rule == moment.rule and self.first <= moment.date <= self.last
 
 
@@ -99,7 +108,7 @@
         del known[:-SETTLED]
         self.count += 1
 
-    def of(self, edge: str, moment: Moment) -> Settled | None:
+    def of(self, edge: str, moment: Occurrence) -> Settled | None:
         told = [each for each in self.by_edge.get((edge, moment.rule), ()) if each.covers(moment)]
         return min(told, key=lambda each: each.place, default=None)
 
@@ -108,7 +117,7 @@
 class _Drop:
     """A drop of this life: when it was, by the wall clock in ms, and how many copies it took."""
 
-    moment: Moment
+    moment: Occurrence
     scope: Scope
     at: int
     dropped: int = 0
@@ -118,7 +127,7 @@
     """What is to be dropped now, as it is pulled."""
 
     scope: Scope
-    moments: tuple[Moment, ...]  # for which; none where a clock is in doubt
+    moments: tuple[Occurrence, ...]  # for which; none where a clock is in doubt
 
 
 class Purges:
@@ -160,7 +169,7 @@
         self.to_drop: deque[tuple[Scope, list[_Drop]]] = deque()
         self.now, self.wall = now, wall
         self._believed = clock.trusted
-        self._next = LONG_AGO  # ms, when there is something to look at next
+        self._next = BEFORE_ALL_MS  # ms, when there is something to look at next
         self._seen = -1
         self._drops = 0
         self._told: tuple[int, ...] = ()  # at which state nothing was left to settle
@@ -186,7 +195,7 @@
     def promised(self, edge: str, ms: int) -> None:
         """All that this gateway appends with a stamp at or before `ms` is held here."""
         for calendar in self.calendars.values():
-            calendar.promised(edge, ms)
+            calendar.advance_watermark(edge, ms)
 
     def disk_is_new(self, life: int) -> None:
         """This life began with nothing that an earlier one wrote of the calendar."""
@@ -194,7 +203,7 @@
 
     def whole(self) -> bool:
         """Whether this gateway knows what it once took, so that others may count on its word."""
-        return self.own is None or (not self.starts_new and self.own.is_whole(self.name))
+        return self.own is None or (not self.starts_new and self.own.is_recovered(self.name))
 
     def hear(self, edge: str, clock: ClockReport | None, edges: str, whole: bool = True) -> None:
         """A gateway was heard just now: what it says of its clock if that is news, the digest of whom it
@@ -226,7 +235,7 @@
             # Whatever is held may be older than the clock that it was held by said.
             self._believed = self.clock.trusted
             self._clear_everything()
-        if wall + self.bound >= self._next or self.own.changes != self._seen:
+        if wall + self.bound >= self._next or self.own.revision != self._seen:
             self._look_at_calendar()
 
     def _clear_everything(self) -> None:
@@ -234,26 +243,26 @@
         self.bars.clear()
         self.clear_all = self.wall
         self.to_drop.append((Scope("all", ""), []))
-        self._next = LONG_AGO
+        self._next = BEFORE_ALL_MS
 
     def _look_at_calendar(self) -> None:
         assert self.own is not None
-        self._seen = self.own.changes
+        self._seen = self.own.revision
         wall, bound = self.wall, self.bound
-        scopes = {scope for held in self.own.held.values() for scope in held.edition.scopes.values()}
+        scopes = {scope for state in self.own.editions.values() for scope in state.edition.scopes.values()}
         since = min((self._clear_of(scope) for scope in scopes), default=wall)
-        for instant, scope in self.own.drops(since - bound, wall + bound):
-            until = instant.at + bound
+        for instant, scope in self.own.possible_purges(since - bound, wall + bound):
+            until = instant.at_ms + bound
             if until >= wall:
-                self.bars[scope] = max(until, self.bars.get(scope, LONG_AGO))
+                self.bars[scope] = max(until, self.bars.get(scope, BEFORE_ALL_MS))
             if self._clear_of(scope) < until:
                 self._drop(instant, scope, max(wall, until))
         for scope in [each for each, until in self.bars.items() if until < wall]:
             del self.bars[scope]
-        self._next = self.own.next_look(wall + bound)
+        self._next = self.own.next_change_ms(wall + bound)
 
     def _drop(self, instant: Instant, scope: Scope, clear: int) -> None:
-        drop = _Drop(instant.moment, scope, self.wall)
+        drop = _Drop(instant.occurrence, scope, self.wall)
         self.drops.append(drop)
         self._drops += 1
         if scope.kind == "all":
@@ -267,7 +276,7 @@
         self.to_drop.append((scope, [drop]))
 
     def _clear_of(self, scope: Scope) -> int:
-        return max(self.clear_all, self.clear.get(scope, LONG_AGO))
+        return max(self.clear_all, self.clear.get(scope, BEFORE_ALL_MS))
 
     # --- what is pulled ---
 
@@ -289,7 +298,7 @@
         if self.own is None:
             return True
         if self.bars and any(
-            self.wall <= until and scope.holds(volume, plan) for scope, until in self.bars.items()
+            self.wall <= until and scope.covers(volume, plan) for scope, until in self.bars.items()
         ):
             return False
         return not self.to_drop and self.sure()
@@ -307,12 +316,12 @@
             return "its disk is new, and too few edges told it what it may have known"
         if self.own.missing:
             return "an edition that another edge took is not here"
-        if not self.own.reached(self.wall + self.bound, self.name, self.fresh()):
+        if not self.own.is_up_to_date(self.wall + self.bound, self.name, self.fresh()):
             return "it has not heard from more than half of its site's edges lately"
-        standing = self.own.standing(self.wall)
+        standing = self.own.edition_in_force(self.wall)
         if standing is None:
             return "no edition of its calendar is in force"
-        if standing.until <= self.wall + self.bound:
+        if standing.complete_until_ms <= self.wall + self.bound:
             return "the calendar has no instants beyond now"
         return ""
 
@@ -328,74 +337,74 @@
         """Channel and body of one event to append, pulled until None; it comes back through `event`."""
         if self.own is None:
             return None
-        told = {"site": self.site, "edge": self.name}
         if self.starts_new:
-            if self.own.new.get(self.name, (0, 0))[0] < self.starts_new:
-                return f"calendar/{self.site}", {"what": "new", **told}
+            if self.own.disks.new_disks.get(self.name, (0, 0))[0] < self.starts_new:
+                return f"calendar/{self.site}", encode_event(DiskNew(self.site, self.name))
             self.starts_new = 0
-        edition = self.own.to_take(self.name)
+        edition = self.own.next_to_accept(self.name)
         if edition is not None:
-            body = {"what": "taken", **told, "number": edition.number, "of": list(edition.id)}
-            return f"calendar/{self.site}", body
+            accepted = EditionAccepted(self.site, self.name, edition.number, edition.id)
+            return f"calendar/{self.site}", encode_event(accepted)
         if not self.whole():
             new = [edge for edge in self._lately() if edge in self.not_whole]
-            began = self.own.begins(self.name, self.fresh(), new, self.wall) if self.clock.trusted else None
+            began = self.own.recovery(self.name, self.fresh(), new, self.wall) if self.clock.trusted else None
             if began is None:
                 return None
-            body = {"what": "whole", **told, "life": self.own.new[self.name][0], "with": began}
-            return f"calendar/{self.site}", body
+            incarnation = self.own.disks.new_disks[self.name].incarnation
+            recovered = DiskRecovered(self.site, self.name, incarnation, began)
+            return f"calendar/{self.site}", encode_event(recovered)
         # After all that is to be taken: whoever reads this knows of that too.
-        if (seen := self.own.to_see(self.name)) is not None:
-            return f"calendar/{self.site}", {"what": "saw", **told, "of": list(seen)}
+        if (seen := self.own.next_to_acknowledge(self.name)) is not None:
+            return f"calendar/{self.site}", encode_event(DiskAcknowledged(self.site, self.name, seen))
         owed = self.unsettled()
         return (f"purges/{self.site}", self._fired(owed)) if owed else None
 
-    def unsettled(self) -> list[Due]:
+    def unsettled(self) -> list[DueOccurrence]:
         """The moments of one rule that this edge dropped and did not tell yet, of those that are known."""
         if self.own is None or not self.sure() or self.to_drop:
             return []
         records = self.records[self.site]
-        state = (self.own.changes, records.count, self._drops, self._next)
+        state = (self.own.revision, records.count, self._drops, self._next)
         if state == self._told:
             return []
-        first = max(self.own.first.get(self.name, FAR), self.wall - CATCH_UP)
-        due = self.own.due(first - 1, self.wall + self.bound)
-        left = [each for each in due if records.of(self.name, each.moment) is None]
+        first = max(self.own.first_accepted_ms.get(self.name, NEVER_MS), self.wall - CATCH_UP)
+        due = self.own.due_occurrences(first - 1, self.wall + self.bound)
+        left = [each for each in due if records.of(self.name, each.occurrence) is None]
         if not left:
             self._told = state
-        return [each for each in left if each.moment.rule == left[0].moment.rule]
+        return [each for each in left if each.occurrence.rule == left[0].occurrence.rule]
 
-    def _fired(self, owed: list[Due]) -> dict[str, Any]:
+    def _fired(self, owed: list[DueOccurrence]) -> dict[str, Any]:
         last = owed[-1]
         at, dropped = self._dropped_at(last)
         body: dict[str, Any] = {
             "what": "fired",
             "site": self.site,
-            "rule": last.moment.rule,
-            "date": max(each.moment.date for each in owed),
+            "rule": last.occurrence.rule,
+            "date": max(each.occurrence.date for each in owed),
             "edge": self.name,
             "at": at,
-            "late_ms": at - last.at,
+            "late_ms": at - last.due_ms,
             "edition": last.number,
             "dropped": dropped,
         }
         if len(owed) > 1:
-            body["since"] = min(each.moment.date for each in owed)
+            body["since"] = min(each.occurrence.date for each in owed)
         return body
 
-    def _dropped_at(self, due: Due) -> tuple[int, int]:
+    def _dropped_at(self, due: DueOccurrence) -> tuple[int, int]:
         """When this life dropped for a moment; a life that began after it held nothing from before."""
-        done = [each for each in self.drops if each.moment == due.moment]
+        done = [each for each in self.drops if each.moment == due.occurrence]
         if done:
             return done[-1].at, sum(each.dropped for each in done)
-        return max(self.began, min(self.wall, due.at)), 0
+        return max(self.began, min(self.wall, due.due_ms)), 0
 
     def _is_first(self) -> bool:
         """Whether this edge is whole, knows all that is in force, and is the first by name it heard of."""
         if self.own is None or not self.clock.trusted or not self.whole():
             return False
         fresh = self.fresh()
-        return self.own.reached(self.wall + self.bound, self.name, fresh) and min(fresh) == self.name
+        return self.own.is_up_to_date(self.wall + self.bound, self.name, fresh) and min(fresh) == self.name
 
     def edition_due(self, wording: int, ahead: int) -> int | None:
         """The number of an edition that this edge should write now, if any: the settings' own `wording` is
@@ -413,12 +422,12 @@
         # meanwhile, or has written before, and then that arrives there.
         if self.now - self.first_since < self.notice * MS:
             return None
-        highest = self.own.highest()
+        highest = self.own.highest_edition()
         if highest is None:
             return wording
-        if wording > highest.wording:
+        if wording > highest.settings_version:
             return max(wording, highest.number + 1)
-        if wording == highest.wording and highest.until - self.wall < ahead:
+        if wording == highest.settings_version and highest.complete_until_ms - self.wall < ahead:
             return highest.number + 1
         return None
 
@@ -426,23 +435,24 @@
 
     def editions(self) -> list[Edition]:
         """All that are held of the own site, the highest last."""
-        held = self.own.held.values() if self.own is not None else ()
+        held = self.own.editions.values() if self.own is not None else ()
         return sorted((each.edition for each in held), key=lambda each: each.rank)
 
     def report(self) -> dict[str, Any]:
         """The record by site and purge: which edges fired, when, how late, and which are owed."""
         sites: dict[str, Any] = {}
         for site, calendar in sorted(self.calendars.items()):
-            standing, highest = calendar.standing(self.wall), calendar.highest()
+            standing, highest = calendar.edition_in_force(self.wall), calendar.highest_edition()
             purges = [
-                self._record(site, due) for due in calendar.due(self.wall - CATCH_UP, self.wall)[-LISTED:]
+                self._record(site, due)
+                for due in calendar.due_occurrences(self.wall - CATCH_UP, self.wall)[-LISTED:]
             ]
             sites[site] = {
                 "edges": list(calendar.edges),
                 "edition": None if standing is None else standing.number,
                 "highest": None if highest is None else highest.number,
-                "through": None if standing is None else standing.through,
-                "bad_events": dict(sorted({**calendar.bad, **self.bad}.items())),
+                "through": None if standing is None else standing.last_date,
+                "bad_events": dict(sorted({**calendar.invalid_events, **self.bad}.items())),
                 "purges": purges,
             }
         return {
@@ -456,11 +466,11 @@
             "sites": sites,
         }
 
-    def _record(self, site: str, due: Due) -> dict[str, Any]:
+    def _record(self, site: str, due: DueOccurrence) -> dict[str, Any]:
         calendar, records = self.calendars[site], self.records[site]
         fired, owed = {}, []
         for edge in calendar.edges:
-            settled = records.of(edge, due.moment)
+            settled = records.of(edge, due.occurrence)
             if settled is not None:
                 fired[edge] = {
                     "at": settled.at,
@@ -468,13 +478,13 @@
                     "edition": settled.edition,
                     "dropped": settled.dropped,
                 }
-            elif calendar.first.get(edge, 0) <= due.at:
+            elif calendar.first_accepted_ms.get(edge, 0) <= due.due_ms:
                 owed.append(edge)
         return {
-            "rule": due.moment.rule,
-            "date": due.moment.date,
+            "rule": due.occurrence.rule,
+            "date": due.occurrence.date,
             "edition": due.number,
-            "due": due.at,
+            "due": due.due_ms,
             "fired": fired,
             "owed": owed,
         }
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -16,7 +16,7 @@
 from ochrecourse.fleet import kept as kept_module
 from ochrecourse.fleet import purger as purger_module
 from ochrecourse.fleet.allot import ALL, Allot
-from ochrecourse.fleet.calendar import SiteCalendar
+from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
 from ochrecourse.fleet.frontier import Frontier
 from ochrecourse.fleet.held import Copies
@@ -211,7 +211,7 @@
 
     def one(self: SiteCalendar, *of: Any) -> None:
         init(self, *of)
-        self.most = 1
+        self.majority = 1
 
     patch(SiteCalendar, "__init__", one)
 
--- a/tests/test_calendar_disks.py
+++ b/tests/test_calendar_disks.py
@@ -10,7 +10,8 @@
 import pytest
 from minicheck import Protocol, check_safety
 
-from ochrecourse.fleet.calendar import FAR, SiteCalendar
+from ochrecourse.fleet.calendar_edition import NEVER_MS
+from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.entries import Entry, Stamp
 
 EDGES = ("a", "b", "c")
@@ -34,7 +35,7 @@
 
 def is_whole(make, held, life, name):
     told = calendar(make, held)
-    return told.is_whole(name) and (not life or told.new.get(name, (0, 0))[0] == life)
+    return told.is_recovered(name) and (not life or told.disks.new_disks.get(name, (0, 0))[0] == life)
 
 
 def in_touch(held, name, other):
@@ -45,18 +46,18 @@
 @functools.lru_cache(maxsize=200_000)
 def wants(make, held, lives, i):
     name, told = EDGES[i], calendar(make, held[i])
-    if lives[i] and told.new.get(name, (0, 0))[0] != lives[i]:
+    if lives[i] and told.disks.new_disks.get(name, (0, 0))[0] != lives[i]:
         return {"what": "new"}
-    if (edition := told.to_take(name)) is not None:
+    if (edition := told.next_to_accept(name)) is not None:
         return {"what": "taken", "of": list(edition.id)}
-    if not told.is_whole(name):
+    if not told.is_recovered(name):
         near = [j for j in range(3) if j != i and in_touch(held, i, j)]
         whole = [EDGES[j] for j in near if is_whole(make, held[j], lives[j], EDGES[j])]
-        told.promises = dict.fromkeys([EDGES[j] for j in near], FAR)
-        began = told.begins(name, whole, [EDGES[j] for j in near if EDGES[j] not in whole], 0)
-        told.promises = {}
+        told.watermarks = dict.fromkeys([EDGES[j] for j in near], NEVER_MS)
+        began = told.recovery(name, whole, [EDGES[j] for j in near if EDGES[j] not in whole], 0)
+        told.watermarks = {}
         return None if began is None else {"what": "whole", "life": lives[i], "with": began}
-    seen = told.to_see(name)
+    seen = told.next_to_acknowledge(name)
     return None if seen is None else {"what": "saw", "of": list(seen)}
 
 
@@ -97,7 +98,12 @@
     whole = [is_whole(make, held[i], lives[i], EDGES[i]) for i in range(3)]
     for i in range(3):
         voices = sum(whole[j] and in_touch(held, i, j) for j in range(3) if j != i)
-        if whole[i] and voices and not calendar(make, held[i]).missing and not calendar(make, held[i]).held:
+        if (
+            whole[i]
+            and voices
+            and not calendar(make, held[i]).missing
+            and not calendar(make, held[i]).editions
+        ):
             return False
     return True
 
@@ -118,22 +124,26 @@
 class Trusts(SiteCalendar):
     """The mistake of a new disk that counts as any other: how it was before."""
 
-    def is_whole(self, edge):
+    def is_recovered(self, edge):
         return True
 
 
 class BeginsByOne(SiteCalendar):
     """The mistake of a new disk that is whole once one other has seen it."""
 
-    def begins(self, own, fresh, new, ms):
-        life = self.new[own][0]
-        return [] if any(self.saw.get((edge, own), (0, 0))[0] == life for edge in fresh) else None
+    def recovery(self, own, fresh, new, ms):
+        life = self.disks.new_disks[own][0]
+        return (
+            []
+            if any(self.disks.acknowledgements.get((edge, own), (0, 0))[0] == life for edge in fresh)
+            else None
+        )
 
 
 class TakesLate(SiteCalendar):
     """The mistake of one who takes what a new disk may have taken, before that knows of it again."""
 
-    def _waits(self, edge, held):
+    def _must_wait(self, edge, held):
         return False
 
 
@@ -181,16 +191,16 @@
     Neither of `e` and `f` had heard yet that the other is whole, which counted on three others.
     """
     told = site_of_six(*SEEN_BY_THREE, whole("e"), whole("f"), saw("e", "f"), saw("f", "e"), EDITION)
-    assert told.to_take("e") is not None and told.to_take("f") is not None
-    assert told.to_take("a") is None  # whom both of them counted on, waits for them
+    assert told.next_to_accept("e") is not None and told.next_to_accept("f") is not None
+    assert told.next_to_accept("a") is None  # whom both of them counted on, waits for them
 
 
 def test_an_edge_that_was_seen_before_it_was_whole_must_take_an_edition_first():
     """`f` may have counted on `e`, although it names nobody."""
     told = site_of_six(*SEEN_BY_THREE, whole("e"), saw("e", "f"), whole("f"), EDITION)
-    assert told.to_take("e") is None and told.to_take("f") is not None
+    assert told.next_to_accept("e") is None and told.next_to_accept("f") is not None
 
 
 def test_an_edge_that_is_not_known_to_be_whole_must_take_an_edition_first():
     told = site_of_six(*SEEN_BY_THREE, whole("e"), saw("e", "f"), EDITION)
-    assert told.to_take("e") is None
+    assert told.next_to_accept("e") is None
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -71,7 +71,11 @@
 
     def again(self):
         told = whole(self)
-        return told if told or self._drops % 50 else self.own.due(self.wall - 3_600_000, self.wall)[-1:]
+        return (
+            told
+            if told or self._drops % 50
+            else self.own.due_occurrences(self.wall - 3_600_000, self.wall)[-1:]
+        )
 
     monkeypatch.setattr(Purges, "unsettled", again)
     monkeypatch.setattr("benchmarks.calendars.MOST_WANTS", 3)
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -27,7 +27,8 @@
     today,
     zone_of,
 )
-from ochrecourse.fleet.calendar import EDITIONS, BadEdition, Edition, SiteCalendar
+from ochrecourse.fleet.calendar_edition import InvalidCalendarEventError, parse_edition
+from ochrecourse.fleet.site_calendar import MAX_EDITIONS, SiteCalendar
 from ochrecourse.fleet.entries import Entry, Place, Stamp
 from ochrecourse.settings.load import SettingsError, resolve
 from ochrecourse.settings.writer import write
@@ -106,7 +107,7 @@
     body["instants"][1][2] += 3_600_000
     body["tzdata"] = "2019a"
     assert len(differences(body)) == 1 and "2026-01-02" in differences(body)[0]
-    assert Edition(body, PLACE).by_moment["close", "2026-01-02"] == body["instants"][1][2]
+    assert parse_edition(body, PLACE).instant_ms["close", "2026-01-02"] == body["instants"][1][2]
     for broken in (
         {"zone": "Mars/Olympus"},
         {"as": {}},
@@ -163,9 +164,9 @@
 )  # fmt: skip
 def test_an_edition_that_is_none_is_refused(change):
     body = edition(site_of(), 1, YEAR, 3)
-    Edition(body, PLACE)
-    with pytest.raises(BadEdition):
-        Edition({**body, **change}, PLACE)
+    parse_edition(body, PLACE)
+    with pytest.raises(InvalidCalendarEventError):
+        parse_edition({**body, **change}, PLACE)
 
 
 json = st.recursive(
@@ -187,7 +188,7 @@
 def test_any_event_is_read_or_counted(body):
     calendar = SiteCalendar("s", ["a", "b"], 1000)
     calendar.event(Entry("calendar/s", "a", 1, 1, Stamp(1, 0), (), msgspec.json.encode(body)))
-    assert calendar.bad or calendar.missing
+    assert calendar.invalid_events or calendar.missing
 
 
 def entry(writer, seq, ms, body):
@@ -216,15 +217,17 @@
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
     for each in (ONE, taken("a", 2, 150, ONE), taken("b", 1, 200, ONE)):
         calendar.event(each)
-    assert calendar.standing(1199) is None and calendar.standing(1200).number == 1
+    assert calendar.edition_in_force(1199) is None and calendar.edition_in_force(1200).number == 1
     # The third may have taken it before: it came into force between 1150 and 1200, and nothing is due then.
-    assert [(each.number, each.at) for each in calendar.due(0, 9000)] == [(1, 5000)]
+    assert [(each.number, each.due_ms) for each in calendar.due_occurrences(0, 9000)] == [(1, 5000)]
     # A newer one that only one edge took so far, while the others' word is out: nothing is said of the moment.
     for each in (TWO, taken("b", 2, 2100, TWO)):
         calendar.event(each)
-    assert calendar.due(0, 9000) == [] and [each.at for each, _ in calendar.drops(0, 9000)] == [4000, 5000]
-    calendar.promised("a", 9000), calendar.promised("c", 9000)
-    assert [(each.number, each.at) for each in calendar.due(0, 9000)] == [(1, 5000)]
+    assert calendar.due_occurrences(0, 9000) == [] and [
+        each.at_ms for each, _ in calendar.possible_purges(0, 9000)
+    ] == [4000, 5000]
+    calendar.advance_watermark("a", 9000), calendar.advance_watermark("c", 9000)
+    assert [(each.number, each.due_ms) for each in calendar.due_occurrences(0, 9000)] == [(1, 5000)]
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
     for each in (
         TWO,
@@ -235,8 +238,8 @@
         taken("b", 2, 2100, TWO),
     ):
         calendar.event(each)
-    calendar.promised("a", 9000), calendar.promised("c", 9000)
-    assert [(each.number, each.at) for each in calendar.due(0, 9000)] == [(2, 4000)]
+    calendar.advance_watermark("a", 9000), calendar.advance_watermark("c", 9000)
+    assert [(each.number, each.due_ms) for each in calendar.due_occurrences(0, 9000)] == [(2, 4000)]
 
 
 def test_the_order_of_arrival_changes_nothing():
@@ -252,9 +255,13 @@
         calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
         for each in events * 2:
             calendar.event(each)
-        assert not calendar.missing and not calendar.bad
+        assert not calendar.missing and not calendar.invalid_events
         told.add(
-            (tuple(calendar.due(0, 9000)), calendar.standing(9000).number, tuple(calendar.drops(0, 9000)))
+            (
+                tuple(calendar.due_occurrences(0, 9000)),
+                calendar.edition_in_force(9000).number,
+                tuple(calendar.possible_purges(0, 9000)),
+            )
         )
     assert len(told) == 1
 
@@ -263,27 +270,27 @@
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
     for each in (ONE, taken("a", 2, 150, ONE), taken("b", 1, 150, ONE)):
         calendar.event(each)
-    calendar.promised("b", 5000)
-    assert calendar.reached(5500, "a", ["a", "b"]) and not calendar.reached(6500, "a", ["a", "b"])
-    assert not calendar.reached(5500, "a", ["a", "c"])
+    calendar.advance_watermark("b", 5000)
+    assert calendar.is_up_to_date(5500, "a", ["a", "b"]) and not calendar.is_up_to_date(6500, "a", ["a", "b"])
+    assert not calendar.is_up_to_date(5500, "a", ["a", "c"])
     calendar.event(taken("b", 2, 2100, TWO))
-    assert not calendar.reached(5500, "a", ["a", "b"])
+    assert not calendar.is_up_to_date(5500, "a", ["a", "b"])
     calendar.event(TWO)
-    assert calendar.reached(5500, "a", ["a", "b"])
+    assert calendar.is_up_to_date(5500, "a", ["a", "b"])
     calendar.event(taken("x", 3, 2100, written(9, 9, [], "x", 7)))  # of no edge of the site
-    assert calendar.reached(5500, "a", ["a", "b"])
+    assert calendar.is_up_to_date(5500, "a", ["a", "b"])
 
 
 def test_editions_that_were_replaced_are_forgotten_within_a_bound():
     calendar = SiteCalendar("s", ["a"], 10)
-    for number in range(1, EDITIONS + 40):
+    for number in range(1, MAX_EDITIONS + 40):
         each = written(number, number * 100, [["close", "2026-01-01", 10_000_000]], seq=2 * number)
         calendar.event(each)
         calendar.event(taken("a", 2 * number + 1, number * 100 + 1, each))
     first = written(1, 100, [["close", "2026-01-01", 10_000_000]], seq=2)
     calendar.event(first), calendar.event(taken("a", 3, 101, first))
-    assert len(calendar.held) == EDITIONS and not calendar.missing
-    assert calendar.standing(10**6).number == EDITIONS + 39
+    assert len(calendar.editions) == MAX_EDITIONS and not calendar.missing
+    assert calendar.edition_in_force(10**6).number == MAX_EDITIONS + 39
 
 
 # --- a year of 400 sites ---
@@ -394,13 +401,13 @@
             calendar.event(
                 Entry(f"calendar/{name}", edge, 1, seq, Stamp(at + delay, 0), (), msgspec.json.encode(told))
             )
-            calendar.promised(edge, at + 2000)
+            calendar.advance_watermark(edge, at + 2000)
         when[count] = (at + 700 + notice, reference(site, walks, first, 60))
     end = bodies[-1][0] + 20 * 86_400_000
-    due = calendar.due(0, end)
+    due = calendar.due_occurrences(0, end)
     for each in due:
-        assert (each.moment.rule, each.moment.date) not in fired, "twice"
-        fired[each.moment.rule, each.moment.date] = (each.number, each.instant)
+        assert (each.occurrence.rule, each.occurrence.date) not in fired, "twice"
+        fired[each.occurrence.rule, each.occurrence.date] = (each.number, each.instant_ms)
     for count in sorted(when):
         until = min(when[count + 1][0] if count + 1 in when else end + 1, end + 1)
         for moment, instant in sorted(when[count][1].items()):
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -10,7 +10,7 @@
 
 from test_door import House
 
-from ochrecourse.fleet.calendar import Scope
+from ochrecourse.fleet.calendar_edition import Scope
 from ochrecourse.fleet.held import OVERHEAD, READERS, Copies, Key, _Waiting
 from ochrecourse.gateway.gateway import Request
 from ochrecourse.common.request_records import RequestOutcome
@@ -554,7 +554,7 @@
         self._tick()
         self.copies.drop(scope)
         for volume in (0, 1):
-            if scope.holds(volume, "p"):
+            if scope.covers(volume, "p"):
                 self.purged[volume] = self.now
         self._tick()
 
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1,6 +1,6 @@
 """Purges at business close: a site of three edges under cuts, sleeps, restarts, clocks apart and new editions.
 
-The world below runs the shipped decisions (calendar, clock_confidence, purges, held) and the tenant that lodges them. It
+The world below runs the shipped decisions (site_calendar, clock_confidence, purges, held) and the tenant that lodges them. It
 is judged from outside, by true time and by all entries that were ever written.
 """
 
@@ -18,7 +18,7 @@
 
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet.calendar import SiteCalendar
+from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.held import Copies, Key, _Waiting
@@ -610,8 +610,8 @@
         if event.startswith("calendar")
     ]
     assert named == [("calendar refused", "a", None), ("calendar differs", "b", 1)]
-    (held,) = one.purges.own.held.values()
-    assert held.edition.by_moment["close", "2026-01-01"] == body["instants"][0][2]
+    (held,) = one.purges.own.editions.values()
+    assert held.edition.instant_ms["close", "2026-01-01"] == body["instants"][0][2]
 
 
 def test_what_an_edge_took_in_an_earlier_life_must_be_here_before_its_word_counts():
@@ -634,7 +634,7 @@
     assert not one.purges.sure()
     one.inbox.append((row, entries, told))
     one.beat()
-    assert one.purges.sure() and one.purges.own.highest().number == 2
+    assert one.purges.sure() and one.purges.own.highest_edition().number == 2
 
 
 def test_clocks_are_asked_of_a_few_and_answered_to_whoever_asks():
@@ -683,7 +683,7 @@
         one.purges.event(Entry("purges/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
         one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
     one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), b"\xff"))
-    assert one.purges.bad and one.purges.own.bad
+    assert one.purges.bad and one.purges.own.invalid_events
     assert not one.purges.records["s"].by_edge
 
 
@@ -873,10 +873,12 @@
     world = knows_too_little()
     _, b, c = world.edges.values()
     assert not b.purges.sure() and not c.purges.sure() and "its disk is new" in b.purges.why_unsure()
-    assert c.purges.own.highest().number == 1
+    assert c.purges.own.highest_edition().number == 1
     world.cut.clear()
     world.run(4000)
-    assert all(edge.purges.sure() and edge.purges.own.highest().number == 2 for edge in world.edges.values())
+    assert all(
+        edge.purges.sure() and edge.purges.own.highest_edition().number == 2 for edge in world.edges.values()
+    )
     world.judge_settlement()
 
 
@@ -913,8 +915,12 @@
 class BeginsAlone(SiteCalendar):
     """The mistake of a new disk that is whole once any other has seen it."""
 
-    def begins(self, own, fresh, new, ms):
-        return [] if any(of == own for _, of in self.saw) else super().begins(own, fresh, new, ms)
+    def recovery(self, own, fresh, new, ms):
+        return (
+            []
+            if any(of == own for _, of in self.disks.acknowledgements)
+            else super().recovery(own, fresh, new, ms)
+        )
 
 
 @pytest.mark.parametrize(
@@ -962,7 +968,7 @@
             and self.sure()
         ):
             self.again = True
-            return self.own.due(self.wall - 20_000, self.wall)[-1:]
+            return self.own.due_occurrences(self.wall - 20_000, self.wall)[-1:]
         return told
 
 
@@ -971,7 +977,7 @@
 
     def event(self, entry):
         super().event(entry)
-        for number, held in enumerate(self.held.values()):
+        for number, held in enumerate(self.editions.values()):
             held.edition.number = number
 
 
@@ -980,7 +986,7 @@
 
     def __init__(self, site, edges, notice):
         super().__init__(site, edges, notice)
-        self.most = 1
+        self.majority = 1
 
 
 class JoinsAcross(Copies):
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -29,7 +29,9 @@
     "membership/registrations.py", "membership/registration.py", "membership/server_selection.py",
     "membership/lease.py", "membership/etcd.py", "membership/conflicts.py", "storage/journal.py",
     "storage/record_frames.py", "storage/atomic_file.py", "storage/process_lock.py",
-    "fleet/channel_readers.py", "fleet/clock_confidence.py", "fleet/event_appender.py", "fleet/event_compaction.py",
+    "fleet/calendar_edition.py", "fleet/calendar_events.py", "fleet/channel_readers.py",
+    "fleet/clock_confidence.py", "fleet/disk_recovery.py", "fleet/edition_timeline.py",
+    "fleet/event_appender.py", "fleet/event_compaction.py", "fleet/site_calendar.py",
     "fleet/log_state.py", "fleet/member.py", "fleet/member_environment.py", "fleet/member_report.py",
     "fleet/member_settings.py", "fleet/member_timer.py", "fleet/member_zones.py", "fleet/operator_log.py",
     "fleet/peer_addresses.py", "fleet/peer_links.py", "fleet/stall_detector.py", "fleet/subsystem.py",
@@ -46,6 +48,9 @@
     "nodes/dispatcher.py": ["product"],  # of wire/messages.py, which is not done
     "nodes/framed_connection.py": ["leg"],  # of wire/messages.py and moves.py
     # Names of the modules of fleet/ and gateway/ that are not done, and a word of a log line.
+    "fleet/calendar_edition.py": ["life"],
+    "fleet/disk_recovery.py": ["life"],
+    "fleet/site_calendar.py": ["life"],
     "fleet/channel_readers.py": ["Told", "life"],
     "fleet/event_compaction.py": ["PART"],
     "fleet/log_state.py": ["life", "came"],
