--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -25,7 +25,7 @@
 from ochrecourse.fleet.clock_confidence import WallClockMonitor
 from ochrecourse.fleet.entries import Entry, Stamp
 from ochrecourse.fleet.purger import Purger
-from ochrecourse.fleet.purges import DAY, Purges
+from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
 from ochrecourse.common.time_units import MS
 
 MOST_WANTS = 16  # events of a beat, as the part has them
@@ -58,7 +58,7 @@
         self.fired: list[dict[str, Any]] = []
         self.settings: dict[str, Any] = {}
         clock = WallClockMonitor("e", BOUND, [], 0, self.ms)
-        self.purges = Purges("e", "s", {"s": ["e"]}, NOTICE, clock, 0, self.ms)
+        self.purges = PurgeSchedule(PurgeSettings("e", "s", {"s": ["e"]}, NOTICE), clock, 0, self.ms)
         self.change(True)
         self.purger = Purger(
             self.purges, self.settings, DAYS, self, lambda: self.ms, dict, lambda *_: True, lambda *_, **__: None
@@ -122,9 +122,9 @@
     """One site's year: counts, and what differs from the reference."""
     number, year, step = task
     site = Site(number, year)
-    changes = sorted(site.chance.sample(range(2 * DAY, 355 * DAY), site.chance.randint(0, 3)))
+    changes = sorted(site.chance.sample(range(2 * DAY_MS, 355 * DAY_MS), site.chance.randint(0, 3)))
     began = time.process_time()
-    while site.ms < site.start + 360 * DAY:
+    while site.ms < site.start + 360 * DAY_MS:
         # A close falls anywhere between two beats; so do changes of the settings.
         site.ms += site.chance.randrange(step // 2, step)
         if changes and site.ms - site.start > changes[0]:
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -17,7 +17,8 @@
 from ochrecourse.fleet.entries import Entry, Row
 from ochrecourse.fleet.held import STEP, Copies
 from ochrecourse.fleet.member import FleetMember
-from ochrecourse.fleet.purges import DAY, Purges
+from ochrecourse.fleet.purge_report import purge_report
+from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
 from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.common.runtime import Clock, now_ns
 
@@ -56,7 +57,7 @@
 
     def __init__(
         self,
-        purges: Purges,
+        purges: PurgeSchedule,
         site: Mapping[str, Any] | None,
         days: int,
         clock: Clock,
@@ -87,16 +88,16 @@
     def may(self, volume: int, plan: str) -> bool:
         """Whether an answer of this volume and plan may rest on a copy now."""
         self._look()
-        return self.purges.serves(volume, plan)
+        return self.purges.may_serve(volume, plan)
 
     def _look(self) -> None:
         purges = self.purges
-        purges.look(now_ns(self.clock), self.wall_ms())
-        while (due := purges.next_to_drop()) is not None:
+        purges.update_time(now_ns(self.clock), self.wall_ms())
+        while (due := purges.next_purge()) is not None:
             count = self.copies.drop(due.scope) if self.copies is not None else 0
-            purges.dropped(count)
-            if due.moments or count:
-                why = [f"{rule} of {date}" for rule, date in due.moments] or ["the clock was in doubt"]
+            purges.purge_executed(count)
+            if due.occurrences or count:
+                why = [f"{rule} of {date}" for rule, date in due.occurrences] or ["the clock was in doubt"]
                 self.say("copies dropped", scope=due.scope.kind, of=due.scope.name, copies=count, why=why)
             self._step()
 
@@ -114,12 +115,12 @@
 
     def sight(self, now: int) -> bytes | None:
         # What does not change costs nothing on the way. A clock that is to be confirmed is told at each beat.
-        whole = self.purges.whole()
+        whole = self.purges.is_recovered()
         due = now - self._told_at >= CLOCK_EVERY or whole is not self._told_whole
         if due or not self.purges.clock.trusted:
             self._told_at, self._told_whole = now, whole
             lives = sorted(self._lives.items())[-LIVES:]
-            sight = Sight(self.purges.clock.report(), self.purges.edges_digest, lives, whole)
+            sight = Sight(self.purges.clock.report(), self.purges.connectivity.digest, lives, whole)
             self._told = msgspec.json.encode(sight)
         return self._told
 
@@ -132,7 +133,7 @@
             self._told_at = now - CLOCK_EVERY  # it waits for others' clocks: an answer goes out at once
         self._heard[name] = (told, sight)
         self._look()
-        self.purges.hear(name, sight.clock if news else None, sight.edges, sight.whole)
+        self.purges.status_received(name, sight.clock if news else None, sight.edges, sight.whole)
 
     def event(self, entry: Entry, now: int) -> None:
         self.purges.event(entry)
@@ -168,10 +169,10 @@
 
     def wants(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         self._look()
-        wanted: tuple[str, object] | None = self.purges.wants()
+        wanted: tuple[str, object] | None = self.purges.next_event()
         if wanted is not None or self.site is None:
             return wanted
-        number = self.purges.edition_due(self.site["edition"], self.days * DAY // 2)
+        number = self.purges.next_edition_number(self.site["edition"], self.days * DAY_MS // 2)
         if number is None:
             return None
         try:
@@ -186,7 +187,7 @@
 
     def turn(self, now: int) -> None:
         rows = self.rows()
-        edges = self.purges.own.edges if self.purges.own is not None else ()
+        edges = self.purges.own_calendar.edges if self.purges.own_calendar is not None else ()
         for name, row in ((name, rows[name]) for name in edges if name in rows):
             waiting = self._waiting.get(name)
             if waiting is None or waiting.life != row.life:
@@ -194,17 +195,17 @@
             for each in (waiting, row):
                 if self._whole(each):
                     # Behind a promise may stand what has its very ms, with a further turn.
-                    self.purges.promised(name, each.promise.ms - 1)
+                    self.purges.advance_watermark(name, each.promise.ms - 1)
                     self._waiting[name] = row
         self._look()
-        why = self.purges.why_unsure()
+        why = self.purges.not_ready_reason()
         if why != self._why:
             self._why = why
             self.say("copies are used" if not why else "copies are not used", site=self.purges.site, why=why)
 
     def figures(self) -> dict[str, float]:
         """What the metrics page shows, by name."""
-        told: dict[str, float] = {"copies_sure": float(self.purges.sure())}
+        told: dict[str, float] = {"copies_sure": float(self.purges.is_ready())}
         if isinstance(self.copies, Copies):
             counts = self.copies.counts
             told["copies_held"] = len(self.copies.held)
@@ -227,7 +228,7 @@
     def report(self) -> dict[str, Any]:
         """The record of purges, and what became of reads."""
         self._look()
-        told = self.purges.report()
+        told = purge_report(self.purges)
         if isinstance(self.copies, Copies):
             told["copies"] = {
                 "held": len(self.copies.held),
@@ -259,7 +260,8 @@
     wall_clock = WallClockMonitor(name, round(said["clock_bound"]), near, now, wall)
     # Of other sites nothing is kept beside the log: each site's record is with its own edges.
     site_name, edges = (own["name"], {own["name"]: own["edges"]}) if own is not None else ("", {})
-    purges = Purges(name, site_name, edges, round(rules["notice"]), wall_clock, now, wall)
+    purge_settings = PurgeSettings(name, site_name, edges, round(rules["notice"]))
+    purges = PurgeSchedule(purge_settings, wall_clock, now, wall)
     purger = Purger(
         purges, own, rules["days"], clock, part.wall_ms, lambda: part.members.rows, holds, say
     )  # fmt: skip
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -22,7 +22,7 @@
 from ochrecourse.fleet.held import Copies
 from ochrecourse.fleet.kept import Kept
 from ochrecourse.fleet.log import Log
-from ochrecourse.fleet.purges import Purges
+from ochrecourse.fleet.purge_schedule import PurgeSchedule
 from ochrecourse.fleet.standing import Standings
 from ochrecourse.fleet.zones import Zones
 
@@ -218,7 +218,7 @@
 
 def always_sure(patch: Patch) -> None:
     """Copies are used by an edge that can't know which edition is in force."""
-    patch(Purges, "why_unsure", lambda self: "")
+    patch(PurgeSchedule, "not_ready_reason", lambda self: "")
 
 
 def fetch_kept(patch: Patch) -> None:
@@ -235,13 +235,13 @@
 
 def no_bar(patch: Patch) -> None:
     """What is fetched while an edge's clock says that the close is about now is held and served."""
-    look = Purges._look_at_calendar
+    look = PurgeSchedule._apply_calendar
 
-    def open_again(self: Purges) -> None:
+    def open_again(self: PurgeSchedule) -> None:
         look(self)
-        self.bars.clear()
+        self.barred_until_ms.clear()
 
-    patch(Purges, "_look_at_calendar", open_again)
+    patch(PurgeSchedule, "_apply_calendar", open_again)
 
 
 MISTAKES = {
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -8,7 +8,7 @@
 from benchmarks.calendars import ZONES, year_of
 from ochrecourse.audit import calendars
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet.purges import Purges
+from ochrecourse.fleet.purge_schedule import PurgeSchedule
 
 QUARTERS = [f"{n // 4:02}:{n % 4 * 15:02}:{(n * 7) % 60:02}" for n in range(96)]
 MOVES = (2022, 2026)  # in the first some zones gave up their summer time
@@ -67,17 +67,17 @@
 
 
 def test_a_years_reference_finds_a_purge_that_is_settled_twice(monkeypatch):
-    whole = Purges.unsettled
+    whole = PurgeSchedule.unsettled_occurrences
 
     def again(self):
         told = whole(self)
         return (
             told
-            if told or self._drops % 50
-            else self.own.due_occurrences(self.wall - 3_600_000, self.wall)[-1:]
+            if told or self._purge_count % 50
+            else self.own_calendar.due_occurrences(self.wall_ms - 3_600_000, self.wall_ms)[-1:]
         )
 
-    monkeypatch.setattr(Purges, "unsettled", again)
+    monkeypatch.setattr(PurgeSchedule, "unsettled_occurrences", again)
     monkeypatch.setattr("benchmarks.calendars.MOST_WANTS", 3)
     _, differ = year_of((0, 2026, 90 * 60_000))
     assert any("times" in each for each in differ)
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1,6 +1,6 @@
 """Purges at business close: a site of three edges under cuts, sleeps, restarts, clocks apart and new editions.
 
-The world below runs the shipped decisions (site_calendar, clock_confidence, purges, held) and the tenant that lodges them. It
+The world below runs the shipped decisions (site_calendar, clock_confidence, purge_schedule, held) and the tenant that lodges them. It
 is judged from outside, by true time and by all entries that were ever written.
 """
 
@@ -23,7 +23,7 @@
 from ochrecourse.fleet.entries import Entry, Row, Stamp
 from ochrecourse.fleet.held import Copies, Key, _Waiting
 from ochrecourse.fleet.purger import Purger
-from ochrecourse.fleet.purges import Purges
+from ochrecourse.fleet.purge_schedule import PurgeSchedule, PurgeSettings
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.gateway import Request
 from ochrecourse.interface import Health, ListKind, NodeEntry
@@ -114,9 +114,10 @@
         kinds = self.world.kinds
         now = self.world.true * MS
         clock = WallClockMonitor(self.name, BOUND, set(EDGES) - {self.name}, now, self.wall())
-        self.purges = kinds["purges"](self.name, "s", {"s": EDGES}, NOTICE, clock, now, self.wall())
+        settings = PurgeSettings(self.name, "s", {"s": EDGES}, NOTICE)
+        self.purges = kinds["purges"](settings, clock, now, self.wall())
         if (calendar := kinds["calendar"]) is not SiteCalendar:
-            self.purges.own = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
+            self.purges.own_calendar = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
         self.purger = Purger(self.purges, None, 60, self, self.wall, lambda: self.rows, self.holds, self.say)
         self.desk = Desk()
         self.copies = kinds["copies"](
@@ -215,7 +216,7 @@
     """The site and the ways between its edges. Times in ms since the world's zero."""
 
     def __init__(self, offsets=(0, 0, 0), **kinds):
-        self.kinds = {"purges": Purges, "calendar": SiteCalendar, "copies": Copies, **kinds}
+        self.kinds = {"purges": PurgeSchedule, "calendar": SiteCalendar, "copies": Copies, **kinds}
         self.true, self.beats, self.jobs, self.number = 1000, 0, 0, 0
         self.written, self.answered, self.drops = [], [], []
         self.cut = set()  # one-way: (from, to)
@@ -391,7 +392,7 @@
         for edge in world.edges.values():
             edge.read(0)
     world.judge_answers()
-    assert not world.edges["c"].purges.sure() and world.edges["a"].purges.sure()
+    assert not world.edges["c"].purges.is_ready() and world.edges["a"].purges.is_ready()
     world.judge_settlement()
     assert {body["edition"] for told in world.settled().values() for body in told} == {2}
 
@@ -477,14 +478,14 @@
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
     one = world.edges["a"]
-    assert one.purges.sure()
+    assert one.purges.is_ready()
     world.edges["b"].up = False
     world.run(5000)
-    assert one.purges.sure()  # two of three hold all that is in force
+    assert one.purges.is_ready()  # two of three hold all that is in force
     world.edges["c"].up = False
     world.run(NOTICE + BEAT)
-    assert not one.purges.sure() and one.read(0).got is None
-    assert "more than half" in one.purges.why_unsure()
+    assert not one.purges.is_ready() and one.read(0).got is None
+    assert "more than half" in one.purges.not_ready_reason()
 
 
 def test_a_clock_that_jumps_is_not_believed_until_another_confirms_it_and_holds_nothing_meanwhile():
@@ -495,13 +496,13 @@
     one.read(0)
     one.end(next(iter(one.out)))
     one.offset = 3_600_000
-    assert one.read(0).got is None and not one.purges.sure()
+    assert one.read(0).got is None and not one.purges.is_ready()
     world.run(5000)
-    assert not one.purges.sure() and sorted(one.purges.clock.peers_out_of_bound()) == ["b", "c"]
-    assert world.edges["b"].purges.sure()  # one wrong clock of three stops nobody else
+    assert not one.purges.is_ready() and sorted(one.purges.clock.peers_out_of_bound()) == ["b", "c"]
+    assert world.edges["b"].purges.is_ready()  # one wrong clock of three stops nobody else
     one.offset = 0
     world.run(1000)
-    assert one.purges.sure()
+    assert one.purges.is_ready()
     world.true = 59_000
     world.run(4000)
     world.judge_settlement()
@@ -525,15 +526,15 @@
     world.run(200)
     one.offset += step
     for _ in range(15):
-        assert one.read(0).got is None and not one.purges.sure()
+        assert one.read(0).got is None and not one.purges.is_ready()
         for job in list(one.out):
             one.end(job)
         world.run(BEAT)
     assert ("copies are not used", "its clock is not confirmed by another gateway's") in lines
-    assert sorted(one.purges.clock.peers_out_of_bound()) == ["a", "c"] and world.edges["a"].purges.sure()
+    assert sorted(one.purges.clock.peers_out_of_bound()) == ["a", "c"] and world.edges["a"].purges.is_ready()
     one.offset -= step
     world.run(2000)
-    assert one.purges.sure() and one.read(0).got is None
+    assert one.purges.is_ready() and one.read(0).got is None
     world.judge_answers()
     world.judge_settlement()
     assert len(world.settled()) == 3
@@ -549,7 +550,11 @@
         edge.read(0)
         edge.end(next(iter(edge.out)))
     assert one.read(0).got is None and not one.copies.held
-    assert not one.purges.sure() and world.edges["a"].purges.sure() and world.edges["c"].purges.sure()
+    assert (
+        not one.purges.is_ready()
+        and world.edges["a"].purges.is_ready()
+        and world.edges["c"].purges.is_ready()
+    )
     report = one.purger.report()
     assert not report["clock_believed"] and sorted(report["clocks_off"]) == ["a", "c"]
     world.run(4000)
@@ -585,10 +590,10 @@
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
     one = world.edges["a"].purges
-    clock = ClockReport(one.wall, one.wall)
+    clock = ClockReport(one.wall_ms, one.wall_ms)
     for name in ("b", "c"):
-        one.hear(name, clock, "another list")
-    assert not one.sure() and sorted(one.unlike) == ["b", "c"]
+        one.status_received(name, clock, "another list")
+    assert not one.is_ready() and sorted(one.connectivity.mismatches) == ["b", "c"]
 
 
 def test_an_edition_that_is_none_or_differs_is_named_and_only_the_first_is_passed_over():
@@ -610,7 +615,7 @@
         if event.startswith("calendar")
     ]
     assert named == [("calendar refused", "a", None), ("calendar differs", "b", 1)]
-    (held,) = one.purges.own.editions.values()
+    (held,) = one.purges.own_calendar.editions.values()
     assert held.edition.instant_ms["close", "2026-01-01"] == body["instants"][0][2]
 
 
@@ -626,15 +631,15 @@
     other.up = False
     other.start()
     world.run(300)
-    assert not one.purges.sure()
+    assert not one.purges.is_ready()
     row, entries, told = other.told()
     assert row.life == 3 and row.before == ()
     one.inbox.append((row, [each for each in entries if each.life == 3], told))
     one.beat()
-    assert not one.purges.sure()
+    assert not one.purges.is_ready()
     one.inbox.append((row, entries, told))
     one.beat()
-    assert one.purges.sure() and one.purges.own.highest_edition().number == 2
+    assert one.purges.is_ready() and one.purges.own_calendar.highest_edition().number == 2
 
 
 def test_clocks_are_asked_of_a_few_and_answered_to_whoever_asks():
@@ -683,8 +688,8 @@
         one.purges.event(Entry("purges/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
         one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
     one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), b"\xff"))
-    assert one.purges.bad and one.purges.own.invalid_events
-    assert not one.purges.records["s"].by_edge
+    assert one.purges.invalid_settlements and one.purges.own_calendar.invalid_events
+    assert not one.purges.settlements["s"].by_edge
 
 
 # --- any order of troubles ---
@@ -812,7 +817,7 @@
             world.cut.clear()
         elif disks and what < 0.93:
             # One disk at a time: nobody else's is new.
-            if all(each.purges.whole() for each in world.edges.values() if each is not edge):
+            if all(each.purges.is_recovered() for each in world.edges.values() if each is not edge):
                 edge.lose_disk()
         elif disks and what < 0.95:
             world.arrive()
@@ -872,12 +877,17 @@
 def test_a_new_disk_is_no_voice_until_more_than_half_of_the_others_told_what_it_knew():
     world = knows_too_little()
     _, b, c = world.edges.values()
-    assert not b.purges.sure() and not c.purges.sure() and "its disk is new" in b.purges.why_unsure()
-    assert c.purges.own.highest_edition().number == 1
+    assert (
+        not b.purges.is_ready()
+        and not c.purges.is_ready()
+        and "its disk is new" in b.purges.not_ready_reason()
+    )
+    assert c.purges.own_calendar.highest_edition().number == 1
     world.cut.clear()
     world.run(4000)
     assert all(
-        edge.purges.sure() and edge.purges.own.highest_edition().number == 2 for edge in world.edges.values()
+        edge.purges.is_ready() and edge.purges.own_calendar.highest_edition().number == 2
+        for edge in world.edges.values()
     )
     world.judge_settlement()
 
@@ -891,24 +901,24 @@
     world.run(1000)
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
-    assert a.purges.sure() and b.purges.sure()
+    assert a.purges.is_ready() and b.purges.is_ready()
     c.lose_disk()
     world.run(1000)
-    assert c.purges.sure()
+    assert c.purges.is_ready()
     b.up = False
     b.start()
-    assert b.purges.whole()  # a restart with its disk is no new disk
+    assert b.purges.is_recovered()  # a restart with its disk is no new disk
     c.lose_disk()
     b.up = False
     world.run(NOTICE)
-    assert not a.purges.sure() and not c.purges.sure()  # what only b knows can't be known
+    assert not a.purges.is_ready() and not c.purges.is_ready()  # what only b knows can't be known
     world.judge_settlement()
 
 
-class TrustsNew(Purges):
+class TrustsNew(PurgeSchedule):
     """The mistake of an edge that counts on its word although its disk is new."""
 
-    def whole(self):
+    def is_recovered(self):
         return True
 
 
@@ -931,44 +941,44 @@
         knows_too_little(**mistake)
 
 
-class Unsure(Purges):
+class Unsure(PurgeSchedule):
     """The mistake of an edge that serves although it has not heard of the others."""
 
-    def why_unsure(self):
+    def not_ready_reason(self):
         return ""
 
 
-class Late(Purges):
+class Late(PurgeSchedule):
     """The mistake of a purge at the instant by its own clock, which may be behind."""
 
-    def look(self, now, wall):
-        super().look(now, wall - 2 * self.bound)
+    def update_time(self, now, wall):
+        super().update_time(now, wall - 2 * self.bound_ms)
 
-    def serves(self, volume, plan):
-        return self.sure()
+    def may_serve(self, volume, plan):
+        return self.is_ready()
 
 
-class ByDay(Purges):
+class ByDay(PurgeSchedule):
     """The mistake of a catch-up for each day that was missed."""
 
-    def unsettled(self):
-        return super().unsettled()[:1]
+    def unsettled_occurrences(self):
+        return super().unsettled_occurrences()[:1]
 
 
-class Forgets(Purges):
+class Forgets(PurgeSchedule):
     """The mistake of a restart after which what was settled is settled again."""
 
-    def unsettled(self):
-        told = super().unsettled()
+    def unsettled_occurrences(self):
+        told = super().unsettled_occurrences()
         if (
             not told
-            and self.own is not None
-            and self._drops
+            and self.own_calendar is not None
+            and self._purge_count
             and not getattr(self, "again", False)
-            and self.sure()
+            and self.is_ready()
         ):
             self.again = True
-            return self.own.due_occurrences(self.wall - 20_000, self.wall)[-1:]
+            return self.own_calendar.due_occurrences(self.wall_ms - 20_000, self.wall_ms)[-1:]
         return told
 
 
