--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -177,7 +177,7 @@
     gateway = Gateway(plain_map(resolve(SETTINGS, "bench")), 1, reactor, dialler(reactor), "bench")
     entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(ports))]
     where = {70 + i: ("127.0.0.1", port) for i, port in enumerate(ports)}
-    gateway.list_came(ListKind.FULL, entries, where)
+    gateway.endpoint_list_received(ListKind.FULL, entries, where)
     return reactor.listenTCP(0, ClientConnectionFactory(gateway, reactor, 100), interface="127.0.0.1")
 
 
--- a/ochrecourse/common/request_records.py
+++ b/ochrecourse/common/request_records.py
@@ -9,53 +9,53 @@
 
 
 class RequestOutcome(Enum):
-    """How a job ended for its client."""
+    """How a request ended for its client. The values stand in records, metrics and log lines."""
 
-    FULFILLED = "fulfilled"
-    DENIED = "denied"
-    WRITTEN_OFF = "written off"
-    CLIENT_GONE = "client gone"
+    SERVED = "fulfilled"
+    REJECTED = "denied"
+    FAILED = "written off"
+    CLIENT_CLOSED = "client gone"
     TOO_LATE = "too late"  # the answer was ready when the client had already given up; it was not sent
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One leg as the gateway saw it; times in ns."""
+    """One attempt as the gateway saw it; times in ns."""
 
     number: int
     node: int
-    sent: int
+    sent_at: int
     took: int = -1  # -1: still out
     ending: Ending | None = None
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One job as the gateway saw it; times in ns.
+    """One request as the gateway saw it; times in ns.
 
-    `due` is what the decisions were told as the client timeout: the client's own, less what an answer takes
-    to it. An answer that leaves by `latest`, a little later, is still in time; a leg's time-out at `due` is
-    answered then.
+    `answer_by` is the deadline that the scheduler was given: the client's own, less what an answer takes to
+    reach it. An answer that leaves by `latest_answer_at`, a little later, is still in time; an attempt's
+    time-out at `answer_by` is answered then.
     """
 
     number: int
-    product: int
-    plan: int
+    request_class: int
+    tenant: int
     volume: int
     units: float
-    taken: int
-    due: int
-    latest: int
+    received_at: int
+    answer_by: int
+    latest_answer_at: int
     trace: str = ""
-    legs: list[AttemptRecord] = field(default_factory=list)
-    closing: RequestOutcome | None = None
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    outcome: RequestOutcome | None = None
     streaming: bool = False
-    answered: int = -1
-    out: int = 0
+    answered_at: int = -1
+    attempts_out: int = 0
 
     def why(self) -> str:
-        """In one phrase, what led to the end: the last leg's, or that none was ever sent."""
-        if self.closing is RequestOutcome.FULFILLED:
+        """In one phrase, what led to the outcome: the last attempt's end, or that none was ever sent."""
+        if self.outcome is RequestOutcome.SERVED:
             return "answered"
-        return self.legs[-1].why if self.legs else "no leg was sent"
+        return self.attempts[-1].reason if self.attempts else "no leg was sent"
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -196,7 +196,7 @@
 
     def share(self, share: float) -> None:
         """Leaves that share of the rate limits to this process; the rest is for the next one."""
-        self.gateway.bounds_came({node: limit * share for node, limit in self._rate_limits.items()})
+        self.gateway.node_rates_received({node: limit * share for node, limit in self._rate_limits.items()})
 
     def _stop_timer_and_listening(self) -> None:
         self.stopped = self.peer_links.stopped = self.appender.stopped = True
@@ -358,7 +358,7 @@
         limits = self.subsystem_host.rate_limits(now)
         if limits != self._rate_limits:
             self._rate_limits = limits
-            self.gateway.bounds_came(limits)
+            self.gateway.node_rates_received(limits)
 
     def _write_changes(self, now: int) -> None:
         self.operator_log.write_reached(self.members.reached(now))
--- a/ochrecourse/fleet/member_environment.py
+++ b/ochrecourse/fleet/member_environment.py
@@ -9,7 +9,7 @@
 from ochrecourse.common.request_records import AttemptRecord, RequestRecord
 from ochrecourse.common.runtime import Network
 from ochrecourse.fleet.forms import FIRST, NEWEST
-from ochrecourse.gateway.request_log import RequestLog
+from ochrecourse.fleet.zonewatch import OpenRequests
 from ochrecourse.storage.journal import Journal
 
 
@@ -28,10 +28,13 @@
     """What a member needs of its gateway."""
 
     name: str
-    ledger: RequestLog
-    legs_over: list[Callable[[RequestRecord, AttemptRecord], None]]
+    attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]]
 
-    def bounds_came(self, bounds: Mapping[int, float]) -> None:
+    @property
+    def request_log(self) -> OpenRequests:
+        """Its requests that are not over."""
+
+    def node_rates_received(self, rates: Mapping[int, float]) -> None:
         """Units a second that may begin at a node; one that is left out has no limit."""
 
 
--- a/ochrecourse/fleet/member_zones.py
+++ b/ochrecourse/fleet/member_zones.py
@@ -39,9 +39,9 @@
                 placement.names,
             )
             self.zone_watch = ZoneWatch(
-                self.zones, self.gateway.ledger, placement.warm_up, wall_ms, settings.beat_interval
+                self.zones, self.gateway.request_log, placement.warm_up, wall_ms, settings.beat_interval
             )
-            self.gateway.legs_over.append(self.attempt_ended)
+            self.gateway.attempt_observers.append(self.attempt_ended)
         cold_limit = self.zones.figure["cold"] if self.zones is not None else 0.0
         self.terms = Terms(placement.names, fleet_size, settings.clock_bound_ms, cold_limit)
 
@@ -52,8 +52,8 @@
 
     def detach(self) -> None:
         """Attempts of the gateway are no longer observed."""
-        if self.attempt_ended in self.gateway.legs_over:
-            self.gateway.legs_over.remove(self.attempt_ended)
+        if self.attempt_ended in self.gateway.attempt_observers:
+            self.gateway.attempt_observers.remove(self.attempt_ended)
 
     def apply_terms(self, operator_log: OperatorLog) -> None:
         """Applies what the other gateways have for the settings that must be the same for all."""
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -19,7 +19,7 @@
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.purge_report import purge_report
 from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
-from ochrecourse.gateway.gateway import Gateway
+from ochrecourse.common.object_cache import CachingGateway
 from ochrecourse.common.runtime import Clock, now_ns
 
 MATES = 3  # gateways before and behind it whose clocks one asks for, of its site if there are more
@@ -239,7 +239,11 @@
 
 
 def lodge(
-    part: FleetMember, record: Mapping[str, Any], gateway: Gateway, clock: Clock, say: Callable[..., None]
+    part: FleetMember,
+    record: Mapping[str, Any],
+    gateway: CachingGateway,
+    clock: Clock,
+    say: Callable[..., None],
 ) -> Purger | None:
     """Lodges what the settings' `fleet.copies`, `fleet.purges` and `sites` ask for; None if nothing."""
     said, name = record["fleet"], record["gateway"]["name"]
@@ -271,7 +275,7 @@
         copies = Copies(
             gateway, figures["products"], most, largest, purger.may, lambda: now_ns(clock)
         )  # fmt: skip
-        purger.copies = gateway.copies = copies
+        purger.copies = gateway.object_cache = copies
     part.register(purger)
     damaged = [*part.log_store.notes, *getattr(part.log_store.journal, "damage_reports", ())]
     if own is not None and (damaged or not purger.wrote()):
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -21,9 +21,10 @@
 from ochrecourse.fleet.member_environment import JOURNAL, MemberEnvironment
 from ochrecourse.fleet.peer_links import MAX_UNGREETED_LINKS
 from ochrecourse.gateway.daemon import Daemon
+from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.fleet.zones import Zones
 from ochrecourse.fleet.zonewatch import ZoneWatch
-from ochrecourse.gateway.socket_handover import in_the_way
+from ochrecourse.gateway.socket_handover import handover_obstacle
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.gateway.request_log import RequestLog
 from ochrecourse.interface import Ending, Health, NodeEntry
@@ -48,10 +49,10 @@
     def __init__(self, name):
         self.name = name
         self.bounds = []
-        self.ledger = RequestLog()
-        self.legs_over = []
+        self.request_log = RequestLog()
+        self.attempt_observers = []
 
-    def bounds_came(self, bounds):
+    def node_rates_received(self, bounds):
         self.bounds.append(dict(bounds))
 
 
@@ -522,11 +523,11 @@
     assert zones.nodes == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
 
     def leg(job, node, sent, ended=None, ending=Ending.SERVED):
-        if job not in books.jobs:
-            books.take(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
-        story = books.send(job, len(books.jobs[job].legs), node, sent)
+        if job not in books.requests:
+            books.add(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
+        story = books.attempt_sent(job, len(books.requests[job].attempts), node, sent)
         if ended is not None:
-            watch.leg_over(*books.ended(job, story.legs[-1].number, ending, "", ended), ended)
+            watch.leg_over(*books.attempt_ended(job, story.attempts[-1].number, ending, "", ended), ended)
         return story
 
     now = 100 * SECOND
@@ -539,7 +540,7 @@
     for beat in range(3):
         watch.turn(now + 300 * MS + beat * 250 * MS)
     assert zones.own.nodes[2].run == 1
-    watch.leg_over(*books.ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
+    watch.leg_over(*books.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
     assert zones.own.nodes[2].run == 1  # the same leg, counted already
     leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
     assert zones.own.nodes[2].run == 2
@@ -573,7 +574,9 @@
     fleet.run(3)
 
     def ask(**asked):
-        return answer(SimpleNamespace(part=fleet.parts["a"]), json.dumps({"do": "zone", **asked}).encode())
+        return answer(
+            SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps({"do": "zone", **asked}).encode()
+        )
 
     for asked in (
         {"zone": 0},
@@ -603,7 +606,7 @@
 def test_the_control_socket_appends_reads_and_dumps(make_fleet):
     fleet = make_fleet("ab")
     fleet.run(3)
-    daemons = {name: SimpleNamespace(part=part) for name, part in fleet.parts.items()}
+    daemons = {name: SimpleNamespace(fleet_member=part) for name, part in fleet.parts.items()}
 
     def ask(name, **asked):
         return answer(daemons[name], json.dumps(asked).encode())
@@ -626,7 +629,7 @@
         ({"do": "read", "channel": "c", "most": 0}, "most from 1"), ({"do": "read", "channel": 7}, "no channel"),
     ):  # fmt: skip
         assert why in ask("a", **asked)["error"]
-    assert "no part fleet" in answer(SimpleNamespace(part=None), b'{"do":"fleet"}')["error"]
+    assert "no part fleet" in answer(SimpleNamespace(fleet_member=None), b'{"do":"fleet"}')["error"]
     figures = fleet.parts["a"].figures()
     assert figures["fleet_links"] == 1 and figures["fleet_members_reached"] == 2
 
@@ -720,19 +723,19 @@
     assert record["fleet"]["zones"] == {
         name: value for name, value in DEFAULTS.items() if name not in elsewhere
     }
-    assert not in_the_way(record)  # its journal goes with its sockets
+    assert not handover_obstacle(record)  # its journal goes with its sockets
 
 
 @pytest.mark.parametrize(("zones", "cold"), [("zones: {}", 9.0), ("zones: {cold: 2/s}", 2.0)])
 def test_what_the_fleet_begins_at_a_cold_node_is_what_the_rules_say_unless_less_is_named(zones, cold):
     rules = "\nrules: {cold_units: 18, cold_fall: 2s}\n"
     record = resolve(GOOD.replace("zones: {}", zones) + rules, "g.cue")
-    daemon = Daemon(record, VirtualNetwork(1), [], lambda note: None, lambda: None)
-    assert daemon.part.zones.figure["cold"] == cold
+    daemon = Daemon(record, HostProgram(VirtualNetwork(1), [], lambda note: None, lambda: None))
+    assert daemon.fleet_member.zones.figure["cold"] == cold
 
 
 def test_without_the_part_nothing_of_the_room_is_loaded():
-    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
+    modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.cli.gateway_process, ochrecourse.cli.successor, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
     text = (
         f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
     )
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -36,7 +36,19 @@
     "fleet/log_state.py", "fleet/member.py", "fleet/member_environment.py", "fleet/member_report.py",
     "fleet/member_settings.py", "fleet/member_timer.py", "fleet/member_zones.py", "fleet/operator_log.py",
     "fleet/peer_addresses.py", "fleet/peer_links.py", "fleet/stall_detector.py", "fleet/subsystem.py",
-    "fleet/subsystem_host.py",
+    "fleet/subsystem_host.py", "common/errors.py", "common/event_loop_lag.py",
+    "common/monotonic_reactor.py", "common/object_cache.py", "common/request_records.py",
+    "common/requests.py", "common/runtime.py", "common/time_units.py", "gateway/client_connection.py",
+    "gateway/daemon.py", "gateway/daemon_parts.py", "gateway/daemon_status.py",
+    "gateway/settings_reload.py", "gateway/webdav_setup.py", "gateway/gateway.py",
+    "gateway/graceful_shutdown.py", "gateway/input_catch_up.py", "gateway/log_sampling.py",
+    "gateway/request_body.py", "gateway/request_executor.py", "gateway/request_log.py",
+    "gateway/settings_index.py", "gateway/socket_handover.py", "cli/serve.py", "cli/gateway_process.py",
+    "cli/successor.py", "resp/__init__.py", "resp/codec.py", "resp/commands.py", "resp/lingering_close.py",
+    "resp/pipeline.py", "resp/client_connection.py", "resp/server.py", "service/__init__.py",
+    "service/discovery.py", "service/discovery_watch.py", "service/gateway_service.py", "service/main.py",
+    "service/signals.py", "service/start_file.py", "service/start_settings.py",
+    "service/watch_connection.py", "relay/__init__.py", "relay/__main__.py",
 ]  # fmt: skip
 OLD = re.compile(
     r"(?<![a-z])(jobs?|legs?|doors?|bye|cut|told|came|went|book|sight|part|alike|standing|drill|people|held|life|lives|"
@@ -63,6 +75,32 @@
     "fleet/peer_links.py": ["life", "came", "cut"],
     "fleet/subsystem.py": ["sight"],
     "fleet/subsystem_host.py": ["sight", "told"],
+    "gateway/client_connection.py": [
+        "product",
+        "plan",
+        "come_back",
+        "standing",
+    ],  # of wire/messages.py and state.py
+    "gateway/daemon.py": ["bye"],  # of webdav/door.py
+    "gateway/daemon_parts.py": [
+        "door",
+        "Door",
+        "part",
+        "Part",
+        "Sight",
+    ],  # modules and classes of webdav/, fleet/ and bgp/
+    "gateway/daemon_status.py": [
+        "Sight",
+        "fulfilled",
+        "held",
+        "jobs",
+        "leg",
+        "standing",
+    ],  # of bgp/ and membership/
+    "gateway/webdav_setup.py": ["door", "Door"],  # of webdav/
+    "cli/serve.py": ["held"],  # in the command's help, which is for users
+    "cli/gateway_process.py": ["jobs"],  # a field of a log line
+    "gateway/request_executor.py": ["product"],  # of wire/messages.py
 }
 
 
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -9,7 +9,8 @@
 from test_standing import Clerk, Nobody, Street, Wire
 
 from ochrecourse.common.time_units import MS, SECOND
-from ochrecourse.gateway.gateway import Gateway, Request
+from ochrecourse.common.requests import Request
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.interface import Ending, Health, ListKind, NodeEntry
 from ochrecourse.lab.virtual import VirtualNetwork
 from ochrecourse.nodes.dial_manager import DialSettings
@@ -19,7 +20,7 @@
 from ochrecourse.nodes.outcome import ConnectionEnd, AttemptEvent, WriteProgress
 from ochrecourse.resp import codec
 from ochrecourse.resp.node_connection import RespNodeConnection
-from ochrecourse.resp.commands import Kinds, asked
+from ochrecourse.resp.commands import RequestClasses, parse_command
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
@@ -40,13 +41,15 @@
             values, 7, self.network, lambda dispatcher, line, address: self.dials.append(line), "n0", decisions=Clerk,
             limits=PoolLimits(attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=10 * SECOND),
         )  # fmt: skip
-        self.gateway.list_came(ListKind.FULL, [NodeEntry(7, 0, 0, Health.READY, 0)], {7: ("h", 1)})
+        self.gateway.endpoint_list_received(
+            ListKind.FULL, [NodeEntry(7, 0, 0, Health.READY, 0)], {7: ("h", 1)}
+        )
 
     def now(self):
         return round(self.network.seconds() * SECOND)
 
     def request(self):
-        self.gateway.take(
+        self.gateway.submit(
             Request("mark", "p0", 5, 2 * SECOND, self.now(), key=9, shard=0, units=2.0), self.asker
         )
 
@@ -83,7 +86,7 @@
     world = ShortWindow()
     world.first_attempt_breaks()
     world.network.advance(0.4)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
     assert world.connect().sent == []
 
 
@@ -104,7 +107,7 @@
     world.network.now += 0.5  # no timer was called meanwhile
     assert world.connect().sent == []
     world.network.advance(0)
-    assert world.asker.answers == ["written_off"]
+    assert world.asker.answers == ["failed"]
 
 
 def test_a_connection_that_another_attempt_leaves_takes_no_repeat_whose_window_has_passed():
@@ -217,9 +220,9 @@
         return connection
 
     def send(self, number, patience=2 * SECOND):
-        reader = codec.Commands()
+        reader = codec.CommandParser()
         reader.feed(read(number))
-        body = asked(reader.next(), Kinds(FLAT), 0).body
+        body = parse_command(reader.next(), RequestClasses(FLAT), 0).body
         message = m.SendAttempt(
             id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
             idempotency_window_ms=0.0, timeout_ms=patience / MS, size=0,
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -14,8 +14,8 @@
 
 from ochrecourse.interface import MissingSettingError
 from ochrecourse.lab.virtual import VirtualNetwork
-from ochrecourse.service.gateway_service import GatewayService
-from ochrecourse.service.start_settings import StartSettingsError, parse
+from ochrecourse.service.gateway_service import GatewayService, ServiceEnvironment
+from ochrecourse.service.start_settings import StartSettingsError, parse_start_settings
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer, good
 
@@ -186,7 +186,7 @@
             b"%016x" % (self.number + 7),
             b"%016x" % self.number,
         ]
-        self.transport.write(codec.command([*words, fields.encode(), *([b"body"] if writes else [])]))
+        self.transport.write(codec.encode_command([*words, fields.encode(), *([b"body"] if writes else [])]))
         self.sent_at = self.world.network.seconds()
         if told["leaves"] is not None:
             self.world.network.callLater(told["leaves"] / 1000, self.leave)
@@ -251,7 +251,11 @@
         }  # fmt: skip
         self.log = []
         dials = LateDials(self.network, set(ports), list(late))
-        self.service = GatewayService(parse(told), "none", dials, 10**18, self.log.append, lambda: None)
+        self.service = GatewayService(
+            parse_start_settings(told),
+            "none",
+            ServiceEnvironment(dials, 10**18, self.log.append, lambda: None),
+        )
         port = self.service.serve()[1]
         self.clients = {}
         for number, request in enumerate(day["requests"], 1):
@@ -338,13 +342,13 @@
 
     def judge_answer(self, client):
         """Exactly one final answer, in time and of a kind that what passed before it allows."""
-        reader, replies = codec.Replies(), []
+        reader, replies = codec.ReplyParser(), []
         reader.feed(client.got)
         while (one := reader.next()) is not None:
             replies.append(one[0])
         if client.left_at is not None:
             return
-        if len(replies) != 1 or reader.unread():
+        if len(replies) != 1 or reader.has_unparsed_bytes():
             self.fault(client, f"{len(replies)} answers, {client.got[:80]!r}")
             return
         if client.got_at > client.sent_at + client.waits / 1000 + self.slack:
@@ -521,7 +525,9 @@
 def begin(changes):
     network = VirtualNetwork(1)
     GatewayService(
-        parse(start_file(changes)), "none", network, 10**18, lambda text: None, lambda: None
+        parse_start_settings(start_file(changes)),
+        "none",
+        ServiceEnvironment(network, 10**18, lambda text: None, lambda: None),
     ).serve()
     network.advance(0.1)
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -14,7 +14,8 @@
 from test_service import FLAT, PING, Shop, listed, read
 
 from ochrecourse.scheduler.scheduler import Scheduler
-from ochrecourse.gateway.gateway import Gateway, Request
+from ochrecourse.common.requests import Request
+from ochrecourse.gateway.gateway import Gateway
 from ochrecourse.interface import AttemptEnd, Ending, Health, ListKind, NodeEntry
 from ochrecourse.interface import Request as SchedulerRequest
 from ochrecourse.lab.virtual import VirtualNetwork
@@ -221,13 +222,13 @@
             decisions=Clerk, limits=PoolLimits(attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=SECOND),
         )  # fmt: skip
         entry = NodeEntry(7, 0, 0, Health.READY, 0)
-        self.gateway.list_came(ListKind.FULL, [entry], {7: ("h", 1)})
+        self.gateway.endpoint_list_received(ListKind.FULL, [entry], {7: ("h", 1)})
         self.scheduler = self.gateway.scheduler
         self.asker = Nobody()
 
     def take(self):
         now = round(self.network.seconds() * SECOND)
-        return self.gateway.take(Request("read", "p0", 5, 2 * SECOND, now, shard=0, units=2.0), self.asker)
+        return self.gateway.submit(Request("read", "p0", 5, 2 * SECOND, now, shard=0, units=2.0), self.asker)
 
     def came(self, line):
         wire = Wire(line)
@@ -251,7 +252,7 @@
     branch.network.advance(0.02)
     attempt = next(iter(branch.gateway.nodes.in_flight.values()))
     branch.gateway.nodes.response_received(attempt, m.AttemptServed(id=0, size=0, body=0), b"", True)
-    assert branch.asker.answers == ["fulfilled"]
+    assert branch.asker.answers == ["served"]
     assert branch.scheduler.ends[0].took == pytest.approx(20 * MS, abs=MS)
 
 
@@ -260,7 +261,7 @@
     """Guards against giving up a dial where nobody else has the data, and against staying where others have it."""
     branch = Branch()
     entries = [NodeEntry(7 + i, 0, 0, Health.READY, 0) for i in range(holders)]
-    branch.gateway.list_came(ListKind.FULL, entries, {entry.node: ("h", 1) for entry in entries})
+    branch.gateway.endpoint_list_received(ListKind.FULL, entries, {entry.node: ("h", 1) for entry in entries})
     branch.take()
     branch.network.advance(0.27)  # the settings give a dial 250 ms, the job is promised 300 ms
     assert [end.ending for end in branch.scheduler.ends] == ends
@@ -275,7 +276,7 @@
     before = branch.teaching()
     branch.network.advance(0.1)
     left = [NodeEntry(7, 0, 0, health, 0)] if kind is ListKind.DELTA or health is Health.DRAINING else []
-    branch.gateway.list_came(kind, [*left, NodeEntry(8, 0, 0, Health.READY, 0)], {8: ("h", 2)})
+    branch.gateway.endpoint_list_received(kind, [*left, NodeEntry(8, 0, 0, Health.READY, 0)], {8: ("h", 2)})
     assert [end.ending for end in branch.scheduler.ends] == [Ending.MOOT] and branch.teaching() == before
     late = branch.dialled[0]
     assert branch.came(late).sent == []
@@ -288,7 +289,7 @@
     """Guards against attempts sent for nobody, and against bursts of leaving clients that look like a shut node."""
     branch = Branch()
     before = branch.teaching()
-    branch.gateway.leave(branch.take())
+    branch.gateway.cancel(branch.take())
     assert branch.scheduler.ends[0].ending is Ending.MOOT and not branch.gateway.nodes.in_flight
     assert branch.teaching() == before and not branch.scheduler.requests
     assert branch.came(branch.dialled[0]).sent == []
@@ -326,21 +327,21 @@
     again = json.dumps(listed(shop.node_port, version=7), indent=indent)
     shop.agent.watches[0].say(f"\n{change}\n\n{again}\n".encode())
     shop.run(0.1)
-    assert shop.service.book.version == 7 and not shop.log and len(shop.agent.asked) == 1
+    assert shop.service.endpoints.version == 7 and not shop.log and len(shop.agent.asked) == 1
 
 
 def test_an_indented_list_that_breaks_off_ends_its_watch_at_the_next_sign_of_life():
     shop = Shop()
     shop.agent.watches[0].say(b'{\n "generation": 6,\n "instances": [\n\n')
     shop.run(0.5)
-    assert len(shop.agent.asked) == 2 and shop.service.book.version == 5 and len(shop.log) == 1
+    assert len(shop.agent.asked) == 2 and shop.service.endpoints.version == 5 and len(shop.log) == 1
 
 
 def test_an_indented_list_is_bounded_before_it_is_whole():
     lines = LineDecoder(100)
-    assert lines.take(b"{") is None
+    assert lines.decode(b"{") is None
     with pytest.raises(MalformedEndpointListError, match="too long"):
-        lines.take(b' "instances": "' + b"x" * 100)
+        lines.decode(b' "instances": "' + b"x" * 100)
 
 
 def test_the_list_of_the_start_file_counts_before_the_first_client(monkeypatch):
@@ -378,7 +379,9 @@
     silent = shop.network.now
     shop.agent.first = listed(shop.node_port, version=9, state="Terminating")
     shop.run(5.3)
-    assert len(shop.agent.asked) == 2 and shop.service.book.version == 9 and shop.network.now - silent < 6
+    assert (
+        len(shop.agent.asked) == 2 and shop.service.endpoints.version == 9 and shop.network.now - silent < 6
+    )
 
 
 def test_after_an_outage_the_list_is_asked_for_at_once():
@@ -390,7 +393,7 @@
     shop.agent.first = listed(shop.node_port, version=9, state="Terminating")
     shop.network.ports[shop.agent_port] = port
     shop.run(0.3)
-    assert shop.service.book.version == 9
+    assert shop.service.endpoints.version == 9
 
 
 # --- one process ---
@@ -449,7 +452,7 @@
     shop.run(0.005)
     rude.transport.abortConnection()
     shop.run(0.05)
-    front, gateway = shop.service.front, shop.service.gateway
-    assert not front.fronts and not front.open_ids and not gateway.ledger.open
+    server, gateway = shop.service.server, shop.service.gateway
+    assert not server.connections and not server.totals.open_request_ids and not gateway.request_log.open
     shop.run(5.0)
-    assert not gateway.ledger.jobs and not gateway.nodes.in_flight and not gateway.scheduler.requests
+    assert not gateway.request_log.requests and not gateway.nodes.in_flight and not gateway.scheduler.requests
