--- a/benchmarks/rush.py
+++ b/benchmarks/rush.py
@@ -20,7 +20,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet.held import Copies
+from ochrecourse.fleet.object_cache import PurgeableObjectCache
 from ochrecourse.lab.day import Day
 from ochrecourse.lab.fleet_instance import FleetSeat
 from ochrecourse.lab.fleet_play import FLEET_PORT, FleetPlay
@@ -58,12 +58,12 @@
         return record
 
 
-class Alone(Copies):
+class Alone(PurgeableObjectCache):
     """As it was: while no copy may be used each read is a leg of its own."""
 
-    def _apart(self, key: Any, read: Any) -> Any:
-        self.counts.not_sure += 1
-        return read.asker
+    def _read_barred(self, key: Any, read: Any) -> Any:
+        self.counts.bypassed += 1
+        return read.handler
 
 
 class RushPlay(FleetPlay):
@@ -124,10 +124,10 @@
         "written off in the 4 s after": float(ended["written_off", True] + ended["written off", True]),
         "fulfilled in the 4 s after": float(ended["fulfilled", True]),
         "fulfilled in the 4 s before": float(ended["fulfilled", False]),
-        "reads from copies": float(sum(each.from_copy for each in counts)),
+        "reads from copies": float(sum(each.hits for each in counts)),
         "reads joined": float(sum(each.joined for each in counts)),
-        "reads that asked while not sure": float(sum(each.not_sure for each in counts)),
-        "copies dropped": float(sum(each.dropped for each in counts)),
+        "reads that asked while not sure": float(sum(each.bypassed for each in counts)),
+        "copies dropped": float(sum(each.purged for each in counts)),
     }
     return told
 
--- a/ochrecourse/fleet/purger.py
+++ b/ochrecourse/fleet/purger.py
@@ -15,7 +15,8 @@
 from ochrecourse.fleet.calendar_edition import InvalidCalendarEventError, Scope, parse_edition
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row
-from ochrecourse.fleet.held import STEP, Copies
+from ochrecourse.fleet.cached_objects import MAX_DISCARDED_PER_STEP
+from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.purge_report import purge_report
 from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
@@ -36,7 +37,7 @@
 
     def drop(self, scope: Scope) -> int: ...
 
-    def step(self, most: int = STEP) -> bool: ...
+    def step(self, max_objects: int = MAX_DISCARDED_PER_STEP) -> bool: ...
 
 
 class Sight(msgspec.Struct):
@@ -206,13 +207,13 @@
     def figures(self) -> dict[str, float]:
         """What the metrics page shows, by name."""
         told: dict[str, float] = {"copies_sure": float(self.purges.is_ready())}
-        if isinstance(self.copies, Copies):
-            counts = self.copies.counts
-            told["copies_held"] = len(self.copies.held)
-            told["copies_bytes"] = self.copies.held.currsize
-            told["copies_dropped_total"] = counts.dropped
+        if isinstance(self.copies, PurgeableObjectCache):
+            counts = self.copies.counts.report()
+            told["copies_held"] = len(self.copies.store.objects)
+            told["copies_bytes"] = self.copies.store.objects.currsize
+            told["copies_dropped_total"] = counts["dropped"]
             for way in ("from_copy", "joined", "fetched", "not_sure"):
-                told[f'copies_reads_total{{way="{way}"}}'] = getattr(counts, way)
+                told[f'copies_reads_total{{way="{way}"}}'] = counts[way]
         return told
 
     def _whole(self, row: Row) -> bool:
@@ -229,11 +230,11 @@
         """The record of purges, and what became of reads."""
         self._look()
         told = purge_report(self.purges)
-        if isinstance(self.copies, Copies):
+        if isinstance(self.copies, PurgeableObjectCache):
             told["copies"] = {
-                "held": len(self.copies.held),
-                "bytes": self.copies.held.currsize,
-                **vars(self.copies.counts),
+                "held": len(self.copies.store.objects),
+                "bytes": self.copies.store.objects.currsize,
+                **self.copies.counts.report(),
             }
         return told
 
@@ -271,10 +272,10 @@
     )  # fmt: skip
     if "copies" in said:
         figures = said["copies"]
-        most, largest = round(figures["bytes"]), round(figures["largest"])
-        copies = Copies(
-            gateway, figures["products"], most, largest, purger.may, lambda: now_ns(clock)
-        )  # fmt: skip
+        cache_settings = ObjectCacheSettings(
+            figures["products"], round(figures["bytes"]), round(figures["largest"])
+        )
+        copies = PurgeableObjectCache(gateway, cache_settings, purger.may, lambda: now_ns(clock))
         purger.copies = gateway.object_cache = copies
     part.register(purger)
     damaged = [*part.log_store.notes, *getattr(part.log_store.journal, "damage_reports", ())]
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -169,8 +169,11 @@
                 "lines noted": (len(log.notes), 256),
             }
             if seat.daemon is not None and (purger := seat.daemon.purger) is not None:
-                held["bytes of copies"] = (purger.copies.held.currsize, purger.copies.held.maxsize)
-                held["jobs that wait for a copy"] = (len(purger.copies.waits), 4096)
+                held["bytes of copies"] = (
+                    purger.copies.store.objects.currsize,
+                    purger.copies.store.objects.maxsize,
+                )
+                held["jobs that wait for a copy"] = (len(purger.copies.waiting), 4096)
             for what, (got, bound) in held.items():
                 if got > bound:
                     text = f"{seat.name} holds {got} {what}, {bound} at the most"
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -19,7 +19,7 @@
 from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
 from ochrecourse.fleet.frontier import Frontier
-from ochrecourse.fleet.held import Copies
+from ochrecourse.fleet.object_cache import PurgeableObjectCache
 from ochrecourse.fleet.kept import Kept
 from ochrecourse.fleet.log import Log
 from ochrecourse.fleet.purge_schedule import PurgeSchedule
@@ -223,14 +223,14 @@
 
 def fetch_kept(patch: Patch) -> None:
     """A fetch that was under way across the close is kept."""
-    hold = Copies._hold
+    hold = PurgeableObjectCache._store_fetched
 
-    def kept(self: Copies, fetch: Any) -> None:
-        fetch.mark = self._mark(fetch.key.volume, fetch.key.plan)
-        fetch.copy.mark = fetch.mark
+    def kept(self: PurgeableObjectCache, fetch: Any) -> None:
+        fetch.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
+        fetch.cached.epochs = fetch.epochs
         hold(self, fetch)
 
-    patch(Copies, "_hold", kept)
+    patch(PurgeableObjectCache, "_store_fetched", kept)
 
 
 def no_bar(patch: Patch) -> None:
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -11,7 +11,10 @@
 from test_door import House
 
 from ochrecourse.fleet.calendar_edition import Scope
-from ochrecourse.fleet.held import OVERHEAD, READERS, Copies, Key, _Waiting
+from ochrecourse.fleet.cached_objects import OBJECT_OVERHEAD_BYTES, ObjectKey
+from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
+from ochrecourse.fleet.object_fetch import WaitingRead
+from ochrecourse.fleet.object_readers import MAX_READERS
 from ochrecourse.common.requests import Request
 from ochrecourse.common.request_records import RequestOutcome
 from ochrecourse.common.runtime import now_ns
@@ -55,8 +58,8 @@
         self.yard = make_yard(script, **changes)
         self.gateway = self.yard.gateway
         self.may = True
-        self.copies = Copies(
-            self.gateway, ["read"], most, largest, lambda volume, plan: self.may,
+        self.copies = PurgeableObjectCache(
+            self.gateway, ObjectCacheSettings(["read"], most, largest), lambda volume, plan: self.may,
             lambda: now_ns(self.yard.network),
         )  # fmt: skip
         self.gateway.object_cache = self.copies
@@ -174,7 +177,7 @@
         yard.yard.run(0.1)
     yard.yard.run(2.0)
     ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
-    assert ends == [1, 1, 1] and yard.gateway.request_log.open == 0 and not yard.copies.waits
+    assert ends == [1, 1, 1] and yard.gateway.request_log.open == 0 and not yard.copies.waiting
 
 
 def test_an_answer_that_breaks_off_is_no_copy_and_ends_those_who_shared_it(make):
@@ -196,7 +199,7 @@
     assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
     closings = yard.gateway.request_log.outcomes
     assert closings[RequestOutcome.FAILED] == 2 and not closings[RequestOutcome.SERVED]
-    assert not yard.copies.held and not yard.gateway.in_flight and not yard.copies.readers
+    assert not yard.copies.store.objects and not yard.gateway.in_flight and not yard.copies.readers.by_request
 
 
 def test_a_write_drops_the_copy_and_bars_the_fetch_under_way(make):
@@ -210,16 +213,16 @@
     yard.yard.run(0.1)
     held.pop()()  # the read began before the write, and its answer is the old value
     yard.yard.run(0.1)
-    assert yard.bytes_of(wire, 1) == b"old" and not yard.copies.held
+    assert yard.bytes_of(wire, 1) == b"old" and not yard.copies.store.objects
     value[0] = b"new"
     yard.ask(wire, 3)
     yard.yard.run(0.1)
     held.pop()()
     yard.yard.run(0.1)
-    assert yard.bytes_of(wire, 3) == b"new" and len(yard.copies.held) == 1
+    assert yard.bytes_of(wire, 3) == b"new" and len(yard.copies.store.objects) == 1
     yard.ask(wire, 4, product="mark", body=b"newer")
     yard.yard.run(0.001)
-    assert not yard.copies.held
+    assert not yard.copies.store.objects
 
 
 def test_after_a_write_that_may_still_come_its_object_is_not_held(make):
@@ -230,10 +233,10 @@
     wire.say(m.CancelRequest(id=1))
     yard.yard.run(0.2)
     assert yard.read(wire, 2) == yard.read(wire, 3) == b"old"
-    assert not yard.copies.held and yard.copies.unsure
+    assert not yard.copies.store.objects and yard.copies.writes.uncertain_until
     yard.yard.run(61)
     yard.read(wire, 4)
-    assert len(yard.copies.held) == 1
+    assert len(yard.copies.store.objects) == 1
 
 
 def test_while_no_copy_may_be_used_reads_share_the_next_fetch_and_none_from_before_them(make):
@@ -248,7 +251,7 @@
     for number in (2, 3, 4):
         yard.ask(wire, number)
     yard.yard.run(0.01)
-    assert yard.legs == 2 and len(yard.copies.waits) == 2
+    assert yard.legs == 2 and len(yard.copies.waiting) == 2
     held.pop()()
     yard.yard.run(0.01)
     assert yard.bytes_of(wire, 2) == b"old" and yard.legs == 3  # one for both, begun after they asked
@@ -261,8 +264,8 @@
     assert yard.legs == 4
     held.pop()()
     yard.yard.run(0.01)
-    assert yard.bytes_of(wire, 5) == b"new" and not yard.copies.unshared and not yard.copies.waits
-    assert yard.copies.counts.not_sure == 3 and yard.copies.counts.joined == 1
+    assert yard.bytes_of(wire, 5) == b"new" and not yard.copies.barred_fetches and not yard.copies.waiting
+    assert yard.copies.counts.bypassed == 3 and yard.copies.counts.joined == 1
     yard.may = True
     assert yard.read(wire, 6) == b"kept" and yard.legs == 4  # the copy from before stands again
 
@@ -280,10 +283,10 @@
     assert yard.legs == 1
     first.transport.loseConnection()
     yard.yard.run(0.01)
-    assert yard.legs == 2 and len(yard.copies.waits) == 1
+    assert yard.legs == 2 and len(yard.copies.waiting) == 1
     held[1]()  # too large to be shared: the other asks for itself
     yard.yard.run(0.01)
-    assert yard.legs == 3 and not yard.copies.waits
+    assert yard.legs == 3 and not yard.copies.waiting
     held[2]()
     yard.yard.run(0.5)
     assert yard.bytes_of(wire, 2) == yard.bytes_of(wire, 3) == BIG * 4
@@ -327,9 +330,9 @@
     for number in range(2, 40):
         yard.ask(wire, number)
     yard.yard.run(0.05)
-    slow = len(yard.copies.readers)
+    slow = len(yard.copies.readers.by_request)
     assert 30 < slow < 39  # each has one piece written at most, however much it asked for
-    assert yard.copies.drop(ALL) == 1 and not yard.copies.readers
+    assert yard.copies.drop(ALL) == 1 and not yard.copies.readers.by_request
     assert yard.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not yard.gateway.in_flight
     wire.transport.resumeProducing()
     yard.yard.run(0.5)
@@ -342,14 +345,16 @@
     wire = yard.yard.client()
     yard.read(wire, 1)
     wire.transport.pauseProducing()
-    for number in range(2, READERS + 30):
+    for number in range(2, MAX_READERS + 30):
         yard.ask(wire, number)
     yard.yard.run(0.05)
-    assert len(yard.copies.readers) == READERS and yard.legs > 1 and not yard.copies.fetching
+    assert len(yard.copies.readers.by_request) == MAX_READERS and yard.legs > 1 and not yard.copies.fetches
 
 
 def test_a_large_purge_goes_in_bounded_steps_and_nothing_of_it_is_served_meanwhile():
-    copies = Copies(Desk(), ["read"], 1 << 22, 4000, lambda volume, plan: True, lambda: 0)
+    copies = PurgeableObjectCache(
+        Desk(), ObjectCacheSettings(["read"], 1 << 22, 4000), lambda volume, plan: True, lambda: 0
+    )
 
     def read(job, key):
         through = copies.request_received(
@@ -361,28 +366,34 @@
         return through is not None
 
     assert all(read(key, key) for key in range(600)) and not read(600, 1)
-    assert copies.drop(ALL) == 600 and copies.step(256) and len(copies.held) == 344
+    assert copies.drop(ALL) == 600 and copies.step(256) and len(copies.store.objects) == 344
     assert read(601, 1) and not read(602, 1)  # asked for anew while the drop goes on
     while copies.step(256):
         pass
-    assert [key.key for key in copies.held] == [1] and len(copies.places) == len(copies.objects) == 1
+    assert [key.key for key in copies.store.objects] == [1] and len(copies.store.by_tenant_volume) == len(
+        copies.store.by_volume_object
+    ) == 1
 
 
 def test_bounded_by_bytes_and_by_the_size_of_one(make):
     value = [b"x" * 1000]
-    room = 3 * (1000 + OVERHEAD)
+    room = 3 * (1000 + OBJECT_OVERHEAD_BYTES)
     yard = make(serving(lambda: value[0]), most=room, largest=1000)
     wire = yard.yard.client()
     for number in range(1, 6):
         yard.read(wire, number, key=number)
-    assert [each.key for each in yard.copies.held] == [3, 4, 5] and yard.copies.held.currsize <= room
+    assert [each.key for each in yard.copies.store.objects] == [
+        3,
+        4,
+        5,
+    ] and yard.copies.store.objects.currsize <= room
     value[0] = b"y" * 1001
     two = yard.yard.client()
     yard.ask(wire, 10, key=10)
     yard.ask(two, 10, key=10)
     yard.yard.run(0.5)
     assert yard.bytes_of(wire, 10) == yard.bytes_of(two, 10) == value[0] and yard.legs == 7
-    assert len(yard.copies.objects) == 3 and not yard.copies.fetching
+    assert len(yard.copies.store.by_volume_object) == 3 and not yard.copies.fetches
 
 
 def test_a_drain_waits_for_those_who_share_a_fetch(make):
@@ -404,8 +415,11 @@
 def test_the_webdav_door_answers_from_copies_whole_and_in_ranges_and_reads_what_was_put(make_yard):
     house = House(make_yard)
     gateway, legs = house.yard.gateway, house.store.legs
-    copies = Copies(
-        gateway, ["read"], 1 << 20, 400_000, lambda volume, plan: True, lambda: now_ns(house.yard.network)
+    copies = PurgeableObjectCache(
+        gateway,
+        ObjectCacheSettings(["read"], 1 << 20, 400_000),
+        lambda volume, plan: True,
+        lambda: now_ns(house.yard.network),
     )
     gateway.object_cache = copies
     client, whole = house.open(), bytes(range(256)) * 600  # longer than two frames
@@ -420,11 +434,11 @@
         client.send("GET", path, **more)
         told = client.next()
         assert (told[0], told[2]) == (status, body)
-    assert sum(not leg.write for leg in legs) == 1 and copies.counts.from_copy == 3
+    assert sum(not leg.write for leg in legs) == 1 and copies.counts.hits == 3
     client.send("PUT", "/song", b"another")
     assert client.next()[0] == 204
     client.send("GET", "/song")
-    assert client.next()[2] == b"another" and not gateway.in_flight and not copies.readers
+    assert client.next()[2] == b"another" and not gateway.in_flight and not copies.readers.by_request
 
 
 def test_without_copies_the_gateway_is_as_it_was_and_never_loads_the_room():
@@ -482,13 +496,13 @@
     answer is older than the last purge before its ask, unless its own fetch or one it shares began before.
     """
 
-    copies_class = Copies
+    copies_class = PurgeableObjectCache
 
     def __init__(self):
         super().__init__()
         self.desk = Desk()
         self.copies = self.copies_class(
-            self.desk, ["read"], 40_000, 4_000, lambda v, p: self.may, lambda: self.now
+            self.desk, ObjectCacheSettings(["read"], 40_000, 4_000), lambda v, p: self.may, lambda: self.now
         )
         self.may, self.now, self.number = True, 0, 0
         self.out = {}  # legs out: job -> (asker, when it began)
@@ -602,14 +616,14 @@
     @invariant()
     def books_agree(self):
         copies = self.copies
-        assert sorted(key for keys in copies.places.values() for key in keys) == sorted(
+        assert sorted(key for keys in copies.store.by_tenant_volume.values() for key in keys) == sorted(
             key
-            for key in copies.held
-            if not any(key in each for each in copies.doomed)
-            or key in copies.places.get((key.plan, key.volume), {})
+            for key in copies.store.objects
+            if not any(key in each for each in copies.store.discarded)
+            or key in copies.store.by_tenant_volume.get((key.tenant, key.volume), {})
         )
-        assert set(copies.waits) == {
-            job for fetch in copies.fetching.values() for job in (*fetch.waiting, *fetch.behind)
+        assert set(copies.waiting) == {
+            job for fetch in copies.fetches.values() for job in (*fetch.waiting, *fetch.waiting_for_next)
         }
 
 
@@ -617,12 +631,12 @@
 TestCopies.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
-class JoinsAcross(Copies):
+class JoinsAcross(PurgeableObjectCache):
     """The mistake of a join that knows nothing of the purge between."""
 
     def request_received(self, job, request, write, due, asker):
-        fetch = self.fetches.get(
-            Key(
+        fetch = self.shared_fetches.get(
+            ObjectKey(
                 request.request_class,
                 request.tenant,
                 request.volume,
@@ -631,32 +645,32 @@
                 request.units,
             )
         )
-        if fetch is not None and self._joins(fetch, _Waiting(job, request, due, asker, 0)):
+        if fetch is not None and self._join(fetch, WaitingRead(job, request, due, asker, 0)):
             return None
         return super().request_received(job, request, write, due, asker)
 
 
-class HoldsAcross(Copies):
+class HoldsAcross(PurgeableObjectCache):
     """The mistake of a fetch that is held under the epoch of its end."""
 
-    def _hold(self, fetch):
-        fetch.mark = fetch.copy.mark = self._mark(fetch.key.volume, fetch.key.plan)
-        super()._hold(fetch)
+    def _store_fetched(self, fetch):
+        fetch.epochs = fetch.cached.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
+        super()._store_fetched(fetch)
 
 
-class SharesWithin(Copies):
+class SharesWithin(PurgeableObjectCache):
     """The mistake of a read that shares a fetch from before it while a moment may lie between."""
 
-    def _apart(self, key, read):
-        return super()._apart(key, read._replace(turn=0))
+    def _read_barred(self, key, read):
+        return super()._read_barred(key, read._replace(order=0))
 
 
-class KeepsWritten(Copies):
+class KeepsWritten(PurgeableObjectCache):
     """The mistake of a write that leaves the fetch under way alone."""
 
-    def _drop_object(self, target):
-        for key in list(self.objects.get(target, ())):
-            self._remove(key)
+    def _invalidate_object(self, target):
+        for key in list(self.store.by_volume_object.get(target, ())):
+            self.store.remove(key)
 
 
 @pytest.mark.parametrize("mistake", [JoinsAcross, HoldsAcross, SharesWithin, KeepsWritten])
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1,6 +1,6 @@
 """Purges at business close: a site of three edges under cuts, sleeps, restarts, clocks apart and new editions.
 
-The world below runs the shipped decisions (site_calendar, clock_confidence, purge_schedule, held) and the tenant that lodges them. It
+The world below runs the shipped decisions (site_calendar, clock_confidence, purge_schedule, object_cache) and the tenant that lodges them. It
 is judged from outside, by true time and by all entries that were ever written.
 """
 
@@ -21,7 +21,9 @@
 from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row, Stamp
-from ochrecourse.fleet.held import Copies, Key, _Waiting
+from ochrecourse.fleet.cached_objects import ObjectKey
+from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
+from ochrecourse.fleet.object_fetch import WaitingRead
 from ochrecourse.fleet.purger import Purger
 from ochrecourse.fleet.purge_schedule import PurgeSchedule, PurgeSettings
 from ochrecourse.gateway.daemon import Daemon
@@ -122,7 +124,10 @@
         self.purger = Purger(self.purges, None, 60, self, self.wall, lambda: self.rows, self.holds, self.say)
         self.desk = Desk()
         self.copies = kinds["copies"](
-            self.desk, ["read"], 100_000, 1000, self.purger.may, lambda: self.world.true * MS
+            self.desk,
+            ObjectCacheSettings(["read"], 100_000, 1000),
+            self.purger.may,
+            lambda: self.world.true * MS,
         )
         self.purger.copies = self.copies
         self.out = {}
@@ -217,7 +222,12 @@
     """The site and the ways between its edges. Times in ms since the world's zero."""
 
     def __init__(self, offsets=(0, 0, 0), **kinds):
-        self.kinds = {"purges": PurgeSchedule, "calendar": SiteCalendar, "copies": Copies, **kinds}
+        self.kinds = {
+            "purges": PurgeSchedule,
+            "calendar": SiteCalendar,
+            "copies": PurgeableObjectCache,
+            **kinds,
+        }
         self.true, self.beats, self.jobs, self.number = 1000, 0, 0, 0
         self.written, self.answered, self.drops = [], [], []
         self.cut = set()  # one-way: (from, to)
@@ -361,11 +371,11 @@
     while world.true < 24_000:
         world.run(BEAT)
         for edge in world.edges.values():
-            before = edge.copies.counts.from_copy
+            before = edge.copies.counts.hits
             edge.read(0)
             for job in list(edge.out):
                 edge.end(job)
-            insort(used, (edge.name, world.true, edge.copies.counts.from_copy > before))
+            insort(used, (edge.name, world.true, edge.copies.counts.hits > before))
     world.judge_answers()
     world.judge_settlement()
     for name in EDGES:
@@ -407,7 +417,7 @@
         edge.end(next(iter(edge.out)))
     world.edition("b", [["close", day(1), 9_900]])
     world.run(400)
-    assert not any(len(edge.copies.held) for edge in world.edges.values())
+    assert not any(len(edge.copies.store.objects) for edge in world.edges.values())
     world.run(30_000)
     world.judge_answers()
     world.judge_settlement()
@@ -550,7 +560,7 @@
     for edge in world.edges.values():
         edge.read(0)
         edge.end(next(iter(edge.out)))
-    assert one.read(0).got is None and not one.copies.held
+    assert one.read(0).got is None and not one.copies.store.objects
     assert (
         not one.purges.is_ready()
         and world.edges["a"].purges.is_ready()
@@ -579,7 +589,7 @@
     world.run(2500)
     one.asleep = False
     one.end(job)
-    assert before.got == 11_000 and not one.copies.held
+    assert before.got == 11_000 and not one.copies.store.objects
     after = one.read(0)
     assert after.got is None
     world.judge_answers()
@@ -1000,29 +1010,29 @@
         self.majority = 1
 
 
-class JoinsAcross(Copies):
+class JoinsAcross(PurgeableObjectCache):
     """The mistake of a fetch that is joined across the moment."""
 
     def request_received(self, job, request, write, due, asker):
-        key = Key(
+        key = ObjectKey(
             request.request_class, request.tenant, request.volume, request.key, request.shard, request.units
         )
-        fetch = self.fetches.get(key)
+        fetch = self.shared_fetches.get(key)
         if (
             fetch is not None
-            and self.may(request.volume, request.tenant)
-            and self._joins(fetch, _Waiting(job, request, due, asker, 0))
+            and self.may_use(request.volume, request.tenant)
+            and self._join(fetch, WaitingRead(job, request, due, asker, 0))
         ):
             return None
         return super().request_received(job, request, write, due, asker)
 
 
-class HoldsAcross(Copies):
+class HoldsAcross(PurgeableObjectCache):
     """The mistake of a fetch that is held under the epoch of its end."""
 
-    def _hold(self, fetch):
-        fetch.mark = fetch.copy.mark = self._mark(fetch.key.volume, fetch.key.plan)
-        super()._hold(fetch)
+    def _store_fetched(self, fetch):
+        fetch.epochs = fetch.cached.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
+        super()._store_fetched(fetch)
 
 
 @pytest.mark.parametrize(
