--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -24,7 +24,7 @@
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet.clock_confidence import WallClockMonitor
 from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.purger import Purger
+from ochrecourse.fleet.purge_subsystem import PurgeEnvironment, PurgeSubsystem
 from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
 from ochrecourse.common.time_units import MS
 
@@ -60,9 +60,8 @@
         clock = WallClockMonitor("e", BOUND, [], 0, self.ms)
         self.purges = PurgeSchedule(PurgeSettings("e", "s", {"s": ["e"]}, NOTICE), clock, 0, self.ms)
         self.change(True)
-        self.purger = Purger(
-            self.purges, self.settings, DAYS, self, lambda: self.ms, dict, lambda *_: True, lambda *_, **__: None
-        )  # fmt: skip
+        environment = PurgeEnvironment(self, lambda: self.ms, dict, lambda *_: True, lambda *_, **__: None)
+        self.purger = PurgeSubsystem(self.purges, self.settings, DAYS, environment)
 
     def seconds(self) -> float:
         return (self.ms - self.start) / 1000
--- a/ochrecourse/gateway/daemon_parts.py
+++ b/ochrecourse/gateway/daemon_parts.py
@@ -242,9 +242,9 @@
         for note in journal.damage_reports if isinstance(journal, FileJournal) else ():
             host.log_event("fleet journal", note=note)
         if {"copies", "purges"} & record["fleet"].keys():
-            from ochrecourse.fleet.purger import lodge
+            from ochrecourse.fleet.purge_subsystem import register_purges
 
-            self.purger = lodge(member, record, self.gateway, self.network, host.log_event)
+            self.purger = register_purges(member, record, self.gateway, self.network, host.log_event)
         return member
 
     def _fleet_settings(self) -> dict[str, Any]:
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -170,10 +170,10 @@
             }
             if seat.daemon is not None and (purger := seat.daemon.purger) is not None:
                 held["bytes of copies"] = (
-                    purger.copies.store.objects.currsize,
-                    purger.copies.store.objects.maxsize,
+                    purger.cache.store.objects.currsize,
+                    purger.cache.store.objects.maxsize,
                 )
-                held["jobs that wait for a copy"] = (len(purger.copies.waiting), 4096)
+                held["jobs that wait for a copy"] = (len(purger.cache.waiting), 4096)
             for what, (got, bound) in held.items():
                 if got > bound:
                     text = f"{seat.name} holds {got} {what}, {bound} at the most"
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -14,7 +14,7 @@
 
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import kept as kept_module
-from ochrecourse.fleet import purger as purger_module
+from ochrecourse.fleet import purge_subsystem
 from ochrecourse.fleet.allot import ALL, Allot
 from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
@@ -202,7 +202,7 @@
         ]
         return body
 
-    patch(purger_module, "edition", dated)
+    patch(purge_subsystem, "edition", dated)
 
 
 def alone_in_force(patch: Patch) -> None:
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -24,7 +24,7 @@
 from ochrecourse.fleet.cached_objects import ObjectKey
 from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
 from ochrecourse.fleet.object_fetch import WaitingRead
-from ochrecourse.fleet.purger import Purger
+from ochrecourse.fleet.purge_subsystem import PurgeEnvironment, PurgeSubsystem
 from ochrecourse.fleet.purge_schedule import PurgeSchedule, PurgeSettings
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.daemon_parts import HostProgram
@@ -121,15 +121,16 @@
         self.purges = kinds["purges"](settings, clock, now, self.wall())
         if (calendar := kinds["calendar"]) is not SiteCalendar:
             self.purges.own_calendar = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
-        self.purger = Purger(self.purges, None, 60, self, self.wall, lambda: self.rows, self.holds, self.say)
+        environment = PurgeEnvironment(self, self.wall, lambda: self.rows, self.holds, self.say)
+        self.purger = PurgeSubsystem(self.purges, None, 60, environment)
         self.desk = Desk()
         self.copies = kinds["copies"](
             self.desk,
             ObjectCacheSettings(["read"], 100_000, 1000),
-            self.purger.may,
+            self.purger.may_use_cache,
             lambda: self.world.true * MS,
         )
-        self.purger.copies = self.copies
+        self.purger.cache = self.copies
         self.out = {}
         for entry in sorted(self.entries.values(), key=lambda each: each.place):
             self.purger.event(entry, 0)
@@ -529,7 +530,7 @@
     world.edition("a", [["close", day(1), 12_000]], until=EPOCH + 10 * DAY)
     world.run(begins - world.true - 200)
     one, lines = world.edges["b"], []
-    one.purger.say = lambda event, **more: lines.append((event, more.get("why")))
+    one.purger.environment.log_event = lambda event, **more: lines.append((event, more.get("why")))
     for edge in world.edges.values():
         edge.read(0)
         for job in list(edge.out):
@@ -610,7 +611,7 @@
 def test_an_edition_that_is_none_or_differs_is_named_and_only_the_first_is_passed_over():
     world = World()
     one, lines = world.edges["a"], []
-    one.purger.say = lambda event, **more: lines.append((event, more))
+    one.purger.environment.log_event = lambda event, **more: lines.append((event, more))
     site = {
         "name": "s", "edition": 1, "zone": "Europe/Berlin", "country": "", "region": "", "holidays": [], "edges": [],
         "rules": [{"name": "close", "all": True, "at": "18:00", "weekdays": ["thu"], "holidays": "usual", "exceptions": []}],
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -33,7 +33,8 @@
     "fleet/clock_confidence.py", "fleet/disk_recovery.py", "fleet/edge_connectivity.py", "fleet/edition_timeline.py",
     "fleet/event_appender.py", "fleet/event_compaction.py", "fleet/purge_report.py",
     "fleet/object_cache.py", "fleet/object_fetch.py", "fleet/object_readers.py", "fleet/object_writes.py",
-    "fleet/purge_schedule.py", "fleet/purge_settlement.py", "fleet/site_calendar.py",
+    "fleet/purge_schedule.py", "fleet/purge_settlement.py", "fleet/purge_subsystem.py",
+    "fleet/site_calendar.py",
     "fleet/log_state.py", "fleet/member.py", "fleet/member_environment.py", "fleet/member_report.py",
     "fleet/member_settings.py", "fleet/member_timer.py", "fleet/member_zones.py", "fleet/operator_log.py",
     "fleet/peer_addresses.py", "fleet/peer_links.py", "fleet/stall_detector.py", "fleet/subsystem.py",
@@ -65,6 +66,7 @@
     "fleet/calendar_edition.py": ["life"],
     "fleet/disk_recovery.py": ["life"],
     "fleet/site_calendar.py": ["life"],
+    "fleet/purge_subsystem.py": ["sight", "life", "told"],  # subsystem.py, entries.py
     "fleet/channel_readers.py": ["Told", "life"],
     "fleet/event_compaction.py": ["PART"],
     "fleet/log_state.py": ["life", "came"],
