--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -16,17 +16,17 @@
 from ochrecourse.fleet.zone_rates import NodeRates
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import kept as kept_module
-from ochrecourse.fleet import purger as purger_module
 from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanPlace
-from ochrecourse.fleet.calendar import SiteCalendar
+from ochrecourse.fleet import purge_subsystem
+from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
 from ochrecourse.fleet.frontier import Frontier
-from ochrecourse.fleet.held import Copies
+from ochrecourse.fleet.object_cache import PurgeableObjectCache
 from ochrecourse.fleet.kept import Kept
 from ochrecourse.fleet.log import Log
-from ochrecourse.fleet.purges import Purges
 from ochrecourse.fleet.zone_state import ZoneDecisions
 from ochrecourse.fleet.zone_controller import ZoneController
+from ochrecourse.fleet.purge_schedule import PurgeSchedule
 
 Patch = Callable[[Any, str, Any], None]
 
@@ -209,7 +209,7 @@
         ]
         return body
 
-    patch(purger_module, "edition", dated)
+    patch(purge_subsystem, "edition", dated)
 
 
 def alone_in_force(patch: Patch) -> None:
@@ -218,37 +218,37 @@
 
     def one(self: SiteCalendar, *of: Any) -> None:
         init(self, *of)
-        self.most = 1
+        self.majority = 1
 
     patch(SiteCalendar, "__init__", one)
 
 
 def always_sure(patch: Patch) -> None:
     """Copies are used by an edge that can't know which edition is in force."""
-    patch(Purges, "why_unsure", lambda self: "")
+    patch(PurgeSchedule, "not_ready_reason", lambda self: "")
 
 
 def fetch_kept(patch: Patch) -> None:
     """A fetch that was under way across the close is kept."""
-    hold = Copies._hold
+    hold = PurgeableObjectCache._store_fetched
 
-    def kept(self: Copies, fetch: Any) -> None:
-        fetch.mark = self._mark(fetch.key.volume, fetch.key.plan)
-        fetch.copy.mark = fetch.mark
+    def kept(self: PurgeableObjectCache, fetch: Any) -> None:
+        fetch.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
+        fetch.cached.epochs = fetch.epochs
         hold(self, fetch)
 
-    patch(Copies, "_hold", kept)
+    patch(PurgeableObjectCache, "_store_fetched", kept)
 
 
 def no_bar(patch: Patch) -> None:
     """What is fetched while an edge's clock says that the close is about now is held and served."""
-    look = Purges._look_at_calendar
+    look = PurgeSchedule._apply_calendar
 
-    def open_again(self: Purges) -> None:
+    def open_again(self: PurgeSchedule) -> None:
         look(self)
-        self.bars.clear()
+        self.barred_until_ms.clear()
 
-    patch(Purges, "_look_at_calendar", open_again)
+    patch(PurgeSchedule, "_apply_calendar", open_again)
 
 
 MISTAKES = {
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1,6 +1,6 @@
 """Purges at business close: a site of three edges under cuts, sleeps, restarts, clocks apart and new editions.
 
-The world below runs the shipped decisions (calendar, clocks, purges, held) and the tenant that lodges them. It
+The world below runs the shipped decisions (site_calendar, clock_confidence, purge_schedule, object_cache) and the tenant that lodges them. It
 is judged from outside, by true time and by all entries that were ever written.
 """
 
@@ -18,12 +18,14 @@
 
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet.calendar import SiteCalendar
-from ochrecourse.fleet.clocks import Told, WallClock, ring
+from ochrecourse.fleet.site_calendar import SiteCalendar
+from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
 from ochrecourse.fleet.entries import Entry, Row, Stamp
-from ochrecourse.fleet.held import Copies, Key, _Waiting
-from ochrecourse.fleet.purger import Purger
-from ochrecourse.fleet.purges import Purges
+from ochrecourse.fleet.cached_objects import ObjectKey
+from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
+from ochrecourse.fleet.object_fetch import WaitingRead
+from ochrecourse.fleet.purge_subsystem import PurgeEnvironment, PurgeSubsystem
+from ochrecourse.fleet.purge_schedule import PurgeSchedule, PurgeSettings
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.common.requests import Request
@@ -114,16 +116,21 @@
         self.rows, self.inbox = {}, []
         kinds = self.world.kinds
         now = self.world.true * MS
-        clock = WallClock(self.name, BOUND, set(EDGES) - {self.name}, now, self.wall())
-        self.purges = kinds["purges"](self.name, "s", {"s": EDGES}, NOTICE, clock, now, self.wall())
+        clock = WallClockMonitor(self.name, BOUND, set(EDGES) - {self.name}, now, self.wall())
+        settings = PurgeSettings(self.name, "s", {"s": EDGES}, NOTICE)
+        self.purges = kinds["purges"](settings, clock, now, self.wall())
         if (calendar := kinds["calendar"]) is not SiteCalendar:
-            self.purges.own = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
-        self.purger = Purger(self.purges, None, 60, self, self.wall, lambda: self.rows, self.holds, self.say)
+            self.purges.own_calendar = self.purges.calendars["s"] = calendar("s", EDGES, NOTICE)
+        environment = PurgeEnvironment(self, self.wall, lambda: self.rows, self.holds, self.say)
+        self.purger = PurgeSubsystem(self.purges, None, 60, environment)
         self.desk = Desk()
         self.copies = kinds["copies"](
-            self.desk, ["read"], 100_000, 1000, self.purger.may, lambda: self.world.true * MS
+            self.desk,
+            ObjectCacheSettings(["read"], 100_000, 1000),
+            self.purger.may_use_cache,
+            lambda: self.world.true * MS,
         )
-        self.purger.copies = self.copies
+        self.purger.cache = self.copies
         self.out = {}
         for entry in sorted(self.entries.values(), key=lambda each: each.place):
             self.purger.entry_received(entry, 0)
@@ -216,7 +223,12 @@
     """The site and the ways between its edges. Times in ms since the world's zero."""
 
     def __init__(self, offsets=(0, 0, 0), **kinds):
-        self.kinds = {"purges": Purges, "calendar": SiteCalendar, "copies": Copies, **kinds}
+        self.kinds = {
+            "purges": PurgeSchedule,
+            "calendar": SiteCalendar,
+            "copies": PurgeableObjectCache,
+            **kinds,
+        }
         self.true, self.beats, self.jobs, self.number = 1000, 0, 0, 0
         self.written, self.answered, self.drops = [], [], []
         self.cut = set()  # one-way: (from, to)
@@ -360,11 +372,11 @@
     while world.true < 24_000:
         world.run(BEAT)
         for edge in world.edges.values():
-            before = edge.copies.counts.from_copy
+            before = edge.copies.counts.hits
             edge.read(0)
             for job in list(edge.out):
                 edge.end(job)
-            insort(used, (edge.name, world.true, edge.copies.counts.from_copy > before))
+            insort(used, (edge.name, world.true, edge.copies.counts.hits > before))
     world.judge_answers()
     world.judge_settlement()
     for name in EDGES:
@@ -392,7 +404,7 @@
         for edge in world.edges.values():
             edge.read(0)
     world.judge_answers()
-    assert not world.edges["c"].purges.sure() and world.edges["a"].purges.sure()
+    assert not world.edges["c"].purges.is_ready() and world.edges["a"].purges.is_ready()
     world.judge_settlement()
     assert {body["edition"] for told in world.settled().values() for body in told} == {2}
 
@@ -406,7 +418,7 @@
         edge.end(next(iter(edge.out)))
     world.edition("b", [["close", day(1), 9_900]])
     world.run(400)
-    assert not any(len(edge.copies.held) for edge in world.edges.values())
+    assert not any(len(edge.copies.store.objects) for edge in world.edges.values())
     world.run(30_000)
     world.judge_answers()
     world.judge_settlement()
@@ -478,14 +490,14 @@
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
     one = world.edges["a"]
-    assert one.purges.sure()
+    assert one.purges.is_ready()
     world.edges["b"].up = False
     world.run(5000)
-    assert one.purges.sure()  # two of three hold all that is in force
+    assert one.purges.is_ready()  # two of three hold all that is in force
     world.edges["c"].up = False
     world.run(NOTICE + BEAT)
-    assert not one.purges.sure() and one.read(0).got is None
-    assert "more than half" in one.purges.why_unsure()
+    assert not one.purges.is_ready() and one.read(0).got is None
+    assert "more than half" in one.purges.not_ready_reason()
 
 
 def test_a_clock_that_jumps_is_not_believed_until_another_confirms_it_and_holds_nothing_meanwhile():
@@ -496,13 +508,13 @@
     one.read(0)
     one.end(next(iter(one.out)))
     one.offset = 3_600_000
-    assert one.read(0).got is None and not one.purges.sure()
+    assert one.read(0).got is None and not one.purges.is_ready()
     world.run(5000)
-    assert not one.purges.sure() and sorted(one.purges.clock.off()) == ["b", "c"]
-    assert world.edges["b"].purges.sure()  # one wrong clock of three stops nobody else
+    assert not one.purges.is_ready() and sorted(one.purges.clock.peers_out_of_bound()) == ["b", "c"]
+    assert world.edges["b"].purges.is_ready()  # one wrong clock of three stops nobody else
     one.offset = 0
     world.run(1000)
-    assert one.purges.sure()
+    assert one.purges.is_ready()
     world.true = 59_000
     world.run(4000)
     world.judge_settlement()
@@ -518,7 +530,7 @@
     world.edition("a", [["close", day(1), 12_000]], until=EPOCH + 10 * DAY)
     world.run(begins - world.true - 200)
     one, lines = world.edges["b"], []
-    one.purger.say = lambda event, **more: lines.append((event, more.get("why")))
+    one.purger.environment.log_event = lambda event, **more: lines.append((event, more.get("why")))
     for edge in world.edges.values():
         edge.read(0)
         for job in list(edge.out):
@@ -526,15 +538,15 @@
     world.run(200)
     one.offset += step
     for _ in range(15):
-        assert one.read(0).got is None and not one.purges.sure()
+        assert one.read(0).got is None and not one.purges.is_ready()
         for job in list(one.out):
             one.end(job)
         world.run(BEAT)
     assert ("copies are not used", "its clock is not confirmed by another gateway's") in lines
-    assert sorted(one.purges.clock.off()) == ["a", "c"] and world.edges["a"].purges.sure()
+    assert sorted(one.purges.clock.peers_out_of_bound()) == ["a", "c"] and world.edges["a"].purges.is_ready()
     one.offset -= step
     world.run(2000)
-    assert one.purges.sure() and one.read(0).got is None
+    assert one.purges.is_ready() and one.read(0).got is None
     world.judge_answers()
     world.judge_settlement()
     assert len(world.settled()) == 3
@@ -549,8 +561,12 @@
     for edge in world.edges.values():
         edge.read(0)
         edge.end(next(iter(edge.out)))
-    assert one.read(0).got is None and not one.copies.held
-    assert not one.purges.sure() and world.edges["a"].purges.sure() and world.edges["c"].purges.sure()
+    assert one.read(0).got is None and not one.copies.store.objects
+    assert (
+        not one.purges.is_ready()
+        and world.edges["a"].purges.is_ready()
+        and world.edges["c"].purges.is_ready()
+    )
     report = one.purger.report()
     assert not report["clock_believed"] and sorted(report["clocks_off"]) == ["a", "c"]
     world.run(4000)
@@ -574,7 +590,7 @@
     world.run(2500)
     one.asleep = False
     one.end(job)
-    assert before.got == 11_000 and not one.copies.held
+    assert before.got == 11_000 and not one.copies.store.objects
     after = one.read(0)
     assert after.got is None
     world.judge_answers()
@@ -586,16 +602,16 @@
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
     one = world.edges["a"].purges
-    clock = Told(one.wall, one.wall)
+    clock = ClockReport(one.wall_ms, one.wall_ms)
     for name in ("b", "c"):
-        one.hear(name, clock, "another list")
-    assert not one.sure() and sorted(one.unlike) == ["b", "c"]
+        one.status_received(name, clock, "another list")
+    assert not one.is_ready() and sorted(one.connectivity.mismatches) == ["b", "c"]
 
 
 def test_an_edition_that_is_none_or_differs_is_named_and_only_the_first_is_passed_over():
     world = World()
     one, lines = world.edges["a"], []
-    one.purger.say = lambda event, **more: lines.append((event, more))
+    one.purger.environment.log_event = lambda event, **more: lines.append((event, more))
     site = {
         "name": "s", "edition": 1, "zone": "Europe/Berlin", "country": "", "region": "", "holidays": [], "edges": [],
         "rules": [{"name": "close", "all": True, "at": "18:00", "weekdays": ["thu"], "holidays": "usual", "exceptions": []}],
@@ -611,8 +627,8 @@
         if event.startswith("calendar")
     ]
     assert named == [("calendar refused", "a", None), ("calendar differs", "b", 1)]
-    (held,) = one.purges.own.held.values()
-    assert held.edition.by_moment["close", "2026-01-01"] == body["instants"][0][2]
+    (held,) = one.purges.own_calendar.editions.values()
+    assert held.edition.instant_ms["close", "2026-01-01"] == body["instants"][0][2]
 
 
 def test_what_an_edge_took_in_an_earlier_life_must_be_here_before_its_word_counts():
@@ -627,33 +643,33 @@
     other.up = False
     other.start()
     world.run(300)
-    assert not one.purges.sure()
+    assert not one.purges.is_ready()
     row, entries, told = other.told()
     assert row.life == 3 and row.before == ()
     one.inbox.append((row, [each for each in entries if each.life == 3], told))
     one.beat()
-    assert not one.purges.sure()
+    assert not one.purges.is_ready()
     one.inbox.append((row, entries, told))
     one.beat()
-    assert one.purges.sure() and one.purges.own.highest().number == 2
+    assert one.purges.is_ready() and one.purges.own_calendar.highest_edition().number == 2
 
 
 def test_clocks_are_asked_of_a_few_and_answered_to_whoever_asks():
     names = [f"g{n:03}" for n in range(190)]
-    near = {name: ring(name, names, 3) for name in names}
+    near = {name: clock_neighbours(name, names, 3) for name in names}
     assert all(len(each) == 6 and all(name in near[other] for other in each) for name, each in near.items())
-    clocks = {name: WallClock(name, 500, near[name], 0, 1000) for name in names}
-    clocks["g000"].near |= {"g100"}  # one of a small site asks another, which does not know of it
+    clocks = {name: WallClockMonitor(name, 500, near[name], 0, 1000) for name in names}
+    clocks["g000"].neighbours |= {"g100"}  # one of a small site asks another, which does not know of it
     for turn in range(1, 4):
         for name, clock in clocks.items():
-            clock.reading(turn * SECOND, 1000 * turn + 1000)
+            clock.record_reading(turn * SECOND, 1000 * turn + 1000)
             for other in names:
                 if other != name:
-                    clock.listen(other, clocks[other].told())
-    assert all(clock.believed and len(clock.heard) <= 8 for clock in clocks.values())
-    assert "g000" in clocks["g100"].heard and "g100" in clocks["g000"].apart
-    lone = WallClock("x", 500, [], 0, 1000)
-    assert lone.believed and not lone.reading(SECOND, 9000) and lone.believed
+                    clock.report_received(other, clocks[other].report())
+    assert all(clock.trusted and len(clock.received) <= 8 for clock in clocks.values())
+    assert "g000" in clocks["g100"].received and "g100" in clocks["g000"].offsets
+    lone = WallClockMonitor("x", 500, [], 0, 1000)
+    assert lone.trusted and not lone.record_reading(SECOND, 9000) and lone.trusted
 
 
 def test_a_large_purge_bars_at_once():
@@ -684,8 +700,8 @@
         one.purges.event(Entry("purges/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
         one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
     one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), b"\xff"))
-    assert one.purges.bad and one.purges.own.bad
-    assert not one.purges.records["s"].by_edge
+    assert one.purges.invalid_settlements and one.purges.own_calendar.invalid_events
+    assert not one.purges.settlements["s"].by_edge
 
 
 # --- any order of troubles ---
@@ -813,7 +829,7 @@
             world.cut.clear()
         elif disks and what < 0.93:
             # One disk at a time: nobody else's is new.
-            if all(each.purges.whole() for each in world.edges.values() if each is not edge):
+            if all(each.purges.is_recovered() for each in world.edges.values() if each is not edge):
                 edge.lose_disk()
         elif disks and what < 0.95:
             world.arrive()
@@ -873,11 +889,18 @@
 def test_a_new_disk_is_no_voice_until_more_than_half_of_the_others_told_what_it_knew():
     world = knows_too_little()
     _, b, c = world.edges.values()
-    assert not b.purges.sure() and not c.purges.sure() and "its disk is new" in b.purges.why_unsure()
-    assert c.purges.own.highest().number == 1
+    assert (
+        not b.purges.is_ready()
+        and not c.purges.is_ready()
+        and "its disk is new" in b.purges.not_ready_reason()
+    )
+    assert c.purges.own_calendar.highest_edition().number == 1
     world.cut.clear()
     world.run(4000)
-    assert all(edge.purges.sure() and edge.purges.own.highest().number == 2 for edge in world.edges.values())
+    assert all(
+        edge.purges.is_ready() and edge.purges.own_calendar.highest_edition().number == 2
+        for edge in world.edges.values()
+    )
     world.judge_settlement()
 
 
@@ -890,32 +913,36 @@
     world.run(1000)
     world.edition("a", [["close", day(1), 60_000]])
     world.run(5000)
-    assert a.purges.sure() and b.purges.sure()
+    assert a.purges.is_ready() and b.purges.is_ready()
     c.lose_disk()
     world.run(1000)
-    assert c.purges.sure()
+    assert c.purges.is_ready()
     b.up = False
     b.start()
-    assert b.purges.whole()  # a restart with its disk is no new disk
+    assert b.purges.is_recovered()  # a restart with its disk is no new disk
     c.lose_disk()
     b.up = False
     world.run(NOTICE)
-    assert not a.purges.sure() and not c.purges.sure()  # what only b knows can't be known
+    assert not a.purges.is_ready() and not c.purges.is_ready()  # what only b knows can't be known
     world.judge_settlement()
 
 
-class TrustsNew(Purges):
+class TrustsNew(PurgeSchedule):
     """The mistake of an edge that counts on its word although its disk is new."""
 
-    def whole(self):
+    def is_recovered(self):
         return True
 
 
 class BeginsAlone(SiteCalendar):
     """The mistake of a new disk that is whole once any other has seen it."""
 
-    def begins(self, own, fresh, new, ms):
-        return [] if any(of == own for _, of in self.saw) else super().begins(own, fresh, new, ms)
+    def recovery(self, own, fresh, new, ms):
+        return (
+            []
+            if any(of == own for _, of in self.disks.acknowledgements)
+            else super().recovery(own, fresh, new, ms)
+        )
 
 
 @pytest.mark.parametrize(
@@ -926,44 +953,44 @@
         knows_too_little(**mistake)
 
 
-class Unsure(Purges):
+class Unsure(PurgeSchedule):
     """The mistake of an edge that serves although it has not heard of the others."""
 
-    def why_unsure(self):
+    def not_ready_reason(self):
         return ""
 
 
-class Late(Purges):
+class Late(PurgeSchedule):
     """The mistake of a purge at the instant by its own clock, which may be behind."""
 
-    def look(self, now, wall):
-        super().look(now, wall - 2 * self.bound)
+    def update_time(self, now, wall):
+        super().update_time(now, wall - 2 * self.bound_ms)
 
-    def serves(self, volume, plan):
-        return self.sure()
+    def may_serve(self, volume, plan):
+        return self.is_ready()
 
 
-class ByDay(Purges):
+class ByDay(PurgeSchedule):
     """The mistake of a catch-up for each day that was missed."""
 
-    def unsettled(self):
-        return super().unsettled()[:1]
+    def unsettled_occurrences(self):
+        return super().unsettled_occurrences()[:1]
 
 
-class Forgets(Purges):
+class Forgets(PurgeSchedule):
     """The mistake of a restart after which what was settled is settled again."""
 
-    def unsettled(self):
-        told = super().unsettled()
+    def unsettled_occurrences(self):
+        told = super().unsettled_occurrences()
         if (
             not told
-            and self.own is not None
-            and self._drops
+            and self.own_calendar is not None
+            and self._purge_count
             and not getattr(self, "again", False)
-            and self.sure()
+            and self.is_ready()
         ):
             self.again = True
-            return self.own.due(self.wall - 20_000, self.wall)[-1:]
+            return self.own_calendar.due_occurrences(self.wall_ms - 20_000, self.wall_ms)[-1:]
         return told
 
 
@@ -972,7 +999,7 @@
 
     def event(self, entry):
         super().event(entry)
-        for number, held in enumerate(self.held.values()):
+        for number, held in enumerate(self.editions.values()):
             held.edition.number = number
 
 
@@ -981,32 +1008,32 @@
 
     def __init__(self, site, edges, notice):
         super().__init__(site, edges, notice)
-        self.most = 1
+        self.majority = 1
 
 
-class JoinsAcross(Copies):
+class JoinsAcross(PurgeableObjectCache):
     """The mistake of a fetch that is joined across the moment."""
 
     def request_received(self, job, request, write, due, asker):
-        key = Key(
+        key = ObjectKey(
             request.request_class, request.tenant, request.volume, request.key, request.shard, request.units
         )
-        fetch = self.fetches.get(key)
+        fetch = self.shared_fetches.get(key)
         if (
             fetch is not None
-            and self.may(request.volume, request.tenant)
-            and self._joins(fetch, _Waiting(job, request, due, asker, 0))
+            and self.may_use(request.volume, request.tenant)
+            and self._join(fetch, WaitingRead(job, request, due, asker, 0))
         ):
             return None
         return super().request_received(job, request, write, due, asker)
 
 
-class HoldsAcross(Copies):
+class HoldsAcross(PurgeableObjectCache):
     """The mistake of a fetch that is held under the epoch of its end."""
 
-    def _hold(self, fetch):
-        fetch.mark = fetch.copy.mark = self._mark(fetch.key.volume, fetch.key.plan)
-        super()._hold(fetch)
+    def _store_fetched(self, fetch):
+        fetch.epochs = fetch.cached.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
+        super()._store_fetched(fetch)
 
 
 @pytest.mark.parametrize(
