--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,5 +1,6 @@
 """The glossary of docs/architecture.md: where its names are used, the words that they replace are gone."""
 
+import ast
 import io
 import re
 import tokenize
@@ -138,3 +139,20 @@
 
 def test_a_name_that_programs_rely_on_is_still_there():
     assert Ending.FULFILLED is Ending.SERVED and Ending.SERVED.value == "fulfilled"
+
+
+ON_CALL = (ROOT.parent / "docs" / "on-call.md").read_text()
+WRITERS = re.findall(r"\| `([\w/]+\.py)`: `([\w.]+)` \|$", ON_CALL, re.MULTILINE)
+
+
+@pytest.mark.parametrize(("module", "function"), sorted(set(WRITERS)))
+def test_functions_that_the_on_call_page_names_are_there(module, function):
+    body = ast.parse((ROOT / module).read_text()).body
+    for name in function.split("."):
+        body = next(each.body for each in body if getattr(each, "name", None) == name)
+
+
+def test_each_row_of_the_on_call_page_names_its_writer():
+    tables = ON_CALL.split("## Where each line")[1]
+    rows = [line for line in tables.splitlines() if line.startswith("| ") and "---" not in line]
+    assert len([row for row in rows if "| written by |" not in row]) == len(WRITERS) > 0
