--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -105,7 +105,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.ledger = RequestLog()
-        self.legs_over: list[Any] = []
+        self.attempt_observers: list[Any] = []
 
     def bounds_came(self, bounds: Any) -> None:
         pass
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -53,7 +53,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.ledger = RequestLog()
-        self.legs_over: list[Callable[[RequestRecord, AttemptRecord], None]] = []
+        self.attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]] = []
 
     def bounds_came(self, bounds: Any) -> None:
         pass
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -120,7 +120,7 @@
         "ending": record.outcome.value if record.outcome else "open",
         "why": record.why(),
         "ms": round((record.answered_at - record.received_at) / MS, 3),
-        "left_ms": round((record.answer_by - record.answered_at) / MS, 3),
+        "left_ms": round((record.deadline - record.answered_at) / MS, 3),
         "legs": [_attempt_fields(record, attempt) for attempt in record.attempts],
     }
 
--- a/ochrecourse/common/event_loop.py
+++ b/ochrecourse/common/event_loop.py
@@ -1,4 +1,4 @@
-"""Since when something may stand unread in an event loop that polls. Free of I/O and clocks."""
+"""Since when some input may not be read yet in an event loop that polls. Free of I/O and clocks."""
 
 from __future__ import annotations
 
--- a/ochrecourse/common/monotonic_reactor.py
+++ b/ochrecourse/common/monotonic_reactor.py
@@ -101,8 +101,8 @@
 
 
 def unread_since(reactor: Any) -> Callable[[], int] | None:
-    """What returns since when something may stand unread in a reactor's loop, in ns of its clock; None if the
-    reactor has no poller that can be watched.
+    """What returns since when some input may not be read yet in a reactor's loop, in ns of its clock; None
+    if the reactor has no poller that can be watched.
     """
     poller = getattr(reactor, "_poller", None)  # Twisted has no public place from which a poll can be seen
     if poller is None:
--- a/ochrecourse/common/object_cache.py
+++ b/ochrecourse/common/object_cache.py
@@ -11,11 +11,11 @@
     """Who caches objects that were read, where the settings ask for it (`Gateway.object_cache`)."""
 
     def request_received(
-        self, request_id: int, request: Request, write: bool, answer_by: int, handler: ResponseHandler
+        self, request_id: int, request: Request, write: bool, deadline: int, handler: ResponseHandler
     ) -> ResponseHandler | None:
         """Who handles a request's answer from the nodes; None if no attempt is to be sent for it now.
 
-        `answer_by` is its deadline in ns by the gateway's clock.
+        `deadline` is its deadline in ns by the gateway's clock.
         """
 
     def request_cancelled(self, request_id: int) -> bool:
--- a/ochrecourse/common/request_records.py
+++ b/ochrecourse/common/request_records.py
@@ -34,9 +34,9 @@
 class RequestRecord:
     """One request as the gateway saw it; times in ns.
 
-    `answer_by` is the deadline that the scheduler was given: the client's own, less what an answer takes to
+    `deadline` is the deadline that the scheduler was given: the client's own, less what an answer takes to
     reach it. An answer that leaves by `latest_answer_at`, a little later, is still in time; an attempt's
-    time-out at `answer_by` is answered then.
+    time-out at `deadline` is answered then.
     """
 
     number: int
@@ -45,7 +45,7 @@
     volume: int
     units: float
     received_at: int
-    answer_by: int
+    deadline: int
     latest_answer_at: int
     trace: str = ""
     attempts: list[AttemptRecord] = field(default_factory=list)
--- a/ochrecourse/fleet/object_cache.py
+++ b/ochrecourse/fleet/object_cache.py
@@ -94,7 +94,7 @@
     # --- for the gateway (common.object_cache.ObjectCache) ---
 
     def request_received(
-        self, request_id: int, request: Request, write: bool, answer_by: int, handler: ResponseHandler
+        self, request_id: int, request: Request, write: bool, deadline: int, handler: ResponseHandler
     ) -> ResponseHandler | None:
         """Who handles a request's answer from the nodes; None if no attempt is to be sent for it now."""
         if write:
@@ -105,7 +105,7 @@
         if request.request_class not in self.request_classes or request.shard < 0:
             return handler
         self.reads_received += 1
-        return self._read(WaitingRead(request_id, request, answer_by, handler, self.reads_received))
+        return self._read(WaitingRead(request_id, request, deadline, handler, self.reads_received))
 
     def request_cancelled(self, request_id: int) -> bool:
         """The client of a request no longer waits; True if no attempt of it was ever sent."""
@@ -184,7 +184,7 @@
         if read.order <= fetch.order:
             joins = self._join(fetch, read)
         else:
-            joins = fetch.answer_by <= read.answer_by and len(self.waiting) < MAX_WAITING
+            joins = fetch.deadline <= read.deadline and len(self.waiting) < MAX_WAITING
             if joins:
                 fetch.waiting_for_next[read.request_id] = read
                 self.waiting[read.request_id] = fetch
@@ -199,7 +199,7 @@
             self.counts.joined += 1
             self.readers.start(ObjectReader(read.request_id, read.handler, fetch.cached, fetch.key, fetch))
             return True
-        if fetch.answer_by > read.answer_by or len(self.waiting) >= MAX_WAITING:
+        if fetch.deadline > read.deadline or len(self.waiting) >= MAX_WAITING:
             return False
         # Its answer begins by a time at which this request may still be answered: no timer is needed.
         self.counts.joined += 1
@@ -306,4 +306,4 @@
 
 
 def _by_deadline(reads: list[WaitingRead]) -> list[WaitingRead]:
-    return sorted(reads, key=lambda each: (each.answer_by, each.request_id))
+    return sorted(reads, key=lambda each: (each.deadline, each.request_id))
--- a/ochrecourse/fleet/object_fetch.py
+++ b/ochrecourse/fleet/object_fetch.py
@@ -12,13 +12,13 @@
 
 
 class WaitingRead(NamedTuple):
-    """A read that waits for the begin of a fetch's answer. `answer_by`: its deadline in ns; `order`: its
+    """A read that waits for the begin of a fetch's answer. `deadline`: its deadline in ns; `order`: its
     number among all reads received.
     """
 
     request_id: int
     request: Request
-    answer_by: int
+    deadline: int
     handler: ResponseHandler
     order: int
 
@@ -70,7 +70,7 @@
     ) -> None:
         self.observer = observer
         self.request_id = read.request_id
-        self.answer_by = read.answer_by
+        self.deadline = read.deadline
         self.handler = read.handler
         self.key = key
         self.epochs = epochs
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -63,7 +63,7 @@
     ) -> None:
         """`travel`: ns that an answer takes to its client; `decisions`: what makes the host's scheduler;
         `limits`: of connections, if the map's own are not meant; `unread_since`: the clock's time since when
-        something may stand unread, where the loop knows (common/event_loop.py)."""
+        some input may not be read yet, where the loop knows (common/event_loop.py)."""
         self.name = name
         self.travel = travel
         self.observers = observers
@@ -85,7 +85,9 @@
         self.on_list_wanted: Callable[[], None] | None = None
         self.entries: dict[int, NodeEntry] = {}
         self.rejected_on_arrival = 0
-        self.answer_by = 0  # ns; every request submitted from now on is answered by then; 0: no such time
+        self.shutdown_deadline = (
+            0  # ns; every request submitted from now on is answered by then; 0: no such time
+        )
         self._last_request_id = 0
         self._deciding = False
         self._catch_up = InputCatchUp(clock, self.event_loop_lag, unread_since, self._decide)
@@ -137,10 +139,10 @@
         if not 0 < request.units < 1e9 or not 0 < request.timeout < 1e15 or not 1 <= request.gateways < 1e6:
             raise BadRequestError("bad_figure", "units, timeout and gateways must be above 0")
         now = now_ns(self.clock)
-        answer_by = self.event_loop_lag.earliest_arrival(request.read_at) + request.timeout - self.travel
-        if self.answer_by:
-            answer_by = min(answer_by, self.answer_by)
-        if answer_by <= now:
+        deadline = self.event_loop_lag.earliest_arrival(request.read_at) + request.timeout - self.travel
+        if self.shutdown_deadline:
+            deadline = min(deadline, self.shutdown_deadline)
+        if deadline <= now:
             raise BadRequestError("late_body", "its client's time was over before it was whole here")
         request_id = self.next_request_id()
         self._last_request_id = request_id
@@ -151,14 +153,14 @@
             handler.rejected(request_id, 0)
             return request_id
         record = RequestRecord(
-            request_id, request_class, tenant, request.volume, request.units, now, answer_by,
-            answer_by + self.travel // 2, request.trace
+            request_id, request_class, tenant, request.volume, request.units, now, deadline,
+            deadline + self.travel // 2, request.trace
         )  # fmt: skip
         self.request_log.add(record)
         self.in_flight[request_id] = InFlightRequest(request, handler, record)
         if self.object_cache is not None:
             write = self.settings_index.writes[request_class]
-            cache_handler = self.object_cache.request_received(request_id, request, write, answer_by, handler)
+            cache_handler = self.object_cache.request_received(request_id, request, write, deadline, handler)
             if cache_handler is None:
                 return request_id
             self.in_flight[request_id].handler = cache_handler
@@ -259,7 +261,7 @@
             self._timer = self.clock.callLater((self._due - now) / SECOND, self._timer_fired)
 
     def _iterations_behind(self) -> int:
-        """Iterations of the loop until all that stands unread now is reported; 0 if it is."""
+        """Iterations of the loop until all input that is not read yet is reported; 0 if it is."""
         if self._catch_up.iterations_left:
             return self._catch_up.iterations_left
         behind = self._catch_up.input_is_unread() or self._timer_is_overdue()
--- a/ochrecourse/gateway/input_catch_up.py
+++ b/ochrecourse/gateway/input_catch_up.py
@@ -1,7 +1,7 @@
 """Holds decisions back after a long iteration of the event loop, until the input that waited is read.
 
 A loop calls its timers before it reads sockets. After a long iteration a client's close or a node's answer
-may stand unread, and a decision made then would be wrong: a request whose client has closed would be
+may not be read yet, and a decision made then would be wrong: a request whose client has closed would be
 forwarded.
 Free of I/O; the clock is handed in.
 """
@@ -15,7 +15,9 @@
 from ochrecourse.common.time_units import MS
 
 ITERATIONS_BEHIND = 2  # one reads a connection's bytes, the next the end of input that stands behind them
-MAX_UNREAD = 50 * MS  # half of the 0.1 s in which a client's close must be heeded; the rest is for the way
+MAX_UNREAD = (
+    50 * MS
+)  # half of the 0.1 s in which a client's close must be acted on; the rest is for the network
 
 
 class InputCatchUp:
@@ -28,7 +30,7 @@
         unread_since: Callable[[], int] | None,
         on_caught_up: Callable[[], None],
     ) -> None:
-        """`unread_since`: the clock's time, in ns, since when something may stand unread, where the loop
+        """`unread_since`: the clock's time, in ns, since when some input may not be read yet, where the loop
         knows (common/event_loop.py); `on_caught_up` is called at the end of each wait."""
         self.clock = clock
         self.iterations_left = 0  # of the loop, until all that stood unread is reported; 0: no wait
--- a/ochrecourse/gateway/request_executor.py
+++ b/ochrecourse/gateway/request_executor.py
@@ -83,7 +83,7 @@
     def _to_scheduler(self, record: RequestRecord, request: Request, now: int) -> None:
         scheduled = interface.Request(
             record.number, record.request_class, record.tenant, request.volume, request.key, request.units,
-            request.shard, request.gateways, record.answer_by
+            request.shard, request.gateways, record.deadline
         )  # fmt: skip
         self.scheduler.request_received(scheduled, now)
         self._pull()
@@ -96,7 +96,7 @@
         in_flight = self.in_flight[request_id]
         request, class_number, index = in_flight.request, record.request_class, self.settings_index
         self.node_health.attempt_sent(decision.node, now)
-        time_left = record.answer_by - now
+        time_left = record.deadline - now
         timeout = min(decision.time_out, time_left) if decision.time_out else time_left
         message = m.SendAttempt(
             id=0,
@@ -114,11 +114,11 @@
             size=request.body.size if request.body else 0,
             trace=request.trace,
         )
-        stall = record.answer_by - record.received_at
+        stall = record.deadline - record.received_at
         # A request whose data one node alone holds has no other way: a dial that may serve it in time is
         # worth the wait. Another goes elsewhere after the time that the settings give a dial.
-        alone = request.shard >= 0 and self.ready_nodes_by_shard[request.shard] <= 1
-        wait = record.received_at + index.latency_objectives[class_number] - now if alone else None
+        is_only_holder = request.shard >= 0 and self.ready_nodes_by_shard[request.shard] <= 1
+        wait = record.received_at + index.latency_objectives[class_number] - now if is_only_holder else None
         attempt = OutgoingAttempt(request_id, decision.node, message, request.body, self)
         limits = AttemptLimits(timeout, stall, wait, decision.write_before)
         in_flight.attempt = self.nodes.send(attempt, limits)
--- a/ochrecourse/interface.py
+++ b/ochrecourse/interface.py
@@ -41,7 +41,7 @@
     FULL = "full"  # the node refused it unseen
     TIMEOUT = "timeout"  # no answer in time; it may still run
     UNREACHABLE = "unreachable"  # it never reached the node as a whole, so it did not run
-    RESET = "reset"  # the connection ended or was spoilt before the answer; it may still run
+    RESET = "reset"  # the connection ended or was corrupted before the answer; it may still run
     WITHDRAWN = "withdrawn"  # given up for its client after it was written; it may still run
     MOOT = "moot"  # it did not run, for a reason on this side
 
@@ -71,7 +71,7 @@
     units: float  # of work; 0 where that is not known
     shard: int  # the shard that holds the data; below 0 for a new object, which any node may take
     gateways: int  # through how many gateways the volume's requests come
-    client_timeout: int  # clock time at which the client stops waiting
+    deadline: int  # clock time at which the client stops waiting
 
 
 @dataclass(slots=True)
--- a/ochrecourse/lab/baselines.py
+++ b/ochrecourse/lab/baselines.py
@@ -72,7 +72,7 @@
         elif (
             self.safe[request.request_class]
             and self.attempts[end.request_id] < self.most
-            and now < request.client_timeout
+            and now < request.deadline
         ):
             self._send(request)
         else:
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -291,7 +291,7 @@
         "product": "request_class",
         "plan": "tenant",
         "taken": "received_at",
-        "due": "answer_by",
+        "due": "deadline",
         "latest": "latest_answer_at",
         "legs": "attempts",
         "closing": "outcome",
@@ -302,7 +302,7 @@
     product = _RenamedField("request_class")
     plan = _RenamedField("tenant")
     taken = _RenamedField("received_at")
-    due = _RenamedField("answer_by")
+    due = _RenamedField("deadline")
     latest = _RenamedField("latest_answer_at")
     legs = _RenamedField("attempts")
     answered = _RenamedField("answered_at")
@@ -345,7 +345,7 @@
     ]
     return JobStory(
         record.number, record.request_class, record.tenant, record.volume, record.units, record.received_at,
-        record.answer_by, record.latest_answer_at, record.trace, attempts, record.outcome, record.streaming,
+        record.deadline, record.latest_answer_at, record.trace, attempts, record.outcome, record.streaming,
         record.answered_at, record.attempts_out
     )  # fmt: skip
 
--- a/ochrecourse/nodes/dispatcher.py
+++ b/ochrecourse/nodes/dispatcher.py
@@ -159,7 +159,7 @@
         if not self.dials.is_dialling(pooled):
             return  # given up, or closed again
         if turns_left:
-            # Guards against a long turn: attempts that wait may be of clients whose end stands unread.
+            # Guards against a long turn: attempts that wait may be of clients whose close is not read yet.
             self.clock.callLater(0, self._connection_opened, connection, turns_left - 1)
             return
         now = now_ns(self.clock)
--- a/ochrecourse/nodes/outcome.py
+++ b/ochrecourse/nodes/outcome.py
@@ -17,7 +17,7 @@
 
 
 class Executed(Enum):
-    """What is known of an attempt's effect."""
+    """What is known of an attempt's effect. For readers and tests; the scheduler uses the `Ending`."""
 
     NO = "nothing ran"
     MAYBE = "may have run"
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -112,7 +112,7 @@
 
     def _reuse_delay_over(self) -> None:
         # Guards against a loop that stood still: it calls its timers before it reads, and what arrived during
-        # the delay may stand unread. It is read before the next turn's calls.
+        # the delay may not be read yet. It is read before the next turn's calls.
         self.dispatcher.clock.callLater(0, self._release)
 
     def _release(self) -> None:
--- a/ochrecourse/scheduler/admission.py
+++ b/ochrecourse/scheduler/admission.py
@@ -43,6 +43,8 @@
     def admits(self, pending: PendingRequest, node: Node, needed: int, left: int, now: int) -> bool:
         """Whether the request may wait at the node, or go on waiting there.
 
+        Raises the node's priority floor where it does not fit; draws chance for a request that is new there.
+
         `needed`: ns that it is expected to take there. `left`: ns within which it has to be answered.
         """
         priority = self.priority_per_ns(pending)
--- a/ochrecourse/scheduler/evacuation.py
+++ b/ochrecourse/scheduler/evacuation.py
@@ -34,11 +34,11 @@
     request.
     """
 
-    __slots__ = ("_chance", "_node_window", "_rates", "_usual_units")
+    __slots__ = ("_chance", "_node_load_span", "_rates", "_usual_units")
 
     def __init__(self, settings: SchedulerSettings, chance: Chance) -> None:
         self._chance = chance
-        self._node_window = settings.safety.node_window
+        self._node_load_span = settings.safety.node_load_span
         self._usual_units = settings.safety.usual_units
         self._rates: dict[int, float] = {}
 
@@ -67,9 +67,9 @@
         if not node.rate:
             return 0 if node.rate is None else NEVER
         begun = node.begun
-        while begun and begun[0][0] <= now - self._node_window:
+        while begun and begun[0][0] <= now - self._node_load_span:
             begun.popleft()
-        capacity = node.rate * self._node_window / SECOND - units
+        capacity = node.rate * self._node_load_span / SECOND - units
         if capacity < 0:
             return max(0, node.next_start_at - now)
         in_window = sum(each for _, each in begun)
@@ -78,7 +78,7 @@
             if in_window <= capacity:
                 break
             in_window -= each
-            wait = at + self._node_window - now + 1
+            wait = at + self._node_load_span - now + 1
         return wait
 
     def queue_time(self, node: Node) -> int:
--- a/ochrecourse/scheduler/latency.py
+++ b/ochrecourse/scheduler/latency.py
@@ -5,7 +5,7 @@
 overloaded.
 
 Each class has a usual pace (ns per unit) over all nodes, each node a slowdown against it. Without news a
-slowdown eases to what all nodes had of late, so that a node is tried again in the end: the slower, the more
+slowdown eases to what all nodes had recently, so that a node is tried again in the end: the slower, the more
 gateways there are, or all of them together would fill an overloaded node again before its queue is empty.
 """
 
--- a/ochrecourse/scheduler/placement.py
+++ b/ochrecourse/scheduler/placement.py
@@ -103,7 +103,7 @@
             if not repeatable or pending.attempts or pending.capacity_wait:
                 return False
         self._latency.ease(node, now)  # or what it needed before its rate would keep all from trying it
-        left = pending.answer_by - now - self._margin
+        left = pending.serve_by - now - self._margin
         needed = self._latency.expected_time(pending, node)
         if other is None:
             return pending.capacity_wait + needed <= left
--- a/ochrecourse/scheduler/rate_limits.py
+++ b/ochrecourse/scheduler/rate_limits.py
@@ -73,7 +73,8 @@
         self.reserved_left = rate and min(rate * share + largest, self.reserved_left + rate * share * elapsed)
         rate = self._usual_rate
         self.usual_left = rate and min(rate * share + largest, self.usual_left + rate * share * elapsed)
-        # Guards against a late connection: what is drawn but not written still lies in the nodes' store.
+        # Guards against a late connection: what is drawn here but not written is not yet drawn from the
+        # nodes' bucket.
         self.limit_tokens = min(
             self.limit_depth - self.unwritten_units, self.limit_tokens + self.limit_rate * elapsed
         )
--- a/ochrecourse/scheduler/retries.py
+++ b/ochrecourse/scheduler/retries.py
@@ -55,8 +55,8 @@
     def allows(self, pending: PendingRequest, now: int) -> bool:
         """Whether a request that had attempts may have one more now."""
         most = self._settings.max_attempts
-        by_value = 1 + max(1, round((most - 1) * self._settings.priority_share(pending.quota)))
-        if pending.attempts >= min(most, by_value):
+        max_for_priority = 1 + max(1, round((most - 1) * self._settings.priority_share(pending.quota)))
+        if pending.attempts >= min(most, max_for_priority):
             return False
         if now >= self.write_before(pending):
             return False
@@ -73,13 +73,15 @@
         return len(self._retries_at) + 1 <= budget.floor + budget.ratio * len(self._requests_at)
 
     def write_before(self, pending: PendingRequest) -> int:
-        """Clock time in ns by which an attempt has to be written: its client waits, its window is open."""
-        client_timeout = pending.request.client_timeout
+        """Clock time in ns from which an attempt may no longer be written: the client's deadline or, once an
+        attempt may have run, the end of its idempotency window.
+        """
+        deadline = pending.request.deadline
         first_run = pending.first_run
         if first_run is None or pending.request_class.idempotency is not Idempotency.WITH_KEY:
-            return min(client_timeout, NEVER)
+            return min(deadline, NEVER)
         window_end = first_run.sent_at + pending.request_class.idempotency_window
-        return min(client_timeout, window_end - self._answer_margin)
+        return min(deadline, window_end - self._answer_margin)
 
     def attempt_ended(self, pending: PendingRequest, node: Node, ending: Ending, now: int) -> None:
         """An attempt at this node ended: the next one waits, and knows where one may have run."""
--- a/ochrecourse/scheduler/scheduler.py
+++ b/ochrecourse/scheduler/scheduler.py
@@ -94,7 +94,7 @@
         if entry.health is not Health.READY:
             self._node_left(node, entry.health)
             return
-        if self.slow_start.starts(node, entry, self._now):
+        if self.slow_start.begin_if_started(node, entry, self._now):
             self._review.extend(fair_queue.empty_queues(node))
         node.health = Health.READY
         node.started_at = entry.started
@@ -117,7 +117,7 @@
         else:
             self.key_order.add(pending)
             self._advance_key(request.key)
-        self._timers.add(pending.answer_by - self._answer_margin, timers.ReviewRequest(pending))
+        self._timers.add(pending.serve_by - self._answer_margin, timers.ReviewRequest(pending))
 
     def attempt_written(self, request_id: int, now: int) -> None:
         """The attempt that is out was handed to a connection: from now on it may run."""
@@ -191,7 +191,7 @@
             if self.endpoints.polls_due:
                 return self.endpoints.polls_due.popleft()
             while self._review:
-                reply = self._settle(self._review.popleft())
+                reply = self._review_request(self._review.popleft())
                 if reply:
                     return reply
             touched = self.fair_queue.touched
@@ -231,7 +231,7 @@
         if pending.node is not None:
             concurrency.shrink_window(pending.node, pending.sent_at, self._now)
 
-    def _settle(self, pending: PendingRequest) -> Reply | None:
+    def _review_request(self, pending: PendingRequest) -> Reply | None:
         """Answers a request that can't be served in time any more; has another wait at its node."""
         if pending.over:
             fair_queue.dequeue(pending)
@@ -240,7 +240,7 @@
         if pending.attempt_out or pending.streaming:
             return None
         now = self._now
-        left = pending.answer_by - now - self._answer_margin
+        left = pending.serve_by - now - self._answer_margin
         if left <= 0 or pending.not_before - now >= left:
             return self._reply(pending)
         if pending.attempts and not self.retries.allows(pending, now):
@@ -264,7 +264,7 @@
             return self._reply(pending)
         if not pending.waiting:
             self._enqueue(pending, node)
-        give_up_at = pending.answer_by - self._answer_margin - needed + 1
+        give_up_at = pending.serve_by - self._answer_margin - needed + 1
         self._timers.add(give_up_at, timers.ReviewRequest(pending))
         return None
 
--- a/ochrecourse/scheduler/settings.py
+++ b/ochrecourse/scheduler/settings.py
@@ -17,6 +17,7 @@
 from ochrecourse.common.time_units import MS
 from ochrecourse.interface import MissingSettingError
 
+ANSWER_MARGIN_PERIODS = 2  # of the host's timer; one to wake, one to send the answer
 LEAST_START_CAPACITY = 0.01  # share of a warm node's capacity; guards against dividing by nothing
 
 
@@ -76,11 +77,11 @@
     """What the settings say of the fleet's gateways and of nodes that may be overloaded."""
 
     gateways: float  # of the fleet, one at least
-    node_window: int  # ns over which a node's load is counted
+    node_load_span: int  # ns over which a node's load is counted
     slow_start_span: int  # ns from a start until the slowest node is warm
     key_settle_span: int  # ns that an ordered key rests after an attempt that may still run
     usual_units: float  # units of a usual request
-    sure_units: float  # units in `node_window` that any starting node bears
+    sure_units: float  # units in `node_load_span` that any starting node bears
     start_capacity: float  # least share of a warm node's capacity right after a start
     overload_factor: float  # how many times its capacity a node bears, one at least
     answer_margin: int  # ns before the end of a request's time by which its answer must be on its way
@@ -163,20 +164,20 @@
     def _safety(self) -> Safety:
         read = self._reader
         gateways = max(1.0, read.number("Instances", 1.0))
-        node_window = read.span("Safety.Fall", 0.0)
+        node_load_span = read.span("Safety.Fall", 0.0)
         slow_start_span = read.span("Safety.Cold", 0.0)
         key_settle_span = read.span("Safety.OrderSettle", 0.0)
         usual_units = read.number("FamilyInfo.UsualUnits", 1.0) or 1.0
         return Safety(
             gateways=gateways,
-            node_window=node_window,
+            node_load_span=node_load_span,
             slow_start_span=slow_start_span,
             key_settle_span=key_settle_span,
             usual_units=usual_units,
             sure_units=read.number("FamilyInfo.ColdUnits", 0.0) or usual_units,
             start_capacity=max(LEAST_START_CAPACITY, read.number("Safety.StartCapacity", 1.0)),
             overload_factor=max(1.0, read.number("Safety.OverloadFactor", 1.0)),
-            answer_margin=2 * read.span("Period", 1.0),
+            answer_margin=ANSWER_MARGIN_PERIODS * read.span("Period", 1.0),
         )
 
     def tenant(self, number: int) -> Tenant:
--- a/ochrecourse/scheduler/slow_start.py
+++ b/ochrecourse/scheduler/slow_start.py
@@ -4,7 +4,7 @@
 or returned, and of the settings the load that any starting node bears (units in a window of time) and the
 multiple of its capacity that a node bears.
 
-From a start or a return two laws hold until the slowest node is warm. All gateways together: each lets a
+From a start or a return two limits apply until the slowest node is warm. All gateways together: each lets a
 request go by chance, with the share of its load that a starting node bears if warm nodes are just full. One
 gateway: what it sends in the window stays under its even part of the load that is sure, and half of the
 multiple of what the node answered here. Where that part holds a usual request, the second law alone holds
@@ -38,7 +38,7 @@
         "_answer_factor",
         "_chance",
         "_chance_share",
-        "_node_window",
+        "_node_load_span",
         "_own_sure_units",
         "_span",
         "_start_slowdown",
@@ -52,7 +52,7 @@
     def __init__(self, settings: SchedulerSettings, chance: Chance, now: int) -> None:
         safety = settings.safety
         self._chance = chance
-        self._node_window = safety.node_window
+        self._node_load_span = safety.node_load_span
         self._span = safety.slow_start_span
         self._usual_units = safety.usual_units
         self._start_slowdown = 1 / safety.start_capacity
@@ -68,10 +68,12 @@
         # Of the requests that warm nodes are asked for when they are just full, what a starting one bears.
         self.bearable_share = safety.start_capacity * safety.overload_factor
         # Units asked for per node in LOAD_SPAN. A gateway that begins takes warm nodes for full.
-        self.load_units = self._own_sure_units * LOAD_SPAN / (max(1, self._node_window) * self.bearable_share)
+        self.load_units = (
+            self._own_sure_units * LOAD_SPAN / (max(1, self._node_load_span) * self.bearable_share)
+        )
         self.load_at = now  # of `load_units`
 
-    def starts(self, node: Node, entry: NodeEntry, now: int) -> bool:
+    def begin_if_started(self, node: Node, entry: NodeEntry, now: int) -> bool:
         """Begins the slow start of a node whose new entry says it is ready, if it needs one."""
         # Guards against pushing over a node that starts: any return counts as a start, listed or not.
         returned = node.health is Health.GONE and node.started_at == entry.started
@@ -100,7 +102,7 @@
         capacity = 1 + self._warming_gain * warmed**2
         share = max(
             self.bearable_share,
-            self._own_sure_units * LOAD_SPAN / (max(1, self._node_window) * self.load_units),
+            self._own_sure_units * LOAD_SPAN / (max(1, self._node_load_span) * self.load_units),
         )
         drawn = 2 * self._chance.spread() - 1
         return drawn >= self._chance_share * capacity * share
@@ -109,12 +111,12 @@
         """Time in ns until this gateway may send the node more; 0 when it may now."""
         # Guards against a rush of this gateway's own at a cold node.
         sends = node.slow_start_sends
-        while sends and (now >= node.slow_start_until or sends[0][0] <= now - self._node_window):
+        while sends and (now >= node.slow_start_until or sends[0][0] <= now - self._node_load_span):
             sends.popleft()
         factor = self._answer_factor
         if sum(each if each > 0 else each * factor for _, each in sends) <= self._own_sure_units:
             return 0
-        return sends[0][0] + self._node_window - now + 1
+        return sends[0][0] + self._node_load_span - now + 1
 
     def attempt_sent(self, node: Node, units: float, now: int) -> None:
         """An attempt goes to the node."""
--- a/ochrecourse/scheduler/state.py
+++ b/ochrecourse/scheduler/state.py
@@ -38,7 +38,6 @@
     """A request that this gateway took and what became of it so far."""
 
     __slots__ = (
-        "answer_by",
         "attempt_out",
         "attempts",
         "capacity_wait",
@@ -56,6 +55,7 @@
         "request",
         "request_class",
         "sent_at",
+        "serve_by",
         "streaming",
         "volume",
         "waiting",
@@ -68,7 +68,7 @@
         self.request_class = request_class
         self.pace = pace
         self.volume = volume
-        self.answer_by = min(now + request_class.latency_objective, request.client_timeout)
+        self.serve_by = min(now + request_class.latency_objective, request.deadline)
         self.quota = volume.draw(request.units, now)
         self.rank = RESERVED_RANK if self.quota is Quota.RESERVED else BEYOND_RANK
         self.attempts = 0  # sent so far
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -123,7 +123,7 @@
         self.watch.start()
         host, port = self.listen_address
         self.port = self.network.listenTCP(port, self.server, backlog=LISTEN_BACKLOG, interface=host)
-        self.port.room = self.server.accept_capacity
+        self.port.capacity = self.server.accept_capacity
         address = self.port.getHost()
         return address.host, address.port
 
@@ -185,7 +185,7 @@
         self.log(f"leaving; {self.gateway.request_log.open} jobs open")
         # Clients use the connections they have while these are open, and find nobody here afterwards.
         last_reply_seconds = self.kill_delay_seconds - LAST_REPLY_MARGIN_SECONDS
-        self.gateway.answer_by = now_ns(self.network) + round(last_reply_seconds * SECOND)
+        self.gateway.shutdown_deadline = now_ns(self.network) + round(last_reply_seconds * SECOND)
         accept_seconds = max(MIN_ACCEPT_SECONDS, last_reply_seconds - CLOSING_SECONDS)
         self.network.callLater(accept_seconds, self._stop_listening)
 
--- a/ochrecourse/simulator/frames.py
+++ b/ochrecourse/simulator/frames.py
@@ -176,7 +176,7 @@
             units=units,
             shard=int(shard),
             gateways=int(gateways),
-            client_timeout=to_ns(timeout),
+            deadline=to_ns(timeout),
         )
 
     def stream(self) -> int:
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -171,6 +171,9 @@
 
 def test_a_full_gateway_does_not_spin_and_serves_those_who_wait_once_there_is_room():
     with Loop(sockets=64) as loop:
+        assert (
+            loop.service.port.capacity == loop.server.accept_capacity
+        )  # else the port accepts without limit
         stands = loop.reactor.seconds()
         busy = loop.clients(
             share_descriptors(64)[0], read(0)[:-9]
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -36,7 +36,7 @@
     record = "5d3a91c40000000091f03b7c55d20a6440c0e620000000002b8e6401d9f37c10400000000000000040400000" + "01"
     request = frames.Batch(bytes.fromhex(record)).request()
     assert (request.id, request.units, request.shard, request.gateways) == (0x5D3A91C4, 2.0, 0, 3)
-    assert request.client_timeout == 8_652_250_000 and request.volume == 0x2B8E6401D9F37C10
+    assert request.deadline == 8_652_250_000 and request.volume == 0x2B8E6401D9F37C10
 
 
 @pytest.mark.parametrize(
