--- a/ochrecourse/scheduler/__init__.py
+++ b/ochrecourse/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision about a request: admission, placement, order, limits and retries."""
+"""The request scheduler: admission, placement, queueing order, limits and retries."""
--- a/ochrecourse/scheduler/admission.py
+++ b/ochrecourse/scheduler/admission.py
@@ -1,85 +1,90 @@
-"""Which requests are admitted, and what the others are answered.
+"""Admission control: which requests are admitted, and the replies to the others.
 
-Inputs: the time that a request is expected to need at its node and the time left to answer it (ns), its
-priority weight per ns of a node's time, and the floor of that weight at its node.
+Inputs: the time that a request is expected to take at its node and the time left to answer it (ns), its
+priority weight per ns of node time, and the minimum of that weight (the priority floor) at its node.
 
-A request that can't be answered in time is rejected at once, at an idle node too. Once answers are slower
-than usual a request must fit into a share of the time left, which is smaller for requests beyond the reserve
-of their tenant: they go only where answers are quick. While admitted requests are being given up at a node,
-its floor rises, and requests below it are shed.
+A request that cannot be answered in time is rejected immediately, even if the node is idle. When answers are
+slower than usual, a request must fit into a share of the time left. The share is smaller for requests beyond
+their tenant's reserve, so these are sent only to nodes that answer quickly. While a node's requests do not
+fit, its priority floor rises, and requests below the floor are shed.
 """
 
 from __future__ import annotations
 
 from ochrecourse.interface import Outcome, Reply
-from ochrecourse.scheduler.chance import Chance
+from ochrecourse.scheduler.random_source import RandomSource
 from ochrecourse.scheduler.settings import Idempotency, RetryScope, SchedulerSettings
 from ochrecourse.scheduler.state import Node, PendingRequest
 
-TIME_SHARE_POWER = 0.5  # power of the priority share; higher rejects more
-SPREAD_OFFSET = 0.25  # added to a chance between a half and one, for a mean of one
-FLOOR_SMOOTHING = 0.05  # weight of the newest request given up in a node's floor
+TIME_SHARE_POWER = 0.5  # exponent of the priority share; a higher value rejects more requests
+JITTER_OFFSET = 0.25  # added to jitter, which is between 0.5 and 1, for a mean of 1
+FLOOR_SMOOTHING = 0.05  # weight of the newest rejected request in a node's priority floor
 
 
 class Admission:
-    """Decides whether a request may wait at its node, and makes the replies to those that may not.
+    """Decides whether a request may queue at its node, and creates replies for rejected requests.
 
-    `settings`: of these it takes the priority weight of each class, the priority share of each rate (0 to 1),
-    and whether clients honour advice on how long to stay away, with the longest (ns).
+    Settings used: the priority weight of each class, the priority share of each rate (0 to 1), whether
+    clients honour Retry-After, and the maximum Retry-After (ns).
     """
 
-    __slots__ = ("_chance", "_settings")
+    __slots__ = ("_random", "_settings")
 
-    def __init__(self, settings: SchedulerSettings, chance: Chance) -> None:
+    def __init__(self, settings: SchedulerSettings, random_source: RandomSource) -> None:
         self._settings = settings
-        self._chance = chance
+        self._random = random_source
 
     def priority_per_ns(self, pending: PendingRequest) -> float:
-        """Priority weight per ns of a node's time that the request is expected to need."""
+        """Returns the request's priority weight per ns of the node time that it is expected to take."""
         volume = pending.volume
         density = pending.request_class.priority_weight * volume.priority_factor / pending.pace.ns_per_unit
         return density * self._settings.priority_share(pending.quota)
 
-    def admits(self, pending: PendingRequest, node: Node, needed: int, left: int, now: int) -> bool:
-        """Whether the request may wait at the node, or go on waiting there.
+    def admits(
+        self, pending: PendingRequest, node: Node, expected_time: int, time_left: int, now: int
+    ) -> bool:
+        """Returns whether the request may queue, or stay queued, at the node.
 
-        Raises the node's priority floor where it does not fit; draws chance for a request that is new there.
+        Raises the node's priority floor if the request does not fit. Draws a random number for a request that
+        is not queued yet.
 
-        `needed`: ns that it is expected to take there. `left`: ns within which it has to be answered.
+        `expected_time`: ns that the request is expected to take at the node. `time_left`: ns within which it
+        has to be answered.
         """
         priority = self.priority_per_ns(pending)
-        # Guards against surges that fill a node with requests of low priority; and, by chance, against
-        # gateways that all begin or cease to send at one answer time.
+        # Prevents surges from filling a node with low-priority requests. The jitter prevents all gateways
+        # from starting or stopping to send at the same answer time.
         time_share = self._settings.priority_share(pending.quota) ** TIME_SHARE_POWER
         if not pending.waiting:
-            time_share *= SPREAD_OFFSET + self._chance.spread()
+            time_share *= JITTER_OFFSET + self._random.jitter()
         usual = pending.pace.ns_per_unit * pending.request.units
-        if needed > left or needed - usual > time_share * (left - usual):
+        if expected_time > time_left or expected_time - usual > time_share * (time_left - usual):
             node.priority_floor += max(0.0, FLOOR_SMOOTHING * (priority - node.priority_floor))
             return False
         if pending.waiting or priority >= node.priority_floor:
             return True
-        # A node that is idle for this gateway and was not heard of lately is tried whatever the floor.
-        return not (node.outstanding or now < node.last_answer_at + needed)
+        # A node where this gateway has nothing outstanding and had no recent answer is probed regardless of
+        # the floor.
+        return not (node.outstanding or now < node.last_answer_at + expected_time)
 
     def reply(self, pending: PendingRequest, capacity_wait: int) -> Reply:
-        """The final answer to a request that is not served.
+        """Returns the final answer to a request that is not served.
 
-        It is rejected if nothing ran or a repeat is harmless; else it failed. `capacity_wait`: ns until
-        there is capacity for it, 0 where that is not known.
+        The request is rejected if no attempt ran or repeating it is harmless; otherwise it failed.
+        `capacity_wait`: ns until there is capacity for it, 0 if unknown.
         """
-        if not self._harmless_to_repeat(pending):
+        if not self._is_safe_to_retry(pending):
             return Reply(pending.request.id, Outcome.FAILED, 0)
         retry_after = 0
         if self._settings.gives_retry_after:
             longest = self._settings.longest_retry_after
-            retry_after = round(longest * self._chance.spread())
+            retry_after = round(longest * self._random.jitter())
             if capacity_wait:
                 retry_after = min(round(longest), capacity_wait)
         return Reply(pending.request.id, Outcome.REJECTED, retry_after)
 
     @staticmethod
-    def _harmless_to_repeat(pending: PendingRequest) -> bool:
+    def _is_safe_to_retry(pending: PendingRequest) -> bool:
         request_class = pending.request_class
         if pending.first_run is None or request_class.idempotency is Idempotency.ALWAYS:
             return True
--- a/ochrecourse/scheduler/concurrency.py
+++ b/ochrecourse/scheduler/concurrency.py
@@ -1,13 +1,14 @@
-"""How many requests may be outstanding at a node, and how many of them by each volume.
+"""Concurrency limits: how many requests may be outstanding at a node, in total and per volume.
 
-Inputs: sends and answers of this gateway, with their units of work; counts are of requests.
+Inputs: sends and answers of this gateway, with their units of work. Limits count requests.
 
-The bounds are the dispatch control of the paper that docs/design.md names, per node and volume: an even
-split of `MAX_REQUESTS_PER_NODE`, halved for a volume above the average at a loaded node, regrown by
-answers, traded for runs of one key, and a lower total while a recent volume has nothing waiting.
+The limits per node and volume implement the dispatch control of the paper cited in docs/design.md: an even
+split of `MAX_REQUESTS_PER_NODE`, halved for a volume above the average at a loaded node, increased again by
+answers, adjusted for runs of requests with the same key, and a lower total while a recently active volume
+has no waiting requests.
 
-Beside it stands an adaptive window for each node, because the paper's total assumes one device of known
-parallelism, while these nodes have few cores and serve several gateways. It shrinks by a factor on signs of
+Each node also has an adaptive window, because the paper's total assumes one device of known parallelism,
+while these nodes have few cores and serve several gateways. The window shrinks by a factor on signs of
 overload and grows slowly with timely answers.
 """
 
@@ -20,27 +21,27 @@
 from ochrecourse.scheduler.state import Flow, Node, PendingRequest
 
 MAX_REQUESTS_PER_NODE = 32  # outstanding at one node; the paper's queue length
-TRIMMED_REQUESTS_PER_NODE = 8  # outstanding while a recent volume has nothing waiting; the paper's beta
-LOADED_NODE_UNITS = 10.0  # units outstanding above which a node is loaded; the paper's count of channels
-RECENT_SENDS = 128  # sends to a node that tell which volumes are recent; the paper's alpha
-RUNS_SCORE_HALVING = SECOND  # ns in which it halves
-FIRST_WINDOW_REQUESTS = 2.0  # at a node of which nothing is known: one served, one on its way
+TRIMMED_REQUESTS_PER_NODE = 8  # outstanding while a recent volume has none waiting; the paper's beta
+LOADED_NODE_UNITS = 10.0  # outstanding units above which a node is loaded; the paper's number of channels
+RECENT_SENDS = 128  # last sends to a node, which determine the recent volumes; the paper's alpha
+RUNS_SCORE_HALVING_TIME = SECOND  # ns
+INITIAL_WINDOW_REQUESTS = 2.0  # for a node without history: one being served, one in transit
 WINDOW_SHRINK_FACTOR = 0.7  # empties a queue within a few late answers
-WINDOW_GROWTH_REQUESTS = 0.5  # for each window of timely answers
+WINDOW_GROWTH_REQUESTS = 0.5  # for each full window of timely answers
 
 
 def new_node(entry: NodeEntry) -> Node:
-    """A node of which only the endpoint list is known."""
-    return Node(entry, window=FIRST_WINDOW_REQUESTS, even_split=float(MAX_REQUESTS_PER_NODE))
+    """Returns the initial state of a node that appeared in the endpoint list."""
+    return Node(entry, window=INITIAL_WINDOW_REQUESTS, even_split=float(MAX_REQUESTS_PER_NODE))
 
 
 def request_limit(node: Node) -> float:
-    """Requests that may be outstanding at a node."""
+    """Returns the number of requests that may be outstanding at a node."""
     return min(TRIMMED_REQUESTS_PER_NODE if node.trimmed else MAX_REQUESTS_PER_NODE, node.window)
 
 
 def add_flow(node: Node, pending: PendingRequest) -> Flow:
-    """A volume is new at a node: every bound there becomes the even split."""
+    """Adds a volume to a node and resets the bound of every volume there to the even split."""
     flow = node.flows[pending.request.volume] = Flow(pending.volume, 0.0)
     node.even_split = max(1.0, MAX_REQUESTS_PER_NODE / len(node.flows))
     for each in node.flows.values():
@@ -49,20 +50,23 @@
 
 
 def score_run(flow: Flow, key: int, now: int) -> None:
-    """A request of this key begins to wait: runs of one key trade the bound of a volume that grows."""
-    flow.runs_score *= 0.5 ** ((now - flow.runs_score_at) / RUNS_SCORE_HALVING)
+    """Updates the score for runs of one key, when a request with this key starts to wait.
+
+    While the score is positive, the volume's bound moves against the trend of its outstanding units.
+    """
+    flow.runs_score *= 0.5 ** ((now - flow.runs_score_at) / RUNS_SCORE_HALVING_TIME)
     flow.runs_score_at = now
     flow.runs_score += 1 if key and flow.keys_waiting[key] else -1
-    if flow.runs_score > 0 and flow.units_outstanding > flow.units_before:
+    if flow.runs_score > 0 and flow.units_outstanding > flow.previous_units_outstanding:
         flow.bound = max(1.0, flow.bound - 1)
-    elif flow.runs_score > 0 and flow.units_outstanding < flow.units_before:
+    elif flow.runs_score > 0 and flow.units_outstanding < flow.previous_units_outstanding:
         flow.bound = min(float(MAX_REQUESTS_PER_NODE), flow.bound + 1)
 
 
 def attempt_sent(node: Node, flow: Flow, request_volume: int, units: float) -> None:
-    """Counts an attempt as outstanding."""
+    """Adds an attempt to the outstanding counts of its node and volume."""
     before = flow.units_outstanding
-    flow.units_before = before
+    flow.previous_units_outstanding = before
     flow.units_outstanding = before + units
     if flow.outstanding == 0:
         node.busy_flows += 1
@@ -70,7 +74,7 @@
     node.outstanding += 1
     node.units_outstanding += units
     recent = node.recent_counts
-    node.trimmed = not flow.waiting and recent[request_volume] > 0  # asked before this send is counted
+    node.trimmed = not flow.waiting and recent[request_volume] > 0  # before this send is counted
     node.recent_sends.append(request_volume)
     recent[request_volume] += 1
     if len(node.recent_sends) > RECENT_SENDS:
@@ -80,10 +84,10 @@
     _halve_above_average(node, flow)
 
 
-def attempt_over(node: Node, flow: Flow, units: float) -> None:
-    """Counts an attempt as outstanding no more, as with an answer."""
+def attempt_finished(node: Node, flow: Flow, units: float) -> None:
+    """Removes an attempt from the outstanding counts, for example after its answer."""
     before = flow.units_outstanding
-    flow.units_before = before
+    flow.previous_units_outstanding = before
     flow.units_outstanding = before - units
     flow.outstanding -= 1
     node.outstanding -= 1
@@ -103,7 +107,7 @@
 
 
 def forget_idle_flow(node: Node, volume_id: int) -> None:
-    """A volume with nothing waiting, outstanding or among the recent sends no longer counts at a node."""
+    """Removes a volume from a node if it has no waiting or outstanding requests and no recent sends."""
     flow = node.flows.get(volume_id)
     if flow and not flow.waiting and not flow.outstanding and not node.recent_counts[volume_id]:
         del node.flows[volume_id]
@@ -111,7 +115,7 @@
 
 
 def forget_sends(node: Node) -> None:
-    """A node takes nothing new: no send will push the recent ones out any more."""
+    """Clears the recent sends of a node that accepts no new requests, because no later send replaces them."""
     node.recent_sends = deque()
     node.recent_counts = Counter()
     for volume_id in list(node.flows):
@@ -119,13 +123,16 @@
 
 
 def shrink_window(node: Node, sent_at: int, now: int) -> None:
-    """An attempt that was sent at `sent_at` shows overload; it counts once for all that were out together."""
+    """Shrinks the node's window after an attempt that was sent at `sent_at` indicated overload.
+
+    Attempts that were outstanding at the same time shrink the window only once.
+    """
     if sent_at >= node.window_shrunk_at:
         node.window = max(1.0, node.window * WINDOW_SHRINK_FACTOR)
         node.window_shrunk_at = now
 
 
 def grow_window(node: Node) -> None:
-    """A timely answer; the window grows only while it is used in full."""
+    """Grows the node's window after a timely answer, but only while the window is fully used."""
     if node.outstanding + 2 > node.window:
         node.window = min(float(MAX_REQUESTS_PER_NODE), node.window + WINDOW_GROWTH_REQUESTS / node.window)
--- a/ochrecourse/scheduler/endpoints.py
+++ b/ochrecourse/scheduler/endpoints.py
@@ -1,11 +1,11 @@
-"""The endpoint list: which storage nodes there are, and the polls for the list.
+"""The endpoint list: the known storage nodes, and the polls for the list.
 
-Inputs: lists of service discovery, whole or as changes; the settings say whether the gateway has to ask for
+Inputs: full and delta lists from service discovery; the settings define whether the gateway has to poll for
 them.
 
-A whole list replaces the one before, so nodes that it does not name are gone. A poll that failed is
-repeated after a pause. A node stays known after it is gone: attempts may still be out there, and it may
-come back.
+A full list replaces the previous one, so nodes that it does not contain are gone. A failed poll is repeated
+after a pause. The state of a node is retained after the node is gone, because attempts may still be
+outstanding there and the node may return.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class Endpoints:
-    """All nodes that were ever listed, by id, and the polls to make.
+    """All nodes that were ever listed, by id, and the pending polls.
 
-    `polls`: whether the gateway has to ask for the list, as it does from the start on.
+    `polls`: whether the gateway has to poll for the list; if so, the first poll is due immediately.
     """
 
     __slots__ = ("nodes", "polls_due")
@@ -36,17 +36,17 @@
             self.poll()
 
     def poll(self) -> None:
-        """Has the list asked for."""
+        """Schedules a poll for the list."""
         self.polls_due.append(ListCall.FOLLOW)
 
     def unlisted(self, kind: ListKind, entries: Sequence[NodeEntry]) -> list[Node]:
-        """Nodes that this list says are gone because it does not name them, by id."""
+        """Returns the nodes that a full list does not contain and that are therefore gone, sorted by id."""
         if kind is ListKind.DELTA:
             return []
         missing = self.nodes.keys() - {entry.node for entry in entries}
         return [self.nodes[number] for number in sorted(missing)]
 
     def add(self, entry: NodeEntry) -> Node:
-        """Begins to know a node that was never listed."""
+        """Adds and returns a node that was not listed before."""
         node = self.nodes[entry.node] = new_node(entry)
         return node
--- a/ochrecourse/scheduler/fair_queue.py
+++ b/ochrecourse/scheduler/fair_queue.py
@@ -1,12 +1,13 @@
-"""In which order waiting requests leave for a node.
+"""The order in which waiting requests are sent to a node.
 
-Inputs: units of each request, weight of its tenant, whether it is inside the reserve of its tenant.
+Inputs: the units of each request, the weight of its tenant, and whether it is inside its tenant's reserve.
 
-Start-time fair queueing over the volumes at a node. A request's tag is the later of the node's virtual time
-and the finish of its volume's request before it; it finishes units over weight later. A request inside the
-reserve has the virtual time itself as its tag, and goes before others of that tag, so that it never waits
-for its volume's own work. A queue is listed under its tag when it has a first request and the volume is
-under its bound, so requests that are rejected while they wait cost their volume nothing.
+This is start-time fair queueing over the volumes at a node. A request's start tag is the later of the node's
+virtual time and the finish tag of its volume's previous request; its finish tag is the start tag plus units
+divided by weight. The start tag of a request inside the reserve is the virtual time itself, and the request
+precedes others with the same tag, so it never waits for other work of its own volume. A queue is listed
+under the tag of its first request when it is not empty and the volume is below its bound, so requests that
+are rejected while they wait cost their volume nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class FairQueue:
-    """The queues of all nodes. `touched`: nodes, by id in order, at which a request may be able to leave."""
+    """The queues of all nodes. `touched`: ids of nodes, in order, to which a request may now be sendable."""
 
     __slots__ = ("_count", "touched")
 
@@ -26,11 +27,11 @@
         self._count = 0
 
     def touch(self, node: Node) -> None:
-        """Something changed at a node that may let a request leave."""
+        """Marks a node whose state changed, so that waiting requests are checked again."""
         self.touched[node.id] = None
 
     def list_flow(self, node: Node, volume_id: int) -> None:
-        """Lists a volume's queues at a node under their tags, as far as it is under its bound."""
+        """Lists a volume's queues at a node under their tags, if the volume is below its bound there."""
         self.touched[node.id] = None
         flow = node.flows.get(volume_id)
         if flow is None or flow.outstanding >= flow.bound:
@@ -48,7 +49,7 @@
         flow.listed[rank] = True
 
     def enqueue(self, pending: PendingRequest, node: Node, flow: Flow) -> None:
-        """Has a request wait at a node; a retry goes before what waits there."""
+        """Adds a request to its volume's queue at a node; a retry goes to the front."""
         queue = flow.queues[pending.rank]
         if pending.attempts:
             queue.appendleft(pending)
@@ -62,7 +63,7 @@
 
 
 def dequeue(pending: PendingRequest) -> None:
-    """A request waits no more; its place in the queue is passed over later."""
+    """Marks a request as no longer waiting; its queue entry is skipped later."""
     if not pending.waiting or pending.node is None:
         return
     flow = pending.node.flows[pending.request.volume]
@@ -75,7 +76,7 @@
 
 
 def empty_queues(node: Node) -> list[PendingRequest]:
-    """Takes all that waits at a node out of its queues."""
+    """Removes and returns all requests that wait at a node."""
     taken: list[PendingRequest] = []
     for flow in node.flows.values():
         for queue in flow.queues:
@@ -87,14 +88,14 @@
 
 
 def unlist(node: Node, flow: Flow | None) -> None:
-    """Takes the first queue of a node's list out of it; `flow`: whose it is, if that still counts there."""
+    """Removes the first queue from a node's list; `flow`: its volume's state there, None if removed."""
     head = heappop(node.queue_heads)
     if flow is not None:
         flow.listed[head.rank] = False
 
 
 def advance(node: Node, flow: Flow, head: QueueHead, units: float) -> None:
-    """A request of so many units leaves from the queue listed as `head`."""
+    """Advances virtual time and the finish tag for a request sent from the queue listed as `head`."""
     node.virtual_time = max(node.virtual_time, head.tag)
     if head.rank == BEYOND_RANK:
         flow.finish_tag = head.tag + units / flow.volume.weight
--- a/ochrecourse/scheduler/key_order.py
+++ b/ochrecourse/scheduler/key_order.py
@@ -1,9 +1,10 @@
-"""One request at a time for an ordered key.
+"""Serializes requests that share an ordered key.
 
-Inputs: requests that carry such a key, in their order of arrival, and whether each is over.
+Inputs: requests with such a key, in order of arrival, and whether each is finished.
 
-A request of an ordered key has its turn once all before it are over, their attempts too. After an attempt
-that may still run at its node the key rests for a span that the settings give.
+A request with an ordered key may be sent once all earlier requests with that key, and their attempts, have
+finished. After an attempt that may still run at its node, the key stays blocked for the settle time of the
+settings.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 
 
 class KeyOrder:
-    """The turns of all ordered keys.
+    """The request order of all ordered keys.
 
-    `settle_span`: ns that a key rests after an attempt that may still run.
+    `settle_time`: ns for which a key stays blocked after an attempt that may still run.
     """
 
-    __slots__ = ("_queues", "_rest_until", "_settle_span", "_timers")
+    __slots__ = ("_blocked_until", "_queues", "_settle_time", "_timers")
 
-    def __init__(self, settle_span: int, timers: TimerQueue) -> None:
-        self._settle_span = settle_span
+    def __init__(self, settle_time: int, timers: TimerQueue) -> None:
+        self._settle_time = settle_time
         self._timers = timers
         self._queues: dict[int, deque[PendingRequest]] = {}
-        self._rest_until: dict[int, int] = {}
+        self._blocked_until: dict[int, int] = {}
 
     def add(self, pending: PendingRequest) -> None:
-        """Puts a new request behind the others of its key; `advance` then."""
+        """Queues a new request behind the others with its key; call `advance` afterwards."""
         self._queues.setdefault(pending.request.key, deque()).append(pending)
 
-    def rest(self, key: int, now: int) -> None:
-        """An attempt of this key ended, but may still run."""
-        self._rest_until[key] = now + self._settle_span
+    def block(self, key: int, now: int) -> None:
+        """Blocks a key for the settle time after one of its attempts ended but may still run."""
+        self._blocked_until[key] = now + self._settle_time
 
     def advance(self, key: int, now: int) -> PendingRequest | None:
-        """Gives the turn on; returns the request that has it from now on, if there is one.
+        """Returns the request that is next for the key, if it became so with this call.
 
-        While the key rests a timer is set that asks again.
+        While the key is blocked, sets a timer that calls this again.
         """
         queue = self._queues.get(key, deque())
-        while queue and queue[0].over and not queue[0].attempt_out:
+        while queue and queue[0].finished and not queue[0].attempt_outstanding:
             queue.popleft()
-        rest_until = self._rest_until.get(key, 0)
-        if now < rest_until:
-            self._timers.add(rest_until, AdvanceKey(key))
+        blocked_until = self._blocked_until.get(key, 0)
+        if now < blocked_until:
+            self._timers.add(blocked_until, AdvanceKey(key))
         elif not queue:
             self._queues.pop(key, None)
-            self._rest_until.pop(key, None)
-        elif not queue[0].has_turn:
-            queue[0].has_turn = True
+            self._blocked_until.pop(key, None)
+        elif not queue[0].is_next_for_key:
+            queue[0].is_next_for_key = True
             return queue[0]
         return None
--- a/ochrecourse/scheduler/latency.py
+++ b/ochrecourse/scheduler/latency.py
@@ -1,12 +1,13 @@
-"""How long answers take: by class of requests, and at each node against what is usual.
+"""Latency estimates: the usual pace of each request class, and the slowdown of each node relative to it.
 
 Inputs: how each attempt ended and how long it took (ns). Outputs: the time that a request is expected to
-need at a node (ns), whether answers get lost on the way, and whether an answer shows that its node is
-overloaded.
+take at a node (ns), whether answers are being lost in transit, and whether an answer indicates that its node
+is overloaded.
 
-Each class has a usual pace (ns per unit) over all nodes, each node a slowdown against it. Without news a
-slowdown eases to what all nodes had recently, so that a node is tried again in the end: the slower, the more
-gateways there are, or all of them together would fill an overloaded node again before its queue is empty.
+Each class has a usual pace (ns per unit) over all nodes, and each node has a slowdown relative to that pace.
+Without new answers, a slowdown decays towards the recent mean of all nodes, so that a node is eventually
+tried again. The decay is slower the more gateways there are; otherwise all of them together would fill an
+overloaded node again before its queue is empty.
 """
 
 from __future__ import annotations
@@ -16,32 +17,32 @@
 from ochrecourse.scheduler.settings import Idempotency, SchedulerSettings
 from ochrecourse.scheduler.state import Node, PaceEstimate, PendingRequest
 
-FIRST_PACE_NS_PER_UNIT = 20 * MS  # expected before any answer was seen
+INITIAL_PACE_NS_PER_UNIT = 20 * MS  # estimate before the first answer
 SMOOTHING = 0.125  # weight of the newest answer in a running mean
-RARE_ANSWER_SPAN = 2 * SECOND  # ns since the answer before after which the newest has half of the weight
-EASING_HALVING = 1350 * MS  # ns in which beliefs of a node halve, at the least; a short overload is over
+RARE_ANSWER_INTERVAL = 2 * SECOND  # ns after the previous answer; the newest then has half of the weight
+MIN_ESTIMATE_HALVING_TIME = 1350 * MS  # ns, for a node's estimates; a short overload ends within it
 TIMELY_SHARE = 0.3  # of the shortest latency objective; an answer that takes longer is late
-LOST_AFTER_USUAL_TIMES = 4  # expected answer times after which an attempt counts as lost
-LEAST_LOST_SHARE = 0.04  # of attempts at quick nodes above which answers get lost
-MOST_LOST_SHARE = 0.4  # and below which; more is an overload
-SLOWDOWN_BACKOFF_FACTOR = 2  # on a slowdown, for each attempt that was refused or not answered
-MAX_BACKOFF_SLOWDOWN = 64.0  # usual answer times
-ENDED_BY_GATEWAY = (Ending.WITHDRAWN, Ending.MOOT)  # these tell nothing of the node
+LOST_AFTER_EXPECTED_TIMES = 4  # multiple of the expected time after which an attempt counts as lost
+MIN_LOST_SHARE = 0.04  # share of attempts at quick nodes above which answers are being lost
+MAX_LOST_SHARE = 0.4  # upper limit of that share; a higher one indicates an overload
+SLOWDOWN_BACKOFF_FACTOR = 2  # applied to a slowdown for each attempt that was refused or not answered
+MAX_BACKOFF_SLOWDOWN = 64.0  # maximum slowdown that such attempts lead to
+ENDED_BY_GATEWAY = (Ending.WITHDRAWN, Ending.MOOT)  # endings that give no information about the node
 
 
 class LatencyEstimator:
-    """What this gateway has learned of answer times.
+    """This gateway's estimates of answer times.
 
-    `settings`: of these it takes the number of gateways, the units of a usual request, and the latency
-    objective of each class (ns). `now`: clock time of the gateway's start, ns.
+    Settings used: the number of gateways, the units of a typical request, and the latency objective of each
+    class (ns). `now`: clock time of the gateway's start, ns.
 
-    `paces` has an estimate for each class, in the order of the settings; the other attributes are running
-    figures over all nodes.
+    `paces` has an estimate for each class, in the order of the settings; the other estimates are running
+    means over all nodes.
     """
 
     __slots__ = (
         "_latency_objectives",
-        "_tightest",
+        "_strictest_class",
         "_usual_units",
         "gateways",
         "last_answer_at",
@@ -55,50 +56,56 @@
         self.gateways = settings.safety.gateways
         self._usual_units = settings.safety.usual_units
         self._latency_objectives = [each.latency_objective for each in settings.request_classes]
-        self.paces = [PaceEstimate(float(FIRST_PACE_NS_PER_UNIT)) for _ in self._latency_objectives]
+        self.paces = [PaceEstimate(float(INITIAL_PACE_NS_PER_UNIT)) for _ in self._latency_objectives]
         numbers = range(len(self.paces))
-        self._tightest = min(numbers, key=lambda number: self._latency_objectives[number], default=0)
-        self.lost_share = 0.0  # running share of attempts at quick nodes whose answers got lost
+        self._strictest_class = min(numbers, key=lambda number: self._latency_objectives[number], default=0)
+        self.lost_share = 0.0  # running share of attempts at quick nodes whose answers were lost
         self.late_share = 0.0  # running share of served answers that were late
         self.slowdown = 1.0  # running mean over all nodes
-        self.last_answer_at = now  # of any node
+        self.last_answer_at = now  # last update of `slowdown`
 
     def expected_time(self, pending: PendingRequest, node: Node) -> int:
-        """Time in ns that a request is expected to take at a node."""
+        """Returns the time in ns that a request is expected to take at a node."""
         return round(node.slowdown * pending.pace.ns_per_unit * pending.request.units)
 
-    def answers_get_lost(self) -> bool:
-        """Whether more attempts go unanswered at quick nodes than answers come late, and not too many."""
-        return max(LEAST_LOST_SHARE, self.late_share) < self.lost_share < MOST_LOST_SHARE
+    def loses_answers(self) -> bool:
+        """Returns whether answers are being lost in transit.
 
-    def is_retried_soon(self, pending: PendingRequest) -> bool:
-        """Whether an attempt sent now is given up early, so that there is time for another."""
+        This is so while the share of unanswered attempts at quick nodes exceeds the share of late answers,
+        but is not so high that it indicates an overload.
+        """
+        return max(MIN_LOST_SHARE, self.late_share) < self.lost_share < MAX_LOST_SHARE
+
+    def has_early_timeout(self, pending: PendingRequest) -> bool:
+        """Returns whether an attempt sent now has an early time-out that leaves time for a retry."""
         repeatable = pending.request_class.idempotency is not Idempotency.NEVER
-        return repeatable and self.answers_get_lost()
+        return repeatable and self.loses_answers()
 
-    def patience(self, pending: PendingRequest, node: Node, retried_soon: bool) -> int:
-        """Time in ns without an answer after which an attempt at a node counts as lost."""
-        least = 0 if retried_soon else pending.request_class.latency_objective
-        return max(least, LOST_AFTER_USUAL_TIMES * self.expected_time(pending, node))
+    def attempt_timeout(self, pending: PendingRequest, node: Node, early_timeout: bool) -> int:
+        """Returns the time in ns without an answer after which an attempt at a node counts as lost."""
+        minimum = 0 if early_timeout else pending.request_class.latency_objective
+        return max(minimum, LOST_AFTER_EXPECTED_TIMES * self.expected_time(pending, node))
 
-    def ease(self, node: Node, now: int) -> None:
-        """Brings what is believed of a node up to now; while attempts are outstanding there it stays."""
+    def decay_estimates(self, node: Node, now: int) -> None:
+        """Decays the estimates of a node up to now, unless attempts are outstanding there."""
         if not node.outstanding:
-            one_each = self.gateways * min([each.ns_per_unit for each in self.paces]) * self._usual_units
-            halving = max(EASING_HALVING, one_each)
-            keep = 0.5 ** ((now - node.decayed_at) / halving)
+            one_request_each = (
+                self.gateways * min([each.ns_per_unit for each in self.paces]) * self._usual_units
+            )
+            halving_time = max(MIN_ESTIMATE_HALVING_TIME, one_request_each)
+            keep = 0.5 ** ((now - node.decayed_at) / halving_time)
             node.priority_floor *= keep
-            usual = 1 + (self.slowdown - 1) * 0.5 ** ((now - self.last_answer_at) / halving)
+            usual = 1 + (self.slowdown - 1) * 0.5 ** ((now - self.last_answer_at) / halving_time)
             node.slowdown = usual * (1 - keep) + keep * node.slowdown
         node.decayed_at = now
 
     def learn(self, node: Node, pending: PendingRequest, end: AttemptEnd, now: int) -> bool:
-        """Learns from the end of an attempt; returns whether it shows that the node is overloaded."""
+        """Updates the estimates from the end of an attempt; returns whether it indicates a node overload."""
         ending = end.ending
         served = ending is Ending.SERVED
         gap = now - node.last_answer_at
-        # Guards against stale means where answers are rare.
-        newest_weight = max(SMOOTHING, gap / (gap + RARE_ANSWER_SPAN))
+        # Prevents stale means where answers are rare.
+        newest_weight = max(SMOOTHING, gap / (gap + RARE_ANSWER_INTERVAL))
         node.last_answer_at = now
         node.success_share += SMOOTHING * (served - node.success_share)
         if served:
@@ -112,42 +119,45 @@
     def _learn_pace(self, pending: PendingRequest, took: int) -> None:
         pace = pending.pace
         objective = pending.request_class.latency_objective
-        # Guards against taking an overload for the usual pace, after which nothing would be tried any more.
+        # Prevents an overload from being learned as the usual pace, after which no request would be sent.
         slowest = TIMELY_SHARE * objective / self._usual_units
-        seen = max(1, took) / pending.request.units
-        pace.answers += 1  # the first answers have equal weight, or a rare class stays at its first estimate
-        pace.ns_per_unit += max(SMOOTHING, 1 / pace.answers) * (min(slowest, seen) - pace.ns_per_unit)
+        observed = max(1, took) / pending.request.units
+        pace.answers += 1  # equal weight for the first answers, or a rare class keeps its initial estimate
+        pace.ns_per_unit += max(SMOOTHING, 1 / pace.answers) * (min(slowest, observed) - pace.ns_per_unit)
 
     def _learn_slowdown(
         self, node: Node, pending: PendingRequest, end: AttemptEnd, newest_weight: float, now: int
     ) -> None:
         ending = end.ending
         served = ending is Ending.SERVED
-        silent = ending is Ending.TIMEOUT
-        # Guards against beating on a node that refuses requests at once: it counts as a wait for the
-        # objective.
+        timed_out = ending is Ending.TIMEOUT
+        # Prevents sending many requests to a node that refuses them immediately: a refusal counts as if it
+        # had taken the whole latency objective.
         refused = ending is Ending.FULL or ending is Ending.UNREACHABLE
-        wait = pending.request_class.latency_objective if refused else end.took
-        ratio = wait / (pending.pace.ns_per_unit * pending.request.units) + refused
-        # Guards against lost answers that look like a slow node: while they are lost at quick nodes, the
-        # first one in a row tells nothing of its node.
-        lost = silent and node.last_answer_quick and ratio >= LOST_AFTER_USUAL_TIMES * node.slowdown
+        duration = pending.request_class.latency_objective if refused else end.took
+        ratio = duration / (pending.pace.ns_per_unit * pending.request.units) + refused
+        # Prevents lost answers from making a node look slow: while answers of quick nodes are being lost, the
+        # first missing answer in a row does not change the node's slowdown.
+        lost = timed_out and node.last_answer_quick and ratio >= LOST_AFTER_EXPECTED_TIMES * node.slowdown
         self.lost_share += node.last_answer_quick * SMOOTHING / 2 * (lost - self.lost_share)
         if served:
-            node.last_answer_quick = ratio < LOST_AFTER_USUAL_TIMES
-        elif lost and node.last_attempt_silent:
+            node.last_answer_quick = ratio < LOST_AFTER_EXPECTED_TIMES
+        elif lost and node.last_attempt_timed_out:
             node.last_answer_quick = False
-        node.last_attempt_silent = silent
-        if refused or silent:  # no time was seen: each one only makes the next wait longer
+        node.last_attempt_timed_out = timed_out
+        if refused or timed_out:  # no answer time was observed: back off exponentially
             ratio = min(SLOWDOWN_BACKOFF_FACTOR * max(ratio, node.slowdown), MAX_BACKOFF_SLOWDOWN)
-        if served or refused or (silent and not (lost and self.answers_get_lost())):
+        if served or refused or (timed_out and not (lost and self.loses_answers())):
             node.slowdown += newest_weight * (ratio - node.slowdown)
-            self.slowdown += SMOOTHING * (min(ratio, LOST_AFTER_USUAL_TIMES) - self.slowdown)
+            self.slowdown += SMOOTHING * (min(ratio, LOST_AFTER_EXPECTED_TIMES) - self.slowdown)
             self.last_answer_at = now
 
     def _is_late(self, pending: PendingRequest, took: int) -> bool:
-        """All requests at a node share its queue, so the shortest objective sets what each may take there."""
-        tightest = self._tightest
+        """Returns whether an answer took too long.
+
+        All requests at a node share its queue, so the shortest objective of any class limits each of them.
+        """
+        strictest = self._strictest_class
         cost = pending.request.units * pending.pace.ns_per_unit
-        size = max(1.0, cost / self.paces[tightest].ns_per_unit / self._usual_units)
-        return took > TIMELY_SHARE * self._latency_objectives[tightest] * size
+        size = max(1.0, cost / self.paces[strictest].ns_per_unit / self._usual_units)
+        return took > TIMELY_SHARE * self._latency_objectives[strictest] * size
--- a/ochrecourse/scheduler/rate_limits.py
+++ b/ochrecourse/scheduler/rate_limits.py
@@ -1,14 +1,15 @@
-"""Rates of a volume at one gateway: which rate of its tenant a request draws on, and the limit.
+"""Rates of a volume at one gateway: the quota of its tenant that a request draws on, and the hard limit.
 
-Inputs: the tenant's reserved and usual rate and limit (units a second), units of each request, units served
-for the volume everywhere, where nodes report that.
+Inputs: the tenant's reserved and usual rates and limit (units per second), the units of each request, and the
+units served for the volume through all gateways, if nodes report them.
 
-Every rate is a token bucket. A gateway fills its own part of the reserved and of the usual rate. The part
-begins at one over the gateways through which the volume's requests come, and follows the totals that nodes
-report, since the split may be uneven. Buckets of quotas begin full, with room for one largest request.
+Every rate is a token bucket. A gateway fills its own share of the reserved and of the usual rate. The share
+starts at one divided by the number of gateways that receive requests for the volume, and follows the totals
+that nodes report, since the split may be uneven. Quota buckets start full and can always store one request
+of the largest size.
 
-The limit is hard for all gateways together, so each fills an even part of it, and begins empty: what the
-process before it drew is not known.
+The limit is a hard limit for all gateways together. Each gateway therefore fills an even share of it, and
+its bucket starts empty, because the usage of the preceding process is unknown.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.scheduler.settings import Quota, Tenant
 
-SERVED_RATE_HALVING = 2 * SECOND  # ns in which a served rate halves; a few periods of the usual meters
+SERVED_RATE_HALVING_TIME = 2 * SECOND  # ns, halving time of a served rate; a few reporting periods of nodes
 SHARE_SMOOTHING = 0.125  # weight of the newest report in the running means
-LN_2 = 0.69  # rounded; of a rate that halves, from units to units a second
+LN_2 = 0.69  # rounded; converts units to units per second of a rate that decays with a halving time
 
 
 class Volume:
-    """A volume as this gateway knows it.
+    """The rate state of one volume at this gateway.
 
-    `tenant`: the figures of its tenant. `gateways`: through how many gateways its requests come.
+    `tenant`: the settings of its tenant. `gateways`: number of gateways that receive its requests.
     `started_at`: when this gateway started, ns.
     """
 
@@ -52,19 +53,19 @@
         self._usual_rate = tenant.usual_rate
         self._reserved_rate = tenant.reserved_rate
         self._largest_request = tenant.largest_request
-        self.share = 1.0 / max(1, gateways)  # of the volume's requests that comes through this gateway
+        self.share = 1.0 / max(1, gateways)  # of the volume's requests that this gateway receives
         self.reserved_left = float("inf")  # units; the first refill bounds it
         self.usual_left = float("inf")
         self.limit_rate = tenant.limit_rate / max(1, gateways)
         self.limit_depth = tenant.limit_depth / max(1, gateways)
         self.limit_tokens = 0.0  # units that may be sent under the limit
         self.unwritten_units = 0.0  # drawn under the limit, but not yet written to a node
-        self.own_rate = 0.0  # units a second served through this gateway
-        self.total_rate = 0.0  # and through all
+        self.own_rate = 0.0  # units per second served through this gateway
+        self.total_rate = 0.0  # units per second served through all gateways
         self._refilled_at = started_at
 
     def refill(self, now: int) -> None:
-        """Fills all buckets for the time since the last call."""
+        """Refills all buckets for the time since the last call."""
         elapsed = (now - self._refilled_at) / SECOND
         self._refilled_at = now
         share = self.share
@@ -73,15 +74,15 @@
         self.reserved_left = rate and min(rate * share + largest, self.reserved_left + rate * share * elapsed)
         rate = self._usual_rate
         self.usual_left = rate and min(rate * share + largest, self.usual_left + rate * share * elapsed)
-        # Guards against a late connection: what is drawn here but not written is not yet drawn from the
-        # nodes' bucket.
+        # Units drawn here but not yet written, for example while a connection is slow to open, are not yet
+        # drawn from the bucket of the nodes.
         self.limit_tokens = min(
             self.limit_depth - self.unwritten_units, self.limit_tokens + self.limit_rate * elapsed
         )
-        self.own_rate *= 0.5 ** (elapsed * SECOND / SERVED_RATE_HALVING)
+        self.own_rate *= 0.5 ** (elapsed * SECOND / SERVED_RATE_HALVING_TIME)
 
     def draw(self, units: float, now: int) -> Quota:
-        """Takes the units of a new request from the first rate that has them, and says which."""
+        """Draws the units of a new request from the first quota that has them, and returns that quota."""
         self.refill(now)
         if self.reserved_left >= units:
             self.reserved_left -= units
@@ -92,13 +93,13 @@
         return Quota.BEYOND
 
     def answered(self, units: float, used: float, now: int) -> None:
-        """An attempt ended.
+        """Updates the served rates after the end of an attempt.
 
-        `units`: what was served with it. `used`: what was served for the volume everywhere in a past
-        period, as a share of its usual rate; below 0 where that is not known.
+        `units`: the units that it served. `used`: the units served for the volume through all gateways in a
+        past period, relative to its usual rate; negative if unknown.
         """
         self.refill(now)
-        self.own_rate += units * LN_2 * SECOND / SERVED_RATE_HALVING
+        self.own_rate += units * LN_2 * SECOND / SERVED_RATE_HALVING_TIME
         if used < 0:
             return
         self.total_rate += SHARE_SMOOTHING * (used * self._usual_rate - self.total_rate)
@@ -106,18 +107,18 @@
             self.share += SHARE_SMOOTHING * (min(1.0, self.own_rate / self.total_rate) - self.share)
 
     def limit_wait(self, units: float, now: int) -> int:
-        """Time in ns until the limit lets so many units go; 0 where it does."""
+        """Returns the time in ns until the limit allows this many units; 0 if it does now."""
         if not self.limit_rate:
             return 0
         self.refill(now)
-        lack = units - self.limit_tokens
-        return max(MS, round(lack / self.limit_rate * SECOND)) if lack > 0 else 0
+        deficit = units - self.limit_tokens
+        return max(MS, round(deficit / self.limit_rate * SECOND)) if deficit > 0 else 0
 
-    def take_limit(self, units: float) -> None:
-        """A request's first attempt is sent; it is not written yet."""
+    def draw_limit(self, units: float) -> None:
+        """Draws the units of a request whose first attempt is sent but not yet written."""
         self.limit_tokens -= units
         self.unwritten_units += units
 
     def written(self, units: float) -> None:
-        """So many units that were taken under the limit were written, or never will be."""
+        """Records that units drawn under the limit were written, or never will be."""
         self.unwritten_units -= units
--- a/ochrecourse/scheduler/retries.py
+++ b/ochrecourse/scheduler/retries.py
@@ -1,12 +1,13 @@
-"""Whether and when a request may have another attempt.
+"""Retry policy: whether and when a request may have another attempt.
 
-Inputs: attempts of the request so far, whether one may have run and when it was written (ns), the rate of
-its tenant that it draws on, the retries and requests of this gateway in the budget's span of time.
+Inputs: the attempts of the request so far, whether one may have run and when it was written (ns), the quota
+of its tenant that it draws on, and this gateway's retries and requests within the window of the retry budget.
 
-A request inside its tenant's reserve may use every attempt that is allowed, another as many as its priority
-share gives, two at least. A request that may have run is repeated only if that is harmless, under a key
-within its window. Each retry waits a share of the latency objective, twice as long each time, and counts
-against the budget, which is asked when a request is queued and again when it leaves.
+A request inside its tenant's reserve may use all attempts that are allowed; others get a number of attempts
+in proportion to their priority share, two at least. A request that may have run is retried only if that is
+harmless; with an idempotency key, only within its window. Each retry is delayed by a share of the latency
+objective, which doubles with each retry, and counts against the budget. The budget is checked when a retry
+is queued and again when it is sent.
 """
 
 from __future__ import annotations
@@ -14,46 +15,46 @@
 from collections import deque
 
 from ochrecourse.interface import Ending
-from ochrecourse.scheduler.chance import Chance
+from ochrecourse.scheduler.random_source import RandomSource
 from ochrecourse.scheduler.settings import Idempotency, SchedulerSettings
 from ochrecourse.scheduler.state import FirstRun, Node, PendingRequest
 from ochrecourse.scheduler.timers import NEVER
 
 FIRST_BACKOFF_SHARE = 0.1  # of the latency objective; leaves time for all attempts
 BACKOFF_FACTOR = 2
-MAY_STILL_RUN = (Ending.TIMEOUT, Ending.RESET, Ending.WITHDRAWN)  # the work of the attempt at its node
+MAY_STILL_RUN = (Ending.TIMEOUT, Ending.RESET, Ending.WITHDRAWN)  # the node may still process the attempt
 
 
 class RetryPolicy:
-    """Retries of all requests, with the gateway's budget.
+    """The retry policy of all requests, with the gateway's retry budget.
 
-    `settings`: of these it takes the attempts that any request may have, the first included; the idempotency
-    window of each class (ns) and the margin by which an answer must be on its way (ns); the priority share of
-    each rate (0 to 1); and the budget, if there is one: so many retries in its span (ns), and so many for
-    each request received in it.
+    Settings used: the maximum number of attempts per request, the first included; the idempotency window of
+    each class (ns) and the margin by which an answer must be sent before its time is up (ns); the priority
+    share of each rate (0 to 1); and the retry budget, if there is one: its window (ns), the retries that are
+    always allowed in it, and the additional retries per request received in it.
     """
 
-    __slots__ = ("_answer_margin", "_chance", "_requests_at", "_retries_at", "_settings")
+    __slots__ = ("_answer_margin", "_random", "_request_times", "_retry_times", "_settings")
 
-    def __init__(self, settings: SchedulerSettings, chance: Chance) -> None:
+    def __init__(self, settings: SchedulerSettings, random_source: RandomSource) -> None:
         self._settings = settings
-        self._chance = chance
+        self._random = random_source
         self._answer_margin = settings.safety.answer_margin
-        self._requests_at: deque[int] = deque()
-        self._retries_at: deque[int] = deque()
+        self._request_times: deque[int] = deque()
+        self._retry_times: deque[int] = deque()
 
     def request_received(self, now: int) -> None:
-        """A new request earns its share of the budget."""
+        """Records a new request, which increases the retry budget."""
         if self._settings.has_retry_budget:
-            self._requests_at.append(now)
+            self._request_times.append(now)
 
     def retry_sent(self, now: int) -> None:
-        """An attempt beyond a request's first draws on the budget."""
+        """Records a retry, which counts against the retry budget."""
         if self._settings.has_retry_budget:
-            self._retries_at.append(now)
+            self._retry_times.append(now)
 
     def allows(self, pending: PendingRequest, now: int) -> bool:
-        """Whether a request that had attempts may have one more now."""
+        """Returns whether a request that has had attempts may have another one now."""
         most = self._settings.max_attempts
         max_for_priority = 1 + max(1, round((most - 1) * self._settings.priority_share(pending.quota)))
         if pending.attempts >= min(most, max_for_priority):
@@ -66,15 +67,16 @@
 
     def _within_budget(self, now: int) -> bool:
         budget = self._settings.retry_budget
-        since = now - budget.counted_span
-        for times in (self._requests_at, self._retries_at):
+        since = now - budget.window
+        for times in (self._request_times, self._retry_times):
             while times and times[0] <= since:
                 times.popleft()
-        return len(self._retries_at) + 1 <= budget.floor + budget.ratio * len(self._requests_at)
+        return len(self._retry_times) + 1 <= budget.floor + budget.ratio * len(self._request_times)
 
     def write_before(self, pending: PendingRequest) -> int:
-        """Clock time in ns from which an attempt may no longer be written: the client's deadline or, once an
-        attempt may have run, the end of its idempotency window.
+        """Returns the clock time in ns from which an attempt may no longer be written.
+
+        This is the client's deadline or, once an attempt may have run, the end of the idempotency window.
         """
         deadline = pending.request.deadline
         first_run = pending.first_run
@@ -84,10 +86,10 @@
         return min(deadline, window_end - self._answer_margin)
 
     def attempt_ended(self, pending: PendingRequest, node: Node, ending: Ending, now: int) -> None:
-        """An attempt at this node ended: the next one waits, and knows where one may have run."""
+        """Records the end of an attempt: where a first one may have run, and the backoff of the next one."""
         may_have_run = ending in MAY_STILL_RUN or ending is Ending.ERROR
         if pending.first_run is None and may_have_run:
             pending.first_run = FirstRun(pending.sent_at, node.shard, node.zone)
         backoff = pending.request_class.latency_objective * FIRST_BACKOFF_SHARE
         backoff = backoff * BACKOFF_FACTOR ** (pending.attempts - 1)
-        pending.not_before = now + round(backoff * self._chance.spread())
+        pending.not_before = now + round(backoff * self._random.jitter())
--- a/ochrecourse/scheduler/scheduler.py
+++ b/ochrecourse/scheduler/scheduler.py
@@ -1,10 +1,11 @@
-"""Every decision of the gateway: which waiting request leaves next and where to, which is rejected or failed.
+"""The scheduler of a gateway: which request is sent next and to which node, and which is rejected or failed.
 
-Make one `Scheduler`, report what is seen, which only updates what is known, then call `decide` until it
-returns None; come back at `next_due`. Types and calls are in interface.py, the mechanism in docs/design.md.
+Create one `Scheduler` and report events to it, which only updates its state. Then call `decide` until it
+returns None, and again at `next_due`. Types and methods are described in interface.py, the mechanism in
+docs/design.md.
 
-This module has no rule of its own: it takes reports, asks the rules beside it and runs timers. All times
-are whole nanoseconds on the gateway's clock.
+This module contains no policy: it receives events, runs timers and applies the policies of the other modules
+of this package. All times are integer nanoseconds on the gateway's clock.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 )
 from ochrecourse.scheduler import concurrency, fair_queue, timers
 from ochrecourse.scheduler.admission import Admission
-from ochrecourse.scheduler.chance import Chance
 from ochrecourse.scheduler.endpoints import POLL_PAUSE, Endpoints
 from ochrecourse.scheduler.evacuation import NodeRates, RateChange
 from ochrecourse.scheduler.fair_queue import FairQueue
 from ochrecourse.scheduler.key_order import KeyOrder
 from ochrecourse.scheduler.latency import ENDED_BY_GATEWAY, LatencyEstimator
-from ochrecourse.scheduler.placement import Placement, enter_rotation
+from ochrecourse.scheduler.placement import Placement, init_rotation_credit
+from ochrecourse.scheduler.random_source import RandomSource
 from ochrecourse.scheduler.rate_limits import Volume
 from ochrecourse.scheduler.retries import MAY_STILL_RUN, RetryPolicy
 from ochrecourse.scheduler.settings import Idempotency, SchedulerSettings
@@ -40,15 +41,15 @@
 from ochrecourse.scheduler.state import Flow, Node, PendingRequest, QueueHead
 from ochrecourse.scheduler.timers import NEVER, TimerQueue
 
-IDLE_WAKE = SECOND  # ns until the scheduler wants to be asked again when no timer is set
+IDLE_WAKE_INTERVAL = SECOND  # ns until `decide` must be called again when no timer is set
 
 
 class Scheduler:
-    """The decisions of one gateway.
+    """The scheduler of one gateway; it implements `SchedulerApi`.
 
-    `values`: the settings as a map of names to texts, which is not to change any more. `seed`: of chance.
-    `now`: clock time of the gateway's start, ns. Raises `MissingSettingError` for a missing or senseless
-    value; `request_received` and `decide` raise it too, for values that only some requests need.
+    `values`: the settings as a map of names to texts, which must not change afterwards. `seed`: of the random
+    numbers. `now`: clock time of the gateway's start, ns. Raises `MissingSettingError` for a missing or
+    invalid value; `request_received` and `decide` also raise it, for values that only some requests need.
     """
 
     def __init__(self, values: Mapping[str, str], seed: int, now: int) -> None:
@@ -56,32 +57,32 @@
         self._answer_margin = settings.safety.answer_margin
         self._now = now
         self._started_at = now
-        self.chance = Chance(seed)
+        self.random_source = RandomSource(seed)
         self._timers = TimerQueue()
         self.latency = LatencyEstimator(settings, now)
-        self.slow_start = SlowStart(settings, self.chance, now)
-        self.node_rates = NodeRates(settings, self.chance)
-        self.admission = Admission(settings, self.chance)
-        self.retries = RetryPolicy(settings, self.chance)
+        self.slow_start = SlowStart(settings, self.random_source, now)
+        self.node_rates = NodeRates(settings, self.random_source)
+        self.admission = Admission(settings, self.random_source)
+        self.retries = RetryPolicy(settings, self.random_source)
         self.placement = Placement(settings, self.slow_start, self.node_rates, self.latency, self.admission)
-        self.key_order = KeyOrder(settings.safety.key_settle_span, self._timers)
+        self.key_order = KeyOrder(settings.safety.key_settle_time, self._timers)
         self.fair_queue = FairQueue()
         self.endpoints = Endpoints(settings.polls_endpoints)
         self.nodes = self.endpoints.nodes
         self.volumes: dict[int, Volume] = {}
         self.requests: dict[int, PendingRequest] = {}
-        self._review: deque[PendingRequest] = deque()  # requests to decide about
+        self._review_queue: deque[PendingRequest] = deque()  # requests that need a decision
 
-    # --- reports ---
+    # --- events ---
 
     def list_received(self, kind: ListKind, entries: Sequence[NodeEntry], now: int) -> None:
-        """Service discovery sent a list of nodes, or failed to."""
+        """Applies a list of nodes from service discovery, or repeats a failed poll after a pause."""
         self._now = now
         if kind is ListKind.FAILED:
             self._timers.add(now + POLL_PAUSE, timers.PollEndpoints())
             return
         for node in self.endpoints.unlisted(kind, entries):
-            self._node_left(node, Health.GONE)
+            self._stop_using_node(node, Health.GONE)
         for entry in entries:
             self._entry_received(entry)
 
@@ -90,20 +91,20 @@
         if node is None:
             node = self.endpoints.add(entry)
             self._apply_rate(node)
-            enter_rotation(node, self.chance)
+            init_rotation_credit(node, self.random_source)
         if entry.health is not Health.READY:
-            self._node_left(node, entry.health)
+            self._stop_using_node(node, entry.health)
             return
         if self.slow_start.begin_if_started(node, entry, self._now):
-            self._review.extend(fair_queue.empty_queues(node))
+            self._review_queue.extend(fair_queue.empty_queues(node))
         node.health = Health.READY
         node.started_at = entry.started
         self.fair_queue.touch(node)
 
     def request_received(self, request: Request, now: int) -> None:
-        """A client sent a request. Raises `MissingSettingError` for a senseless value of its tenant."""
+        """Adds a client request. Raises `MissingSettingError` for an invalid setting of its tenant."""
         self._now = now
-        request.units = request.units or 1.0  # an unknown size counts as one
+        request.units = request.units or 1.0  # an unknown size counts as one unit
         volume = self.volumes.get(request.volume)
         if volume is None:
             tenant = self.settings.tenant(request.tenant)
@@ -112,44 +113,44 @@
         pace = self.latency.paces[request.request_class]
         pending = self.requests[request.id] = PendingRequest(request, request_class, pace, volume, now)
         self.retries.request_received(now)
-        if pending.has_turn:
-            self._review.append(pending)
+        if pending.is_next_for_key:
+            self._review_queue.append(pending)
         else:
             self.key_order.add(pending)
             self._advance_key(request.key)
         self._timers.add(pending.serve_by - self._answer_margin, timers.ReviewRequest(pending))
 
     def attempt_written(self, request_id: int, now: int) -> None:
-        """The attempt that is out was handed to a connection: from now on it may run."""
+        """Records that the outstanding attempt was handed to a connection: it may run from now on."""
         self._now = now
         pending = self.requests.get(request_id)
-        if pending and pending.attempt_out:
+        if pending and pending.attempt_outstanding:
             pending.sent_at = now
             pending.release_drawn()
 
     def attempt_ended(self, end: AttemptEnd, now: int) -> None:
-        """An attempt that is out ended; others are passed over."""
+        """Processes the end of an outstanding attempt; any other is ignored."""
         self._now = now
         pending = self.requests.get(end.request_id)
         node = self.nodes.get(end.node)
-        if pending is None or node is None or not pending.attempt_out:
+        if pending is None or node is None or not pending.attempt_outstanding:
             return
         ending = end.ending
         served = ending is Ending.SERVED
-        pending.attempt_out = False
-        self.latency.ease(node, now)
-        self._attempt_over(pending)
+        pending.attempt_outstanding = False
+        self.latency.decay_estimates(node, now)
+        self._stop_counting_attempt(pending)
         pending.volume.answered(pending.request.units if served else 0.0, end.volume_used, now)
-        # Guards against taking this side's doing for the node's: a client that left, no connection free.
+        # Causes inside the gateway, such as a departed client or no free connection, are not the node's.
         if ending not in ENDED_BY_GATEWAY:
             self._learn(node, pending, end)
         if served:
             self.slow_start.answered(node, pending.request.units, now)
-        pending.over = pending.over or end.last
+        pending.finished = pending.finished or end.last
         self.retries.attempt_ended(pending, node, ending, now)
         if ending in MAY_STILL_RUN and pending.in_key_order:
-            self.key_order.rest(pending.request.key, now)
-        self._review.append(pending)
+            self.key_order.block(pending.request.key, now)
+        self._review_queue.append(pending)
 
     def _learn(self, node: Node, pending: PendingRequest, end: AttemptEnd) -> None:
         overloaded = self.latency.learn(node, pending, end, self._now)
@@ -159,39 +160,39 @@
             concurrency.grow_window(node)
 
     def node_rates_received(self, rates: Mapping[int, float], now: int) -> None:
-        """Units a second that this gateway may begin at each node named, in place of what was said before."""
+        """Replaces the units per second that this gateway may start at each of the given nodes."""
         self._now = now
         self.node_rates.received(rates)
         for node in self.nodes.values():
             self._apply_rate(node)
 
     def stream_began(self, request_id: int) -> None:
-        """The answer of the attempt that is out has begun to reach the client."""
+        """Records that the answer of the outstanding attempt has started to reach the client."""
         pending = self.requests.get(request_id)
         if pending:
             pending.streaming = True
-            # Guards against slow readers who hold a node's places: its own work is done.
-            self._attempt_over(pending)
+            # The node's own work is done, so a slow reader must not occupy the node's concurrency limit.
+            self._stop_counting_attempt(pending)
 
     def request_cancelled(self, request_id: int) -> None:
-        """The client no longer waits."""
+        """Cancels a request whose client no longer waits."""
         pending = self.requests.get(request_id)
         if pending:
-            pending.over = True
-            self._review.append(pending)
+            pending.finished = True
+            self._review_queue.append(pending)
 
     # --- decisions ---
 
     def decide(self, now: int) -> Attempt | Reply | ListCall | None:
-        """The next thing to do, or None. Raises `MissingSettingError` for a value first needed now."""
+        """Returns the next action, or None. Raises `MissingSettingError` for a value first needed now."""
         self._now = now
         while True:
             while (timer := self._timers.pop_due(now)) is not None:
                 self._run_timer(timer)
             if self.endpoints.polls_due:
                 return self.endpoints.polls_due.popleft()
-            while self._review:
-                reply = self._review_request(self._review.popleft())
+            while self._review_queue:
+                reply = self._review_request(self._review_queue.popleft())
                 if reply:
                     return reply
             touched = self.fair_queue.touched
@@ -201,17 +202,17 @@
                 if attempt:
                     return attempt
                 del touched[node.id]
-            if not self._review:
+            if not self._review_queue:
                 return None
 
     def next_due(self) -> int:
-        """Clock time by which `decide` is to be called again."""
+        """Returns the clock time by which `decide` must be called again."""
         at = self._timers.next_at()
-        return self._now + IDLE_WAKE if at is None else at
+        return self._now + IDLE_WAKE_INTERVAL if at is None else at
 
     def _run_timer(self, timer: timers.Timer) -> None:
         if isinstance(timer, timers.ReviewRequest):
-            self._review.append(timer.pending)
+            self._review_queue.append(timer.pending)
         elif isinstance(timer, timers.GiveUpAttempt):
             self._give_up(timer.pending, timer.attempt)
         elif isinstance(timer, timers.ListFlow):
@@ -222,49 +223,49 @@
             self.endpoints.poll()
 
     def _give_up(self, pending: PendingRequest, attempt: int) -> None:
-        # Guards against attempts that are never answered: they stop counting, the window shrinks.
+        # An attempt that is never answered stops counting as outstanding, and the node's window shrinks.
         if pending.counted_at_node and pending.attempts == attempt:
             self._shrink_window(pending)
-            self._attempt_over(pending)
+            self._stop_counting_attempt(pending)
 
     def _shrink_window(self, pending: PendingRequest) -> None:
         if pending.node is not None:
             concurrency.shrink_window(pending.node, pending.sent_at, self._now)
 
     def _review_request(self, pending: PendingRequest) -> Reply | None:
-        """Answers a request that can't be served in time any more; has another wait at its node."""
-        if pending.over:
+        """Replies to a request that can no longer be served in time; otherwise queues it at a node."""
+        if pending.finished:
             fair_queue.dequeue(pending)
             self._close(pending)
             return None
-        if pending.attempt_out or pending.streaming:
+        if pending.attempt_outstanding or pending.streaming:
             return None
         now = self._now
-        left = pending.serve_by - now - self._answer_margin
-        if left <= 0 or pending.not_before - now >= left:
+        time_left = pending.serve_by - now - self._answer_margin
+        if time_left <= 0 or pending.not_before - now >= time_left:
             return self._reply(pending)
         if pending.attempts and not self.retries.allows(pending, now):
             return self._reply(pending)
-        if not pending.has_turn:
+        if not pending.is_next_for_key:
             return None
         if now < pending.not_before:
             self._timers.add(pending.not_before, timers.ReviewRequest(pending))
             return None
-        return self._wait_at_node(pending, left)
+        return self._wait_at_node(pending, time_left)
 
-    def _wait_at_node(self, pending: PendingRequest, left: int) -> Reply | None:
-        """Has a request wait, or go on waiting, at a node; `left`: ns within which it has to be answered."""
+    def _wait_at_node(self, pending: PendingRequest, time_left: int) -> Reply | None:
+        """Queues a request, or keeps it queued, at a node; `time_left`: ns within which to answer it."""
         now = self._now
         node = pending.node if pending.waiting else self.placement.place(pending, self.nodes, now)
         if node is None:
             return self._reply(pending, pending.capacity_wait)
-        self.latency.ease(node, now)
-        needed = self.latency.expected_time(pending, node)
-        if not self.admission.admits(pending, node, needed, left, now):
+        self.latency.decay_estimates(node, now)
+        expected_time = self.latency.expected_time(pending, node)
+        if not self.admission.admits(pending, node, expected_time, time_left, now):
             return self._reply(pending)
         if not pending.waiting:
             self._enqueue(pending, node)
-        give_up_at = pending.serve_by - self._answer_margin - needed + 1
+        give_up_at = pending.serve_by - self._answer_margin - expected_time + 1
         self._timers.add(give_up_at, timers.ReviewRequest(pending))
         return None
 
@@ -278,14 +279,14 @@
         self.fair_queue.enqueue(pending, node, flow)
 
     def _reply(self, pending: PendingRequest, capacity_wait: int = 0) -> Reply:
-        pending.over = True
+        pending.finished = True
         fair_queue.dequeue(pending)
         self._close(pending)
         return self.admission.reply(pending, capacity_wait)
 
     def _close(self, pending: PendingRequest) -> None:
-        """Lets a request that is over go."""
-        if not pending.attempt_out:
+        """Releases the state of a finished request, once no attempt of it is outstanding."""
+        if not pending.attempt_outstanding:
             self.requests.pop(pending.request.id, None)
             pending.release_drawn()
         if pending.in_key_order:
@@ -294,12 +295,12 @@
     def _advance_key(self, key: int) -> None:
         pending = self.key_order.advance(key, self._now)
         if pending:
-            self._review.append(pending)
+            self._review_queue.append(pending)
 
     # --- attempts ---
 
     def _next_attempt(self, node: Node) -> Attempt | None:
-        """Sends the waiting request whose turn it is at a node, as far as the rules let it."""
+        """Sends the next waiting request of a node, if its limits allow."""
         if node.health is not Health.READY:
             return None
         now = self._now
@@ -326,16 +327,16 @@
         return None
 
     def _first_waiting(self, flow: Flow, rank: int) -> PendingRequest | None:
-        """The first request of a queue that still waits and may leave; those before it are passed over."""
+        """Returns the first request of a queue that still waits and may be sent; removes those before it."""
         queue = flow.queues[rank]
         while queue:
             pending = queue[0]
             if pending.waiting:
-                # Guards against retries that were allowed when they were queued but no longer are.
+                # A retry that was allowed when it was queued may no longer be allowed.
                 if not pending.attempts or self.retries.allows(pending, self._now):
                     return pending
                 fair_queue.dequeue(pending)
-                self._review.append(pending)
+                self._review_queue.append(pending)
             queue.popleft()
         return None
 
@@ -355,7 +356,7 @@
         self.slow_start.attempt_sent(node, request.units, now)
         self.node_rates.attempt_sent(node, request.units, now)
         self.fair_queue.list_flow(node, request.volume)
-        pending.attempt_out = True
+        pending.attempt_outstanding = True
         pending.counted_at_node = True
         pending.sent_at = now
         pending.node = node
@@ -365,30 +366,33 @@
         return Attempt(request.id, pending.attempts - 1, node.id, time_out, write_before)
 
     def _watch_attempt(self, pending: PendingRequest, node: Node) -> int:
-        """Sets the timer that gives an attempt up; returns its time-out in ns, 0 for the client's."""
-        retried_soon = self.latency.is_retried_soon(pending)
-        patience = self.latency.patience(pending, node, retried_soon)
-        self._timers.add(self._now + patience, timers.GiveUpAttempt(pending, pending.attempts))
+        """Sets the timer after which an attempt counts as lost.
+
+        Returns the attempt's time-out in ns; 0 means until the client gives up.
+        """
+        early_timeout = self.latency.has_early_timeout(pending)
+        attempt_timeout = self.latency.attempt_timeout(pending, node, early_timeout)
+        self._timers.add(self._now + attempt_timeout, timers.GiveUpAttempt(pending, pending.attempts))
         harmless = pending.request_class.idempotency is Idempotency.ALWAYS
-        return patience if retried_soon or harmless else 0
+        return attempt_timeout if early_timeout or harmless else 0
 
-    def _attempt_over(self, pending: PendingRequest) -> None:
-        """An attempt no longer counts as outstanding at its node."""
+    def _stop_counting_attempt(self, pending: PendingRequest) -> None:
+        """Stops counting an attempt as outstanding at its node."""
         node = pending.node
         if node is None or not pending.counted_at_node:
             return
         pending.counted_at_node = False
         volume_id = pending.request.volume
-        concurrency.attempt_over(node, node.flows[volume_id], pending.request.units)
+        concurrency.attempt_finished(node, node.flows[volume_id], pending.request.units)
         self.fair_queue.list_flow(node, volume_id)
         concurrency.forget_idle_flow(node, volume_id)
 
     # --- nodes ---
 
-    def _node_left(self, node: Node, health: Health) -> None:
-        """Nothing new goes to a node that drains or is gone; what waits there is looked at again."""
+    def _stop_using_node(self, node: Node, health: Health) -> None:
+        """Stops sending to a node that is draining or gone; requests that wait there are decided on again."""
         node.health = health
-        self._review.extend(fair_queue.empty_queues(node))
+        self._review_queue.extend(fair_queue.empty_queues(node))
         concurrency.forget_sends(node)
 
     def _apply_rate(self, node: Node) -> None:
@@ -397,4 +401,4 @@
             return
         self.fair_queue.touch(node)
         if change is RateChange.LOWERED:
-            self._review.extend(fair_queue.empty_queues(node))
+            self._review_queue.extend(fair_queue.empty_queues(node))
--- a/ochrecourse/scheduler/settings.py
+++ b/ochrecourse/scheduler/settings.py
@@ -1,10 +1,9 @@
-"""The settings that the decisions need, read from the map of names to texts into typed records.
+"""The settings of the scheduler, parsed from a map of names to texts into typed records.
 
-Only this module knows the names of the map; it decides nothing. Spans are whole nanoseconds, rates units a
-second. What every gateway needs is read when the settings are made; what only some need (a tenant's
-figures, advice, the budget of retries) is read once at its first use, so that a value that nothing uses is
-never refused. A value that is missing, or is no number where one is needed, raises `MissingSettingError`
-with its name.
+Only this module uses the names of that map; it makes no decisions. Durations are integer nanoseconds, rates
+are units per second. Settings that every gateway needs are read on construction. Those that only some need
+(of a tenant, Retry-After, the retry budget) are read on first use, so that an unused value is never rejected.
+A value that is missing, or is not a number where one is needed, raises `MissingSettingError` with its name.
 """
 
 from __future__ import annotations
@@ -17,30 +16,30 @@
 from ochrecourse.common.time_units import MS
 from ochrecourse.interface import MissingSettingError
 
-ANSWER_MARGIN_PERIODS = 2  # of the host's timer; one to wake, one to send the answer
-LEAST_START_CAPACITY = 0.01  # share of a warm node's capacity; guards against dividing by nothing
+ANSWER_MARGIN_PERIODS = 2  # periods of the host's timer: one to wake up, one to send the answer
+MIN_START_CAPACITY = 0.01  # share of a warm node's capacity; prevents division by zero
 
 
 class Idempotency(enum.Enum):
-    """Whether a request may be repeated once an attempt of it may have run."""
+    """Whether a request may be retried after an attempt of it may have run."""
 
     ALWAYS = "safe"
-    WITH_KEY = "keyed"  # within a window, where the first attempt's effect is known under its key
+    WITH_KEY = "keyed"  # within a window, at nodes that know the first attempt's effect by its key
     NEVER = "unsafe"
-    UNKNOWN = ""  # a word of a later version: may be repeated, but that is never taken for harmless
+    UNKNOWN = ""  # a value of a later version: retries are allowed, but never assumed to be harmless
 
 
 class RetryScope(enum.Enum):
-    """Among which nodes the idempotency key of a request is known."""
+    """The nodes that know the idempotency key of a request."""
 
     ALL = "all"
     ZONE = "zone"
     SHARD = "cell"
-    UNKNOWN = ""  # a word of a later version: retries go anywhere, but that is never taken for harmless
+    UNKNOWN = ""  # a value of a later version: retries may use any node, but are never assumed harmless
 
 
 class Quota(enum.Enum):
-    """On which rate of its tenant a request draws."""
+    """The rate of its tenant that a request draws on."""
 
     RESERVED = 0
     USUAL = 1
@@ -49,55 +48,55 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What the settings say of one class of requests."""
+    """The settings of one request class."""
 
-    latency_objective: int  # ns from arrival within which an answer counts
+    latency_objective: int  # ns from arrival within which a request must be answered
     priority_weight: float  # of a request that is served in time
     idempotency: Idempotency
     retry_scope: RetryScope
-    idempotency_window: int  # ns from the writing of the first attempt that may have run
-    in_key_order: bool  # one request of a key at a time
+    idempotency_window: int  # ns from the write of the first attempt that may have run
+    in_key_order: bool  # only one request per key at a time
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """What the settings say of one tenant; each of its volumes has these figures."""
+    """The settings of one tenant; they apply to each of its volumes."""
 
-    weight: float  # share of a busy node against other tenants
-    priority_factor: float  # on the priority weight of its requests
-    usual_rate: float  # units a second
-    reserved_rate: float  # units a second
+    weight: float  # share of a busy node relative to other tenants
+    priority_factor: float  # multiplies the priority weight of its requests
+    usual_rate: float  # units per second
+    reserved_rate: float  # units per second
     largest_request: float  # units
-    limit_rate: float  # units a second that no volume may pass; 0 means no limit
-    limit_depth: float  # units that may be saved up under the limit
+    limit_rate: float  # units per second that no volume may exceed; 0 means no limit
+    limit_depth: float  # units, capacity of the limit's token bucket
 
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """What the settings say of the fleet's gateways and of nodes that may be overloaded."""
+    """The settings about the fleet's gateways and the overload protection of nodes."""
 
-    gateways: float  # of the fleet, one at least
-    node_load_span: int  # ns over which a node's load is counted
-    slow_start_span: int  # ns from a start until the slowest node is warm
-    key_settle_span: int  # ns that an ordered key rests after an attempt that may still run
-    usual_units: float  # units of a usual request
-    sure_units: float  # units in `node_load_span` that any starting node bears
-    start_capacity: float  # least share of a warm node's capacity right after a start
-    overload_factor: float  # how many times its capacity a node bears, one at least
-    answer_margin: int  # ns before the end of a request's time by which its answer must be on its way
+    gateways: float  # number in the fleet, at least one
+    node_load_window: int  # ns, window over which a node's load is measured
+    slow_start_time: int  # ns from a start until the slowest node is warm
+    key_settle_time: int  # ns for which an ordered key stays blocked after an attempt that may still run
+    usual_units: float  # units of a typical request
+    guaranteed_units: float  # units per `node_load_window` that any starting node tolerates
+    start_capacity: float  # minimum share of a warm node's capacity right after a start
+    overload_factor: float  # multiple of its capacity that a node tolerates, at least one
+    answer_margin: int  # ns before the end of a request's time by which its answer must be sent
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """What the settings say of how many retries a gateway may send."""
+    """The limit on the retries that a gateway may send."""
 
-    counted_span: int  # ns of which requests and retries count
-    floor: float  # retries that are always allowed in it
-    ratio: float  # and so many for each request received in it
+    window: int  # ns over which requests and retries are counted
+    floor: float  # retries that are always allowed within the window
+    ratio: float  # additional retries per request received within the window
 
 
 class _Reader:
-    """Reads single values from the map."""
+    """Reads and converts single values of the map."""
 
     __slots__ = ("_values",)
 
@@ -121,7 +120,7 @@
             raise MissingSettingError(f"the settings hold no number under {name}") from None
 
     def span(self, name: str, default: float | None = None) -> int:
-        """A span of the map, in milliseconds there, as whole nanoseconds."""
+        """Returns a duration, given in milliseconds in the map, in integer nanoseconds."""
         return round(self.number(name, default) * MS)
 
     def flag(self, name: str) -> bool:
@@ -131,8 +130,8 @@
 class SchedulerSettings:
     """All settings of one scheduler.
 
-    `values`: the map, which is not to change any more. Raises `MissingSettingError` when it is made, or
-    from the attributes and calls that read at their first use.
+    `values`: the map, which must not change afterwards. Raises `MissingSettingError` on construction, or from
+    the attributes and methods that read their values on first use.
     """
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -164,24 +163,24 @@
     def _safety(self) -> Safety:
         read = self._reader
         gateways = max(1.0, read.number("Instances", 1.0))
-        node_load_span = read.span("Safety.Fall", 0.0)
-        slow_start_span = read.span("Safety.Cold", 0.0)
-        key_settle_span = read.span("Safety.OrderSettle", 0.0)
+        node_load_window = read.span("Safety.Fall", 0.0)
+        slow_start_time = read.span("Safety.Cold", 0.0)
+        key_settle_time = read.span("Safety.OrderSettle", 0.0)
         usual_units = read.number("FamilyInfo.UsualUnits", 1.0) or 1.0
         return Safety(
             gateways=gateways,
-            node_load_span=node_load_span,
-            slow_start_span=slow_start_span,
-            key_settle_span=key_settle_span,
+            node_load_window=node_load_window,
+            slow_start_time=slow_start_time,
+            key_settle_time=key_settle_time,
             usual_units=usual_units,
-            sure_units=read.number("FamilyInfo.ColdUnits", 0.0) or usual_units,
-            start_capacity=max(LEAST_START_CAPACITY, read.number("Safety.StartCapacity", 1.0)),
+            guaranteed_units=read.number("FamilyInfo.ColdUnits", 0.0) or usual_units,
+            start_capacity=max(MIN_START_CAPACITY, read.number("Safety.StartCapacity", 1.0)),
             overload_factor=max(1.0, read.number("Safety.OverloadFactor", 1.0)),
             answer_margin=ANSWER_MARGIN_PERIODS * read.span("Period", 1.0),
         )
 
     def tenant(self, number: int) -> Tenant:
-        """The figures of one tenant, by its place in the settings; read when first asked for."""
+        """Returns the settings of one tenant by its index; they are read on first use."""
         tenant = self._tenants.get(number)
         if tenant is None:
             tenant = self._tenants[number] = self._read_tenant(f"Policies.{number}.")
@@ -208,32 +207,32 @@
         return self._reader.number("FamilyInfo.BeyondShare", 1.0)
 
     def priority_share(self, quota: Quota) -> float:
-        """The share of its priority weight that a request has on this rate of its tenant."""
+        """Returns the share of its priority weight that a request retains on this quota of its tenant."""
         if quota is Quota.RESERVED:
             return 1.0
         return self._usual_priority if quota is Quota.USUAL else self._beyond_priority
 
     @cached_property
     def max_attempts(self) -> int:
-        """Attempts that any request may have, the first included."""
+        """Maximum number of attempts per request, the first included."""
         return int(self._reader.number("Limits.MaxAttempts", 1.0))
 
     @cached_property
     def retry_budget(self) -> RetryBudget:
-        """The budget of retries; only where `has_retry_budget`."""
+        """The retry budget; valid only if `has_retry_budget`."""
         read = self._reader
         return RetryBudget(
-            counted_span=read.span("Safety.CountedOver", 0.0),
+            window=read.span("Safety.CountedOver", 0.0),
             floor=read.number("Safety.ExtraFloor", 0.0),
             ratio=read.number("Safety.ExtraRatio"),
         )
 
     @cached_property
     def gives_retry_after(self) -> bool:
-        """Whether clients honour advice on how long to stay away."""
+        """Whether clients honour Retry-After."""
         return self._reader.flag("Limits.RetryAfter")
 
     @cached_property
     def longest_retry_after(self) -> float:
-        """The longest advice that clients honour, in ns; not rounded, for it is multiplied first."""
+        """The maximum Retry-After that clients honour, in ns; not rounded, because it is multiplied first."""
         return self._reader.number("Limits.MaxRetryAfter", 0.0) * MS
--- a/ochrecourse/scheduler/state.py
+++ b/ochrecourse/scheduler/state.py
@@ -1,6 +1,6 @@
-"""What a scheduler knows of requests, storage nodes and volumes at nodes, for the rules to read and change.
+"""State of a scheduler's requests, storage nodes and volumes at nodes, shared by the policy modules.
 
-Times are clock times in whole nanoseconds unless a comment says otherwise, work is in units.
+Times are clock times in integer nanoseconds unless a comment says otherwise; work is in units.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from ochrecourse.scheduler.rate_limits import Volume
 from ochrecourse.scheduler.settings import Quota, RequestClass
 
-RESERVED_RANK = 0  # place of a flow's queue for requests inside the reserve of their tenant
-BEYOND_RANK = 1  # and for all others
+RESERVED_RANK = 0  # index of a flow's queue for requests inside the reserve of their tenant
+BEYOND_RANK = 1  # index of the queue for all others
 
 
 class PaceEstimate:
-    """How fast answers to one class of requests usually are (latency.py)."""
+    """Estimate of the usual answer time per unit of one request class (latency.py)."""
 
     __slots__ = ("answers", "ns_per_unit")
 
     def __init__(self, ns_per_unit: float) -> None:
         self.ns_per_unit = ns_per_unit
-        self.answers = 0  # seen so far
+        self.answers = 0  # received so far
 
 
 class FirstRun(NamedTuple):
-    """Where the first attempt that may have run was sent."""
+    """When and where the first attempt that may have run was sent."""
 
     sent_at: int
     shard: int
@@ -35,20 +35,20 @@
 
 
 class PendingRequest:
-    """A request that this gateway took and what became of it so far."""
+    """A request that this gateway received, and its state."""
 
     __slots__ = (
-        "attempt_out",
+        "attempt_outstanding",
         "attempts",
         "capacity_wait",
         "counted_at_node",
         "drawn_units",
+        "finished",
         "first_run",
-        "has_turn",
         "in_key_order",
+        "is_next_for_key",
         "node",
         "not_before",
-        "over",
         "pace",
         "quota",
         "rank",
@@ -74,31 +74,31 @@
         self.attempts = 0  # sent so far
         self.not_before = 0  # when the next attempt may be sent
         self.sent_at = 0  # when the last attempt was sent
-        self.node: Node | None = None  # where it waits or its last attempt is
+        self.node: Node | None = None  # where it waits, or where its last attempt was sent
         self.waiting = False  # in a queue of `node`
-        self.attempt_out = False  # sent and not ended
-        self.counted_at_node = False  # the attempt counts as outstanding there
-        self.over = False  # answered, given up or cancelled
-        self.streaming = False  # the answer is on its way to the client
+        self.attempt_outstanding = False  # sent and not ended
+        self.counted_at_node = False  # the attempt counts as outstanding at `node`
+        self.finished = False  # answered, given up or cancelled
+        self.streaming = False  # the answer is being sent to the client
         self.drawn_units = 0.0  # drawn under its volume's limit while no attempt was written yet
-        self.capacity_wait = 0  # ns until the first allowed node has capacity, where all of them are limited
+        self.capacity_wait = 0  # ns until the first allowed node has capacity, if all of them are limited
         self.in_key_order = request_class.in_key_order and request.key != 0
-        self.has_turn = not self.in_key_order  # no earlier request of its key stands before it
+        self.is_next_for_key = not self.in_key_order  # no earlier request with its key is unfinished
         self.first_run: FirstRun | None = None
 
     def draw_limit(self) -> None:
-        """Its first attempt is sent: takes its units from its volume's limit."""
+        """Draws the request's units from its volume's limit when its first attempt is sent."""
         self.drawn_units = self.request.units
-        self.volume.take_limit(self.drawn_units)
+        self.volume.draw_limit(self.drawn_units)
 
     def release_drawn(self) -> None:
-        """Its first attempt was written, or never will be."""
+        """Settles the drawn units after the first attempt was written, or when it never will be."""
         self.volume.written(self.drawn_units)
         self.drawn_units = 0.0
 
 
 class Flow:
-    """One volume at one node: its bound, what it has outstanding, and what waits."""
+    """One volume at one node: its bound, its outstanding requests and its queues."""
 
     __slots__ = (
         "bound",
@@ -106,10 +106,10 @@
         "keys_waiting",
         "listed",
         "outstanding",
+        "previous_units_outstanding",
         "queues",
         "runs_score",
         "runs_score_at",
-        "units_before",
         "units_outstanding",
         "volume",
         "waiting",
@@ -120,22 +120,22 @@
         self.bound = bound  # requests that may be outstanding
         self.outstanding = 0  # requests
         self.waiting = 0  # requests
-        self.units_outstanding = 0.0  # the aggressiveness of the paper
-        self.units_before = 0.0  # the same before the last send or answer
+        self.units_outstanding = 0.0  # the paper's aggressiveness
+        self.previous_units_outstanding = 0.0  # outstanding units before the last send or answer
         self.runs_score = 0.0
         self.runs_score_at = 0
-        self.finish_tag = 0.0  # virtual time at which its last request beyond the reserve ends
+        self.finish_tag = 0.0  # virtual time at which its last request beyond the reserve finishes
         self.queues: tuple[deque[PendingRequest], deque[PendingRequest]] = (deque(), deque())  # by rank
-        self.listed = [False, False]  # by rank: whether the node's list of heads names it
+        self.listed = [False, False]  # by rank: whether the queue is in the node's `queue_heads`
         self.keys_waiting: Counter[int] = Counter()
 
 
 class QueueHead(NamedTuple):
-    """A volume's queue among those of a node that wait for their turn, in the order of its fields."""
+    """Entry of a volume's queue in a node's heap of queues; entries are ordered by their fields."""
 
-    tag: float  # virtual time at which its first request starts
+    tag: float  # start tag (virtual time) of the queue's first request
     rank: int
-    number: int  # in the order of listing
+    number: int  # in the order in which queues were listed
     volume_id: int
 
 
@@ -143,7 +143,6 @@
     """A storage node as this gateway sees it."""
 
     __slots__ = (
-        "begun",
         "busy_flows",
         "decayed_at",
         "even_split",
@@ -152,7 +151,7 @@
         "id",
         "last_answer_at",
         "last_answer_quick",
-        "last_attempt_silent",
+        "last_attempt_timed_out",
         "next_start_at",
         "outstanding",
         "priority_floor",
@@ -160,6 +159,7 @@
         "rate",
         "recent_counts",
         "recent_sends",
+        "recent_starts",
         "rotation_credit",
         "shard",
         "slow_start_sends",
@@ -188,28 +188,29 @@
         self.busy_flows = 0  # flows with requests outstanding
         self.recent_sends: deque[int] = deque()  # volumes of the last sends
         self.recent_counts: Counter[int] = Counter()  # the same, counted
-        self.even_split = even_split  # bound of each flow where none is squeezed, requests
-        self.trimmed = False  # a recent volume has nothing waiting
-        self.window = window  # requests that may be outstanding by what was seen of the node
+        self.even_split = even_split  # requests; the default bound of each flow
+        self.trimmed = False  # a recent volume has no waiting requests
+        self.window = window  # requests that may be outstanding, adapted to the node's answers
         self.window_shrunk_at = 0
         # fair_queue.py
         self.queue_heads: list[QueueHead] = []  # a heap
         self.virtual_time = 0.0
         # latency.py
-        self.slowdown = 1.0  # answer times against the usual ones
+        self.slowdown = 1.0  # answer times relative to the usual ones
         self.success_share = 1.0  # running share of served answers
         self.last_answer_at = 0
         self.last_answer_quick = False
-        self.last_attempt_silent = False
-        self.decayed_at = 0  # when `slowdown` and `priority_floor` last eased
+        self.last_attempt_timed_out = False
+        self.decayed_at = 0  # last decay of `slowdown` and `priority_floor`
         # admission.py
-        self.priority_floor = 0.0  # least priority weight per ns that is admitted
+        self.priority_floor = 0.0  # minimum priority weight per ns that is admitted
         # placement.py
         self.rotation_credit = 0.0
         # slow_start.py
         self.slow_start_until = 0
-        self.slow_start_sends: deque[tuple[int, float]] = deque()  # time, units sent, or less those answered
+        # Time and units: positive if sent, negative if answered.
+        self.slow_start_sends: deque[tuple[int, float]] = deque()
         # evacuation.py
-        self.rate: float | None = None  # units a second that may begin here; None where nobody limits it
-        self.begun: deque[tuple[int, float]] = deque()  # while limited: time, units sent
-        self.next_start_at = 0  # while limited: when the next request may begin
+        self.rate: float | None = None  # units per second that may start here; None means unlimited
+        self.recent_starts: deque[tuple[int, float]] = deque()  # while limited: time and units of sends
+        self.next_start_at = 0  # while limited: when the next request may start
--- a/ochrecourse/scheduler/timers.py
+++ b/ochrecourse/scheduler/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a scheduler: when which action is due. Times are whole nanoseconds on the gateway's clock."""
+"""Timers of a scheduler. Times are integer nanoseconds on the gateway's clock."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from ochrecourse.scheduler.state import Node, PendingRequest
 
-NEVER = 1 << 60  # ns; a wait that nothing ends
+NEVER = 1 << 60  # ns; an infinite wait
 
 
 @dataclass(slots=True)
 class ReviewRequest:
-    """Decide about a request again."""
+    """Timer: decide on a request again."""
 
     pending: PendingRequest
 
 
 @dataclass(slots=True)
 class ListFlow:
-    """A volume's requests may leave for a node again."""
+    """Timer: list a volume's queues at a node again."""
 
     node: Node
     volume_id: int
@@ -27,29 +27,29 @@
 
 @dataclass(slots=True)
 class AdvanceKey:
-    """An ordered key has rested."""
+    """Timer: the settle time of an ordered key is over."""
 
     key: int
 
 
 @dataclass(slots=True)
 class GiveUpAttempt:
-    """An attempt has gone unanswered for so long that it counts as lost."""
+    """Timer: an attempt that is still unanswered counts as lost."""
 
     pending: PendingRequest
-    attempt: int  # how many attempts the request had with this one
+    attempt: int  # number of attempts of the request, this one included
 
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask for the endpoint list again."""
+    """Timer: poll for the endpoint list again."""
 
 
 Timer = ReviewRequest | ListFlow | AdvanceKey | GiveUpAttempt | PollEndpoints
 
 
 class TimerQueue:
-    """Timers by time; those of one moment in the order in which they were added."""
+    """Timers ordered by due time; those with the same due time are in the order of insertion."""
 
     __slots__ = ("_count", "_heap")
 
@@ -58,16 +58,16 @@
         self._count = 0
 
     def add(self, at: int, timer: Timer) -> None:
-        """Has an action due at a time; one that is past is due at once."""
+        """Adds a timer that is due at a time; a time in the past is due immediately."""
         self._count += 1
         heappush(self._heap, (at, self._count, timer))
 
     def pop_due(self, now: int) -> Timer | None:
-        """Takes out the first timer that is due."""
+        """Removes and returns the first timer that is due, or None."""
         if self._heap and self._heap[0][0] <= now:
             return heappop(self._heap)[2]
         return None
 
     def next_at(self) -> int | None:
-        """When the first timer is due."""
+        """Returns when the first timer is due, or None without timers."""
         return self._heap[0][0] if self._heap else None
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -34,7 +34,7 @@
             if out := attempts(said[-3:]):
                 ending = Ending.RESET if i % 11 == 3 else Ending.SERVED
                 desk.end(out[-1], now + 5 * MS, ending)
-        ways.append((said, desk.scheduler.chance.state))
+        ways.append((said, desk.scheduler.random_source.state))
     assert ways[0] == ways[1]
 
 
@@ -93,7 +93,7 @@
     first = []
     for seed in range(40):
         desk = make_desk()
-        desk.scheduler.chance.state = seed * 7_919_000_000_000_007
+        desk.scheduler.random_source.state = seed * 7_919_000_000_000_007
         desk.scheduler.node_rates_received({70: 0.2}, START)  # a request each 10 s
         now = START
         while not (out := attempts(desk.pull(now))):
@@ -151,7 +151,7 @@
     desk.scheduler.node_rates_received({}, START + MS)
     desk.take(now=START + MS, shard=0)
     assert len(attempts(desk.pull(START + MS))) >= 1
-    assert desk.scheduler.nodes[70].rate is None and not desk.scheduler.nodes[70].begun
+    assert desk.scheduler.nodes[70].rate is None and not desk.scheduler.nodes[70].recent_starts
 
 
 def test_a_node_that_comes_later_has_the_bound_that_was_told_before(desk):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ochrecourse.scheduler.scheduler import Scheduler
-from ochrecourse.scheduler.slow_start import LOAD_SPAN, SlowStart
+from ochrecourse.scheduler.slow_start import LOAD_AVERAGING_TIME, SlowStart
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.interface import Ending, Health, Request, Attempt, AttemptEnd, ListKind, NodeEntry, Reply
 
@@ -253,7 +253,7 @@
 
     __slots__ = ()
 
-    def keeps_back(self, node, now):
+    def is_throttled(self, node, now):
         return False
 
     def wait(self, node, now):
@@ -265,7 +265,7 @@
 
     __slots__ = ()
 
-    def keeps_back(self, node, now):
+    def is_throttled(self, node, now):
         return False
 
 
@@ -367,7 +367,7 @@
 def asked_for_much(scheduler):
     """Has a scheduler take itself for one that was asked for very much of late, and a cold node for one that bears nothing."""
     slow_start = scheduler.slow_start
-    slow_start.load_units, slow_start.load_at, slow_start.bearable_share = HEAVY, TOLD, 0.0
+    slow_start.load_units, slow_start.load_updated_at, slow_start.tolerated_share = HEAVY, TOLD, 0.0
 
 
 def passed(load, now=TOLD, times=400):
@@ -375,7 +375,7 @@
     count = 0
     for seed in range(times):
         scheduler = begin(gateway(seed=seed))
-        scheduler.slow_start.load_units, scheduler.slow_start.load_at = load - 2.0, now
+        scheduler.slow_start.load_units, scheduler.slow_start.load_updated_at = load - 2.0, now
         count += ask(scheduler, 1, now) == [Attempt]
     return count / times
 
@@ -402,8 +402,8 @@
 
 def test_what_was_asked_counts_less_the_longer_ago_it_was():
     scheduler = begin(gateway())
-    scheduler.slow_start.load_units, scheduler.slow_start.load_at = 10.0, TOLD
-    ask(scheduler, 1, TOLD + LOAD_SPAN)
+    scheduler.slow_start.load_units, scheduler.slow_start.load_updated_at = 10.0, TOLD
+    ask(scheduler, 1, TOLD + LOAD_AVERAGING_TIME)
     assert scheduler.slow_start.load_units == pytest.approx(10.0 * 0.366 + 2.0, rel=0.01)
 
 
@@ -413,7 +413,7 @@
     scheduler.list_received(
         ListKind.DELTA, [NodeEntry(8 + i, 0, 1 + i, Health.READY, 0) for i in range(9)], TOLD
     )
-    scheduler.slow_start.load_units, scheduler.slow_start.load_at = 0.0, TOLD
+    scheduler.slow_start.load_units, scheduler.slow_start.load_updated_at = 0.0, TOLD
     ask(scheduler, 1, TOLD, shard=4)
     assert scheduler.slow_start.load_units == pytest.approx(0.2)
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -177,7 +177,7 @@
     node = desk.scheduler.nodes[70]
     node.slowdown, node.decayed_at = 6.0, START
     desk.scheduler.latency.paces[0].ns_per_unit = 20.0 * MS
-    desk.scheduler.chance.spread = lambda: 0.75
+    desk.scheduler.random_source.jitter = lambda: 0.75
     inside = desk.take(tenant=0)
     beyond = desk.take(tenant=2, volume=2)
     said = desk.pull()
@@ -248,7 +248,7 @@
         START,
         START - 60 * SECOND,
     )
-    desk.scheduler.latency.ease(node, START)
+    desk.scheduler.latency.decay_estimates(node, START)
     assert node.slowdown > 3.9
 
 
--- a/tests/test_scheduler_settings.py
+++ b/tests/test_scheduler_settings.py
@@ -19,7 +19,7 @@
         True,
     )
     assert settings.request_classes[2].retry_scope is RetryScope.ALL
-    assert settings.safety.slow_start_span == 16 * SECOND and settings.safety.overload_factor == 1.0
+    assert settings.safety.slow_start_time == 16 * SECOND and settings.safety.overload_factor == 1.0
     assert [settings.priority_share(quota) for quota in Quota] == [1.0, 0.3, 0.1]
     assert settings.longest_retry_after == SECOND and not settings.has_retry_budget
 
