--- a/ochrecourse/common/__init__.py
+++ b/ochrecourse/common/__init__.py
@@ -1,1 +1,1 @@
-"""What several packages share: clocks and networks handed in, the event loop, records of requests."""
+"""Code shared by several packages: clock and network interfaces, the event loop, request records."""
--- a/ochrecourse/common/errors.py
+++ b/ochrecourse/common/errors.py
@@ -1,7 +1,7 @@
-"""The base of every error that this package raises on purpose."""
+"""The base class of all exceptions that this package defines."""
 
 from __future__ import annotations
 
 
 class OchrecourseError(Exception):
-    """Something was wrong with a value, a file, a peer or a call; the text names the value."""
+    """An invalid value, file, peer or call; the message names the value."""
--- a/ochrecourse/common/monotonic_reactor.py
+++ b/ochrecourse/common/monotonic_reactor.py
@@ -1,7 +1,7 @@
-"""Twisted's reactor on the monotonic clock: a wall clock that steps moves no timer.
+"""Twisted's reactor on the monotonic clock, so that steps of the wall clock do not shift timers.
 
-With it what a process needs round its event loop: a port that accepts no more connections than there is
-capacity for, a record of polls, garbage collection at idle moments, the limit of open files.
+Also contains related event loop support: a port that accepts no more connections than there is capacity for,
+a history of polls, garbage collection at idle moments, and the limit of open files.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 from ochrecourse.common.event_loop import PollHistory
 from ochrecourse.common.runtime import now_ns
 
-ACCEPT_PAUSE = 0.02  # s in which a port without capacity is not polled; its clients wait in the kernel
-COLLECTION_INTERVAL = 10.0  # s between looks at whether cycles are worth collecting
-MANY_CLOSED_CONNECTIONS = 5_000  # since the last collection; each leaves a few KiB in cycles
+ACCEPT_PAUSE = 0.02  # s for which a port without capacity is not polled; its clients wait in the kernel
+COLLECTION_INTERVAL = 10.0  # s between checks whether a garbage collection is worthwhile
+MANY_CLOSED_CONNECTIONS = 5_000  # since the last collection; each leaves a few KiB in reference cycles
 
 
 class BoundedAcceptPort(tcp.Port):
-    """A listening port that accepts no more than there is capacity for, and no client is left waiting when it
-    closes.
+    """A listening port that accepts only as many connections as there is capacity for.
 
-    `capacity`: how many more connections may be open now; by default there is no such limit.
+    When it closes, it first accepts the clients that still wait in the kernel. `capacity`: how many more
+    connections may be open now; unlimited by default.
     """
 
     capacity: Callable[[], int] = staticmethod(lambda: sys.maxsize)
     _pause: Any = None
 
     def doRead(self) -> None:
-        """Accepts as many connections as there is capacity for."""
+        """Accepts connections while there is capacity; pauses polling if none was accepted."""
         capacity = self.capacity()
         accepted_before = self.sessionno
         if capacity > 0:
             self.numberAccepts = min(self.numberAccepts, capacity)
             super().doRead()  # type: ignore[no-untyped-call]
         if self.sessionno == accepted_before and self._pause is None:
-            # Guards against a loop that spins: a client that waits in the kernel keeps the port readable.
+            # Prevents a busy loop: a client that waits in the kernel keeps the port readable.
             self.stopReading()  # type: ignore[no-untyped-call]
             self._pause = self.reactor.callLater(ACCEPT_PAUSE, self._resume)
 
@@ -52,8 +52,9 @@
         self.startReading()  # type: ignore[no-untyped-call]
 
     def loseConnection(self, connDone: Any = None) -> Any:
-        """Accepts the clients that wait in the kernel, as far as there is capacity, and closes at once:
-        nothing but the close itself follows the call that found none.
+        """Accepts the clients that wait in the kernel, up to the capacity, and closes immediately.
+
+        Nothing but the close itself follows the accept call that finds no client.
         """
         if self.connected:
             self._stop_polling()
@@ -69,7 +70,7 @@
     stopListening = loseConnection
 
     def connectionLost(self, reason: Any) -> None:
-        """The port is closed."""
+        """Stops polling when the port is closed."""
         self._stop_polling()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
@@ -81,18 +82,18 @@
 
 
 class RecordingPoller:
-    """A reactor's poller, whose polls are recorded in `history`."""
+    """Wrapper of a reactor's poller that records its polls in `history`."""
 
     def __init__(self, poller: Any, reactor: Any, history: PollHistory) -> None:
         self.poller = poller
         self.reactor = reactor
         self.history = history
 
-    def poll(self, timeout: float, most: int) -> Any:
-        """Polls as the poller does, for `timeout` seconds and at most `most` events."""
+    def poll(self, timeout: float, max_events: int) -> Any:
+        """Polls for up to `timeout` seconds and at most `max_events` events."""
         began = now_ns(self.reactor)
         try:
-            return self.poller.poll(timeout, most)
+            return self.poller.poll(timeout, max_events)
         finally:
             self.history.polled(began, now_ns(self.reactor), timeout != 0)
 
@@ -101,10 +102,11 @@
 
 
 def unread_since(reactor: Any) -> Callable[[], int] | None:
-    """What returns since when some input may not be read yet in a reactor's loop, in ns of its clock; None
-    if the reactor has no poller that can be watched.
+    """Starts recording a reactor's polls; returns a function, or None if the reactor has no known poller.
+
+    The function returns the time, in ns of the reactor's clock, before which all input has been read.
     """
-    poller = getattr(reactor, "_poller", None)  # Twisted has no public place from which a poll can be seen
+    poller = getattr(reactor, "_poller", None)  # Twisted has no public interface for observing polls
     if poller is None:
         return None
     history = PollHistory()
@@ -113,8 +115,9 @@
 
 
 def make_reactor(port_type: type[tcp.Port] = tcp.Port) -> Any:
-    """A reactor that is not the process's global one; `install_monotonic_reactor` makes and installs that.
-    `port_type`: what it listens with.
+    """Creates a reactor without installing it as the global one; see `install_monotonic_reactor`.
+
+    `port_type`: class of its listening ports.
     """
     if sys.platform == "linux":
         from twisted.internet.epollreactor import EPollReactor as Base
@@ -122,12 +125,12 @@
         from twisted.internet.selectreactor import SelectReactor as Base
 
     class MonotonicReactor(Base):
-        """The platform's reactor with another clock and port."""
+        """The platform's reactor with the monotonic clock and the given port class."""
 
         seconds = staticmethod(time.monotonic)
 
         def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> tcp.Port:
-            """Accepts connections with `port_type`."""
+            """Listens on a port with `port_type`."""
             listening = port_type(port, factory, backlog, interface, self)
             listening.startListening()
             return listening
@@ -136,41 +139,44 @@
 
 
 def install_monotonic_reactor(port_type: type[tcp.Port] = tcp.Port) -> Any:
-    """Installs and returns the process's reactor. Call it once, before anything imports the global one."""
+    """Installs and returns the global reactor. Call it once, before any module imports the global reactor."""
     reactor = make_reactor(port_type)
     installReactor(reactor)  # type: ignore[no-untyped-call]
     return reactor
 
 
 class CycleCollector:
-    """Collects garbage cycles when no request waits for it, or when closed connections have left many.
+    """Runs garbage collection when no request is open, or when many connections were closed.
 
-    Guards against pauses of tens of ms: requests keep entries until their deadline, and the interpreter's own
-    collections walk all of them. Reference counts free nearly everything else.
+    This prevents pauses of tens of ms: entries of requests exist until their deadline, and the interpreter's
+    automatic collections would traverse all of them. Reference counting frees nearly everything else.
     """
 
     def __init__(self, reactor: Any, idle: Callable[[], bool], closed: Callable[[], int]) -> None:
-        """`idle`: whether no request is open; `closed`: connections closed so far (of clients: opened)."""
+        """Disables automatic collection and starts the periodic checks.
+
+        `idle`: whether no request is open; `closed`: connections closed so far (of clients: opened).
+        """
         self.reactor = reactor
         self.idle = idle
         self.closed = closed
-        self.collected = 0  # closed connections before the last collection
+        self.collected_connections = 0  # closed connections before the last collection
         gc.collect()
         gc.freeze()
         gc.disable()
-        self.look()
+        self.check()
 
-    def look(self) -> None:
-        """Collects if it is worth it, and looks again after a while."""
-        uncollected = self.closed() - self.collected
+    def check(self) -> None:
+        """Collects if worthwhile, and schedules the next check."""
+        uncollected = self.closed() - self.collected_connections
         if uncollected >= MANY_CLOSED_CONNECTIONS or (uncollected and self.idle()):
-            self.collected += uncollected
+            self.collected_connections += uncollected
             gc.collect()
-        self.reactor.callLater(COLLECTION_INTERVAL, self.look)
+        self.reactor.callLater(COLLECTION_INTERVAL, self.check)
 
 
 def raise_open_file_limit() -> int:
-    """Raises the soft limit of open files to the hard one; returns the limit in force."""
+    """Raises the soft limit of open files to the hard limit; returns the limit in effect."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/ochrecourse/common/predecessor.py
+++ b/ochrecourse/common/predecessor.py
@@ -1,10 +1,11 @@
-"""What a starting process does while the one before it still holds its state or its port.
+"""Waiting at process start until the preceding process has released its state and its port.
 
-A process that was killed holds both until the system has torn it down, which takes a moment, and longer on a
-loaded host. A supervisor that starts the next one at once must not take that for a failure. So a start tries
-again for a bounded time. A predecessor that goes on running is refused after that as if there were no wait.
+A killed process owns both until the operating system has cleaned it up, which takes a moment, and longer on a
+loaded host. If a supervisor restarts the process immediately, this must not count as a failure, so the start
+is retried for a limited time. If the predecessor is still running after that, the start fails as it would
+without the wait.
 
-It blocks, so it is for the time before the event loop runs only.
+The wait blocks, so it may be used only before the event loop runs.
 """
 
 from __future__ import annotations
@@ -21,8 +22,9 @@
 
 
 class PredecessorWait:
-    """The wait of one start, for all that it needs together. `log` takes one line, when the wait begins;
-    `cancelled`: whether the process has to end meanwhile.
+    """The wait of one process start; its time-out covers all resources together.
+
+    `log` receives one line when the wait starts; `cancelled`: whether the process has to end meanwhile.
     """
 
     def __init__(
@@ -38,11 +40,13 @@
         self.timeout_s = timeout_s
         self.monotonic = monotonic
         self.sleep = sleep
-        self._gives_up_at: float | None = None  # s
+        self._times_out_at: float | None = None  # s
 
     def until(self, attempt: Callable[[], Result], is_blocked: Callable[[Exception], bool]) -> Result:
-        """The result of the first attempt that succeeds. Raises what the last one raised: at once where
-        `is_blocked` says that no predecessor is the reason, else when the time is over.
+        """Returns the result of the first call of `attempt` that succeeds.
+
+        Raises the exception of the last call: immediately if `is_blocked` returns that a predecessor is not
+        the reason, otherwise after the time-out.
         """
         while True:
             try:
@@ -54,12 +58,12 @@
 
     def _is_over(self, error: Exception) -> bool:
         now = self.monotonic()
-        if self._gives_up_at is None:
-            self._gives_up_at = now + self.timeout_s
+        if self._times_out_at is None:
+            self._times_out_at = now + self.timeout_s
             self.log(f"waits up to {self.timeout_s:g} s for the process before this one: {error}")
-        return now >= self._gives_up_at or self.cancelled()
+        return now >= self._times_out_at or self.cancelled()
 
 
 def is_port_in_use(error: Exception) -> bool:
-    """Whether a port could not be opened (Twisted's CannotListenError) because another socket has it."""
+    """Returns whether a port could not be opened (Twisted's CannotListenError) because it is in use."""
     return getattr(getattr(error, "socketError", None), "errno", None) == errno.EADDRINUSE
--- a/ochrecourse/common/request_records.py
+++ b/ochrecourse/common/request_records.py
@@ -1,4 +1,4 @@
-"""What is known of one request and its attempts, as the gateway saw them. Free of I/O and clocks."""
+"""Records of a request and its attempts, from the gateway's point of view. Free of I/O and clocks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestOutcome(Enum):
-    """How a request ended for its client. The values stand in records, metrics and log lines."""
+    """How a request ended for its client. The values are used in records, metrics and log lines."""
 
     SERVED = "fulfilled"
     REJECTED = "denied"
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt as the gateway saw it; times in ns."""
+    """One attempt as seen by the gateway; times in ns."""
 
     number: int
     node: int
     sent_at: int
-    took: int = -1  # -1: still out
+    took: int = -1  # -1: still outstanding
     ending: Ending | None = None
     reason: str = ""
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request as the gateway saw it; times in ns.
+    """One request as seen by the gateway; times in ns.
 
-    `deadline` is the deadline that the scheduler was given: the client's own, less what an answer takes to
-    reach it. An answer that leaves by `latest_answer_at`, a little later, is still in time; an attempt's
-    time-out at `deadline` is answered then.
+    `deadline` is the deadline given to the scheduler: the client's own, minus the time that an answer takes
+    to reach the client. An answer that is sent by `latest_answer_at`, slightly later, is still in time; an
+    attempt that times out at `deadline` is answered by then.
     """
 
     number: int
@@ -55,7 +55,7 @@
     attempts_out: int = 0
 
     def why(self) -> str:
-        """In one phrase, what led to the outcome: the last attempt's end, or that none was ever sent."""
+        """Returns the reason of the outcome: how the last attempt ended, or that none was sent."""
         if self.outcome is RequestOutcome.SERVED:
             return "answered"
         return self.attempts[-1].reason if self.attempts else "no leg was sent"
--- a/ochrecourse/common/runtime.py
+++ b/ochrecourse/common/runtime.py
@@ -1,7 +1,7 @@
-"""What the library asks of its host program: time, connections and listening ports, all handed in.
+"""Interfaces that the host program provides to the library: time, connections and listening ports.
 
-The protocols follow Twisted's IReactorTime and IReactorTCP, so the real reactor fits as it is and a virtual
-one too.
+The protocols match Twisted's IReactorTime and IReactorTCP, so the real reactor and a virtual one both
+implement them.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 class Timer(Protocol):
-    """A scheduled call, as `callLater` returns it."""
+    """A scheduled call, as returned by `callLater`."""
 
     def cancel(self) -> None:
-        """Cancels the call. Raises if it was made or cancelled before."""
+        """Cancels the call. Raises an exception if it was already made or cancelled."""
 
     def active(self) -> int | bool:
-        """Whether the call is still to be made."""
+        """Returns whether the call is still pending."""
 
 
 class Clock(Protocol):
     """Monotonic time, and scheduled calls (Twisted's IReactorTime)."""
 
     def seconds(self) -> float:
-        """The time in seconds, from any zero."""
+        """Returns the time in seconds since an arbitrary origin."""
 
     def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> Any:
-        """Schedules a call after `delay` seconds; returns its `Timer`."""
+        """Schedules a call after `delay` seconds and returns its `Timer`."""
 
 
 class Network(Clock, Protocol):
@@ -41,15 +41,15 @@
         """Opens a connection; `timeout` in seconds."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Accepts connections; returns the listening port. Raises CannotListenError."""
+        """Listens for connections and returns the listening port. Raises CannotListenError."""
 
 
 def stop(timer: Timer | None) -> None:
-    """Cancels a scheduled call; one that was made already, or none, is left alone."""
+    """Cancels a scheduled call if it is still pending."""
     if timer is not None and timer.active():
         timer.cancel()
 
 
 def now_ns(clock: Clock) -> int:
-    """The clock's time in whole nanoseconds."""
+    """Returns the clock's time in integer nanoseconds."""
     return round(clock.seconds() * SECOND)
--- a/ochrecourse/common/time_units.py
+++ b/ochrecourse/common/time_units.py
@@ -1,4 +1,4 @@
-"""Units of time. All times inside are whole nanoseconds."""
+"""Units of time. The package uses integer nanoseconds internally."""
 
 from __future__ import annotations
 
--- a/ochrecourse/simulator/__init__.py
+++ b/ochrecourse/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the simulator ask the scheduler over its wire."""
+"""Adapter that lets the simulator drive the scheduler over the simulator's wire protocol."""
--- a/ochrecourse/simulator/__main__.py
+++ b/ochrecourse/simulator/__main__.py
@@ -1,8 +1,8 @@
-"""Serves the simulator: reads batches from standard input, writes one reply for each to standard output.
+"""Server for the simulator: reads batches from standard input, writes one reply for each to standard output.
 
-Each batch holds what several gateways (instances) see at one moment; the reply holds what each decides
-then. Malformed input or a missing setting ends the program with one line on standard error and exit code 2;
-a failure inside the decisions is declared in the reply.
+A batch contains the events of several gateways (instances) at one moment; the reply contains the decisions
+of each. Malformed input or a missing setting ends the program with one line on standard error and exit code
+2; an exception inside the scheduler is reported in the reply.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from ochrecourse.simulator import frames
 from ochrecourse.simulator.frames import BadFrameError, Batch, Header
 
-SHORTEST_WAKE = 1_000  # ns; the wire counts whole microseconds
-LONGEST_WAKE = 3_600_000_000_000  # ns; the wire takes no timer of more than 71 minutes
+MIN_WAKE_DELAY = 1_000  # ns; the wire protocol has a resolution of one microsecond
+MAX_WAKE_DELAY = 3_600_000_000_000  # ns; the wire protocol allows no timer of more than 71 minutes
 
 
 class Instance:
-    """One instance: its decisions, the names in its load reports, and its earliest timer still to come."""
+    """One instance: its scheduler, the field names of its load reports, and its next timer."""
 
     def __init__(self, scheduler: Scheduler, load_names: list[str]) -> None:
         self.scheduler = scheduler
@@ -31,16 +31,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """A batch as it was read."""
+class ReceivedBatch:
+    """A batch read from the input."""
 
     header: Header
     now: int  # clock time in ns
     batch: Batch
 
 
-def read_batch(stream: BinaryIO) -> Read | None:
-    """The next batch, or None at the end of input. Raises `BadFrameError` where it ends too soon."""
+def read_batch(stream: BinaryIO) -> ReceivedBatch | None:
+    """Returns the next batch, or None at the end of input. Raises `BadFrameError` if it is truncated."""
     head = stream.read(frames.HEADER.size)
     if not head:
         return None
@@ -50,14 +50,14 @@
     body = stream.read(header.size)
     if len(body) < header.size:
         raise BadFrameError(f"input ended inside batch {header.number}")
-    return Read(header, frames.to_ns(header.clock_ms), Batch(body))
+    return ReceivedBatch(header, frames.to_ns(header.clock_ms), Batch(body))
 
 
-def take_record(instances: dict[int, Instance], batch: Batch, now: int) -> int:
-    """Reports one record to the instance that it names, and returns that instance.
+def handle_record(instances: dict[int, Instance], batch: Batch, now: int) -> int:
+    """Passes one record to its instance and returns the number of the instance.
 
-    A record for an instance that is not there is read and dropped. Raises `BadFrameError`, and
-    `MissingSettingError` for the settings of a new instance.
+    A record for an unknown instance is read and dropped. Raises `BadFrameError`, and `MissingSettingError`
+    for the settings of a new instance.
     """
     code, gateway = batch.tag()
     if code == frames.CONFIGURE:
@@ -67,137 +67,137 @@
     elif code == frames.CRASH:
         instances.pop(gateway, None)
     else:
-        take = RECORDS.get(code)
-        if take is None:
+        handle = RECORD_HANDLERS.get(code)
+        if handle is None:
             raise BadFrameError(f"unknown code {code}")
-        take(instances.get(gateway), batch, now)
+        handle(instances.get(gateway), batch, now)
     return gateway
 
 
-def take_list(instance: Instance | None, batch: Batch, now: int) -> None:
-    """A list of storage nodes."""
+def handle_list(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles a list of storage nodes."""
     kind, entries = batch.nodes()
     if instance:
         instance.scheduler.list_received(kind, entries, now)
 
 
-def take_request(instance: Instance | None, batch: Batch, now: int) -> None:
-    """A client's request."""
+def handle_request(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles a client request."""
     request = batch.request()
     if instance:
         instance.scheduler.request_received(request, now)
 
 
-def take_attempt_end(instance: Instance | None, batch: Batch, now: int) -> None:
-    """An attempt ended."""
+def handle_attempt_end(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles the end of an attempt."""
     end = batch.attempt_end(instance.load_names if instance else [])
     if instance:
         instance.scheduler.attempt_ended(end, now)
 
 
-def take_due(instance: Instance | None, batch: Batch, now: int) -> None:
-    """A timer is due; one that an earlier timer replaced changes nothing."""
+def handle_timer(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles a timer that is due; a timer that an earlier one replaced is ignored."""
     token = batch.token()
     if instance and token == instance.wake_at:
         instance.wake_at = None
 
 
-def take_cancelled(instance: Instance | None, batch: Batch, now: int) -> None:
-    """A client no longer waits."""
+def handle_cancellation(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles the cancellation of a request by its client."""
     number = batch.number()
     if instance:
         instance.scheduler.request_cancelled(number)
 
 
-def take_stream(instance: Instance | None, batch: Batch, now: int) -> None:
-    """An answer has begun to reach its client."""
+def handle_stream_start(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Handles the start of an answer to a client."""
     number = batch.stream()
     if instance:
         instance.scheduler.stream_began(number)
 
 
-def pass_probe(instance: Instance | None, batch: Batch, now: int) -> None:
-    """The answer to a health check."""
+def skip_probe_answer(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Skips the answer to a health check."""
     batch.skip_probe()
 
 
-def pass_message(instance: Instance | None, batch: Batch, now: int) -> None:
-    """A message of another instance."""
+def skip_message(instance: Instance | None, batch: Batch, now: int) -> None:
+    """Skips a message from another instance."""
     batch.skip_message()
 
 
-RECORDS: dict[int, Callable[[Instance | None, Batch, int], None]] = {
-    frames.LIST: take_list,
-    frames.REQUEST: take_request,
-    frames.ATTEMPT_END: take_attempt_end,
-    frames.DUE: take_due,
-    frames.CANCELLED: take_cancelled,
-    frames.STREAM: take_stream,
-    frames.PROBED: pass_probe,
-    frames.MESSAGE: pass_message,
+RECORD_HANDLERS: dict[int, Callable[[Instance | None, Batch, int], None]] = {
+    frames.LIST: handle_list,
+    frames.REQUEST: handle_request,
+    frames.ATTEMPT_END: handle_attempt_end,
+    frames.DUE: handle_timer,
+    frames.CANCELLED: handle_cancellation,
+    frames.STREAM: handle_stream_start,
+    frames.PROBED: skip_probe_answer,
+    frames.MESSAGE: skip_message,
 }
 
 
-def pull(gateway: int, instance: Instance, now: int, out: list[bytes]) -> None:
-    """Writes each decision of one instance, and a timer where it wants to be asked sooner than set."""
+def append_decisions(gateway: int, instance: Instance, now: int, out: list[bytes]) -> None:
+    """Appends all decisions of one instance, and a timer if it is due earlier than the one that is set."""
     scheduler = instance.scheduler
     while (decision := scheduler.decide(now)) is not None:
-        out.append(frames.answer(gateway, decision))
+        out.append(frames.encode_decision(gateway, decision))
         if isinstance(decision, Attempt):
-            # Actions take effect at the batch's time.
+            # Decisions take effect at the time of the batch.
             scheduler.attempt_written(decision.request_id, now)
-    due = min(max(scheduler.next_due(), now + SHORTEST_WAKE), now + LONGEST_WAKE)
+    due = min(max(scheduler.next_due(), now + MIN_WAKE_DELAY), now + MAX_WAKE_DELAY)
     if instance.wake_at is None or due < instance.wake_at:
         instance.wake_at = due
-        out.append(frames.wake(gateway, due - now, due))
+        out.append(frames.encode_wake(gateway, due - now, due))
 
 
-def last_line(error: Exception) -> int:
-    """The line of code on which an error was raised."""
+def error_line(error: Exception) -> int:
+    """Returns the source line on which an exception was raised."""
     trace = error.__traceback__
     while trace and trace.tb_next:
         trace = trace.tb_next
     return trace.tb_lineno if trace else 0
 
 
-def records_for(instances: dict[int, Instance], read: Read) -> list[bytes]:
-    """The records of the reply to a batch.
+def reply_records(instances: dict[int, Instance], received: ReceivedBatch) -> list[bytes]:
+    """Returns the records of the reply to a batch.
 
-    Raises `BadFrameError` and `MissingSettingError`; any other failure becomes the only record.
+    Raises `BadFrameError` and `MissingSettingError`; any other exception becomes the only record.
     """
-    touched: dict[int, None] = {}
+    active: dict[int, None] = {}
     out: list[bytes] = []
     gateway = 0
     try:
-        for _ in range(read.header.records):
-            gateway = take_record(instances, read.batch, read.now)
-            touched[gateway] = None
-        if read.batch.at != len(read.batch.body):
+        for _ in range(received.header.records):
+            gateway = handle_record(instances, received.batch, received.now)
+            active[gateway] = None
+        if received.batch.at != len(received.batch.body):
             raise BadFrameError(
-                f"batch {read.header.number} holds more than its {read.header.records} records"
+                f"batch {received.header.number} holds more than its {received.header.records} records"
             )
-        for gateway in touched:
+        for gateway in active:
             if gateway in instances:
-                pull(gateway, instances[gateway], read.now, out)
+                append_decisions(gateway, instances[gateway], received.now, out)
     except (BadFrameError, MissingSettingError):
         raise
-    except Exception as error:  # any failure inside the decisions is reported, not swallowed
-        return [frames.fault(gateway, f"{type(error).__name__}: {error} (line {last_line(error)})")]
+    except Exception as error:  # any exception inside the scheduler is reported, not suppressed
+        return [frames.encode_fault(gateway, f"{type(error).__name__}: {error} (line {error_line(error)})")]
     return out
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the end of input. Raises `BadFrameError` and `MissingSettingError`."""
+    """Replies to batches until the end of input. Raises `BadFrameError` and `MissingSettingError`."""
     instances: dict[int, Instance] = {}
-    while (read := read_batch(source)) is not None:
-        out = records_for(instances, read)
+    while (received := read_batch(source)) is not None:
+        out = reply_records(instances, received)
         body = b"".join(out)
-        sink.write(frames.REPLY.pack(read.header.number, len(out), len(body)) + body)
+        sink.write(frames.REPLY.pack(received.header.number, len(out), len(body)) + body)
         sink.flush()
 
 
 def main() -> int:
-    """Serves standard input and output; returns the exit code."""
+    """Serves the simulator on standard input and output; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (BadFrameError, MissingSettingError) as error:
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -29,7 +29,7 @@
     ],
 )
 def test_each_decision_has_its_record(decision, record):
-    assert frames.answer(3, decision).hex() == record
+    assert frames.encode_decision(3, decision).hex() == record
 
 
 def test_job_is_read_as_the_wire_lays_it_out():
