--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings, hosts and records for the tests; which tests begin first, and which are known to be red."""
+"""Shared settings and test harnesses; the order of tests, and the list of tests that are known to fail."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 def pytest_xdist_make_scheduler(config, log):
-    """Hands out tests one by one in their order, but whole files where tests are of one daemon or of one clock."""
+    """Distributes tests one by one in order, but keeps files together whose tests share a daemon or a clock."""
     from xdist.scheduler import LoadScopeScheduling
 
     class Scheduler(LoadScopeScheduling):
@@ -30,29 +30,29 @@
 
 
 def known_red():
-    """Tests that fail for a real fault which is not mended yet: each one's line of KNOWN-RED.txt, by the test's name."""
+    """Returns the lines of KNOWN-RED.txt by test name: tests that fail because of a real fault that is not fixed yet."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {line.split(" | ")[0]: line for line in lines if line.strip()}
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Prints what is passed over, and how each of these went."""
-    told = known_red()
-    for how in ("xfailed", "xpassed"):
-        for report in terminalreporter.stats.get(how, []):
-            if report.nodeid in told:
-                terminalreporter.write_line(f"known red, {how}: {told[report.nodeid]}")
+    """Prints the result of each test that is known to fail."""
+    known = known_red()
+    for result in ("xfailed", "xpassed"):
+        for report in terminalreporter.stats.get(result, []):
+            if report.nodeid in known:
+                terminalreporter.write_line(f"known red, {result}: {known[report.nodeid]}")
 
 
 def pytest_collection_modifyitems(items):
-    """Puts first what takes long, so that no worker is left with it at the end.
+    """Runs long tests first, so that no worker is left with one at the end.
 
-    Passes over the tests that are known to be red, and no others: they run, and how they went is printed.
+    Marks only the tests that are known to fail as such: they run, and their results are printed.
     """
-    told = known_red()
+    known = known_red()
     for item in items:
-        if item.nodeid in told:
-            item.add_marker(pytest.mark.xfail(reason=told[item.nodeid], raises=AssertionError, strict=False))
+        if item.nodeid in known:
+            item.add_marker(pytest.mark.xfail(reason=known[item.nodeid], raises=AssertionError, strict=False))
     items.sort(key=lambda item: not item.get_closest_marker("long"))
 
 
@@ -74,187 +74,187 @@
 NODES = [NodeEntry(70, 0, 0, Health.READY, 0), NodeEntry(71, 0, 1, Health.READY, 0)]
 
 
-class Desk:
-    """A host with two nodes, and short ways to feed it and to pull from it."""
+class SchedulerHarness:
+    """A scheduler with two ready nodes, and short methods to report events to it."""
 
     def __init__(self, **changes: str) -> None:
         values = {**VALUES, **{name.replace("__", "."): value for name, value in changes.items()}}
         self.scheduler = Scheduler(values, 7, START)
         self.scheduler.list_received(ListKind.CACHED, NODES, START)
-        self.number = 0
+        self.last_id = 0
 
-    def take(
-        self, now=START, request_class=0, tenant=0, volume=1, key=0, units=2.0, shard=0, patience=2 * SECOND
+    def submit(
+        self, now=START, request_class=0, tenant=0, volume=1, key=0, units=2.0, shard=0, timeout=2 * SECOND
     ):
-        self.number += 1
+        self.last_id += 1
         self.scheduler.request_received(
-            Request(self.number, request_class, tenant, volume, key, units, shard, 2, now + patience), now
+            Request(self.last_id, request_class, tenant, volume, key, units, shard, 2, now + timeout), now
         )
-        return self.number
+        return self.last_id
 
-    def end(self, leg, now, ending=Ending.SERVED, took=30 * MS, used=-1.0):
+    def end_attempt(self, attempt, now, ending=Ending.SERVED, took=30 * MS, used=-1.0):
         last = ending is Ending.SERVED
         self.scheduler.attempt_ended(
-            AttemptEnd(leg.request_id, leg.number, leg.node, ending, took, last, used, 0, {}), now
+            AttemptEnd(attempt.request_id, attempt.number, attempt.node, ending, took, last, used, 0, {}), now
         )
 
-    def pull(self, now=START):
-        said = []
-        while (one := self.scheduler.decide(now)) is not None:
-            said.append(one)
-        return said
+    def decide_all(self, now=START):
+        decisions = []
+        while (decision := self.scheduler.decide(now)) is not None:
+            decisions.append(decision)
+        return decisions
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def harness():
+    return SchedulerHarness()
 
 
 @pytest.fixture
-def make_desk():
-    return Desk
+def make_harness():
+    return SchedulerHarness
 
 
-class Wire:
-    """A raw end of a connection for the tests: it sends any bytes, legal or not, and keeps what it got.
+class RawConnection:
+    """One end of a connection that can send any bytes, valid or not, and stores all received messages.
 
-    `network` is real or virtual; `connect` or `listen` says which side it takes.
+    `network` is real or virtual.
     """
 
     def __init__(self, network):
         self.network = network
         self.raw = b""
-        self.seen = 0
-        self.got = []
+        self.parsed = 0
+        self.received = []
         self.lost = False
         self.transport = None
-        self.on_message = lambda wire, message, body: None
+        self.on_message = lambda connection, message, body: None
 
     def connect(self, port):
-        wire = self
+        connection = self
 
         class Factory(ClientFactory):
             noisy = False
 
             def buildProtocol(self, addr):
-                return wire.end()
+                return connection.build_protocol()
 
         self.network.connectTCP("127.0.0.1", port, Factory(), timeout=5)
         return self
 
-    def end(self):
-        wire = self
+    def build_protocol(self):
+        connection = self
 
-        class End(Protocol):
+        class RecordingProtocol(Protocol):
             def connectionMade(self):
-                wire.transport = self.transport
+                connection.transport = self.transport
 
             def dataReceived(self, data):
-                wire.raw += data
-                wire.take()
+                connection.raw += data
+                connection.parse()
 
             def connectionLost(self, reason=None):
-                wire.lost = True
+                connection.lost = True
 
-        return End()
+        return RecordingProtocol()
 
-    def take(self):
-        while b"\r\n" in self.raw[self.seen :]:
-            end = self.raw.index(b"\r\n", self.seen)
-            message = m.decode(self.raw[self.seen : end])
+    def parse(self):
+        while b"\r\n" in self.raw[self.parsed :]:
+            end = self.raw.index(b"\r\n", self.parsed)
+            message = m.decode(self.raw[self.parsed : end])
             if len(self.raw) < end + 2 + message.body:
                 return
             body = self.raw[end + 2 : end + 2 + message.body]
-            self.seen = end + 2 + message.body
-            self.got.append((message, body))
+            self.parsed = end + 2 + message.body
+            self.received.append((message, body))
             self.on_message(self, message, body)
 
-    def told(self, kind):
-        return [message for message, _ in self.got if isinstance(message, kind)]
+    def messages_of(self, kind):
+        return [message for message, _ in self.received if isinstance(message, kind)]
 
-    def say(self, message, body=b""):
+    def send(self, message, body=b""):
         self.transport.write(m.encode(message, body))
 
 
 class ScriptedNode:
-    """A storage node that does what a test says: `on_message` of each connection's Wire, hello already said."""
+    """A storage node that a test scripts with `on_message`, called for each message; it sends its hello itself."""
 
     def __init__(self, network, on_message, hello=True):
         node = self
-        self.wires = []
+        self.connections = []
 
-        class Ports(ServerFactory):
+        class NodeFactory(ServerFactory):
             noisy = False
 
             def buildProtocol(self, addr):
-                wire = Wire(network)
-                wire.on_message = on_message
-                node.wires.append(wire)
-                end = wire.end()
-                made = end.connectionMade
+                connection = RawConnection(network)
+                connection.on_message = on_message
+                node.connections.append(connection)
+                protocol = connection.build_protocol()
+                store_transport = protocol.connectionMade
 
                 def connection_made():
-                    made()
+                    store_transport()
                     if hello:
-                        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="node"))
+                        connection.send(m.Hello(version=m.PROTOCOL_VERSION, role="node"))
 
-                end.connectionMade = connection_made
-                return end
+                protocol.connectionMade = connection_made
+                return protocol
 
-        self.port = network.listenTCP(0, Ports(), interface="127.0.0.1").getHost().port
+        self.port = network.listenTCP(0, NodeFactory(), interface="127.0.0.1").getHost().port
 
 
-class Yard:
-    """A gateway with its front on a virtual network, and scripted nodes behind it."""
+class GatewayHarness:
+    """A gateway with a client port on a virtual network, and scripted nodes."""
 
     def __init__(self, *scripts, **changes):
         self.network = VirtualNetwork(5)
         names = {"Classes.0.Name": "read", "Classes.1.Name": "mark", "Classes.2.Name": "bind"}
-        plans = {
+        tenants = {
             "Policies.count": "3",
             "Policies.0.Name": "p0",
             "Policies.1.Name": "p1",
             "Policies.2.Name": "p2",
         }
-        values = {**VALUES, **names, **plans, "FamilyInfo.Writes": "false,true,true"}
+        values = {**VALUES, **names, **tenants, "FamilyInfo.Writes": "false,true,true"}
         values.update({name.replace("__", "."): value for name, value in changes.items()})
-        self.stories = []
+        self.records = []
         dial = dialler(self.network)
         self.gateway = Gateway(values, 7, self.network, dial, "g0", travel=20 * MS, observers=[self])
-        self.front = ClientConnectionFactory(self.gateway, self.network, 8)
-        self.port = self.network.listenTCP(0, self.front).getHost().port
+        self.client_factory = ClientConnectionFactory(self.gateway, self.network, 8)
+        self.port = self.network.listenTCP(0, self.client_factory).getHost().port
         self.nodes = [ScriptedNode(self.network, script) for script in scripts]
         entries = [NodeEntry(70 + i, 0, i, Health.READY, 0) for i in range(len(scripts))]
-        where = {70 + i: ("127.0.0.1", node.port) for i, node in enumerate(self.nodes)}
-        self.gateway.endpoint_list_received(ListKind.FULL, entries, where)
+        addresses = {70 + i: ("127.0.0.1", node.port) for i, node in enumerate(self.nodes)}
+        self.gateway.endpoint_list_received(ListKind.FULL, entries, addresses)
 
-    def request_finished(self, gateway, story):
-        self.stories.append(story)
+    def request_finished(self, gateway, record):
+        self.records.append(record)
 
     def client(self):
-        wire = Wire(self.network).connect(self.port)
+        connection = RawConnection(self.network).connect(self.port)
         self.network.advance(0.01)
-        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
-        return wire
+        connection.send(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
+        return connection
 
-    def ask(self, wire, number=1, product="read", body=b"", plan="p0", **more):
-        told = {"tenant": plan, "volume": 1, "timeout_ms": 1000, "shard": 0, "size": len(body), **more}
-        wire.say(m.SubmitRequest(id=number, request_class=product, **told), body)
+    def submit(self, connection, number=1, request_class="read", body=b"", tenant="p0", **more):
+        fields = {"tenant": tenant, "volume": 1, "timeout_ms": 1000, "shard": 0, "size": len(body), **more}
+        connection.send(m.SubmitRequest(id=number, request_class=request_class, **fields), body)
 
     def run(self, seconds=3.0):
         self.network.advance(seconds)
 
 
 @pytest.fixture
-def make_yard():
-    return Yard
+def make_gateway_harness():
+    return GatewayHarness
 
 
 @pytest.fixture
-def make_wire():
-    return Wire
+def make_raw_connection():
+    return RawConnection
 
 
 @pytest.fixture
-def make_node():
+def make_scripted_node():
     return ScriptedNode
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -42,36 +42,36 @@
             if len(self.bodies[message.id]) == leg.size:
                 self.answer(wire, leg)
         elif isinstance(message, m.CancelAttempt):
-            wire.say(m.AttemptCancelled(id=message.id))
+            wire.send(m.AttemptCancelled(id=message.id))
 
     def answer(self, wire, leg):
         if self.mute:
             return
         if self.full:
-            wire.say(m.AttemptRejected(id=leg.id))
+            wire.send(m.AttemptRejected(id=leg.id))
             return
         if leg.write:
             self.objects[leg.key] = self.bodies[leg.id]
-            wire.say(m.AttemptServed(id=leg.id, shard=0))
+            wire.send(m.AttemptServed(id=leg.id, shard=0))
             return
         data = self.objects[leg.key]
         if self.cut:
-            wire.say(m.AttemptServed(id=leg.id, size=len(data)), data[: len(data) // 2])
+            wire.send(m.AttemptServed(id=leg.id, size=len(data)), data[: len(data) // 2])
             wire.transport.loseConnection()
             return
         first = data if len(data) <= m.MAX_BODY_BYTES else b""
-        wire.say(m.AttemptServed(id=leg.id, size=len(data), shard=0), first)
+        wire.send(m.AttemptServed(id=leg.id, size=len(data), shard=0), first)
         for at in range(0, 0 if first else len(data), m.MAX_BODY_BYTES):
-            wire.say(m.BodyChunk(id=leg.id), data[at : at + m.MAX_BODY_BYTES])
+            wire.send(m.BodyChunk(id=leg.id), data[at : at + m.MAX_BODY_BYTES])
 
 
 class House:
     """A door before a gateway before one node."""
 
-    def __init__(self, make_yard, journal=None, **figures):
+    def __init__(self, make_gateway_harness, journal=None, **figures):
         self.store = Store()
         self.lines = []
-        self.yard = make_yard(self.store)
+        self.yard = make_gateway_harness(self.store)
         count = iter(range(10_000))
         volumes = [VolumeRule("", "p0", 1)]
         self.door = Door(
@@ -145,8 +145,8 @@
 
 
 @pytest.fixture
-def house(make_yard):
-    return House(make_yard)
+def house(make_gateway_harness):
+    return House(make_gateway_harness)
 
 
 @pytest.fixture
@@ -443,8 +443,8 @@
     assert client.data.startswith(b"HTTP/1.1 413 ") and client.lost and not house.store.legs
 
 
-def test_too_many_requests_on_one_connection_are_told_when_to_come_back(make_yard):
-    house = House(make_yard, rate=2.0, burst=3.0)
+def test_too_many_requests_on_one_connection_are_told_when_to_come_back(make_gateway_harness):
+    house = House(make_gateway_harness, rate=2.0, burst=3.0)
     client, other = house.open(), house.open()
     assert [client.ask("OPTIONS", "/", seconds=0.001)[0] for _ in range(4)] == [200, 200, 200, 429]
     assert other.ask("OPTIONS", "/")[0] == 200
@@ -500,8 +500,8 @@
     assert steady.next()[0] == 201 and house.door.counts["ended for sending too slowly"] == 2
 
 
-def test_idle_connections_end_and_one_too_many_is_told(make_yard):
-    house = House(make_yard, connections=2, idle=5 * SECOND)
+def test_idle_connections_end_and_one_too_many_is_told(make_gateway_harness):
+    house = House(make_gateway_harness, connections=2, idle=5 * SECOND)
     first, second, third = house.open(), house.open(), house.open()
     house.yard.run(0.1)
     assert third.data.startswith(b"HTTP/1.1 503 ") and third.lost and not first.lost
@@ -799,10 +799,10 @@
     )
 
 
-def test_twenty_thousand_connections_at_one_door_are_served_and_one_more_is_turned_away(make_yard):
+def test_twenty_thousand_connections_at_one_door_are_served_and_one_more_is_turned_away(make_gateway_harness):
     # Guards against a bound or a cost of a connection that only shows with very many. The network is virtual: the
     # machine that this was written on lets no process have more than 20,000 open files.
-    house = House(make_yard, connections=20_000, idle=3_600 * SECOND)
+    house = House(make_gateway_harness, connections=20_000, idle=3_600 * SECOND)
     network, made = house.yard.network, []
 
     class Person(Protocol):
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -32,17 +32,17 @@
         told = data()
         size = len(told)
         first = size if pieces == 1 else size // pieces
-        wire.say(m.AttemptServed(id=message.id, size=size, body=first), told[:first])
+        wire.send(m.AttemptServed(id=message.id, size=size, body=first), told[:first])
         while first < size:
             part = told[first : first + size // pieces + 1]
             first += len(part)
-            wire.say(m.BodyChunk(id=message.id, body=len(part)), part)
+            wire.send(m.BodyChunk(id=message.id, body=len(part)), part)
 
     def script(wire, message, body):
         if not isinstance(message, m.SendAttempt):
             return
         if message.write:
-            wire.network.callLater(after, wire.say, m.AttemptServed(id=message.id))
+            wire.network.callLater(after, wire.send, m.AttemptServed(id=message.id))
         elif hold is not None:
             hold.append(lambda: answer(wire, message))
         else:
@@ -54,8 +54,8 @@
 class Yard:
     """A gateway with copies before one scripted node; `may` says whether copies may be used."""
 
-    def __init__(self, make_yard, script, most=1 << 20, largest=200_000, **changes):
-        self.yard = make_yard(script, **changes)
+    def __init__(self, make_gateway_harness, script, most=1 << 20, largest=200_000, **changes):
+        self.yard = make_gateway_harness(script, **changes)
         self.gateway = self.yard.gateway
         self.may = True
         self.copies = PurgeableObjectCache(
@@ -69,7 +69,7 @@
         return self.gateway.request_log.attempts
 
     def ask(self, wire, number, key=5, **more):
-        self.yard.ask(wire, number, key=key, **more)
+        self.yard.submit(wire, number, key=key, **more)
 
     def read(self, wire, number, **more):
         """The bytes of a read, by the client's id."""
@@ -79,13 +79,15 @@
 
     def bytes_of(self, wire, number):
         return b"".join(
-            body for message, body in wire.got if isinstance(message, m.BodyChunk) and message.id == number
+            body
+            for message, body in wire.received
+            if isinstance(message, m.BodyChunk) and message.id == number
         )
 
 
 @pytest.fixture
-def make(make_yard):
-    return lambda *args, **more: Yard(make_yard, *args, **more)
+def make(make_gateway_harness):
+    return lambda *args, **more: Yard(make_gateway_harness, *args, **more)
 
 
 def test_a_second_read_is_answered_at_once_and_no_leg_is_sent(make):
@@ -97,7 +99,7 @@
     assert yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
     # It counts as other jobs do, and its story is told once.
     assert yard.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not yard.gateway.in_flight
-    assert [(each.outcome, len(each.attempts)) for each in yard.yard.stories] == [
+    assert [(each.outcome, len(each.attempts)) for each in yard.yard.records] == [
         (RequestOutcome.SERVED, n) for n in (1, 0)
     ]
     assert yard.gateway.request_log.open == 0 and not yard.gateway.request_log.requests
@@ -106,7 +108,15 @@
 def test_what_makes_two_reads_the_same(make):
     yard = make(serving(lambda: b"lesson"))
     wire = yard.yard.client()
-    different = [{}, {"key": 6}, {"volume": 2}, {"units": 2.0}, {"plan": "p1"}, {"shard": -1}, {"shard": -1}]
+    different = [
+        {},
+        {"key": 6},
+        {"volume": 2},
+        {"units": 2.0},
+        {"tenant": "p1"},
+        {"shard": -1},
+        {"shard": -1},
+    ]
     for number, more in enumerate(different, 1):
         yard.read(wire, number, **more)
     assert yard.legs == len(different)  # a new object, without a shard, is never held
@@ -135,8 +145,8 @@
 
     def script(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
-            parts.append(lambda: wire.say(m.BodyChunk(id=message.id, body=3), b"son"))
+            wire.send(m.AttemptServed(id=message.id, size=6, body=3), b"les")
+            parts.append(lambda: wire.send(m.BodyChunk(id=message.id, body=3), b"son"))
 
     yard = make(script)
     wire = yard.yard.client()
@@ -176,7 +186,9 @@
         yard.ask(wire, 1)
         yard.yard.run(0.1)
     yard.yard.run(2.0)
-    ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
+    ends = [
+        len(wire.messages_of(m.RequestFailed)) + len(wire.messages_of(m.RequestRejected)) for wire in wires
+    ]
     assert ends == [1, 1, 1] and yard.gateway.request_log.open == 0 and not yard.copies.waiting
 
 
@@ -186,7 +198,7 @@
     def script(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wires.append(wire)
-            wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
+            wire.send(m.AttemptServed(id=message.id, size=6, body=3), b"les")
 
     yard = make(script, Limits__MaxAttempts="1")
     one, two = yard.yard.client(), yard.yard.client()
@@ -196,7 +208,7 @@
     yard.yard.run(0.02)
     wires[0].transport.loseConnection()
     yard.yard.run(0.1)
-    assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
+    assert len(one.messages_of(m.RequestFailed)) == len(two.messages_of(m.RequestFailed)) == 1
     closings = yard.gateway.request_log.outcomes
     assert closings[RequestOutcome.FAILED] == 2 and not closings[RequestOutcome.SERVED]
     assert not yard.copies.store.objects and not yard.gateway.in_flight and not yard.copies.readers.by_request
@@ -209,7 +221,7 @@
     wire = yard.yard.client()
     yard.ask(wire, 1)
     yard.yard.run(0.05)
-    yard.ask(wire, 2, product="mark", body=b"new")
+    yard.ask(wire, 2, request_class="mark", body=b"new")
     yard.yard.run(0.1)
     held.pop()()  # the read began before the write, and its answer is the old value
     yard.yard.run(0.1)
@@ -220,7 +232,7 @@
     held.pop()()
     yard.yard.run(0.1)
     assert yard.bytes_of(wire, 3) == b"new" and len(yard.copies.store.objects) == 1
-    yard.ask(wire, 4, product="mark", body=b"newer")
+    yard.ask(wire, 4, request_class="mark", body=b"newer")
     yard.yard.run(0.001)
     assert not yard.copies.store.objects
 
@@ -228,9 +240,9 @@
 def test_after_a_write_that_may_still_come_its_object_is_not_held(make):
     yard = make(serving(lambda: b"old"))
     wire = yard.yard.client()
-    yard.ask(wire, 1, product="bind", body=b"new")
+    yard.ask(wire, 1, request_class="bind", body=b"new")
     yard.yard.run(0.01)
-    wire.say(m.CancelRequest(id=1))
+    wire.send(m.CancelRequest(id=1))
     yard.yard.run(0.2)
     assert yard.read(wire, 2) == yard.read(wire, 3) == b"old"
     assert not yard.copies.store.objects and yard.copies.writes.uncertain_until
@@ -336,8 +348,8 @@
     assert yard.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not yard.gateway.in_flight
     wire.transport.resumeProducing()
     yard.yard.run(0.5)
-    assert len(wire.told(m.RequestFailed)) == slow
-    assert len(wire.told(m.RequestServed)) == 39
+    assert len(wire.messages_of(m.RequestFailed)) == slow
+    assert len(wire.messages_of(m.RequestServed)) == 39
 
 
 def test_slow_clients_beyond_the_bound_ask_the_nodes(make):
@@ -412,8 +424,8 @@
     assert left == [1] and [yard.bytes_of(wire, 1) for wire in wires] == [b"lesson"] * 2
 
 
-def test_the_webdav_door_answers_from_copies_whole_and_in_ranges_and_reads_what_was_put(make_yard):
-    house = House(make_yard)
+def test_the_webdav_door_answers_from_copies_whole_and_in_ranges_and_reads_what_was_put(make_gateway_harness):
+    house = House(make_gateway_harness)
     gateway, legs = house.yard.gateway, house.store.legs
     copies = PurgeableObjectCache(
         gateway,
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -1142,11 +1142,11 @@
     the times at which they were made, in ms.
     """
 
-    def __init__(self, make_node, make_wire, shifts=(0, 0, 0, 0), ways=()):
+    def __init__(self, make_scripted_node, make_raw_connection, shifts=(0, 0, 0, 0), ways=()):
         self.network = VirtualNetwork(3)
         self.ways(ways)
         self.edition = 1  # that the settings of the next daemon to start have for site s
-        self.make_wire = make_wire
+        self.make_raw_connection = make_raw_connection
         self.zero = self.network.seconds()
         self.legs = 0
 
@@ -1154,9 +1154,9 @@
             if isinstance(message, m.SendAttempt):
                 self.legs += 1
                 data = b"%08d" % self.ms()
-                self.network.callLater(0.02, wire.say, m.AttemptServed(id=message.id, size=8, body=8), data)
+                self.network.callLater(0.02, wire.send, m.AttemptServed(id=message.id, size=8, body=8), data)
 
-        self.node = make_node(self.network, serve)
+        self.node = make_scripted_node(self.network, serve)
         self.lines, self.daemons, self.disks = [], {}, {}
         self.shifts = dict(zip(("g0", "g1", "g2", "g3"), shifts, strict=True))
         for name in self.shifts:
@@ -1206,16 +1206,16 @@
 
     def ask(self, name):
         """The time at which what a client is told was made; None if nothing came yet."""
-        wire = self.make_wire(self.network).connect(21_000 + int(name[1]))
+        wire = self.make_raw_connection(self.network).connect(21_000 + int(name[1]))
         self.network.advance(0.005)
-        wire.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
-        wire.say(
+        wire.send(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
+        wire.send(
             m.SubmitRequest(id=1, request_class="read", tenant="p0", volume=1, timeout_ms=900, key=5, shard=0)
         )
         return wire
 
     def told(self, wire):
-        bodies = [body for message, body in wire.got if isinstance(message, m.BodyChunk)]
+        bodies = [body for message, body in wire.received if isinstance(message, m.BodyChunk)]
         return int(bodies[0]) if bodies else None
 
     def read(self, name):
@@ -1226,9 +1226,9 @@
 
 @pytest.mark.parametrize("damage", ["lost", "broken off", "none"])
 def test_a_daemon_whose_disk_is_lost_or_breaks_off_is_no_voice_until_the_others_told_it(
-    make_node, make_wire, damage
+    make_scripted_node, make_raw_connection, damage
 ):
-    building = Building(make_node, make_wire)
+    building = Building(make_scripted_node, make_raw_connection)
     building.until(8000)
     building.stop("g1")
     if damage == "lost":
@@ -1263,8 +1263,8 @@
 
 
 @pytest.mark.parametrize("ways", CROSSINGS.values(), ids=CROSSINGS)
-def test_two_edges_that_begin_at_once_write_one_edition(make_node, make_wire, ways):
-    building = Building(make_node, make_wire, ways=ways)
+def test_two_edges_that_begin_at_once_write_one_edition(make_scripted_node, make_raw_connection, ways):
+    building = Building(make_scripted_node, make_raw_connection, ways=ways)
     building.until(6000)
     building.ways([])
     building.until(10_000)
@@ -1280,9 +1280,9 @@
 @pytest.mark.parametrize(("disk", "gap"), [("kept", 2000), ("kept", 4000), ("lost", 2000), ("lost", 4000)])
 @pytest.mark.parametrize("ways", CROSSINGS.values(), ids=CROSSINGS)
 def test_two_edges_that_start_again_with_new_settings_write_one_edition(
-    make_node, make_wire, ways, disk, gap
+    make_scripted_node, make_raw_connection, ways, disk, gap
 ):
-    building = Building(make_node, make_wire)
+    building = Building(make_scripted_node, make_raw_connection)
     building.until(8000)
     building.stop("g0")
     building.stop("g1")
@@ -1304,9 +1304,9 @@
         daemon.kill()
 
 
-def test_three_daemons_close_together(make_node, make_wire):
+def test_three_daemons_close_together(make_scripted_node, make_raw_connection):
     """One has a clock ahead, one behind; one stands still over the close, one is killed after it."""
-    building = Building(make_node, make_wire, (0, 190, -190, 0))
+    building = Building(make_scripted_node, make_raw_connection, (0, 190, -190, 0))
     building.until(8000)
     first = {name: building.read(name) for name in building.daemons}
     legs = building.legs
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -355,35 +355,35 @@
 # --- what lies between a decision and its writing ---
 
 
-def test_what_is_drawn_from_a_limit_and_waits_for_its_connection_leaves_no_room_to_fill(make_desk):
+def test_what_is_drawn_from_a_limit_and_waits_for_its_connection_leaves_no_room_to_fill(make_harness):
     """Guards against a limit that is passed when late connections come up together: until a request is written its
     units still lie in the nodes' store, which holds no more than its depth."""
-    desk = make_desk()
+    harness = make_harness()
     rested = START + 20 * SECOND  # the gateway's part is 5 units a second and 20 at most
     patience = 60 * SECOND
-    late = desk.take(rested, tenant=1, units=8.0, patience=patience, shard=0)
-    assert [said.request_id for said in desk.pull(rested)] == [late]
+    late = harness.submit(rested, tenant=1, units=8.0, timeout=patience, shard=0)
+    assert [said.request_id for said in harness.decide_all(rested)] == [late]
     after = rested + 10 * SECOND
-    volume = desk.scheduler.volumes[1]
+    volume = harness.scheduler.volumes[1]
     volume.refill(after)
     assert volume.limit_tokens == pytest.approx(12.0)
-    desk.scheduler.attempt_written(late, after)
+    harness.scheduler.attempt_written(late, after)
     volume.refill(after + SECOND)
     assert volume.limit_tokens == pytest.approx(17.0)
 
 
 @pytest.mark.parametrize("ending", [Ending.UNREACHABLE, Ending.FULL])
-def test_what_is_drawn_is_let_go_with_its_request(make_desk, ending):
+def test_what_is_drawn_is_let_go_with_its_request(make_harness, ending):
     """Guards against room that is lost for good with a request that was never written, or was turned away."""
-    desk = make_desk(Limits__MaxAttempts="1")
+    harness = make_harness(Limits__MaxAttempts="1")
     rested = START + 20 * SECOND
-    desk.take(rested, tenant=1, units=8.0)
-    attempt = desk.pull(rested)[0]
+    harness.submit(rested, tenant=1, units=8.0)
+    attempt = harness.decide_all(rested)[0]
     if ending is Ending.FULL:
-        desk.scheduler.attempt_written(attempt.request_id, rested)
-    desk.end(attempt, rested + MS, ending)
-    desk.pull(rested + MS)
-    volume = desk.scheduler.volumes[1]
+        harness.scheduler.attempt_written(attempt.request_id, rested)
+    harness.end_attempt(attempt, rested + MS, ending)
+    harness.decide_all(rested + MS)
+    volume = harness.scheduler.volumes[1]
     assert volume.unwritten_units == 0.0
     volume.refill(rested + 30 * SECOND)
     assert volume.limit_tokens == pytest.approx(20.0)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -478,16 +478,16 @@
 START = 100 * SECOND
 
 
-def test_a_stream_that_began_frees_its_place_at_the_node(make_desk):
+def test_a_stream_that_began_frees_its_place_at_the_node(make_harness):
     """Guards against slow readers: as many streams as a node has places would keep every other job from it."""
-    desk = make_desk()
-    jobs = [desk.take(shard=0, units=8.0) for _ in range(12)]
-    legs = [each for each in desk.pull() if hasattr(each, "node")]
+    harness = make_harness()
+    jobs = [harness.submit(shard=0, units=8.0) for _ in range(12)]
+    legs = [each for each in harness.decide_all() if hasattr(each, "node")]
     assert 0 < len(legs) < 12
     for leg in legs:
-        desk.scheduler.stream_began(leg.request_id)
-    more = [each for each in desk.pull(START + MS) if hasattr(each, "node")]
+        harness.scheduler.stream_began(leg.request_id)
+    more = [each for each in harness.decide_all(START + MS) if hasattr(each, "node")]
     assert more and {each.request_id for each in more} <= set(jobs) - {leg.request_id for leg in legs}
     for leg in legs:
-        desk.end(leg, START + 500 * MS)
-    assert desk.scheduler.nodes[legs[0].node].outstanding >= 0
+        harness.end_attempt(leg, START + 500 * MS)
+    assert harness.scheduler.nodes[legs[0].node].outstanding >= 0
--- a/tests/transcripts/test_capacity.py
+++ b/tests/transcripts/test_capacity.py
@@ -11,20 +11,20 @@
     return Tap(monkeypatch)
 
 
-def test_shard_that_only_a_left_zone_holds(tap, make_yard, snapshot):
+def test_shard_that_only_a_left_zone_holds(tap, make_gateway_harness, snapshot):
     """The fleet left a zone, of which node 70 is bounded to the pace of probes and holds its shard alone. The first job is
     tried there, those that follow are denied at once with the time from which there is room; who comes back then is served.
     """
-    yard = yard_of(tap, make_yard, answer)
+    yard = yard_of(tap, make_gateway_harness, answer)
     client = yard.client()
     yard.gateway.node_rates_received({70: 2.0})  # units a second: three in the 1.5 s of the rule
     for number in (1, 2, 3):
-        yard.ask(client, number, units=2.0, timeout_ms=400)
+        yard.submit(client, number, units=2.0, timeout_ms=400)
         yard.run(0.6)
-    yard.ask(client, 4, units=2.0, timeout_ms=400)
+    yard.submit(client, 4, units=2.0, timeout_ms=400)
     yard.run(0.1)
     tap.note(yard.network, "the zone returns, and its nodes are bounded no more")
     yard.gateway.node_rates_received({})
-    yard.ask(client, 5, units=2.0, timeout_ms=400)
+    yard.submit(client, 5, units=2.0, timeout_ms=400)
     yard.run(0.5)
     assert tap.text(test_shard_that_only_a_left_zone_holds.__doc__) == snapshot(extension_class=Approved)
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import ScriptedNode, Wire
+from conftest import RawConnection, ScriptedNode
 from test_door import LOCK, House
 from test_fleet_part import LIES, Liar, bodies
 from test_fleet_part import Fleet as Gateways
@@ -42,16 +42,16 @@
 def story(told):
     """Makes a test of a story: what crossed the connections that it placed is as approved."""
 
-    def run(tap, make_yard, snapshot):
-        told(tap, make_yard)
+    def run(tap, make_gateway_harness, snapshot):
+        told(tap, make_gateway_harness)
         assert tap.text(told.__doc__) == snapshot(extension_class=Approved)
 
     globals()[f"test_{told.__name__}"] = run
     return told
 
 
-def yard_of(tap, make_yard, *scripts, **changes):
-    yard = make_yard(*scripts, **changes)
+def yard_of(tap, make_gateway_harness, *scripts, **changes):
+    yard = make_gateway_harness(*scripts, **changes)
     tap.place(yard.port, "gateway", "client", Framed)
     for i, node in enumerate(yard.nodes):
         tap.place(node.port, f"node {70 + i}", "gateway", Framed)
@@ -62,78 +62,78 @@
 
 
 @story
-def native_read(tap, make_yard):
+def native_read(tap, make_gateway_harness):
     """A read goes to the node that holds the shard and its data comes back."""
-    yard = yard_of(tap, make_yard, answer, answer)
-    yard.ask(yard.client(), shard=1, trace="a read")
+    yard = yard_of(tap, make_gateway_harness, answer, answer)
+    yard.submit(yard.client(), shard=1, trace="a read")
     yard.run()
 
 
 @story
-def native_write_in_parts(tap, make_yard):
+def native_write_in_parts(tap, make_gateway_harness):
     """A write whose body comes in parts: the node is sent parts as well, and answers once it has them all."""
     got = []
 
     def keeps(wire, message, body):
         got.append(body)
         if sum(map(len, got)) == 150_000:
-            wire.say(m.AttemptServed(id=1, shard=0))
+            wire.send(m.AttemptServed(id=1, shard=0))
 
-    yard = yard_of(tap, make_yard, keeps)
+    yard = yard_of(tap, make_gateway_harness, keeps)
     client = yard.client()
-    client.say(
+    client.send(
         m.SubmitRequest(
             id=1, request_class="mark", tenant="p0", volume=1, key=4, timeout_ms=900, shard=0, size=150_000
         )
     )
     for size in (m.MAX_BODY_BYTES, m.MAX_BODY_BYTES, 150_000 - 2 * m.MAX_BODY_BYTES):
         yard.run(0.01)
-        client.say(m.BodyChunk(id=1), bytes(size))
+        client.send(m.BodyChunk(id=1), bytes(size))
     yard.run()
 
 
 @story
-def native_denied_with_come_back_time(tap, make_yard):
+def native_denied_with_come_back_time(tap, make_gateway_harness):
     """A plan's units run out: what would wait too long is denied, with the time after which to come back."""
-    yard = yard_of(tap, make_yard, answer, Policies__1__Limit="4", Policies__1__CapDepth="8")
+    yard = yard_of(tap, make_gateway_harness, answer, Policies__1__Limit="4", Policies__1__CapDepth="8")
     client = yard.client()
     yard.run(3)
     for number in range(1, 6):
-        yard.ask(client, number, plan="p1", units=4.0)
+        yard.submit(client, number, tenant="p1", units=4.0)
     yard.run()
 
 
 @story
-def native_written_off_after_its_timeout(tap, make_yard):
+def native_written_off_after_its_timeout(tap, make_gateway_harness):
     """A node takes a binding job and says nothing: the client is told in time that nobody knows, the leg is cancelled."""
-    yard = yard_of(tap, make_yard, silent)
-    yard.ask(yard.client(), product="bind", key=5, timeout_ms=700)
+    yard = yard_of(tap, make_gateway_harness, silent)
+    yard.submit(yard.client(), request_class="bind", key=5, timeout_ms=700)
     yard.run(6)
 
 
 @story
-def native_client_leaves(tap, make_yard):
+def native_client_leaves(tap, make_gateway_harness):
     """A client that no longer waits says so, and hears no more of its job; its leg is cancelled when its patience ends."""
-    yard = yard_of(tap, make_yard, answer_cancels)
+    yard = yard_of(tap, make_gateway_harness, answer_cancels)
     client = yard.client()
-    yard.ask(client, timeout_ms=900)
+    yard.submit(client, timeout_ms=900)
     yard.run(0.1)
-    client.say(m.CancelRequest(id=1))
+    client.send(m.CancelRequest(id=1))
     yard.run()
 
 
 def answer_cancels(wire, message, body):
     if isinstance(message, m.CancelAttempt):
-        wire.say(m.AttemptCancelled(id=message.id, executed="no"))
+        wire.send(m.AttemptCancelled(id=message.id, executed="no"))
 
 
 def fails(wire, message, body):
     if isinstance(message, m.SendAttempt):
-        wire.say(m.AttemptFailed(id=message.id, text="disk"))
+        wire.send(m.AttemptFailed(id=message.id, text="disk"))
 
 
 @story
-def native_second_leg_after_a_failure(tap, make_yard):
+def native_second_leg_after_a_failure(tap, make_gateway_harness):
     """A retriable job whose leg fails is sent once more and is fulfilled."""
     legs = []
 
@@ -142,148 +142,148 @@
             legs.append(message)
             (fails if len(legs) == 1 else answer)(wire, message, body)
 
-    yard = yard_of(tap, make_yard, first_fails)
-    yard.ask(yard.client())
+    yard = yard_of(tap, make_gateway_harness, first_fails)
+    yard.submit(yard.client())
     yard.run()
 
 
 @story
-def native_binding_job_is_never_sent_twice(tap, make_yard):
+def native_binding_job_is_never_sent_twice(tap, make_gateway_harness):
     """A binding job whose leg failed may have had its effect: it is written off and nothing more is sent."""
-    yard = yard_of(tap, make_yard, fails)
-    yard.ask(yard.client(), product="bind", key=5)
+    yard = yard_of(tap, make_gateway_harness, fails)
+    yard.submit(yard.client(), request_class="bind", key=5)
     yard.run()
 
 
 @story
-def native_turned_away_unseen(tap, make_yard):
+def native_turned_away_unseen(tap, make_gateway_harness):
     """A node has no room for a binding job: nothing was begun, so it is denied and not written off."""
 
     def full(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.say(m.AttemptRejected(id=message.id))
+            wire.send(m.AttemptRejected(id=message.id))
 
-    yard = yard_of(tap, make_yard, full)
-    yard.ask(yard.client(), product="bind", key=5)
+    yard = yard_of(tap, make_gateway_harness, full)
+    yard.submit(yard.client(), request_class="bind", key=5)
     yard.run()
 
 
 @story
-def native_node_drains(tap, make_yard):
+def native_node_drains(tap, make_gateway_harness):
     """The list says that a node drains: what is out there ends there, what comes for new objects goes elsewhere."""
 
     def slowly(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.network.callLater(0.05, wire.say, m.AttemptServed(id=message.id, shard=message.shard))
+            wire.network.callLater(0.05, wire.send, m.AttemptServed(id=message.id, shard=message.shard))
 
-    yard = yard_of(tap, make_yard, slowly, slowly)
+    yard = yard_of(tap, make_gateway_harness, slowly, slowly)
     client = yard.client()
-    yard.ask(client, 1, product="mark", key=1, shard=0)
+    yard.submit(client, 1, request_class="mark", key=1, shard=0)
     yard.run(0.01)
     tap.note(yard.network, "the list says that node 70 drains")
     yard.gateway.endpoint_list_received(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.DRAINING, 0)], {})
     for number in (2, 3, 4):
-        yard.ask(client, number, product="mark", key=number, shard=-1)
+        yard.submit(client, number, request_class="mark", key=number, shard=-1)
     yard.run()
 
 
 @story
-def native_order_by_key(tap, make_yard):
+def native_order_by_key(tap, make_gateway_harness):
     """Jobs on one key go out one after another, in their order; another key's job does not wait for them."""
 
     def slowly(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.network.callLater(0.03, wire.say, m.AttemptServed(id=message.id, shard=0))
+            wire.network.callLater(0.03, wire.send, m.AttemptServed(id=message.id, shard=0))
 
-    yard = yard_of(tap, make_yard, slowly)
+    yard = yard_of(tap, make_gateway_harness, slowly)
     client = yard.client()
     for number, key in ((1, 5), (2, 5), (3, 6)):
-        yard.ask(client, number, product="bind", key=key)
+        yard.submit(client, number, request_class="bind", key=key)
     yard.run()
 
 
 @story
-def native_answer_breaks_off(tap, make_yard):
+def native_answer_breaks_off(tap, make_gateway_harness):
     """A node's connection ends in the middle of an answer: what came is kept, and the job is written off."""
 
     def half(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.say(m.AttemptServed(id=message.id, size=10), b"12345")
+            wire.send(m.AttemptServed(id=message.id, size=10), b"12345")
             wire.transport.loseConnection()
 
-    yard = yard_of(tap, make_yard, half)
-    yard.ask(yard.client())
+    yard = yard_of(tap, make_gateway_harness, half)
+    yard.submit(yard.client())
     yard.run()
 
 
 @story
-def native_second_answer(tap, make_yard):
+def native_second_answer(tap, make_gateway_harness):
     """A node that answers a leg twice is told its fault and loses the connection; the client has one answer."""
 
     def twice(wire, message, body):
         if isinstance(message, m.SendAttempt):
             for _ in range(2):
-                wire.say(m.AttemptServed(id=message.id, size=2, shard=0), b"ok")
+                wire.send(m.AttemptServed(id=message.id, size=2, shard=0), b"ok")
 
-    yard = yard_of(tap, make_yard, twice)
-    yard.ask(yard.client())
+    yard = yard_of(tap, make_gateway_harness, twice)
+    yard.submit(yard.client())
     yard.run()
 
 
 @story
-def native_node_that_nobody_listens_at(tap, make_yard):
+def native_node_that_nobody_listens_at(tap, make_gateway_harness):
     """A dial is refused, so nothing can have run: a binding job is denied and not written off."""
-    yard = yard_of(tap, make_yard, answer)
+    yard = yard_of(tap, make_gateway_harness, answer)
     tap.place(9, "node 70", "gateway", Framed)
     yard.gateway.addresses[70] = ("127.0.0.1", 9)
-    yard.ask(yard.client(), product="bind", key=1)
+    yard.submit(yard.client(), request_class="bind", key=1)
     yard.run()
 
 
 @story
-def native_gateway_drains(tap, make_yard):
+def native_gateway_drains(tap, make_gateway_harness):
     """A gateway that leaves says bye, denies what comes, and answers what it holds before it goes."""
 
     def late(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.network.callLater(0.3, wire.say, m.AttemptServed(id=message.id, shard=0))
+            wire.network.callLater(0.3, wire.send, m.AttemptServed(id=message.id, shard=0))
 
-    yard = yard_of(tap, make_yard, late)
+    yard = yard_of(tap, make_gateway_harness, late)
     client = yard.client()
-    yard.ask(client, 1, product="bind", key=2, timeout_ms=800)
+    yard.submit(client, 1, request_class="bind", key=2, timeout_ms=800)
     yard.run(0.1)
     tap.note(yard.network, "the gateway is told to leave")
-    yard.front.announce_drain()
+    yard.client_factory.announce_drain()
     yard.gateway.drain()
-    yard.ask(client, 2)
+    yard.submit(client, 2)
     yard.run()
 
 
 @story
-def native_fault_on_a_bad_header(tap, make_yard):
+def native_fault_on_a_bad_header(tap, make_gateway_harness):
     """What is no message ends its own connection with one clear fault; another client's job goes on."""
-    yard = yard_of(tap, make_yard, answer)
+    yard = yard_of(tap, make_gateway_harness, answer)
     wrong, right = yard.client(), yard.client()
     wrong.transport.write(b"[]\r\n")
-    yard.ask(right)
+    yard.submit(right)
     yard.run()
 
 
 @story
-def native_fault_on_a_header_without_end(tap, make_yard):
+def native_fault_on_a_header_without_end(tap, make_gateway_harness):
     """A header line is bounded before it is kept: 5,000 bytes without an end are a fault."""
-    yard = yard_of(tap, make_yard, answer)
+    yard = yard_of(tap, make_gateway_harness, answer)
     yard.client().transport.write(b"A" * 5000)
     yard.run()
 
 
 @story
-def native_job_of_no_known_product(tap, make_yard):
+def native_job_of_no_known_product(tap, make_gateway_harness):
     """A job that can not be taken is a fault of that job alone; the connection goes on."""
-    yard = yard_of(tap, make_yard, answer)
+    yard = yard_of(tap, make_gateway_harness, answer)
     client = yard.client()
-    yard.ask(client, 1, product="nothing")
-    yard.ask(client, 2)
+    yard.submit(client, 1, request_class="nothing")
+    yard.submit(client, 2)
     yard.run()
 
 
@@ -307,7 +307,7 @@
 
 
 @story
-def list_whole_then_a_change(tap, make_yard):
+def list_whole_then_a_change(tap, make_gateway_harness):
     """A gateway asks for the whole list and is then told each change of it."""
     following = Following(tap)
     following.server.change(line(71, "draining"), 0)
@@ -317,7 +317,7 @@
 
 
 @story
-def list_gap_in_the_versions(tap, make_yard):
+def list_gap_in_the_versions(tap, make_gateway_harness):
     """A change is missing between what is known and what is told: the whole list is asked for."""
     following = Following(tap)
     port = next(iter(following.server.ports))
@@ -326,7 +326,7 @@
 
 
 @story
-def list_server_away_and_back(tap, make_yard):
+def list_server_away_and_back(tap, make_gateway_harness):
     """The list server is away: the gateway goes on by what it holds, dials with growing waits, and asks from there."""
     following = Following(tap)
     following.server.go(True)
@@ -348,7 +348,7 @@
 
 
 @story
-def resp_read(tap, make_yard):
+def resp_read(tap, make_gateway_harness):
     """A read: the node gets the client's words but for the time that is left; the client gets the value alone."""
     shop = shop_of(tap)
     shop.client().say(read(1))
@@ -356,7 +356,7 @@
 
 
 @story
-def resp_write_in_pieces(tap, make_yard):
+def resp_write_in_pieces(tap, make_gateway_harness):
     """A write whose bytes come in pieces is sent on once it is whole."""
     shop = shop_of(tap)
     client, whole = shop.client(), write(1, b"a longer value")
@@ -367,7 +367,7 @@
 
 
 @story
-def resp_busy(tap, make_yard):
+def resp_busy(tap, make_gateway_harness):
     """A node that is full turns a read away; there is no other, and the client hears that it was not served."""
     shop = shop_of(tap, reply=lambda words: b"-BUSY\r\n")
     shop.client().say(read(1))
@@ -375,7 +375,7 @@
 
 
 @story
-def resp_error_line(tap, make_yard):
+def resp_error_line(tap, make_gateway_harness):
     """A command that is none ends its connection with one error line, behind the answers that are owed."""
     shop = shop_of(tap)
     shop.client().say(read(1) + b"nonsense\r\n")
@@ -383,7 +383,7 @@
 
 
 @story
-def resp_pipelining(tap, make_yard):
+def resp_pipelining(tap, make_gateway_harness):
     """Answers come in the order of the commands, though the second node connection answered first."""
     shop = shop_of(tap, reply=lambda words: None)
     client = shop.client()
@@ -396,7 +396,7 @@
 
 
 @story
-def resp_failed_write(tap, make_yard):
+def resp_failed_write(tap, make_gateway_harness):
     """A node's connection ends on each leg of a write that may be repeated: after the third it is told as failed."""
     shop = shop_of(tap)
     shop.node.reply = lambda words: shop.node.peers[-1].transport.abortConnection()
@@ -405,7 +405,7 @@
 
 
 @story
-def resp_job_too_late(tap, make_yard):
+def resp_job_too_late(tap, make_gateway_harness):
     """A command whose time is over when the loop reads it, after a standstill, has an error line; its connection goes on."""
     shop = shop_of(tap)
     client = shop.client()
@@ -420,7 +420,7 @@
 
 
 @story
-def resp_list_pushed(tap, make_yard):
+def resp_list_pushed(tap, make_gateway_harness):
     """The agent pushes a new version of the list over its watch; a line that can not be read changes nothing."""
     shop = Shop()
     tap.place(shop.agent_port, "list agent", "gateway", Text)
@@ -438,7 +438,7 @@
 
 
 @story
-def resp_silent_watch(tap, make_yard):
+def resp_silent_watch(tap, make_gateway_harness):
     """A watch over which nothing comes is ended and made anew from the version that is known."""
     shop = Shop()
     tap.place(shop.agent_port, "list agent", "gateway", Text)
@@ -448,17 +448,17 @@
 # --- WebDAV ---
 
 
-def house_of(tap, make_yard, **more):
-    house = House(make_yard, **more)
+def house_of(tap, make_gateway_harness, **more):
+    house = House(make_gateway_harness, **more)
     tap.place(house.port, "door", "client", Text)
     tap.place(house.yard.nodes[0].port, "node 70", "gateway", Framed)
     return house
 
 
 @story
-def webdav_put_and_get_a_range(tap, make_yard):
+def webdav_put_and_get_a_range(tap, make_gateway_harness):
     """A file is put, and a part of it is got; the node holds it under a key that no client knows."""
-    house = house_of(tap, make_yard)
+    house = house_of(tap, make_gateway_harness)
     client = house.open()
     client.ask("PUT", "/f", b"0123456789", Content_Type="text/plain")
     client.ask("GET", "/f", Range="bytes=2-5")
@@ -466,9 +466,9 @@
 
 
 @story
-def webdav_lock(tap, make_yard):
+def webdav_lock(tap, make_gateway_harness):
     """A lock keeps a second client off, lets its holder through, and is given back."""
-    house = house_of(tap, make_yard)
+    house = house_of(tap, make_gateway_harness)
     holder, other = house.open(), house.open()
     token = holder.ask("LOCK", "/f", LOCK % b"exclusive", Timeout="Second-100")[1]["lock-token"]
     other.ask("PUT", "/f", b"theirs")
@@ -478,9 +478,9 @@
 
 
 @story
-def webdav_precondition_failed(tap, make_yard):
+def webdav_precondition_failed(tap, make_gateway_harness):
     """Of two clients that read the same version the second one's save is refused: no save is lost without a word."""
-    house = house_of(tap, make_yard)
+    house = house_of(tap, make_gateway_harness)
     client = house.open()
     tag = client.ask("PUT", "/f", b"first")[1]["etag"]
     client.ask("PUT", "/f", b"second", If_Match=tag)
@@ -489,9 +489,9 @@
 
 
 @story
-def webdav_resend_joins(tap, make_yard):
+def webdav_resend_joins(tap, make_gateway_harness):
     """A save that is sent again while it runs joins it: one leg, one effect, and each has its answer."""
-    house = house_of(tap, make_yard)
+    house = house_of(tap, make_gateway_harness)
     house.store.late = 0.2
     for client in (house.open(), house.open()):
         client.send("PUT", "/f", b"save", seconds=0.05, Idempotency_Key="k")
@@ -499,9 +499,9 @@
 
 
 @story
-def webdav_not_known_in_time(tap, make_yard):
+def webdav_not_known_in_time(tap, make_gateway_harness):
     """A node stalls on a save: the client is told in time that its outcome is not known, and the old object stays."""
-    house = house_of(tap, make_yard)
+    house = house_of(tap, make_gateway_harness)
     client = house.open()
     client.ask("PUT", "/f", b"old")
     house.store.mute = True
@@ -521,7 +521,7 @@
 
 
 @story
-def registry_watch(tap, make_yard):
+def registry_watch(tap, make_gateway_harness):
     """The list is read and then watched from the revision after it; a change comes over the stream."""
     town = town_of(tap)
     town.run(0.5)
@@ -530,7 +530,7 @@
 
 
 @story
-def registry_compaction(tap, make_yard):
+def registry_compaction(tap, make_gateway_harness):
     """The connection breaks, and what happened meanwhile is compacted away: the list is read anew."""
     town = town_of(tap)
     town.run(0.5)
@@ -543,7 +543,7 @@
 
 
 @story
-def registry_lease(tap, make_yard):
+def registry_lease(tap, make_gateway_harness):
     """A gateway's own entry stands by a lease that it renews; a lease that was revoked is taken anew."""
     town = town_of(tap, gateways=0)
     enrolled(town)
@@ -563,13 +563,13 @@
 
 
 @story
-def bgp_open_and_update(tap, make_yard):
+def bgp_open_and_update(tap, make_gateway_harness):
     """Both sides open, the session is up, and the address is announced once the gateway has been fit for its rest."""
     stage_of(tap).run(4)
 
 
 @story
-def bgp_less_preferred_then_withdrawn(tap, make_yard):
+def bgp_less_preferred_then_withdrawn(tap, make_gateway_harness):
     """Few nodes are reached, and the address becomes the last choice; the listener is gone, and it is withdrawn at once."""
     stage = stage_of(tap)
     stage.run(3)
@@ -580,7 +580,7 @@
 
 
 @story
-def bgp_withdraw_on_drain(tap, make_yard):
+def bgp_withdraw_on_drain(tap, make_gateway_harness):
     """A drain: last choice, withdrawn, and the session ends with its reason."""
     stage = stage_of(tap)
     stage.run(3)
@@ -601,7 +601,7 @@
 
 
 @story
-def fleet_meets_and_exchanges_entries(tap, make_yard):
+def fleet_meets_and_exchanges_entries(tap, make_gateway_harness):
     """Two gateways meet, tell each other what they hold, and each gets the other's entry."""
     fleet = fleet_of(tap, "ab")
     fleet.run(1)
@@ -612,7 +612,7 @@
 
 
 @story
-def fleet_wrong_name_is_turned_away(tap, make_yard):
+def fleet_wrong_name_is_turned_away(tap, make_gateway_harness):
     """Who is of another fleet is told so, and nothing of it is taken."""
     fleet = fleet_of(tap, "a")
     liar = Liar(fleet, "a")
@@ -621,7 +621,7 @@
 
 
 @story
-def fleet_clock_far_ahead_is_turned_away(tap, make_yard):
+def fleet_clock_far_ahead_is_turned_away(tap, make_gateway_harness):
     """A row from a clock that is years ahead is not merged; the link ends with one line."""
     fleet = fleet_of(tap, "a")
     fleet.ports["b"] = 20_900
@@ -633,7 +633,7 @@
 
 
 @story
-def fleet_two_sites_reconnect(tap, make_yard):
+def fleet_two_sites_reconnect(tap, make_gateway_harness):
     """The ways between two gateways are cut, both go on appending, and once they meet again both hold all in one order."""
     fleet = fleet_of(tap, "ab")
     fleet.run(1)
@@ -651,7 +651,7 @@
 
 
 @story
-def fleet_zone_is_left_and_regained(tap, make_yard):
+def fleet_zone_is_left_and_regained(tap, make_gateway_harness):
     """A person leaves a zone through one gateway and gives it back: an event each, and every gateway says what stands."""
     fleet = fleet_of(tap, "ab", zones=SLOW)
     fleet.run(1)
@@ -666,7 +666,7 @@
 
 
 @story
-def fleet_cold_nodes_allotment_is_lent(tap, make_yard):
+def fleet_cold_nodes_allotment_is_lent(tap, make_gateway_harness):
     """A zone returns with a cold node. Gateway b uses up its part there, a has no work for it and lends half of its own."""
     fleet = fleet_of(tap, "ab", zones=SLOW)
     for part in fleet.parts.values():
@@ -689,7 +689,7 @@
 
 
 @story
-def fleet_purge_then_the_next_read_asks_a_node(tap, make_yard):
+def fleet_purge_then_the_next_read_asks_a_node(tap, make_gateway_harness):
     """Edge g0 answers reads from its copy until the building closes; then the first read goes to the node."""
     building = building_of(tap)
     for ms, what in (
@@ -704,7 +704,7 @@
 
 
 @story
-def fleet_unsure_edge_asks_a_node(tap, make_yard):
+def fleet_unsure_edge_asks_a_node(tap, make_gateway_harness):
     """Edge g0 is cut off from the others, so it can't be sure that its copy may still be told: it asks the node."""
     building = building_of(tap)
     building.until(8000)
@@ -719,17 +719,17 @@
 
 
 def building_of(tap):
-    building = Building(ScriptedNode, Wire)
+    building = Building(ScriptedNode, RawConnection)
     tap.place(21_000, "g0", "client", Framed)
     tap.place(building.node.port, "node 70", "an edge", Framed)
     return building
 
 
-def test_a_gateway_that_leaves_without_a_word_is_seen(tap, make_yard, monkeypatch):
+def test_a_gateway_that_leaves_without_a_word_is_seen(tap, make_gateway_harness, monkeypatch):
     """A seeded mistake: no bye is said."""
     approved = Path(__file__).parent / "__snapshots__" / "test_transcripts" / "test_native_gateway_drains.txt"
     monkeypatch.setattr(ClientConnectionFactory, "announce_drain", lambda self: None)
-    native_gateway_drains(tap, make_yard)
+    native_gateway_drains(tap, make_gateway_harness)
     lines, others = (
         [line[9:] for line in text.splitlines()] for text in (approved.read_text(), tap.text(""))
     )
