--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The bounds, the tags and the exceptions to them."""
+"""The policies of the scheduler: concurrency bounds, fair queueing, admission, latency estimates, quotas."""
 
 from conftest import START, VALUES
 
@@ -38,7 +38,7 @@
     )
 
 
-def test_squeezed_bound_regrows_on_an_answer(harness):
+def test_reduced_bound_grows_with_an_answer(harness):
     harness.submit()
     attempt = harness.decide_all()[0]
     harness.scheduler.nodes[70].flows[1].bound = 3.0
@@ -46,7 +46,7 @@
     assert harness.scheduler.nodes[70].flows[1].bound == 4.0
 
 
-def test_positive_runs_score_trades_bound_for_runs(harness):
+def test_positive_runs_score_lowers_the_bound_of_a_growing_volume(harness):
     harness.submit(key=9)
     harness.decide_all()
     flow = harness.scheduler.nodes[70].flows[1]
@@ -56,7 +56,7 @@
     assert flow.bound == MAX_REQUESTS_PER_NODE - 1
 
 
-def test_total_is_trimmed_while_a_recent_volume_is_empty(harness):
+def test_total_is_lower_while_a_recent_volume_has_no_waiting_requests(harness):
     node = harness.scheduler.nodes[70]
     node.window = 32.0
     harness.submit()
@@ -67,12 +67,12 @@
     assert request_limit(node) == TRIMMED_REQUESTS_PER_NODE
 
 
-def test_held_jobs_leave_by_plan_weighted_tags(harness):
+def test_waiting_requests_are_sent_by_tags_weighted_by_tenant(harness):
     node = harness.scheduler.nodes[70]
     node.window = 1.0
     harness.submit(tenant=0, volume=9)
     busy = harness.decide_all()[0]
-    requests = {harness.submit(tenant=plan, volume=plan): plan for plan in (1, 2) for _ in range(4)}
+    requests = {harness.submit(tenant=tenant, volume=tenant): tenant for tenant in (1, 2) for _ in range(4)}
     harness.scheduler.volumes[1].limit_rate = 0.0
     order = []
     for step in range(1, 7):
@@ -83,7 +83,7 @@
     assert order == [1, 2, 2, 1, 2, 2]
 
 
-def test_job_inside_the_reserve_does_not_wait_for_its_volume_s_tags(harness):
+def test_request_inside_the_reserve_does_not_wait_for_its_volume_s_tags(harness):
     harness.scheduler.nodes[70].window = 1.0
     harness.submit(tenant=2, volume=3)
     busy = harness.decide_all()[0]
@@ -94,7 +94,7 @@
     assert harness.decide_all(START + 10 * MS)[0].request_id == reserved
 
 
-def test_late_answers_shrink_the_window_once_for_legs_out_together(harness):
+def test_late_answers_of_simultaneous_attempts_shrink_the_window_once(harness):
     harness.submit(volume=1)
     harness.submit(volume=2)
     first, second = harness.decide_all()
@@ -104,7 +104,7 @@
     assert window < 2.0 and harness.scheduler.nodes[70].window == window
 
 
-def test_unanswered_leg_stops_counting(harness):
+def test_unanswered_attempt_stops_counting(harness):
     harness.submit(request_class=2)
     attempt = harness.decide_all()[0]
     assert attempt.time_out == 0
@@ -114,41 +114,45 @@
     assert harness.scheduler.nodes[70].outstanding == 0
 
 
-def test_fast_failure_waits_before_its_further_leg(harness):
+def test_retry_after_a_fast_failure_is_delayed(harness):
     harness.submit()
     harness.end_attempt(harness.decide_all()[0], START + MS, Ending.ERROR, took=MS)
     assert harness.decide_all(START + 2 * MS) == []
-    assert [type(said) for said in harness.decide_all(START + 31 * MS)] == [Attempt]
+    assert [type(decision) for decision in harness.decide_all(START + 31 * MS)] == [Attempt]
 
 
-def test_job_under_the_payoff_floor_is_denied_at_a_busy_node(harness):
+def test_request_below_the_priority_floor_is_rejected_at_a_busy_node(harness):
     harness.submit()
     harness.decide_all()
     harness.scheduler.nodes[70].priority_floor = 1.0
-    cheap = harness.submit(tenant=2, volume=2)
-    assert [(said.request_id, said.outcome) for said in harness.decide_all()] == [(cheap, Outcome.REJECTED)]
+    low_priority = harness.submit(tenant=2, volume=2)
+    assert [(decision.request_id, decision.outcome) for decision in harness.decide_all()] == [
+        (low_priority, Outcome.REJECTED)
+    ]
 
 
-def test_hasty_client_is_denied_at_an_idle_node(harness):
-    hasty = harness.submit(timeout=20 * MS)
-    assert [said.request_id for said in harness.decide_all() if isinstance(said, Reply)] == [hasty]
+def test_request_with_too_short_a_timeout_is_rejected_at_an_idle_node(harness):
+    request_id = harness.submit(timeout=20 * MS)
+    assert [decision.request_id for decision in harness.decide_all() if isinstance(decision, Reply)] == [
+        request_id
+    ]
 
 
-def test_new_objects_follow_what_nodes_manage(harness):
+def test_new_objects_are_distributed_by_node_windows(harness):
     harness.scheduler.nodes[70].window, harness.scheduler.nodes[71].window = 3.0, 1.0
-    places = [
+    node_ids = [
         harness.scheduler.placement.place(pending, harness.scheduler.nodes, START).id
-        for pending in self_made(harness, 8)
+        for pending in new_object_requests(harness, 8)
     ]
-    assert places.count(70) == 6
+    assert node_ids.count(70) == 6
 
 
-def self_made(harness, count):
+def new_object_requests(harness, count):
     for _ in range(count):
         yield harness.scheduler.requests[harness.submit(shard=-1)]
 
 
-def test_late_totals_move_a_volume_s_share_here(harness):
+def test_reported_totals_change_a_volume_s_share(harness):
     volume = harness.scheduler.volumes.get(1) or harness.scheduler.volumes.setdefault(
         1, harness.scheduler.requests[harness.submit()].volume
     )
@@ -157,34 +161,39 @@
     assert volume.share < 0.05
 
 
-def test_cheap_job_waits_out_one_usual_answer_before_an_idle_node_takes_it(harness):
+def test_idle_node_is_probed_below_the_floor_after_one_usual_answer_time(harness):
     node = harness.scheduler.nodes[70]
     node.priority_floor, node.last_answer_at, node.decayed_at = 1.0, START, START
-    cheap = harness.submit(tenant=2, volume=2)
-    assert [(said.request_id, said.outcome) for said in harness.decide_all()] == [(cheap, Outcome.REJECTED)]
+    low_priority = harness.submit(tenant=2, volume=2)
+    assert [(decision.request_id, decision.outcome) for decision in harness.decide_all()] == [
+        (low_priority, Outcome.REJECTED)
+    ]
     harness.submit(START + 200 * MS, tenant=2, volume=2)
     assert isinstance(harness.decide_all(START + 200 * MS)[0], Attempt)
 
 
-def test_shortest_promised_time_sets_what_any_answer_may_take(make_harness):
+def test_shortest_latency_objective_limits_every_answer(make_harness):
     harness = make_harness(Classes__0__Aim="100")
     harness.submit(request_class=2)
     harness.end_attempt(harness.decide_all()[0], START + 60 * MS, took=60 * MS)
     assert harness.scheduler.nodes[70].window < 2.0
 
 
-def test_work_of_little_worth_goes_only_where_answers_are_quick(harness):
+def test_low_priority_requests_are_rejected_where_answers_are_slow(harness):
     node = harness.scheduler.nodes[70]
     node.slowdown, node.decayed_at = 6.0, START
     harness.scheduler.latency.paces[0].ns_per_unit = 20.0 * MS
     harness.scheduler.random_source.jitter = lambda: 0.75
     inside = harness.submit(tenant=0)
     beyond = harness.submit(tenant=2, volume=2)
-    said = harness.decide_all()
-    assert [(one.request_id, type(one)) for one in said] == [(beyond, Reply), (inside, Attempt)]
+    decisions = harness.decide_all()
+    assert [(decision.request_id, type(decision)) for decision in decisions] == [
+        (beyond, Reply),
+        (inside, Attempt),
+    ]
 
 
-def test_newest_answer_counts_for_more_after_a_gap(harness):
+def test_newest_answer_has_more_weight_after_a_gap(harness):
     node = harness.scheduler.nodes[70]
     node.last_answer_at, harness.scheduler.latency.paces[0].answers = START - 30 * SECOND, 8
     harness.submit()
@@ -192,7 +201,7 @@
     assert node.slowdown > 4.0
 
 
-def test_jam_is_not_taken_for_the_usual_pace(harness):
+def test_overload_is_not_learned_as_the_usual_pace(harness):
     pace = harness.scheduler.latency.paces[0]
     objective = harness.scheduler.settings.request_classes[0].latency_objective
     for _ in range(40):
@@ -202,25 +211,25 @@
     assert pace.ns_per_unit * 2.0 < objective
 
 
-def test_first_answers_of_a_rare_product_set_its_pace(harness):
-    """Guards against a guess that still counts after a dozen answers, which at 200 gateways take a minute."""
+def test_first_answers_of_a_rare_class_set_its_pace(harness):
+    """Guards against an initial estimate that still counts after a dozen answers, which take a minute at 200 gateways."""
     node, pace = harness.scheduler.nodes[70], harness.scheduler.latency.paces[0]
     for step, took in enumerate((60 * MS, 70 * MS, 80 * MS)):
         now = START + step * SECOND
         harness.submit(now)
         node.slowdown = 1.0
         harness.end_attempt(harness.decide_all(now)[0], now + took, took=took)
-    assert round(pace.ns_per_unit) == 35 * MS  # per unit, all three alike
+    assert round(pace.ns_per_unit) == 35 * MS  # per unit; all three answers have equal weight
 
 
-def test_unanswered_legs_double_what_a_node_is_taken_to_need(harness):
+def test_unanswered_attempts_double_a_node_s_slowdown(harness):
     node = harness.scheduler.nodes[70]
     harness.submit()
     harness.end_attempt(harness.decide_all()[0], START + 300 * MS, Ending.TIMEOUT, took=300 * MS)
     assert node.slowdown > 300 * MS / (20 * MS * 2.0)
 
 
-def test_first_lost_answer_at_a_quick_node_tells_nothing_of_it(harness):
+def test_first_lost_answer_of_a_quick_node_does_not_change_its_slowdown(harness):
     node = harness.scheduler.nodes[70]
     node.last_answer_quick, node.last_answer_at, node.decayed_at, harness.scheduler.latency.lost_share = (
         True,
@@ -235,13 +244,13 @@
     assert node.slowdown == 1.0 and harness.scheduler.latency.lost_share > 0.1
 
 
-def test_many_late_answers_tell_a_jam_from_lost_ones(harness):
+def test_many_late_answers_indicate_overload_instead_of_loss(harness):
     harness.scheduler.latency.lost_share, harness.scheduler.latency.late_share = 0.1, 0.2
     harness.submit()
     assert harness.decide_all()[0].time_out >= 300 * MS
 
 
-def test_node_without_news_is_taken_to_need_what_all_nodes_did(harness):
+def test_slowdown_of_a_node_without_answers_decays_to_the_mean(harness):
     node = harness.scheduler.nodes[71]
     harness.scheduler.latency.slowdown, harness.scheduler.latency.last_answer_at, node.decayed_at = (
         4.0,
@@ -252,54 +261,54 @@
     assert node.slowdown > 3.9
 
 
-def test_units_draw_on_the_reserve_then_on_the_usual_rate_then_are_spare(harness):
+def test_units_draw_on_the_reserve_then_the_usual_rate_then_are_beyond(harness):
     volume = harness.scheduler.requests[harness.submit(tenant=0, volume=5, units=8.0)].volume
-    parts = [volume.draw(8.0, START) for _ in range(5)]
-    assert parts == [Quota.RESERVED, Quota.RESERVED, Quota.USUAL, *[Quota.BEYOND] * 2]
+    quotas = [volume.draw(8.0, START) for _ in range(5)]
+    assert quotas == [Quota.RESERVED, Quota.RESERVED, Quota.USUAL, *[Quota.BEYOND] * 2]
 
 
-def test_part_of_a_reserve_holds_the_largest_job_however_many_gateways_share_it(harness):
+def test_share_of_a_reserve_fits_the_largest_request_with_any_number_of_gateways(harness):
     volume = harness.scheduler.requests[harness.submit(tenant=0, volume=5)].volume
     volume.share = 0.001
     volume.refill(START)
     assert volume.draw(8.0, START) is Quota.RESERVED
 
 
-def test_gateways_with_one_list_begin_their_new_objects_at_different_nodes(make_harness):
-    """Guards against 200 gateways that each send their first new objects to the head of the same list."""
+def test_gateways_with_the_same_list_place_new_objects_at_different_nodes_first(make_harness):
+    """Guards against 200 gateways that all send their first new objects to the first nodes of the same list."""
     entries = [NodeEntry(100 + i, 0, i, Health.READY, 0) for i in range(100)]
-    firsts = set()
+    first_nodes = set()
     for seed in range(200):
         harness = make_harness()
         harness.scheduler = Scheduler(VALUES, seed, START)
         harness.scheduler.list_received(ListKind.CACHED, entries, START)
-        places = [
+        node_ids = [
             harness.scheduler.placement.place(pending, harness.scheduler.nodes, START).id
-            for pending in self_made(harness, 100)
+            for pending in new_object_requests(harness, 100)
         ]
-        assert sorted(places) == [entry.node for entry in entries]
-        firsts.add(places[0])
-    assert len(firsts) > 50
+        assert sorted(node_ids) == [entry.node for entry in entries]
+        first_nodes.add(node_ids[0])
+    assert len(first_nodes) > 50
 
 
-def test_a_node_that_left_keeps_nothing_of_its_volumes(harness):
-    """Guards against memory that grows with each replaced node: some KiB for every volume it ever served."""
+def test_a_gone_node_retains_no_volume_state(harness):
+    """Guards against a memory leak with each replaced node: some KiB for every volume that it served."""
     node = harness.scheduler.nodes[70]
     for volume in range(1, 41):
         harness.submit(volume=volume)
         for attempt in harness.decide_all():
             harness.end_attempt(attempt, START, took=MS)
     harness.submit(volume=99)
-    out = harness.decide_all()[0]
+    outstanding = harness.decide_all()[0]
     assert len(node.flows) == 41
     harness.scheduler.list_received(ListKind.DELTA, [NodeEntry(70, 0, 0, Health.GONE, 0)], START)
-    assert list(node.flows) == [99]  # its attempt is still out
-    harness.end_attempt(out, START, took=MS)
+    assert list(node.flows) == [99]  # its attempt is still outstanding
+    harness.end_attempt(outstanding, START, took=MS)
     assert not node.flows and not node.recent_counts and not node.recent_sends
 
 
-def test_a_thousand_nodes_zones_and_volumes_are_held_and_let_go(harness):
-    """Guards against a bound below what a fleet may have: a request for each of 1,024 nodes leaves at once."""
+def test_state_of_a_thousand_nodes_zones_and_volumes_is_released(harness):
+    """Guards against limits below the allowed fleet size: a request to each of 1,024 nodes is sent at once."""
     entries = [NodeEntry(100 + i, i, i, Health.READY, 0) for i in range(1024)]
     harness.scheduler.list_received(ListKind.FULL, entries, START)
     for i in range(1024):
--- a/tests/test_scheduler_settings.py
+++ b/tests/test_scheduler_settings.py
@@ -1,4 +1,4 @@
-"""The scheduler's settings as typed records: what is refused, and when."""
+"""The scheduler's settings as typed records: which values are rejected, and when."""
 
 import pytest
 from conftest import VALUES
@@ -33,11 +33,11 @@
         ("Safety.Fall", "", "the settings hold no number under Safety.Fall"),
     ],
 )  # fmt: skip
-def test_what_every_gateway_needs_is_refused_at_once(name, value, text):
+def test_invalid_settings_that_every_gateway_needs_are_rejected_on_construction(name, value, text):
     values = {**VALUES, name: value}
-    with pytest.raises(MissingSettingError) as refused:
-        SchedulerSettings({each: told for each, told in values.items() if told is not None})
-    assert str(refused.value) == text and isinstance(refused.value, OchrecourseError)
+    with pytest.raises(MissingSettingError) as error:
+        SchedulerSettings({name: value for name, value in values.items() if value is not None})
+    assert str(error.value) == text and isinstance(error.value, OchrecourseError)
 
 
 @pytest.mark.parametrize(
@@ -52,14 +52,14 @@
         ("Safety.ExtraRatio", lambda settings: settings.retry_budget),
     ],
 )
-def test_what_only_some_requests_need_is_refused_when_it_is_needed(name, use):
-    """Guards against a gateway that does not start for a value that nothing would ever have used."""
+def test_invalid_settings_that_only_some_requests_need_are_rejected_on_first_use(name, use):
+    """Guards against a gateway that does not start because of an invalid value that is never used."""
     settings = SchedulerSettings({**VALUES, name: "much"})
     with pytest.raises(MissingSettingError, match=f"no number under {name}"):
         use(settings)
 
 
-def test_a_word_of_a_later_version_is_borne():
+def test_an_unknown_value_of_a_later_version_is_accepted():
     settings = SchedulerSettings({**VALUES, "Classes.0.Effect": "new", "Classes.1.KeyScope": "new"})
     assert settings.request_classes[0].idempotency is Idempotency.UNKNOWN
     assert settings.request_classes[1].retry_scope is RetryScope.UNKNOWN
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in, frames out, and plain ends on bad input."""
+"""The simulator adapter: decoding, encoding, and errors on malformed input."""
 
 import io
 import struct
@@ -28,11 +28,11 @@
         (ListCall.FOLLOW, "6e000301"),
     ],
 )
-def test_each_decision_has_its_record(decision, record):
+def test_each_decision_is_encoded_as_its_record(decision, record):
     assert frames.encode_decision(3, decision).hex() == record
 
 
-def test_job_is_read_as_the_wire_lays_it_out():
+def test_request_is_decoded_from_its_wire_format():
     record = "5d3a91c40000000091f03b7c55d20a6440c0e620000000002b8e6401d9f37c10400000000000000040400000" + "01"
     request = frames.Batch(bytes.fromhex(record)).request()
     assert (request.id, request.units, request.shard, request.gateways) == (0x5D3A91C4, 2.0, 0, 3)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "message"),
     [
         (b"\0\0\0", "inside a header"),
         (batch(b"\xff\0\3"), "unknown code 255"),
@@ -48,14 +48,14 @@
         (batch(b"\x1e\0\3" + bytes(8), count=0), "more than its 0 records"),
     ],
 )
-def test_bad_input_is_told_without_a_reply(data, told):
+def test_malformed_input_raises_an_error_without_a_reply(data, message):
     sink = io.BytesIO()
-    with pytest.raises(frames.BadFrameError, match=told):
+    with pytest.raises(frames.BadFrameError, match=message):
         simulator.serve(io.BytesIO(data), sink)
     assert sink.getvalue() == b""
 
 
-def test_missing_setting_ends_the_drill_without_a_reply():
+def test_missing_setting_ends_the_simulation_without_a_reply():
     with pytest.raises(MissingSettingError, match=r"Classes\.count"):
         simulator.serve(io.BytesIO(batch(start(b"Discovery=push"))), io.BytesIO())
 
@@ -66,7 +66,7 @@
     assert sink.getvalue() == frames.REPLY.pack(1, 0, 0)
 
 
-def test_failure_inside_the_decisions_is_declared(monkeypatch):
+def test_exception_inside_the_scheduler_is_reported(monkeypatch):
     monkeypatch.setattr(simulator.Scheduler, "decide", lambda scheduler, now: 1 // 0)
     sink = io.BytesIO()
     simulator.serve(io.BytesIO(batch(start(b"Classes.count=0"))), sink)
