--- a/ochrecourse/scheduler/placement.py
+++ b/ochrecourse/scheduler/placement.py
@@ -102,9 +102,8 @@
             repeatable = pending.request_class.idempotency is Idempotency.ALWAYS
             if not repeatable or pending.attempts or pending.capacity_wait:
                 return False
-        self._latency.decay_estimates(
-            node, now
-        )  # otherwise its old slowdown would prevent all further attempts
+        # Without this, the node's slowdown from before it was limited would prevent all further attempts.
+        self._latency.decay_estimates(node, now)
         time_left = pending.serve_by - now - self._margin
         expected_time = self._latency.expected_time(pending, node)
         if other is None:
--- a/ochrecourse/scheduler/rate_limits.py
+++ b/ochrecourse/scheduler/rate_limits.py
@@ -19,7 +19,7 @@
 
 SERVED_RATE_HALVING_TIME = 2 * SECOND  # ns, halving time of a served rate; a few reporting periods of nodes
 SHARE_SMOOTHING = 0.125  # weight of the newest report in the running means
-LN_2 = 0.69  # rounded; converts units to units per second of a rate that decays with a halving time
+LN_2 = 0.69  # rounded; converts units to units per second, for a rate that decays with a halving time
 
 
 class Volume:
--- a/ochrecourse/scheduler/retries.py
+++ b/ochrecourse/scheduler/retries.py
@@ -55,9 +55,11 @@
 
     def allows(self, pending: PendingRequest, now: int) -> bool:
         """Returns whether a request that has had attempts may have another one now."""
-        most = self._settings.max_attempts
-        max_for_priority = 1 + max(1, round((most - 1) * self._settings.priority_share(pending.quota)))
-        if pending.attempts >= min(most, max_for_priority):
+        max_attempts = self._settings.max_attempts
+        max_for_priority = 1 + max(
+            1, round((max_attempts - 1) * self._settings.priority_share(pending.quota))
+        )
+        if pending.attempts >= min(max_attempts, max_for_priority):
             return False
         if now >= self.write_before(pending):
             return False
@@ -67,9 +69,9 @@
 
     def _within_budget(self, now: int) -> bool:
         budget = self._settings.retry_budget
-        since = now - budget.window
+        window_start = now - budget.window
         for times in (self._request_times, self._retry_times):
-            while times and times[0] <= since:
+            while times and times[0] <= window_start:
                 times.popleft()
         return len(self._retry_times) + 1 <= budget.floor + budget.ratio * len(self._request_times)
 
--- a/ochrecourse/scheduler/scheduler.py
+++ b/ochrecourse/scheduler/scheduler.py
@@ -160,7 +160,7 @@
             concurrency.grow_window(node)
 
     def node_rates_received(self, rates: Mapping[int, float], now: int) -> None:
-        """Replaces the units per second that this gateway may start at each of the given nodes."""
+        """Replaces the limits in units per second that this gateway may start at nodes, by node id."""
         self._now = now
         self.node_rates.received(rates)
         for node in self.nodes.values():
--- a/ochrecourse/scheduler/state.py
+++ b/ochrecourse/scheduler/state.py
@@ -122,8 +122,8 @@
         self.waiting = 0  # requests
         self.units_outstanding = 0.0  # the paper's aggressiveness
         self.previous_units_outstanding = 0.0  # outstanding units before the last send or answer
-        self.runs_score = 0.0
-        self.runs_score_at = 0
+        self.runs_score = 0.0  # positive if most new requests have a key that is already waiting
+        self.runs_score_at = 0  # last update of `runs_score`
         self.finish_tag = 0.0  # virtual time at which its last request beyond the reserve finishes
         self.queues: tuple[deque[PendingRequest], deque[PendingRequest]] = (deque(), deque())  # by rank
         self.listed = [False, False]  # by rank: whether the queue is in the node's `queue_heads`
