--- a/ochrecourse/nodes/__init__.py
+++ b/ochrecourse/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of the storage nodes' protocol."""
+"""Connections to storage nodes: dialling, pooling, attempts, and the outcome of each attempt."""
--- a/ochrecourse/nodes/dial.py
+++ b/ochrecourse/nodes/dial.py
@@ -1,4 +1,4 @@
-"""One dial to a node on Twisted's network, for connections of any protocol."""
+"""Dials storage nodes with Twisted, for connections of any protocol."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class NodeDial(ClientFactory):
-    """One dial, whose end is reported once.
+    """The Twisted factory of one dial.
 
-    `accept_abandoned`: a connection that opens after its dial was given up is made all the same, and left to
-    its own handshake; otherwise it is refused, for nobody would own it.
+    `accept_abandoned`: whether a connection that opens after its dial was abandoned is still created and
+    completes its own handshake. Otherwise it is refused, since no pool entry owns it.
     """
 
     noisy = False
@@ -39,7 +39,7 @@
         self.accept_abandoned = accept_abandoned
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Twisted's callback: the connection is made. None refuses it."""
+        """Creates the connection when the dial succeeds; None refuses it (Twisted callback)."""
         if not self.accept_abandoned and not self.dispatcher.is_dialling(self.pooled):
             return None
         connection = self.make_connection(self.dispatcher, self.pooled)
@@ -47,14 +47,17 @@
         return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Twisted's callback: the dial failed."""
+        """Reports a failed dial to the dispatcher (Twisted callback)."""
         self.dispatcher.dial_failed(self.pooled, AttemptEvent.DIAL_REFUSED)
 
 
 def connection_opener(
     network: Network, make_connection: MakeConnection, accept_abandoned: bool = False
 ) -> OpenConnection:
-    """What opens connections on a network; the dispatcher bounds the time, `MAX_DIAL_S` only tidies up."""
+    """Returns the function that opens connections on `network`.
+
+    The dispatcher's time-outs end dials; `MAX_DIAL_S` is only a backstop in the transport.
+    """
 
     def open_connection(
         dispatcher: Dispatcher, pooled: PooledConnection, address: Address
--- a/ochrecourse/nodes/dial_manager.py
+++ b/ochrecourse/nodes/dial_manager.py
@@ -1,8 +1,8 @@
-"""Dials to nodes: how many at once, which are slow, and when one is given up. Free of I/O.
+"""Manages dials to nodes: concurrency, hedging of slow dials, and time-outs. Performs no I/O.
 
-A dial that takes longer than usual is hedged: one more is begun beside it, and an attempt takes the
-connection that opens first (pool.py). A dial is given up after its time-out, unless an attempt that bounds
-its own wait may still use it.
+A dial that takes longer than usual is hedged: a second one is started, and waiting attempts take the
+connection that opens first (pool.py). A dial is abandoned after its time-out, unless an attempt with its own
+connection time-out may still use it.
 """
 
 from __future__ import annotations
@@ -17,19 +17,21 @@
 from ochrecourse.nodes.outcome import AttemptEvent
 from ochrecourse.nodes.pool import Pool, PooledConnection
 
-MAX_DIAL_S = 60.0  # for a dial that the dispatcher has not given up before; no client waits longer
-DIAL_TIME_SAMPLES = 15  # of which the median is the usual time: a third of the dials may be late
-SLOW_DIAL_FACTOR = 2  # times the usual time, after which a dial is slow
+MAX_DIAL_S = (
+    60.0  # transport time-out of a dial that the dispatcher has not abandoned; no client waits longer
+)
+DIAL_TIME_SAMPLES = 15  # durations kept for the median, which stays typical with a third of the dials late
+SLOW_DIAL_FACTOR = 2  # a dial is slow after this multiple of the median duration
 
 AbandonDial = Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class DialSettings:
-    """How long dials may take, in s.
+    """Time limits of dials, in s.
 
-    `timeout`: a dial for which no attempt with a wait of its own is waiting; `min_slow`: no dial is slow
-    before that.
+    `timeout`: after which a dial is abandoned, unless an attempt with its own connection time-out waits for
+    it; `min_slow`: lower bound of the duration after which a dial counts as slow.
     """
 
     timeout: float
@@ -37,42 +39,42 @@
 
 
 class DialTimes:
-    """How long the last successful dials took, and after how long one is slow."""
+    """Durations of recent successful dials, from which the threshold for slow dials is derived."""
 
     def __init__(self, settings: DialSettings) -> None:
         self.settings = settings
         self.samples: deque[int] = deque(maxlen=DIAL_TIME_SAMPLES)  # ns
 
     def record(self, duration: int) -> None:
-        """A dial succeeded after so many ns."""
+        """Records the duration (ns) of a successful dial."""
         self.samples.append(duration)
 
     def slow_after(self) -> float:
-        """After how many s a dial is slow."""
+        """Returns the duration (s) after which a dial counts as slow."""
         usual = sorted(self.samples)[len(self.samples) // 2] if self.samples else 0
         return min(self.settings.timeout, max(self.settings.min_slow, SLOW_DIAL_FACTOR * usual / SECOND))
 
 
 class DialOwner(Protocol):
-    """Whose dials these are: the dispatcher."""
+    """What a `DialManager` calls to start and end dials; implemented by the dispatcher."""
 
     counts: Counter[str]
 
     def start_dial(self, pooled: PooledConnection) -> AbandonDial | None:
-        """Starts a dial; returns what gives it up, None if it failed or can't be given up."""
+        """Starts a dial; returns a function that abandons it, None if it failed or can't be abandoned."""
         ...
 
     def dial_overdue(self, pooled: PooledConnection) -> None:
-        """The dial has reached its time-out, and may go on for attempts that bound their own wait."""
+        """Reports that the dial has reached its time-out; it may go on for attempts with their own one."""
         ...
 
     def dial_failed(self, pooled: PooledConnection, event: AttemptEvent) -> None:
-        """The dial is given up."""
+        """Ends the dial and the attempts that wait for it with `event`."""
         ...
 
 
 class DialManager:
-    """The dials of one gateway that are in progress."""
+    """The dials in progress of one gateway."""
 
     def __init__(self, owner: DialOwner, clock: Clock, pool: Pool, settings: DialSettings) -> None:
         self.owner = owner
@@ -80,15 +82,15 @@
         self.pool = pool
         self.settings = settings
         self.times = DialTimes(settings)
-        self.in_progress: dict[int, Timer] = {}  # the timer of each dial, by the connection's number
+        self.in_progress: dict[int, Timer] = {}  # the timer of each dial, by connection number
         self.abandon: dict[int, AbandonDial] = {}
 
     def is_dialling(self, pooled: PooledConnection) -> bool:
-        """Whether the dial of this connection is in progress: neither over nor given up."""
+        """Whether the dial of this connection is in progress, that is neither finished nor abandoned."""
         return pooled.number in self.in_progress
 
     def start_dials(self) -> None:
-        """Starts as many queued dials as may be in progress at once."""
+        """Starts queued dials up to the limit on concurrent dials."""
         while (pooled := self.pool.next_dial()) is not None:
             pooled.dialled_at = now_ns(self.clock)
             slow_after = self.times.slow_after()
@@ -99,13 +101,13 @@
                 self.abandon[pooled.number] = abandon
 
     def dial_succeeded(self, pooled: PooledConnection, now: int) -> None:
-        """The connection is open; `now` in ns."""
+        """Removes a dial whose connection is open and records its duration; `now` in ns."""
         stop(self.in_progress.pop(pooled.number))
         self.abandon.pop(pooled.number, None)
         self.times.record(now - pooled.dialled_at)
 
     def dial_failed(self, pooled: PooledConnection, event: AttemptEvent) -> bool:
-        """A dial failed or is given up. False if that was reported already."""
+        """Removes a dial that failed or timed out. Returns False if its end was reported before."""
         timer = self.in_progress.pop(pooled.number, None)
         if timer is None:
             return False
@@ -116,14 +118,14 @@
             abandon()
         return True
 
-    def forget_all(self) -> None:
-        """No dial is waited for any more."""
+    def cancel_timers(self) -> None:
+        """Cancels the timers of all dials in progress and stops tracking them."""
         for timer in self.in_progress.values():
             stop(timer)
         self.in_progress.clear()
 
     def _dial_is_slow(self, pooled: PooledConnection) -> None:
-        """Guards against connections that open late: another may be quicker."""
+        """Queues a second dial beside the slow one, since another connection may open sooner."""
         time_left = pooled.dialled_at / SECOND + self.settings.timeout - self.clock.seconds()
         timer = self.clock.callLater(max(0.0, time_left), self._dial_timed_out, pooled)
         self.in_progress[pooled.number] = timer
@@ -132,7 +134,7 @@
             self.start_dials()
 
     def _dial_timed_out(self, pooled: PooledConnection) -> None:
-        """A dial goes on as long as an attempt waits that ends its wait itself."""
+        """Fails the dial, unless it may still serve an attempt that has its own connection time-out."""
         self.owner.dial_overdue(pooled)
         if self.pool.dial_is_useful(pooled):
             timer = self.clock.callLater(self.settings.timeout, self._dial_timed_out, pooled)
--- a/ochrecourse/nodes/dispatcher.py
+++ b/ochrecourse/nodes/dispatcher.py
@@ -1,10 +1,9 @@
-"""Sends attempts to storage nodes: which connection, what was written, time-outs, how each one ends. Free of
-I/O.
+"""Sends attempts to storage nodes: assigns connections, tracks writes, enforces time-outs. Performs no I/O.
 
-What an event proves is said in outcome.py, which connection an attempt takes in pool.py, how dials go in
-dial_manager.py. Connections themselves are handed in: `open_connection` starts a dial and each open one is a
-`NodeConnection`. An attempt ends for the gateway exactly once; what arrives for it later is dropped and
-counted. The clock is handed in too, for the times at which attempts are given up.
+outcome.py maps events to outcomes, pool.py selects the connection of an attempt, and dial_manager.py manages
+dials. The clock and the connections are injected: `open_connection` starts a dial, and each open connection
+is a `NodeConnection`. An attempt ends for the gateway exactly once; messages that arrive for it later are
+dropped and counted.
 """
 
 from __future__ import annotations
@@ -29,16 +28,17 @@
 from ochrecourse.nodes.pool import ConnectionStatus, Pool, PooledConnection, PoolLimits
 from ochrecourse.wire import messages as m
 
-IDLE_CHECK_DELAY_S = 0.001  # behind the time at which a connection was idle for too long
+IDLE_CHECK_DELAY_S = 0.001  # after the idle time-out of the next connection, so that it has passed for sure
 
 Address = tuple[str, int]  # host and port
-# Starts a dial, whose end is reported to the dispatcher; returns what gives it up, if the network can.
+# Starts a dial, whose result is reported to the dispatcher. Returns a function that abandons the dial, None
+# if the network can't abandon one.
 OpenConnection = Callable[["Dispatcher", PooledConnection, Address], AbandonDial | None]
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherSettings:
-    """What the settings say of connections to nodes."""
+    """Settings of the connections to nodes."""
 
     pool: PoolLimits
     dials: DialSettings
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeNetwork:
-    """How nodes are reached. `address_of` gives the address of a node, None if it is not known."""
+    """How nodes are reached. `address_of` returns the address of a node, None if it is unknown."""
 
     address_of: Callable[[int], Address | None]
     open_connection: OpenConnection
@@ -55,7 +55,8 @@
 class Dispatcher:
     """All connections of one gateway to its nodes, and the attempts in flight on them or waiting for one.
 
-    `turns_behind`: after how many more turns of the event loop everything that is unread now has been read.
+    `iterations_behind` returns the number of event loop iterations until all input that is unread now has
+    been read.
     """
 
     def __init__(
@@ -64,32 +65,32 @@
         clock: Clock,
         settings: DispatcherSettings,
         network: NodeNetwork,
-        turns_behind: Callable[[], int] = lambda: 0,
+        iterations_behind: Callable[[], int] = lambda: 0,
     ) -> None:
         self.name = name  # the gateway's
         self.clock = clock
         self.network = network
-        self.turns_behind = turns_behind
+        self.iterations_behind = iterations_behind
         self.pool = Pool(settings.pool)
         self.dial_timeout = settings.dials.timeout  # s
         self.dials = DialManager(self, clock, self.pool, settings.dials)
-        self.connections: dict[int, NodeConnection] = {}  # by their number in the pool
-        self.in_flight: dict[int, OutgoingAttempt] = {}  # by number, those that wait for a connection too
+        self.connections: dict[int, NodeConnection] = {}  # by number in the pool
+        self.in_flight: dict[int, OutgoingAttempt] = {}  # by number, including those waiting for a connection
         self.attempt_count = 0
         self.counts: Counter[str] = Counter()
         self._idle_timer: Timer | None = None
 
-    # --- what the gateway calls ---
+    # --- called by the gateway ---
 
     def send(self, attempt: OutgoingAttempt, limits: AttemptLimits) -> OutgoingAttempt:
-        """Sends an attempt, as soon as it has a connection. Its end is never reported before this returns."""
+        """Sends an attempt as soon as it has a connection. Its end is never reported before this returns."""
         self.attempt_count += 1
         attempt.number = self.attempt_count
         attempt.sent_at = now_ns(self.clock)
         self.in_flight[attempt.number] = attempt
         self._start_timers(attempt, limits)
         if self.network.address_of(attempt.node) is None:
-            self._end_in_next_turn(attempt, AttemptEvent.UNLISTED)
+            self._end_in_next_iteration(attempt, AttemptEvent.UNLISTED)
             return attempt
         message = attempt.message
         long_body = message.size > m.MAX_BODY_BYTES
@@ -98,7 +99,7 @@
             self._close_connection(placement.evicted)
         if placement.connection is None:
             self.counts["no room"] += 1
-            self._end_in_next_turn(attempt, AttemptEvent.NO_CAPACITY)
+            self._end_in_next_iteration(attempt, AttemptEvent.NO_CAPACITY)
             return attempt
         attempt.pooled = placement.connection
         if placement.ready:
@@ -111,12 +112,12 @@
         return attempt
 
     def cancel(self, attempt: OutgoingAttempt) -> None:
-        """Stops waiting for an attempt; its end is reported at once, by no more than was known."""
+        """Cancels an attempt and reports its end at once, without waiting for the node's confirmation."""
         if not attempt.ended:
             self._give_up(attempt, event_on_cancel(attempt.write_progress()))
 
     def cancel_waiting(self, is_ready: Callable[[int], bool]) -> None:
-        """Cancels the attempts that still wait for a connection to a node that is not ready any more."""
+        """Cancels the attempts that wait for a connection to a node that is no longer ready."""
         waiting = [
             attempt
             for attempt in self.in_flight.values()
@@ -127,7 +128,7 @@
                 self._end(attempt, AttemptEvent.CANCELLED_BEFORE_WRITE, None)
 
     def response_consumed(self, attempt: OutgoingAttempt, size: int) -> None:
-        """The listener has consumed `size` more bytes of a response; the node may send as many again."""
+        """Grants the node window for `size` more bytes of a response that the listener has consumed."""
         attempt.consumed += size
         increment = attempt.consumed - attempt.window_granted
         if increment < m.MAX_BODY_BYTES or attempt.ended:
@@ -138,58 +139,56 @@
 
     def close(self) -> None:
         """Aborts every connection; attempts in flight end as reset or never sent."""
-        self.dials.forget_all()
+        self.dials.cancel_timers()
         stop(self._idle_timer)
         self._idle_timer = None
         for connection in list(self.connections.values()):
             connection.abort()
 
     def open_connections(self) -> int:
-        """How many connections there are, those that have not finished their handshake among them."""
+        """Returns the number of connections, including those whose handshake is not complete."""
         return len(self.connections)
 
-    # --- what the connections report ---
+    # --- called by the connections ---
 
     def connection_opened(self, connection: NodeConnection) -> None:
-        """The connection has finished its handshake."""
-        self._connection_opened(connection, self.turns_behind())
+        """Puts a connection into use whose handshake is complete."""
+        self._connection_opened(connection, self.iterations_behind())
 
-    def _connection_opened(self, connection: NodeConnection, turns_left: int) -> None:
+    def _connection_opened(self, connection: NodeConnection, iterations_left: int) -> None:
         pooled = connection.pooled
         if not self.dials.is_dialling(pooled):
-            return  # given up, or closed again
-        if turns_left:
-            # Guards against a long turn: attempts that wait may be of clients whose close is not read yet.
-            self.clock.callLater(0, self._connection_opened, connection, turns_left - 1)
+            return  # abandoned or already closed
+        if iterations_left:
+            # After a long iteration, waiting attempts may belong to clients whose close is not read yet.
+            self.clock.callLater(0, self._connection_opened, connection, iterations_left - 1)
             return
         now = now_ns(self.clock)
         self.dials.dial_succeeded(pooled, now)
         for number in self.pool.opened(pooled, now):
             self._write(self.in_flight[number], pooled)
-        self._write_waiting(pooled, self.turns_behind())
+        self._write_waiting(pooled, self.iterations_behind())
         self.dials.start_dials()
         self._schedule_idle_check()
 
     def connection_draining(self, connection: NodeConnection) -> None:
-        """The node takes no new attempts on the connection."""
+        """Drains a connection on which the node accepts no new attempts."""
         if connection.pooled.status is ConnectionStatus.OPEN and self.pool.drain(connection.pooled):
             connection.close()
 
     def connection_aborting(self, connection: NodeConnection) -> None:
-        """This side is ending the connection: what would be written to it now is dropped unseen, so no
-        attempt may take it any more.
-        """
+        """Removes a connection from use that this side is aborting: what is written to it now is lost."""
         if connection.pooled.status is ConnectionStatus.OPEN:
             self.pool.drain(connection.pooled)
 
     def connection_freed(self, connection: NodeConnection) -> None:
-        """An attempt that had ended before no longer uses capacity of the connection."""
+        """Releases the capacity that an attempt, ended before, still used on the connection."""
         self._release(connection.pooled, -1)
 
     def connection_closed(
         self, connection: NodeConnection, attempts: list[OutgoingAttempt], end: ConnectionEnd
     ) -> None:
-        """The connection ended with these attempts in flight on it."""
+        """Ends the attempts that were in flight on a connection that has ended."""
         pooled = connection.pooled
         self.connections.pop(pooled.number, None)
         if end is ConnectionEnd.VIOLATION:
@@ -206,7 +205,7 @@
     def response_received(
         self, attempt: OutgoingAttempt, message: m.AnyMessage, body: bytes, last: bool
     ) -> None:
-        """A message for an attempt that is still waited for; `last`: nothing follows it."""
+        """Handles a message for an attempt in flight; `last`: it is the last one for this attempt."""
         if isinstance(message, m.AttemptServed):
             attempt.response = message
             self.pool.response_began(attempt.message.request_class, message.size > message.body)
@@ -219,10 +218,10 @@
         event = event_on_last_message(message, attempt.response is not None)
         self._end(attempt, event, message if isinstance(message, m.NodeReply) else attempt.response)
 
-    # --- what the dials report ---
+    # --- called by the dial manager and dials ---
 
     def start_dial(self, pooled: PooledConnection) -> AbandonDial | None:
-        """Starts the dial of a connection; returns what gives it up, None if that can't be."""
+        """Starts a dial; returns a function that abandons it, None if it failed or can't be abandoned."""
         address = self.network.address_of(pooled.node)
         if address is None:
             self.dial_failed(pooled, AttemptEvent.UNLISTED)
@@ -230,18 +229,18 @@
         return self.network.open_connection(self, pooled, address)
 
     def is_dialling(self, pooled: PooledConnection) -> bool:
-        """Whether the dial of this connection is in progress: neither over nor given up."""
+        """Whether the dial of this connection is in progress, that is neither finished nor abandoned."""
         return self.dials.is_dialling(pooled)
 
     def dial_overdue(self, pooled: PooledConnection) -> None:
-        """The dial has reached its time-out; attempts without a wait of their own end."""
+        """Ends the attempts without their own connection time-out when their dial reaches its time-out."""
         for number in list(pooled.waiting):
             attempt = self.in_flight[number]
             if attempt.connection_timer is None:
                 self._end(attempt, AttemptEvent.DIAL_TIMEOUT, None)
 
     def dial_failed(self, pooled: PooledConnection, event: AttemptEvent) -> None:
-        """The dial failed or is given up; attempts that waited for it end by this event."""
+        """Handles a dial that failed or timed out; attempts that waited for it end with `event`."""
         if not self.dials.dial_failed(pooled, event):
             return
         waiting = self.pool.remove(pooled)
@@ -255,29 +254,27 @@
     # --- attempts that wait for a connection ---
 
     def _connection_timed_out(self, attempt: OutgoingAttempt) -> None:
-        """No connection opened in the time in which it could have served the attempt."""
+        """Ends an attempt for which no connection opened in time to serve it."""
         attempt.connection_timer = None
         if not attempt.ended:
             self._end(attempt, AttemptEvent.DIAL_TIMEOUT, None)
 
-    def _write_waiting(self, pooled: PooledConnection, turns_left: int) -> None:
-        """Attempts that wait for another connection to the same node are written to this one, as far as it
-        has capacity.
-        """
-        if turns_left:
-            self.clock.callLater(0, self._write_waiting, pooled, turns_left - 1)
+    def _write_waiting(self, pooled: PooledConnection, iterations_left: int) -> None:
+        """Writes attempts that wait for another connection to the same node, while this one has capacity."""
+        if iterations_left:
+            self.clock.callLater(0, self._write_waiting, pooled, iterations_left - 1)
             return
         while (number := self.pool.take_waiting(pooled)) is not None:
             self._write(self.in_flight[number], pooled)
 
     def _write(self, attempt: OutgoingAttempt, pooled: PooledConnection) -> None:
-        """The attempt has a connection with capacity for it."""
+        """Writes an attempt to a connection that has capacity for it."""
         attempt.stop_connection_timer()
         now = now_ns(self.clock)
         attempt.pooled = pooled
         if attempt.write_before and now >= attempt.write_before:
-            # Guards against a loop that stood still: the timer for this has not been called yet.
-            self._end_in_next_turn(attempt, AttemptEvent.CANCELLED_BEFORE_WRITE)
+            # When the event loop was blocked, the write deadline's timer may not have fired yet.
+            self._end_in_next_iteration(attempt, AttemptEvent.CANCELLED_BEFORE_WRITE)
             return
         attempt.assigned_at = now
         self.connections[pooled.number].send(attempt)
@@ -295,13 +292,13 @@
             attempt.write_timer = self.clock.callLater(time_left, self._write_deadline_passed, attempt)
 
     def _write_deadline_passed(self, attempt: OutgoingAttempt) -> None:
-        """What is not complete at the node by now never runs."""
+        """Cancels an attempt that is not completely written; the node never runs an incomplete attempt."""
         attempt.write_timer = None
         if not attempt.ended and attempt.write_progress() is not WriteProgress.COMPLETE:
             self._give_up(attempt, AttemptEvent.CANCELLED_BEFORE_WRITE)
 
     def _response_timed_out(self, attempt: OutgoingAttempt) -> None:
-        """A response that has begun is given up only when nothing more of it arrived for a while."""
+        """Ends an attempt without a response; one that has begun ends only after its stall time-out."""
         attempt.response_timer = None
         time_left = attempt.last_received_at + attempt.stall_timeout - self.clock.seconds()
         if attempt.response is not None and time_left > 0:
@@ -313,21 +310,21 @@
         event = event_on_timeout(progress, attempt.response is not None)
         waited = self.clock.seconds() - attempt.sent_at / SECOND
         if progress is WriteProgress.NOTHING and waited < self.dial_timeout:
-            # Guards against impatient clients that look like an unreachable node.
+            # A client's timeout shorter than the dial time-out must not count as an unreachable node.
             event = AttemptEvent.CANCELLED_BEFORE_WRITE
         self._give_up(attempt, event)
 
     def _give_up(self, attempt: OutgoingAttempt, event: AttemptEvent) -> None:
-        """Ends an attempt that the node may still work on."""
+        """Ends an attempt that may still be running at the node, and cancels it there."""
         connection = attempt.connection
         if connection is not None and connection.carries(attempt):
-            attempt.ended = True  # before the cancel goes out, so that nothing more of it is sent
+            attempt.ended = True  # before the cancel is sent, so that no more of the body is sent
             connection.cancel(attempt)
-            attempt.pooled = None  # its capacity is freed when the node confirms
+            attempt.pooled = None  # its capacity is released when the node confirms the cancel
             attempt.ended = False
         self._end(attempt, event, None)
 
-    def _end_in_next_turn(self, attempt: OutgoingAttempt, event: AttemptEvent) -> None:
+    def _end_in_next_iteration(self, attempt: OutgoingAttempt, event: AttemptEvent) -> None:
         self.clock.callLater(0, self._end, attempt, event, None)
 
     def _end(self, attempt: OutgoingAttempt, event: AttemptEvent, reply: m.AnyMessage | None) -> None:
@@ -340,12 +337,12 @@
             self._release(attempt.pooled, attempt.number)
         attempt.listener.attempt_ended(attempt, event, reply)
 
-    # --- connections that become free or idle ---
+    # --- released and idle connections ---
 
     def _release(self, pooled: PooledConnection, number: int) -> None:
         if self.pool.attempt_ended(pooled, number, now_ns(self.clock)):
             self._close_connection(pooled)
-        self._write_waiting(pooled, self.turns_behind())
+        self._write_waiting(pooled, self.iterations_behind())
         self._schedule_idle_check()
 
     def _close_connection(self, pooled: PooledConnection) -> None:
--- a/ochrecourse/nodes/framed_connection.py
+++ b/ochrecourse/nodes/framed_connection.py
@@ -1,6 +1,6 @@
-"""One connection to a storage node by docs/node-protocol.md: attempts out, bodies streamed, responses in.
+"""A connection to a storage node in the framed protocol of docs/node-protocol.md.
 
-What a message means for its attempt is said in dispatcher.py.
+It sends attempts, streams their bodies and receives responses; dispatcher.py interprets the messages.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from ochrecourse.wire.framed_protocol import FramedProtocol
 from ochrecourse.wire.state import Role, StreamState, node_connection_state
 
-CONFIRMATION_TIMEOUT_S = 2.0  # for a node to confirm a cancel or a close; then its connection is aborted
+CONFIRMATION_TIMEOUT_S = 2.0  # for a node to confirm a cancel or a close, before the connection is aborted
 
 
 @implementer(IPushProducer)
 class FramedConnection(FramedProtocol):
-    """One connection to a node: sends attempts, streams their bodies while the transport takes more, reads
-    responses (nodes.outgoing_attempt.NodeConnection).
+    """One connection to a node (nodes.outgoing_attempt.NodeConnection): sends attempts, streams their bodies
+    under the transport's back-pressure, and reads responses.
     """
 
     def __init__(self, dispatcher: Dispatcher, pooled: PooledConnection) -> None:
@@ -33,10 +33,10 @@
         self.pooled = pooled
         self.handshake_complete = False
         self.attempts: dict[int, OutgoingAttempt] = {}  # in flight, by stream id
-        self.cancelled: dict[int, Timer] = {}  # streams whose cancel the node has not confirmed
+        self.cancelled: dict[int, Timer] = {}  # by stream id: time-outs of unconfirmed cancels
         self.last_stream_id = 0
-        self.uploads: list[OutgoingAttempt] = []  # with bytes of a body to send, in turn
-        self.paused = False  # the transport takes no more for now
+        self.uploads: list[OutgoingAttempt] = []  # with bytes of a body left to send, in round-robin order
+        self.paused = False  # whether the transport's write buffer is full
 
     # --- nodes.outgoing_attempt.NodeConnection ---
 
@@ -55,7 +55,7 @@
             self.send_bodies()
 
     def cancel(self, attempt: OutgoingAttempt) -> None:
-        """The gateway no longer waits for this attempt: the node is notified, and has a while to confirm."""
+        """Sends a cancel for the attempt; the node must confirm it within `CONFIRMATION_TIMEOUT_S`."""
         self.attempts.pop(attempt.stream_id, None)
         if attempt in self.uploads:
             self.uploads.remove(attempt)
@@ -68,11 +68,11 @@
         return attempt.stream_id in self.attempts
 
     def send_window_update(self, attempt: OutgoingAttempt, increment_bytes: int) -> None:
-        """Lets the node send so many more bytes of the attempt's response."""
+        """Allows the node to send `increment_bytes` more of the attempt's response."""
         self.send_message(m.WindowUpdate(id=attempt.stream_id, increment_bytes=increment_bytes))
 
     def close(self) -> None:
-        """Ends the connection once everything written has gone out."""
+        """Closes the connection once everything written has been sent."""
         if self.is_open:
             self.send_message(m.GoAway(reason="idle"))
             self.transport.loseConnection()
@@ -81,7 +81,7 @@
     # --- sending bodies, with back-pressure from the transport (IPushProducer) ---
 
     def send_bodies(self) -> None:
-        """Sends one chunk of each body in turn until the transport asks to wait or all is sent."""
+        """Sends one chunk of each body in turn until the transport pauses or all bodies are sent."""
         while self.uploads and not self.paused and self.is_open:
             attempt = self.uploads.pop(0)
             if attempt.ended or attempt.body is None:
@@ -93,28 +93,28 @@
                 self.uploads.append(attempt)
 
     def pauseProducing(self) -> None:
-        """Twisted's callback: the transport's buffer is full."""
+        """Pauses the bodies while the transport's write buffer is full (Twisted callback)."""
         self.paused = True
 
     def resumeProducing(self) -> None:
-        """Twisted's callback: the transport takes more."""
+        """Resumes sending bodies (Twisted callback)."""
         self.paused = False
         self.send_bodies()
 
     def stopProducing(self) -> None:
-        """Twisted's callback: the transport takes nothing more."""
+        """Stops sending bodies: the transport accepts no more writes (Twisted callback)."""
         self.paused = True
 
     # --- wire.framed_protocol.FramedProtocol ---
 
     def connection_ready(self) -> None:
-        """Sends the gateway's hello; the connection counts as open with the node's."""
+        """Sends the gateway's hello; the connection counts as open once the node's hello arrives."""
         self.transport.registerProducer(self, True)
         hello = m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.dispatcher.name)
         self.send_message(hello)
 
     def message_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
-        """Passes a message on to the dispatcher."""
+        """Passes a message to the dispatcher."""
         if isinstance(message, m.Hello):
             self.handshake_complete = True
             self.dispatcher.connection_opened(self)
@@ -127,7 +127,7 @@
             self._reply_received(message, body, stream_state)
 
     def _reply_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
-        stream_id: int = message.id  # type: ignore[union-attr]  # the table lets no other pass
+        stream_id: int = message.id  # type: ignore[union-attr]  # the state table rejects messages without an id
         last = stream_state in (StreamState.CLOSED, StreamState.REJECTED)
         if stream_id in self.cancelled:
             self._late_reply(stream_id, message, last)
@@ -138,11 +138,11 @@
         if stream_state is StreamState.REJECTED:
             if attempt in self.uploads:
                 self.uploads.remove(attempt)
-            self.send_message(m.CancelAttempt(id=stream_id))  # the rest of its body need not be sent
+            self.send_message(m.CancelAttempt(id=stream_id))  # the rest of its body will not be sent
         self.dispatcher.response_received(attempt, message, body, last)
 
     def _late_reply(self, stream_id: int, message: m.AnyMessage, last: bool) -> None:
-        """A message for an attempt that was cancelled."""
+        """Drops a message for a cancelled attempt, and frees its capacity with the last one."""
         if not isinstance(message, m.AttemptCancelled):
             self.dispatcher.counts["late answers dropped"] += 1
         if last:
@@ -150,7 +150,7 @@
             self.dispatcher.connection_freed(self)
 
     def connection_ended(self, mid_message: bool) -> None:
-        """Reports the end of the connection, with the attempts in flight on it."""
+        """Reports the end of the connection and the attempts in flight on it to the dispatcher."""
         for timer in self.cancelled.values():
             stop(timer)
         self.cancelled.clear()
@@ -162,5 +162,5 @@
 
 
 def dialler(network: Network) -> OpenConnection:
-    """What opens connections to nodes that speak the framed protocol."""
+    """Returns the function that opens connections to nodes that speak the framed protocol."""
     return connection_opener(network, FramedConnection, accept_abandoned=True)
--- a/ochrecourse/nodes/outcome.py
+++ b/ochrecourse/nodes/outcome.py
@@ -1,7 +1,7 @@
-"""What an event on a node's connection proves about an attempt. One table; free of I/O.
+"""Maps the event that ended an attempt to its outcome. Performs no I/O.
 
-Each way in which an attempt can end is one `AttemptEvent`. The table gives the `Ending` to report and what is
-known of the attempt's effect. It claims no more than is known: a node starts an attempt only when it is
+Each way in which an attempt can end is one `AttemptEvent`. The table `VERDICTS` gives the `Ending` to report
+and whether the attempt was executed, as far as that is certain: a node starts an attempt only when it is
 complete (docs/node-protocol.md), so an attempt whose last byte was never written to the network can't have
 run, and one that was written completely may have.
 """
@@ -17,7 +17,7 @@
 
 
 class Executed(Enum):
-    """What is known of an attempt's effect. For readers and tests; the scheduler uses the `Ending`."""
+    """Whether an attempt was executed. For documentation and tests; the scheduler uses the `Ending`."""
 
     NO = "nothing ran"
     MAYBE = "may have run"
@@ -25,7 +25,7 @@
 
 
 class AttemptEvent(Enum):
-    """How the gateway's side of an attempt ended. The values stand in log lines."""
+    """How an attempt ended on the gateway's side. The values are written to log lines."""
 
     UNLISTED = "the node is not in the list, or its address is not known"
     DIAL_REFUSED = "the dial was refused"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptVerdict:
-    """What to report of an attempt, and what is known of its effect."""
+    """The ending to report of an attempt, and whether it was executed."""
 
     ending: Ending
     executed: Executed
@@ -102,7 +102,7 @@
 
 
 def event_on_close(progress: WriteProgress, responding: bool, end: ConnectionEnd) -> AttemptEvent:
-    """What the end of a connection means for an attempt on it; `responding`: its response had begun."""
+    """Returns the event for an attempt whose connection closed; `responding`: its response had begun."""
     if responding:
         return AttemptEvent.CLOSED_IN_RESPONSE_BODY
     complete = progress is WriteProgress.COMPLETE
@@ -118,7 +118,7 @@
 
 
 def event_on_timeout(progress: WriteProgress, responding: bool) -> AttemptEvent:
-    """What an attempt's time-out means; `responding`: its response had begun and did not end in time."""
+    """Returns the event for an attempt that timed out; `responding`: its response had begun."""
     if responding:
         return AttemptEvent.RESPONSE_ABORTED
     if progress is WriteProgress.COMPLETE:
@@ -127,14 +127,14 @@
 
 
 def event_on_cancel(progress: WriteProgress) -> AttemptEvent:
-    """What is known of an attempt when the gateway cancels it."""
+    """Returns the event for an attempt that the gateway cancels."""
     if progress is WriteProgress.COMPLETE:
         return AttemptEvent.CANCEL_UNCONFIRMED
     return AttemptEvent.CANCELLED_BEFORE_WRITE
 
 
 def event_on_last_message(message: m.AnyMessage, responding: bool) -> AttemptEvent:
-    """What the last message of a node for an attempt means; `responding`: its response had begun."""
+    """Returns the event for the node's last message for an attempt; `responding`: its response had begun."""
     if isinstance(message, m.AttemptServed | m.BodyChunk):
         return AttemptEvent.SERVED
     if isinstance(message, m.AttemptRejected):
--- a/ochrecourse/nodes/outgoing_attempt.py
+++ b/ochrecourse/nodes/outgoing_attempt.py
@@ -1,7 +1,7 @@
-"""The records and protocols around one attempt on its way to a node. Free of I/O.
+"""The state of an attempt that is sent to a node, and the interfaces around it. Performs no I/O.
 
-`OutgoingAttempt` is what the dispatcher (dispatcher.py) and the connections (framed_connection.py,
-resp/node_connection.py) share of an attempt; `AttemptListener` is who is notified of it.
+The dispatcher (dispatcher.py) and the connections (framed_connection.py, resp/node_connection.py) share the
+state of an attempt in `OutgoingAttempt`; an `AttemptListener` is notified of its progress.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 
 
 class Body(Protocol):
-    """The body of an attempt: read piece by piece, by each retry from the start. `size` in bytes."""
+    """The body of an attempt, read in chunks; each retry reads it from the start. `size` in bytes."""
 
     size: int
 
     def read(self, offset: int, max_bytes: int, /) -> bytes:
-        """The bytes from `offset` on, at most `max_bytes` of them."""
+        """Returns at most `max_bytes` bytes from `offset`."""
         ...
 
     def close(self) -> None:
-        """The body is not needed any more."""
+        """Frees the body's resources; it is not read again."""
         ...
 
 
 class AttemptListener(Protocol):
-    """Who is notified of an attempt. `attempt_ended` is called exactly once and last."""
+    """Is notified of an attempt's progress. `attempt_ended` is called exactly once, after all other calls."""
 
     def attempt_written(self, attempt: OutgoingAttempt) -> None:
-        """The attempt got a connection, and writing it has begun."""
+        """The attempt has a connection, and writing it has begun."""
         ...
 
     def response_began(self, attempt: OutgoingAttempt, response: m.AttemptServed) -> None:
-        """The node serves the attempt; called before any `response_data`."""
+        """The node began a successful response; called before any `response_data`."""
         ...
 
     def response_data(self, attempt: OutgoingAttempt, data: bytes) -> None:
-        """More of the response's body."""
+        """More bytes of the response's body arrived."""
         ...
 
     def attempt_ended(
         self, attempt: OutgoingAttempt, event: AttemptEvent, reply: m.AnyMessage | None
     ) -> None:
-        """The attempt ended by this event; `reply`: the node's reply, None without one."""
+        """The attempt ended with `event`; `reply`: the node's reply, None without one."""
         ...
 
 
@@ -62,7 +62,7 @@
         ...
 
     def cancel(self, attempt: OutgoingAttempt) -> None:
-        """Nobody waits for this attempt any more; what the node sends for it is dropped."""
+        """Cancels the attempt; what the node still sends for it is dropped."""
         ...
 
     def carries(self, attempt: OutgoingAttempt) -> bool:
@@ -70,26 +70,26 @@
         ...
 
     def send_window_update(self, attempt: OutgoingAttempt, increment_bytes: int) -> None:
-        """Lets the node send so many more bytes of the attempt's response."""
+        """Allows the node to send `increment_bytes` more of the attempt's response."""
         ...
 
     def close(self) -> None:
-        """Ends the connection once everything written has gone out."""
+        """Closes the connection once everything written has been sent."""
         ...
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once; unsent data is lost."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimits:
-    """How long an attempt may take, in ns.
+    """Time limits of an attempt, in ns.
 
-    `response_timeout`: from now until its response must begin; `stall_timeout`: without more of a response
-    that has begun; `connection_wait`: for a connection, None as long as its dial may take; `write_before`:
-    clock time from which on no byte of it may be written to a connection, and nothing of it may run that was
-    not complete by then, 0 without such a time.
+    `response_timeout`: from now until the response must begin; `stall_timeout`: longest pause in a response
+    that has begun; `connection_wait`: longest wait for a connection, None for the time-out of the dial;
+    `write_before`: clock time from which no byte may be written, and by which the attempt must be completely
+    written to be executed, 0 for no such limit.
     """
 
     response_timeout: int
@@ -100,46 +100,46 @@
 
 @dataclass(slots=True, eq=False)
 class OutgoingAttempt:
-    """One attempt on its way. The first five fields are the caller's, the others the dispatcher's and its
-    connection's.
+    """An attempt that is being sent. The caller sets the first five fields, the dispatcher and the connection
+    the others.
     """
 
-    request_id: int  # the listener's name for what the attempt belongs to
+    request_id: int  # the listener's id of the request
     node: int
     message: m.SendAttempt
     body: Body | None
     listener: AttemptListener
-    number: int = 0  # among all of a dispatcher
+    number: int = 0  # unique within the dispatcher
     sent_at: int = 0  # ns
-    assigned_at: int = 0  # ns, when it got its connection; 0 before
-    pooled: PooledConnection | None = None  # where it counts; None when its capacity is freed in another way
+    assigned_at: int = 0  # ns, when it was assigned an open connection; 0 before
+    pooled: PooledConnection | None = None  # whose capacity it uses; None when that is released separately
     connection: NodeConnection | None = None
-    stream_id: int = -1  # on its connection; below 0 before it was written
-    written: int = 0  # bytes of its body
+    stream_id: int = -1  # on its connection; negative before it is written
+    written: int = 0  # bytes of its body that were written
     response: m.AttemptServed | None = None
     consumed: int = 0  # bytes of the response that the listener has consumed
-    window_granted: int = 0  # bytes of these that the node was granted again
+    window_granted: int = 0  # consumed bytes for which the node was granted new window
     ended: bool = False
     stall_timeout: float = 0.0  # s
-    last_received_at: float = 0.0  # s, clock time of the last message of its response
+    last_received_at: float = 0.0  # s, clock time of the response's last message
     write_before: int = 0  # ns, see AttemptLimits
     response_timer: Timer | None = None
-    connection_timer: Timer | None = None  # ends its wait for a connection
+    connection_timer: Timer | None = None  # time-out of the wait for a connection
     write_timer: Timer | None = None
 
     def write_progress(self) -> WriteProgress:
-        """How much of it was written to the network."""
+        """Returns how much of the attempt was written to the network."""
         if self.stream_id < 0:
             return WriteProgress.NOTHING
         return WriteProgress.COMPLETE if self.written >= self.message.size else WriteProgress.PARTIAL
 
     def stop_connection_timer(self) -> None:
-        """Its wait for a connection is over."""
+        """Stops the time-out of the wait for a connection."""
         stop(self.connection_timer)
         self.connection_timer = None
 
     def stop_timers(self) -> None:
-        """It has ended."""
+        """Stops all timers of an attempt that has ended."""
         stop(self.response_timer)
         stop(self.connection_timer)
         stop(self.write_timer)
--- a/ochrecourse/nodes/pool.py
+++ b/ochrecourse/nodes/pool.py
@@ -1,18 +1,18 @@
-"""Which connection an attempt takes, when one is dialled, and when one is closed. Free of I/O and clocks.
+"""The pool of connections to nodes: assigns attempts, queues dials, evicts. Performs no I/O, reads no clock.
 
 Each node has a pool of connections, and each connection carries several attempts:
 
 - An attempt takes the open connection with the fewest attempts. When all are full, one more is dialled within
   the node's limit.
-- An attempt that waits takes the first connection to its node with capacity: its own dial, another, or one
-  that an attempt has freed.
-- Attempts with long bodies, as last observed of their request class, have connections of their own, at most
-  half of a node's: a short response never waits behind the bytes of a long one.
-- Concurrent dials of one gateway are bounded, the rest wait in order of arrival: after a mass restart the
-  nodes meet no storm of handshakes.
-
-All limits come from the settings. The dispatcher asks for a placement, reports what happened, and pulls what
-to do.
+- A waiting attempt takes the first connection to its node that has capacity: that of its own dial, that of
+  another dial, or one on which an attempt has ended.
+- Attempts with long bodies, as last observed of their request class, use separate connections, at most half
+  of a node's, so that a short response never waits behind the bytes of a long one.
+- Concurrent dials of one gateway are bounded and the others queue in order of arrival, which prevents a storm
+  of handshakes at the nodes after a mass restart.
+
+All limits come from the settings. The dispatcher requests placements, reports events, and pulls the actions
+that follow.
 """
 
 from __future__ import annotations
@@ -30,39 +30,39 @@
     attempts_per_connection: int
     connections_per_node: int
     concurrent_dials: int  # of one gateway
-    idle_timeout: int  # ns without an attempt after which a connection is closed
-    total_connections: int = 0  # to all nodes; 0: no such bound
+    idle_timeout: int  # ns without an attempt, after which a connection is closed
+    total_connections: int = 0  # to all nodes; 0: unlimited
 
 
 class ConnectionStatus(Enum):
-    """The stages of a pooled connection."""
+    """The states of a pooled connection."""
 
-    QUEUED = "queued"  # waits for its turn to be dialled
+    QUEUED = "queued"  # in the dial queue
     DIALLING = "dialling"
     OPEN = "open"
-    DRAINING = "draining"  # finishes its attempts, takes no new ones
+    DRAINING = "draining"  # finishes its attempts, accepts no new ones
 
 
 @dataclass(slots=True, eq=False)
 class PooledConnection:
-    """One connection to a node, as the pool knows it."""
+    """The pool's record of one connection to a node."""
 
     number: int
     node: int
     long_bodies: bool = False  # reserved for attempts with long bodies
     status: ConnectionStatus = ConnectionStatus.QUEUED
-    attempt_count: int = 0  # attempts that it carries or that wait for its dial
+    attempt_count: int = 0  # attempts in flight on it or waiting for its dial
     idle_since: int = 0  # ns
     dialled_at: int = 0  # ns
-    slow_dial: bool = False  # its dial takes longer than usual: no attempt joins it
+    slow_dial: bool = False  # its dial takes longer than usual: no more attempts are placed on it
     waiting: deque[int] = field(default_factory=deque)  # numbers of the attempts that wait for its dial
 
 
 class Placement(NamedTuple):
-    """Where an attempt goes.
+    """The connection assigned to an attempt.
 
-    `connection`: None without capacity; `ready`: whether it may be sent now; `evicted`: an idle connection to
-    another node that is to be closed for it.
+    `connection`: None if there is no capacity; `ready`: whether the attempt may be written now; `evicted`: an
+    idle connection, possibly to another node, that must be closed to stay within the total limit.
     """
 
     connection: PooledConnection | None
@@ -85,16 +85,16 @@
     # --- placing attempts ---
 
     def response_began(self, request_class: str, long_body: bool) -> None:
-        """A response began; `long_body`: its body is longer than its first message."""
+        """Records the kind of response of a request class; `long_body`: longer than its first message."""
         if long_body:
             self.long_classes.add(request_class)
         else:
             self.long_classes.discard(request_class)
 
     def place(self, node: int, attempt: int, request_class: str = "", long_body: bool = False) -> Placement:
-        """Places an attempt, which counts on its connection until `attempt_ended`.
+        """Assigns a connection to an attempt, which uses its capacity until `attempt_ended`.
 
-        `long_body`: its own body is long.
+        `long_body`: whether the attempt's own body is long.
         """
         connections = self.connections.setdefault(node, {})
         separate = self.limits.connections_per_node > 1
@@ -106,7 +106,7 @@
             if len(same_kind) >= self._max_connections(long_body):
                 return Placement(None, False)
             if self._at_total_limit():
-                # Guards against running out of descriptors: an idle connection makes room.
+                # The total is bounded by file descriptors: closes an idle connection to free one.
                 evicted = next(iter(self.idle.values()), None)
                 if evicted is None:
                     return Placement(None, False)
@@ -120,9 +120,9 @@
         return Placement(connection, False, evicted)
 
     def attempt_ended(self, connection: PooledConnection, attempt: int, now: int) -> bool:
-        """An attempt no longer needs its connection. True if the connection was draining and can be closed.
+        """Releases an attempt's capacity. Returns True if the connection was draining and can be closed.
 
-        A queued connection that no attempt waits for is removed, for its dial would help none.
+        A queued connection for which no attempt waits any more is removed without a dial.
         """
         connection.attempt_count -= 1
         if attempt in connection.waiting:
@@ -138,7 +138,7 @@
     def take_waiting(self, connection: PooledConnection) -> int | None:
         """Moves an attempt that waits for another connection to the same node to this open one.
 
-        Returns its number, None without such an attempt or without capacity. Pull until None.
+        Returns its number, None without such an attempt or without capacity. Call until it returns None.
         """
         at_limit = connection.attempt_count >= self.limits.attempts_per_connection
         if connection.status is not ConnectionStatus.OPEN or at_limit:
@@ -157,11 +157,11 @@
     # --- dials ---
 
     def next_dial(self) -> PooledConnection | None:
-        """The next connection to dial, None while enough dials are in progress. Pull until None."""
+        """Returns the next connection to dial, None at the dial limit. Call until it returns None."""
         while self.dial_queue and self.dial_count < self.limits.concurrent_dials:
             _, connection = self.dial_queue.popitem(last=False)
             if not connection.attempt_count and self._first_with_waiting(connection) is None:
-                self.remove(connection)  # it was queued to help attempts that have ended
+                self.remove(connection)  # the attempts for which it was queued have ended
                 continue
             connection.status = ConnectionStatus.DIALLING
             self.dial_count += 1
@@ -169,9 +169,9 @@
         return None
 
     def hedge_dial(self, connection: PooledConnection) -> bool:
-        """A dial is slow. True if a second one was queued for the attempts that wait there.
+        """Marks a dial as slow. Returns True if a second one was queued for the attempts that wait for it.
 
-        Within the limits there is one dial for each waiting attempt and one to spare.
+        Within the limits there is at most one spare dial beyond those for which attempts wait.
         """
         connection.slow_dial = True
         same_kind = self._same_kind(connection)
@@ -185,8 +185,8 @@
     def dial_is_useful(self, connection: PooledConnection) -> bool:
         """Whether a dial may still serve an attempt.
 
-        It may serve one that waits for it, or one that waits for another connection of its kind to the same
-        node, if no more than one spare dial is in progress.
+        This is an attempt that waits for it, or one that waits for another connection of the same kind to the
+        same node while at most one spare dial is in progress.
         """
         if connection.waiting:
             return True
@@ -194,7 +194,7 @@
         return _spare_dials(same_kind) <= 1 and any(each.waiting for each in same_kind)
 
     def opened(self, connection: PooledConnection, now: int) -> list[int]:
-        """A dial succeeded. Returns the numbers of the attempts that waited for it, in order."""
+        """Marks a connection as open. Returns the numbers of the attempts that waited for it, in order."""
         self.dial_count -= 1
         connection.status, connection.slow_dial = ConnectionStatus.OPEN, False
         attempts, connection.waiting = list(connection.waiting), deque()
@@ -202,10 +202,10 @@
             self._mark_idle(connection, now)
         return attempts
 
-    # --- ends of connections ---
+    # --- closing connections ---
 
     def remove(self, connection: PooledConnection) -> list[int]:
-        """A connection ended or its dial failed. Returns the attempts that still waited for the dial."""
+        """Removes a connection that ended or whose dial failed. Returns the attempts waiting for its dial."""
         if connection.status is ConnectionStatus.DIALLING:
             self.dial_count -= 1
         self.dial_queue.pop(connection.number, None)
@@ -219,13 +219,13 @@
         return attempts
 
     def drain(self, connection: PooledConnection) -> bool:
-        """No new attempts on this connection. True if it carries none and can be closed at once."""
+        """Stops placing attempts on a connection. Returns True if it carries none and can be closed now."""
         connection.status = ConnectionStatus.DRAINING
         self.idle.pop(connection.number, None)
         return connection.attempt_count == 0
 
     def next_idle(self, now: int) -> PooledConnection | None:
-        """The next connection that was idle for too long; it drains from now on. Pull until None."""
+        """Drains and returns the next connection past its idle time-out. Call until it returns None."""
         for connection in self.idle.values():
             if connection.idle_since + self.limits.idle_timeout > now:
                 return None
@@ -234,15 +234,15 @@
         return None
 
     def next_idle_deadline(self) -> int | None:
-        """Clock time (ns) at which the next connection will have been idle for too long; None without one."""
+        """Returns the clock time (ns) of the next idle time-out, None without idle connections."""
         for connection in self.idle.values():
             return connection.idle_since + self.limits.idle_timeout
         return None
 
-    # --- inside ---
+    # --- internals ---
 
     def _least_loaded(self, connections: Iterable[PooledConnection]) -> PooledConnection | None:
-        """The connection with capacity that carries the fewest attempts, an open one before any other."""
+        """Returns the connection with capacity and the fewest attempts, preferring open ones."""
         candidates = [
             each
             for each in connections
@@ -257,7 +257,7 @@
         )
 
     def _max_connections(self, long_body: bool) -> int:
-        """How many connections to one node may be of this kind."""
+        """Returns the limit on connections of this kind to one node."""
         limit = self.limits.connections_per_node
         long_limit = limit // 2 if self.long_classes or long_body else 0
         return long_limit if long_body else limit - long_limit
@@ -278,12 +278,12 @@
         return connection
 
     def _same_kind(self, connection: PooledConnection) -> list[PooledConnection]:
-        """The connections to the same node for attempts of the same kind, this one among them."""
+        """Returns the connections to the same node of the same kind, including this one."""
         connections = self.connections.get(connection.node, {}).values()
         return [each for each in connections if each.long_bodies is connection.long_bodies]
 
     def _first_with_waiting(self, connection: PooledConnection) -> PooledConnection | None:
-        """The oldest connection of the same kind to the same node for whose dial an attempt waits."""
+        """Returns the oldest connection of the same kind to the same node for whose dial an attempt waits."""
         for other in self.connections.get(connection.node, {}).values():
             if other.waiting and other.long_bodies is connection.long_bodies:
                 return other
@@ -295,6 +295,6 @@
 
 
 def _spare_dials(connections: Iterable[PooledConnection]) -> int:
-    """How many dials are queued or in progress for which no attempt waits."""
+    """Returns the number of queued or running dials for which no attempt waits."""
     dialling = (ConnectionStatus.QUEUED, ConnectionStatus.DIALLING)
     return sum(each.status in dialling and not each.waiting for each in connections)
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -397,7 +397,7 @@
 
     def __init__(self):
         super().__init__()
-        self.dispatcher.turns_behind = lambda: 2
+        self.dispatcher.iterations_behind = lambda: 2
 
 
 def test_a_connection_that_opens_after_a_long_turn_takes_its_attempts_when_all_is_read():
@@ -443,7 +443,7 @@
     street.came(street.dialled[0])
     street.send(2)
     wire = street.wires[street.dialled[0].number]
-    street.dispatcher.turns_behind = lambda: 2
+    street.dispatcher.iterations_behind = lambda: 2
     street.answer(first)
     assert wire.sent == [1]
     street.network.advance(0)
