--- a/ochrecourse/resp/__init__.py
+++ b/ochrecourse/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP2, the platform's protocol: connections of clients and connections to nodes."""
+"""RESP2, the platform's protocol: client connections and connections to nodes."""
--- a/ochrecourse/resp/client_connection.py
+++ b/ochrecourse/resp/client_connection.py
@@ -1,9 +1,9 @@
-"""One client's connection in RESP2: pipelined commands in, replies out in the order of the commands.
+"""One client's RESP2 connection: reads pipelined commands and writes replies in the order of the commands.
 
-All input is read as it arrives, however many commands are unanswered: a client's end stands behind its bytes,
-or is not even sent before they are read, and must be known at once. pipeline.py bounds what accumulates. A
-protocol error gets one error line, behind the replies that are due, and ends its own connection and nothing
-else. A client that closes its connection, or its sending side, cancels all its requests.
+All input is read as it arrives, however many commands are unanswered. Otherwise a client's close, which comes
+after its bytes or is not even sent until they are read, would be noticed late. pipeline.py bounds what
+accumulates. A protocol error is reported in one error line after the pending replies, and ends only its own
+connection. A client that closes its connection or its sending side cancels all its requests.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from ochrecourse.resp.lingering_close import LingeringClose
 from ochrecourse.resp.pipeline import CommandPipeline, PipelineTotals, ReplySlot
 
-COMMANDS_PER_TURN = 256  # of one connection in a turn of the loop, some ms; then others have their turn
-COMMAND_TIMEOUT_SECONDS = 2.2  # for a first command, and for a partial one; an error is due within 3 s
+COMMANDS_PER_ITERATION = 256  # of one connection per event loop iteration, some ms, so that none starves
+COMMAND_TIMEOUT_SECONDS = 2.2  # for a first command and for a partial one; the error is due within 3 s
 
 PONG_REPLY = b"+PONG\r\n"
 BUSY_REPLY = b"-BUSY\r\n"
@@ -36,13 +36,13 @@
 
 
 class ConnectionOwner(typing.Protocol):
-    """What a connection needs of the server that accepted it."""
+    """What a connection uses of the server that accepted it."""
 
     gateway: Gateway
     clock: Clock
     request_classes: RequestClasses
     totals: PipelineTotals
-    counts: Counter[str]  # of clients' errors by code
+    counts: Counter[str]  # client errors by code
     shutting_down: bool
     max_linger_seconds: float | None
 
@@ -53,16 +53,16 @@
         """The first complete command has arrived."""
 
     def connection_busy(self, connection: RespClientConnection) -> None:
-        """A request has arrived."""
+        """The connection has an open request."""
 
     def connection_idle(self, connection: RespClientConnection) -> None:
-        """All replies are written."""
+        """All replies of the connection are written."""
 
     def connection_lingering(self, connection: RespClientConnection) -> None:
-        """This side closes the connection, which holds its descriptor until the client closes too."""
+        """This side is closing the connection, which keeps its descriptor until the client closes too."""
 
     def limit_lingering(self) -> None:
-        """Ends the oldest lingering connection where there are too many."""
+        """Closes the oldest lingering connection if there are too many."""
 
     def connection_closed(self, connection: RespClientConnection) -> None:
         """The connection has ended."""
@@ -84,34 +84,34 @@
         self.connected = False
         self.first_command_received = False
         self.protocol_error: RespProtocolError | None = None
-        self.lingering_close: LingeringClose | None = None  # this side ends the connection
+        self.lingering_close: LingeringClose | None = None  # set while this side closes the connection
         self.write_blocked = False  # back-pressure: the client reads too slowly
-        self.reading_paused = False  # complete commands may be buffered for the loop's next turn
-        self.rejecting = False  # requests that have not started are rejected: the process is about to end
+        self.reading_paused = False  # complete commands may be buffered for the loop's next iteration
+        self.rejecting = False  # late in the shutdown: requests that have not started are rejected
         self.processing = False  # guards against re-entry while commands are parsed or started
-        self.idle_since = 0.0  # s of the clock
+        self.idle_since = 0.0  # clock time in s
         self._command_timer: Timer | None = None
-        self._turn_timer: Timer | None = None
+        self._iteration_timer: Timer | None = None
 
-    # --- Twisted's calls ---
+    # --- Twisted callbacks ---
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is open."""
+        """Sets up an open connection (Twisted callback)."""
         self.connected = True
         if hasattr(self.transport, "setTcpNoDelay"):
-            self.transport.setTcpNoDelay(True)  # before any write: a reset discards what is delayed
+            self.transport.setTcpNoDelay(True)  # before any write: a reset discards delayed data
         self.transport.registerProducer(self, True)
         self._command_timer = self.clock.callLater(COMMAND_TIMEOUT_SECONDS, self._command_timed_out)
         self.owner.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have arrived."""
+        """Parses received bytes (Twisted callback)."""
         if self.protocol_error is None and self.lingering_close is None and self.connected:
             self.parser.feed(data)
             self._process_input()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Twisted: the connection has ended, or the client has closed its sending side."""
+        """Cancels all requests when the client closes its connection or sending side (Twisted callback)."""
         self.connected = False
         if self.lingering_close is not None:
             self.lingering_close.connection_lost()
@@ -124,13 +124,13 @@
 
     def _stop_timers(self) -> None:
         stop(self._command_timer)
-        stop(self._turn_timer)
-        self._command_timer = self._turn_timer = None
+        stop(self._iteration_timer)
+        self._command_timer = self._iteration_timer = None
 
     # --- commands ---
 
     def _process_input(self) -> None:
-        """Handles complete commands, as many as one turn of the loop may."""
+        """Handles complete commands, at most `COMMANDS_PER_ITERATION`."""
         if self.processing or self.protocol_error is not None:
             return
         if self.lingering_close is not None or not self.connected:
@@ -145,7 +145,7 @@
         self._advance()
 
     def _parse_commands(self) -> None:
-        for _ in range(COMMANDS_PER_TURN):
+        for _ in range(COMMANDS_PER_ITERATION):
             arguments = self.parser.next()
             if arguments is None:
                 self._resume_reading()
@@ -154,33 +154,33 @@
                 self.first_command_received = True
                 self.owner.connection_sent_command(self)
             self._handle_command(arguments)
-        self._continue_reading_next_turn()
+        self._continue_reading_next_iteration()
 
-    def _continue_reading_next_turn(self) -> None:
+    def _continue_reading_next_iteration(self) -> None:
         if not self.reading_paused:
             self.reading_paused = True
             self.transport.pauseProducing()
-        self._schedule_turn()
+        self._schedule_iteration()
 
     def _resume_reading(self) -> None:
         if self.reading_paused:
             self.reading_paused = False
             self.transport.resumeProducing()
 
-    def _schedule_turn(self) -> None:
-        """Continues in the loop's next turn."""
-        if self._turn_timer is None:
-            self._turn_timer = self.clock.callLater(0, self._next_turn)
+    def _schedule_iteration(self) -> None:
+        """Schedules further work for the event loop's next iteration."""
+        if self._iteration_timer is None:
+            self._iteration_timer = self.clock.callLater(0, self._next_iteration)
 
-    def _next_turn(self) -> None:
-        self._turn_timer = None
+    def _next_iteration(self) -> None:
+        self._iteration_timer = None
         if self.reading_paused:
             self._process_input()
         else:
             self._advance()
 
     def _update_command_timer(self) -> None:
-        """Starts or stops the time within which a partial command must be complete."""
+        """Starts or stops the timer for the first command or a partial one."""
         partial = self.parser.has_partial_message() and not self.reading_paused
         waits = not self.first_command_received or partial
         if waits and self._command_timer is None:
@@ -206,16 +206,16 @@
         self.owner.connection_busy(self)
 
     def _start_queued(self) -> None:
-        """Submits queued requests to the gateway, as far as their replies may be written soon."""
+        """Submits queued requests to the gateway, unless writing is blocked or too many are running."""
         while not self.write_blocked and self.connected and self.pipeline.can_start():
             slot, request = self.pipeline.start_next()
             self._submit(slot, request)
 
     def _submit(self, slot: ReplySlot, request: Request) -> None:
-        # The time that a request waits for those before it on its connection does not count.
+        # The time in the queue behind others of its connection does not count against a request's timeout.
         request.read_at = now_ns(self.clock)
         request_id = self.gateway.next_request_id()
-        self.in_flight[request_id] = slot  # before the call: the reply may come before it returns
+        self.in_flight[request_id] = slot  # before the call, which may deliver the reply before it returns
         try:
             self.gateway.submit(request, self)
         except BadRequestError as error:
@@ -237,14 +237,14 @@
         self._advance()
 
     def _fail(self, error: RespProtocolError) -> None:
-        """Queues the error's line behind the replies that are due; further input is discarded."""
+        """Queues the error line after the pending replies and discards further input."""
         self.protocol_error = error
         self.owner.counts[error.code] += 1
         self._discard_input()
         self.pipeline.append(ReplySlot(reply=f"-ERR {error.code} {error}\r\n".encode()))
 
     def _discard_input(self) -> None:
-        """Discards buffered input; what still arrives is read and discarded, to see the client's end."""
+        """Discards buffered and further input, which is still read to detect the client's close."""
         self._stop_timers()
         self.parser = CommandParser()
         self._resume_reading()
@@ -252,17 +252,17 @@
     # --- replies ---
 
     def _advance(self) -> None:
-        """Starts queued requests, writes the replies whose turn it is, and acts on what follows from that."""
+        """Starts queued requests, writes replies that are ready, and closes or schedules as needed."""
         if self.processing or self.lingering_close is not None or not self.connected:
             return
-        self.processing = True  # replies that come at once are written below
+        self.processing = True  # replies delivered during the call are written below
         try:
             self._start_queued()
         finally:
             self.processing = False
         self._write_ready_replies()
         if not self.write_blocked and self.pipeline.can_start():
-            self._schedule_turn()
+            self._schedule_iteration()
         if self.protocol_error is not None:
             if not self.pipeline.slots:
                 self._begin_close()
@@ -270,7 +270,7 @@
             self._update_command_timer()
 
     def _write_ready_replies(self) -> None:
-        """Writes the replies whose turn it is; they are kept here while the client reads none."""
+        """Writes the replies that are next in order, unless the client's slow reading blocks writes."""
         if self.write_blocked and self.protocol_error is None and not self.rejecting:
             return
         ready = self.pipeline.take_ready_replies()
@@ -280,24 +280,24 @@
                 self.idle_since = self.clock.seconds()
                 self.owner.connection_idle(self)
 
-    # --- the end, from this side ---
+    # --- closing from this side ---
 
     def _is_idle(self) -> bool:
-        """Whether a close would lose nothing: no reply is due, and no input that was read is unparsed."""
+        """Whether a close loses nothing: no reply is pending, and no received input is unparsed."""
         if self.protocol_error is not None or self.lingering_close is not None or not self.connected:
             return False
         unparsed = self.reading_paused or (self.parser.has_partial_message() and not self.rejecting)
         return not self.pipeline.slots and not unparsed
 
     def close_if_idle(self) -> bool:
-        """Ends an idle connection; False if it is busy, or if its client has just sent something."""
+        """Closes an idle connection. Returns False if it is busy or if the client has just sent something."""
         if not self._is_idle() or self._read_pending_input():
             return False
         self._begin_close()
         return True
 
     def close_if_silent(self) -> bool:
-        """Rejects a connection without any command so far; False if its client has just sent something."""
+        """Rejects a connection that sent no command. Returns False if the client has just sent something."""
         if self.protocol_error is not None or self.parser.has_partial_message():
             return False
         if self._read_pending_input():
@@ -306,39 +306,39 @@
         return True
 
     def reject(self) -> None:
-        """Ends a connection without a request at once, with an error line."""
+        """Closes a connection without requests at once, with an error line."""
         if self.connected and self.lingering_close is None:
             self.owner.counts["too_many_connections"] += 1
             self.transport.write(TOO_MANY_CONNECTIONS_REPLY)
             self._begin_close()
 
     def reject_queued(self) -> None:
-        """The process is about to end: queued requests are rejected, and a partial command is dropped."""
+        """Rejects queued requests and drops a partial command, since the process is about to exit."""
         self.rejecting = True
         self.pipeline.reject_queued(BUSY_REPLY)
         self._advance()
 
     def _read_pending_input(self) -> bool:
-        """Guards against requests that cross the half-close: reads what the system has buffered already.
+        """Reads what the socket has buffered, to avoid half-closing while a request is arriving.
 
-        True if there was any; it is handled in the loop's next turn.
+        Returns True if there was any input; it is handled in the event loop's next iteration.
         """
         if self.rejecting or not hasattr(self.transport, "doRead"):
             return False
         self.processing = True
         try:
-            self.transport.doRead()  # an end that it finds is found once more by the loop
+            self.transport.doRead()  # an end of input is found again by the event loop
         finally:
             self.processing = False
         if not self.parser.has_partial_message():
             return False
         self.reading_paused = True
         self.transport.pauseProducing()
-        self._schedule_turn()
+        self._schedule_iteration()
         return True
 
     def _begin_close(self) -> None:
-        """Ends the connection so that its client can read the last reply; further input is discarded."""
+        """Closes the connection so that the client can read the last reply, and discards further input."""
         self._discard_input()
         self.owner.connection_lingering(self)
         self.lingering_close = LingeringClose(
@@ -349,30 +349,32 @@
     # --- gateway.ResponseHandler ---
 
     def served(self, request_id: int, size: int, shard: int) -> None:
-        """A value of `size` bytes follows."""
+        """Begins a value of `size` bytes; an empty one is complete."""
         if not size:
             self.body_chunk(request_id, b"")
 
     def body_chunk(self, request_id: int, data: bytes) -> None:
-        """The complete value: nodes' replies are not streamed here."""
+        """Writes the complete value: RESP2 nodes' replies are not streamed."""
         self._finish(request_id, encode_bulk_string(data))
 
     def aborted(self, request_id: int) -> None:
-        """The value ends before it is complete."""
+        """Fails a request whose value ended before it was complete."""
         self._finish(request_id, FAILED_REPLY)
 
     def rejected(self, request_id: int, retry_after: int) -> None:
-        """Not executed; `retry_after` in ns, 0 for no advice."""
+        """Rejects a request that was not executed; `retry_after` in ns, 0 for no advice."""
         reply = b"-BUSY %d\r\n" % -(-retry_after // MS) if retry_after else BUSY_REPLY
         self._finish(request_id, reply)
 
     def failed(self, request_id: int) -> None:
-        """It may have been executed."""
+        """Fails a request that may have been executed."""
         self._finish(request_id, FAILED_REPLY)
 
     def deadline_passed(self, request_id: int) -> None:
-        """Guards against a request without any reply, and a close that loses those behind it, where the loop
-        stood still until the deadline had passed."""
+        """Fails a request whose deadline passed while the event loop was blocked.
+
+        Without a reply, the commands behind it would never be answered.
+        """
         self._finish(request_id, FAILED_REPLY)
 
     def _finish(self, request_id: int, reply: bytes) -> None:
@@ -384,11 +386,11 @@
     # --- back-pressure from the client (IPushProducer) ---
 
     def pauseProducing(self) -> None:
-        """Twisted: the client reads too slowly."""
+        """Blocks writes: the client reads too slowly (Twisted callback)."""
         self.write_blocked = True
 
     def resumeProducing(self) -> None:
-        """Twisted: the client has read what was buffered."""
+        """Resumes writes: the client has read what was buffered (Twisted callback)."""
         self.write_blocked = False
         if self.lingering_close is not None:
             self.lingering_close.write_buffer_drained()
@@ -396,5 +398,5 @@
             self._advance()
 
     def stopProducing(self) -> None:
-        """Twisted: the transport takes no more writes."""
+        """Blocks writes: the transport accepts no more (Twisted callback)."""
         self.write_blocked = True
--- a/ochrecourse/resp/codec.py
+++ b/ochrecourse/resp/codec.py
@@ -1,8 +1,8 @@
-"""Incremental RESP2 parsers for commands (arrays of bulk strings) and replies, and encoders. Free of I/O.
+"""Incremental RESP2 parsers for commands (arrays of bulk strings) and replies, and encoders. Performs no I/O.
 
-Every length is checked when it is announced, before anything behind it is buffered; a connection never
-buffers more than one message and one read beyond it. Every violation is a `RespProtocolError` with a code of
-its own, after which the parser is of no further use.
+Every length is checked when it is announced, before the data is buffered; a connection never buffers more
+than one message plus one read. Every violation raises a `RespProtocolError` with its own code, after which
+the parser must not be used any more.
 """
 
 from __future__ import annotations
@@ -12,15 +12,13 @@
 
 from ochrecourse.common.errors import OchrecourseError
 
-MAX_COMMAND_BULK_BYTES = 65_536  # of one bulk string of a command; the largest value of an object
-MAX_REPLY_BULK_BYTES = 1_048_576  # of one bulk string of a reply; nodes were seen to send 400,000
-MAX_COMMAND_ARGUMENTS = 8  # of one command, its name included; the longest has five
+MAX_COMMAND_BULK_BYTES = 65_536  # of one bulk string of a command; the size of the largest object
+MAX_REPLY_BULK_BYTES = 1_048_576  # of one bulk string of a reply; nodes were seen to send 400,000 bytes
+MAX_COMMAND_ARGUMENTS = 8  # of one command, including its name; the longest has five
 MAX_REPLY_ITEMS = 8  # of a reply's array; the longest has three
-MAX_LENGTH_LINE_BYTES = 16  # of a line with a count or a length, far more than the largest length needs
-MAX_REPLY_LINE_BYTES = (
-    512  # of a simple string or an error; usage figures and a load report fit several times
-)
-MAX_OTHER_BULKS_BYTES = 2048  # of all other bulk strings of a message; ids, fields, usage figures
+MAX_LENGTH_LINE_BYTES = 16  # of a line with a count or a length; the largest length needs far fewer
+MAX_REPLY_LINE_BYTES = 512  # of a simple string or error; several times usage figures and a load report
+MAX_OTHER_BULKS_BYTES = 2048  # of all other bulk strings of a message: ids, fields, usage figures
 CARRIAGE_RETURN = 13
 COMMAND_TYPE = 42  # `*`, the first byte of a command
 BULK_TYPE = 36  # `$`, the first byte of each argument
@@ -28,7 +26,7 @@
 
 
 class RespProtocolError(OchrecourseError):
-    """Input that is not RESP2 or exceeds its limits: `code` for counters, the text for the peer."""
+    """Input that is not RESP2 or exceeds a limit. `code` is for counters, the text for the peer."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -53,15 +51,15 @@
 
 
 class _RespParser:
-    """The input buffer of one connection, with lines and bulk strings read from it."""
+    """The input buffer of one connection, from which lines and bulk strings are read."""
 
     max_bulk_bytes: ClassVar[int] = MAX_COMMAND_BULK_BYTES
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._position = 0  # bytes of the buffer that are parsed
-        self._bulk_length = -1  # of the bulk string that is being read; -1: none is
-        self._bulk_total = 0  # bytes of this message's bulk strings so far
+        self._position = 0  # number of parsed bytes in the buffer
+        self._bulk_length = -1  # announced length of the bulk string being read, -1 for none
+        self._bulk_total = 0  # total announced length of this message's bulk strings so far
 
     def feed(self, data: bytes) -> None:
         """Appends received bytes to the buffer."""
@@ -71,18 +69,18 @@
         self._buffer += data
 
     def has_unparsed_bytes(self) -> bool:
-        """Whether bytes are left that no complete message contained."""
+        """Whether the buffer holds bytes beyond the last complete message."""
         return len(self._buffer) > self._position
 
     def _message_complete(self) -> None:
-        """Releases what is parsed, so that an idle connection holds no memory."""
+        """Frees parsed bytes, so that an idle connection uses no buffer memory."""
         self._bulk_total = 0
         if self._position == len(self._buffer):
             self._buffer.clear()
             self._position = 0
 
     def _read_line(self, max_bytes: int) -> bytes | None:
-        """The next line without its end, or None until it is complete."""
+        """Returns the next line without its end, or None until it is complete."""
         end = self._buffer.find(b"\r\n", self._position, self._position + max_bytes + 2)
         if end < 0:
             if len(self._buffer) - self._position >= max_bytes + 2:
@@ -93,7 +91,7 @@
         return line
 
     def _parse_integer(self, line: bytes, least: int, most: int, code: str) -> int:
-        """The integer behind a line's type byte, from `least` to `most`; `code` names the error."""
+        """Parses the integer after a line's type byte, from `least` to `most`; `code` is for the error."""
         digits = line[2:] if line[1:2] == b"-" else line[1:]
         if not digits.isdigit() or len(digits) > 10:
             raise RespProtocolError(code, "a length that is no number")
@@ -103,7 +101,7 @@
         return number
 
     def _parse_bulk_length(self, line: bytes, least: int) -> int:
-        """The announced length of a bulk string, checked before any of it is read."""
+        """Parses and checks the announced length of a bulk string before any of it is read."""
         length = self._parse_integer(line, least, self.max_bulk_bytes, "bad_length")
         self._bulk_total += max(0, length)
         if self._bulk_total > self.max_bulk_bytes + MAX_OTHER_BULKS_BYTES:
@@ -114,10 +112,10 @@
         return length
 
     def _read_bulk(self) -> bytes | None:
-        """The bulk string whose length was announced, or None until it is complete."""
+        """Returns the bulk string whose length was announced, or None until it is complete."""
         end = self._position + self._bulk_length
         if len(self._buffer) < end + 2:
-            # Guards against lengths that are too short, which would be seen only when more bytes arrive.
+            # Detects a length that is too short now, not only when more bytes arrive.
             if len(self._buffer) > end and self._buffer[end] != CARRIAGE_RETURN:
                 raise RespProtocolError("bad_end", "a bulk string that does not end where its length says")
             return None
@@ -130,7 +128,7 @@
 
 
 class CommandParser(_RespParser):
-    """Commands from a client's bytes: `feed`, then `next` until it returns None."""
+    """Parses a client's commands: call `feed`, then `next` until it returns None."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -142,7 +140,7 @@
         return self._arguments_left > 0 or self.has_unparsed_bytes()
 
     def next(self) -> list[bytes] | None:
-        """The next complete command's arguments, its name first, or None until more bytes arrive.
+        """Returns the next complete command's arguments, its name first, or None until more bytes arrive.
 
         Raises RespProtocolError.
         """
@@ -175,16 +173,16 @@
 
 
 class ReplyParser(_RespParser):
-    """Replies from a node's bytes: `feed`, then `next` until it returns None.
+    """Parses a node's replies: call `feed`, then `next` until it returns None.
 
-    Arrays don't nest here, and an array contains only bulk strings or nulls.
+    Arrays must not be nested and contain only bulk strings or nulls.
     """
 
     max_bulk_bytes = MAX_REPLY_BULK_BYTES
 
     def __init__(self) -> None:
         super().__init__()
-        self._items: list[Reply] | None = None  # of the array that is being read
+        self._items: list[Reply] | None = None  # of the array being read
         self._items_left = 0
 
     def has_partial_message(self) -> bool:
@@ -192,7 +190,7 @@
         return self._items is not None or self._bulk_length >= 0 or self.has_unparsed_bytes()
 
     def next(self) -> tuple[Reply] | None:
-        """The next complete reply, alone in a tuple since null is one, or None until more bytes arrive.
+        """Returns a 1-tuple of the next complete reply, which may be null, or None until more bytes arrive.
 
         Raises RespProtocolError.
         """
@@ -231,12 +229,12 @@
                 return (items,)
 
     def _check_type_byte(self) -> None:
-        """Guards against a peer that sends anything but RESP2 and no line end, which would be waited for."""
+        """Rejects input that is not RESP2 at its first byte, without waiting for a line end."""
         if self.has_unparsed_bytes() and self._buffer[self._position] not in REPLY_TYPES:
             raise RespProtocolError("not_a_reply", "a reply begins with one of + - : $ *")
 
     def _parse_simple_value(self, line: bytes) -> Reply:
-        """A reply that is complete in one line: a simple string, an error or an integer."""
+        """Parses a one-line reply: a simple string, an error or an integer."""
         if self._items is not None:
             raise RespProtocolError("not_a_reply", "an array here holds bulk strings and nulls only")
         type_byte, rest = line[:1], line[1:]
@@ -249,11 +247,11 @@
         raise RespProtocolError("not_a_reply", "a reply begins with one of + - : $ *")
 
 
-Replies = ReplyParser  # the name that the test of recorded behaviour uses
+Replies = ReplyParser  # alias used by the test of recorded behaviour
 
 
 def encode_command(arguments: list[bytes]) -> bytes:
-    """A command's bytes; the first argument is its name."""
+    """Encodes a command; the first argument is its name."""
     encoded = [b"*%d\r\n" % len(arguments)]
     for argument in arguments:
         encoded.append(b"$%d\r\n%b\r\n" % (len(argument), argument))
@@ -261,5 +259,5 @@
 
 
 def encode_bulk_string(data: bytes) -> bytes:
-    """A bulk string's bytes."""
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
--- a/ochrecourse/resp/commands.py
+++ b/ochrecourse/resp/commands.py
@@ -1,9 +1,9 @@
-"""Maps the platform's commands and replies to the gateway's terms and back. Free of I/O.
+"""Translates the platform's commands and replies to the gateway's terms and back. Performs no I/O.
 
-The platform's own words stop here (docs/glossary.md). In a command's fields, `c` is the request class, `t`
-the tenant, `d` the time in ms that the client waits, and `r` marks a client's retry. Strict in every field:
-what a node is sent is rebuilt from fields that were checked, in the order in which they must stand, with the
-attempt's own timeout in place of the client's.
+The platform's terms are used only here (docs/glossary.md). In a command's fields, `c` is the request class,
+`t` the tenant, `d` the client's timeout in ms, and `r` marks a client's retry. Every field is validated: the
+command sent to a node is rebuilt from checked fields in their required order, with the attempt's timeout in
+place of the client's.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from ochrecourse.wire import messages
 
 READ_COMMAND, WRITE_COMMAND = b"BLK.READ", b"BLK.WRITE"
-READ_ARGUMENTS, WRITE_ARGUMENTS = 4, 5  # the command's name included
-MAX_TIMEOUT_MS = 3_600_000  # that a client may say it waits; no latency objective is over an hour
-MAX_REPLY_PARTS = 3  # a value, usage figures, a load report
+READ_ARGUMENTS, WRITE_ARGUMENTS = 4, 5  # including the command's name
+MAX_TIMEOUT_MS = 3_600_000  # of a client; no latency objective is over an hour
+MAX_REPLY_PARTS = 3  # the value, usage figures and the load report
 HEX_ID = re.compile(rb"[0-9a-f]{16}")
 FIELDS = re.compile(
     rb"c=([^,=\s]{1,64}),t=([^,=\s]{1,64}),d=(\d{1,9}(?:\.\d{1,6})?)"
     rb"(?:,k=([0-9a-f]{16}))?(,r=1)?"
     rb",volume=([0-9a-f]{16}),units=(\d{1,6}(?:\.\d{1,6})?),shard=(-1|\d{1,5}),hosts=(\d{1,6})"
 )
-TIMEOUT_GROUP = 3  # of FIELDS: the time in ms that the client waits
+TIMEOUT_GROUP = 3  # of FIELDS: the client's timeout in ms
 FIGURES = re.compile(rb"[a-z_]{1,32}=\d{1,9}(?:\.\d{1,9})?(?:,[a-z_]{1,32}=\d{1,9}(?:\.\d{1,9})?){0,7}")
 
 
 class RespRequest:
-    """A client's checked command, which each attempt of its request sends (nodes.dispatcher.Body)."""
+    """A client's validated command, sent by each attempt of its request (nodes.outgoing_attempt.Body)."""
 
     __slots__ = ("fields_after_timeout", "leading_arguments", "size", "value")
 
@@ -42,21 +42,21 @@
         fields_after_timeout: bytes,
         value: bytes | None,
     ) -> None:
-        """`leading_arguments`: those before the fields; `value`: what a write stores, None for a read."""
+        """`leading_arguments`: those before the fields; `value`: the bytes to write, None for a read."""
         self.leading_arguments = [*leading_arguments, fields_before_timeout]
         self.fields_after_timeout = fields_after_timeout
         self.value = value
         self.size = len(value or b"")
 
     def read(self, at: int, most: int) -> bytes:
-        """Up to `most` bytes of the value from offset `at`."""
+        """Returns at most `most` bytes of the value from offset `at`."""
         return (self.value or b"")[at : at + most]
 
     def close(self) -> None:
-        """Holds nothing that needs closing."""
+        """Does nothing: there are no resources to free."""
 
     def encode(self, timeout_ns: int) -> bytes:
-        """The node's command; `timeout_ns`: how long the gateway will wait for this attempt."""
+        """Returns the command for the node; `timeout_ns`: how long the gateway waits for this attempt."""
         arguments = self.leading_arguments[:3]
         timeout_ms = max(1, timeout_ns // MS)
         arguments.append(b"%b%d%b" % (self.leading_arguments[3], timeout_ms, self.fields_after_timeout))
@@ -66,10 +66,10 @@
 
 
 class RequestClasses:
-    """Which request classes write, by name; empty where the settings don't say."""
+    """Which request classes write, by name; empty if the settings don't specify it."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
-        """`values`: the plain map of settings."""
+        """`values`: the flat map of settings."""
         writes = values.get("FamilyInfo.Writes", "")
         flags = writes.split(",") if writes else []
         count = min(int(values.get("Classes.count", "0")), len(flags))
@@ -77,7 +77,7 @@
 
 
 def parse_command(arguments: list[bytes], request_classes: RequestClasses, read_at: int) -> Request:
-    """The request that a client's command makes; `read_at` in ns: when its last byte was read.
+    """Returns the request of a client's command; `read_at`: when its last byte was read, in ns.
 
     Raises RespProtocolError.
     """
@@ -110,7 +110,7 @@
         fields[found.end(TIMEOUT_GROUP) :],
         arguments[4] if writes else None,
     )
-    # Guards against growth: if the body referred to the request, each would stay as a reference cycle.
+    # The body must not refer to the request: reference cycles would let the memory grow.
     return Request(
         request_class=request_class,
         tenant=tenant,
@@ -126,7 +126,7 @@
 
 
 def parse_load_report(text: Reply) -> dict[str, float]:
-    """A node's load report, or usage figures of the same form; empty if absent or malformed."""
+    """Returns a node's load report, or usage figures of the same form; empty if absent or malformed."""
     if not isinstance(text, bytes) or not FIGURES.fullmatch(text):
         return {}
     pairs = (pair.partition("=") for pair in text.decode().split(","))
@@ -136,9 +136,9 @@
 def parse_reply(
     reply: Reply,
 ) -> tuple[messages.AttemptServed | messages.AttemptFailed | messages.AttemptRejected, bytes]:
-    """The message that a node's reply to an attempt stands for, and the value.
+    """Returns the message that corresponds to a node's reply to an attempt, and the value.
 
-    Raises RespProtocolError if no node gives such a reply.
+    Raises RespProtocolError for a reply that is not valid for an attempt.
     """
     if isinstance(reply, list):
         return _parse_served(reply)
@@ -153,7 +153,7 @@
 
 
 def _parse_served(items: list[Reply]) -> tuple[messages.AttemptServed, bytes]:
-    """A reply with a value, and as far as the node gives them usage figures and a load report."""
+    """Parses a reply with a value and, where present, usage figures and a load report."""
     value = items[0]
     if not isinstance(value, bytes) or len(items) > MAX_REPLY_PARTS:
         raise RespProtocolError("not_an_answer", "an answer is a value, figures on use and a load report")
@@ -168,7 +168,7 @@
 
 
 def _parse_error_figures(text: bytes) -> dict[str, float]:
-    """All figures behind an error's first word; several groups are separated by blanks."""
+    """Returns all figures after an error's first word; groups are separated by spaces."""
     figures: dict[str, float] = {}
     for group in text.split(b" "):
         figures.update(parse_load_report(group))
@@ -176,6 +176,6 @@
 
 
 def _volume_usage(figures: Mapping[str, float]) -> tuple[float, int]:
-    """The volume's use as a fraction of its rate, below 0 if it is absent, and units served elsewhere."""
+    """Returns the volume's usage as a fraction of its rate, -1 if absent, and units served elsewhere."""
     used = figures["used"] / 100 if "used" in figures else -1.0
     return used, int(figures.get("cost", 0))
--- a/ochrecourse/resp/lingering_close.py
+++ b/ochrecourse/resp/lingering_close.py
@@ -1,10 +1,10 @@
-"""Lingering close: ends a client's connection from this side without losing replies that are still unread.
+"""Lingering close: closes a client connection without losing replies that the client has not read yet.
 
-A close over unread bytes resets a TCP connection, and the reset discards replies that the client has not
-read. So every close lingers: pending replies are written, the sending side is closed (half-close), and what
-still arrives is read and discarded until the client closes its side too or the time for it is over. Nothing
-discarded is ever forwarded; a client whose request crossed the half-close sees the end of the connection and
-sends the request again elsewhere.
+Closing a TCP socket with unread input resets the connection, and the reset discards replies that the client
+has not read. So every close lingers: pending replies are written, the sending side is closed (half-close),
+and further input is read and discarded until the client closes its side too or a time-out ends the wait.
+Discarded input is never forwarded; a client whose request crossed the half-close sees the end of the
+connection and sends the request again elsewhere.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 
 from ochrecourse.common.runtime import Clock, Timer, stop
 
-LINGER_SECONDS = 1.0  # for a client to read its last replies and to close; active clients take far less
-DRAIN_SECONDS = 2.0  # for a slow reader to take the pending replies, before the sending side is closed
+LINGER_SECONDS = 1.0  # for a client to read its last replies and close; active clients take far less
+DRAIN_SECONDS = 2.0  # for a slow client to read the pending replies, before the sending side is closed
 
 
 class LingeringClose:
-    """One connection from its half-close to its end."""
+    """The lingering close of one connection."""
 
     def __init__(
         self, transport: Any, clock: Clock, write_blocked: bool, max_seconds: float | None = None
     ) -> None:
-        """`write_blocked`: the transport buffers replies that the client does not read. `max_seconds`: limit
-        of each wait, where the process is shutting down; None: no further limit."""
+        """`write_blocked`: whether the transport buffers replies that the client has not read; `max_seconds`:
+        limit of each wait while the process is shutting down, None for no further limit.
+        """
         self.transport = transport
         self.clock = clock
         self.max_seconds = max_seconds
@@ -38,7 +39,7 @@
             self.write_buffer_drained()
 
     def write_buffer_drained(self) -> None:
-        """The transport accepts writes again: the sending side is closed behind what is still buffered."""
+        """Closes the sending side after what is still buffered, once the transport accepts writes again."""
         if self.half_closed or self.connection_ended:
             return
         self.half_closed = True
@@ -47,29 +48,29 @@
         self._restart_timer(LINGER_SECONDS)
 
     def limit_time(self, max_seconds: float) -> None:
-        """The process is shutting down: the connection ends within `max_seconds` from now."""
+        """Limits the rest of the close to `max_seconds`, when the process is shutting down."""
         if not self.connection_ended:
             self.max_seconds = max_seconds
             self._restart_timer(max_seconds)
 
     def close_now(self) -> None:
-        """Its descriptor is needed: closes once pending replies are written, whatever the client does."""
+        """Stops lingering to free the descriptor: closes as soon as pending replies are written."""
         self.closing_now = True
         if self.half_closed:
-            self.transport.loseConnection()  # at once, where all replies are sent
+            self.transport.loseConnection()  # closes at once if all replies are sent
         else:
             self._close_transport()
 
     def connection_lost(self) -> None:
-        """The connection has ended."""
+        """Stops the timer when the connection has ended."""
         self.connection_ended = True
         stop(self._timer)
 
     def _close_transport(self) -> None:
-        """A client that has read everything sees an orderly end; one that has not, a reset."""
+        """Closes the connection in order if all replies are sent, and resets it otherwise."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
-        self.transport.abortConnection()  # no effect where loseConnection has closed it
+        self.transport.abortConnection()  # no effect if loseConnection has closed it
 
     def _restart_timer(self, seconds: float) -> None:
         stop(self._timer)
--- a/ochrecourse/resp/node_connection.py
+++ b/ochrecourse/resp/node_connection.py
@@ -1,9 +1,8 @@
-"""One connection to a storage node: one attempt at a time, its command out and its reply in
+"""A RESP2 connection to a storage node, which carries one attempt at a time
 (nodes.outgoing_attempt.NodeConnection).
 
-A pipelined attempt would wait for the reply before it, and cancelling one means closing its connection; so a
-connection carries one attempt, and it is free for the next only when nothing arrived behind the reply for a
-short delay.
+Attempts are not pipelined: one would wait for the reply before it, and cancelling it means closing the
+connection. The connection is reused only if nothing arrives after a reply for a short delay.
 """
 
 from __future__ import annotations
@@ -22,11 +21,11 @@
 from ochrecourse.resp.codec import ReplyParser, RespProtocolError
 from ochrecourse.resp.commands import RespRequest, parse_reply
 
-REUSE_DELAY_SECONDS = 0.01  # after a reply, before the next attempt; a duplicate reply may be some ms late
+REUSE_DELAY_SECONDS = 0.01  # between a reply and the next attempt; a duplicate reply may be some ms late
 
 
 class RespNodeConnection(Protocol):
-    """One connection to a node."""
+    """One RESP2 connection to a node."""
 
     transport: Any  # Twisted's interfaces carry no types
 
@@ -42,7 +41,7 @@
     # --- nodes.outgoing_attempt.NodeConnection ---
 
     def send(self, attempt: OutgoingAttempt) -> None:
-        """Writes the attempt's command with what is left of its timeout."""
+        """Writes the attempt's command with the remaining part of its timeout."""
         request = attempt.body
         assert isinstance(request, RespRequest)
         waited = now_ns(self.dispatcher.clock) - attempt.sent_at
@@ -51,7 +50,7 @@
         self.transport.write(request.encode(round(attempt.message.timeout_ms * MS) - waited))
 
     def cancel(self, attempt: OutgoingAttempt) -> None:
-        """Cancels the attempt: the platform's nodes take the end of the connection for that."""
+        """Cancels the attempt by closing the connection, which the platform's nodes treat as a cancel."""
         self.attempt = None
         self.abort()
 
@@ -60,10 +59,10 @@
         return self.attempt is attempt
 
     def send_window_update(self, attempt: OutgoingAttempt, increment_bytes: int) -> None:
-        """No window updates: replies arrive complete, none is streamed."""
+        """Does nothing: replies arrive complete and are not streamed."""
 
     def close(self) -> None:
-        """Closes the connection in order."""
+        """Closes the connection once everything written has been sent."""
         if self.connected:
             self.transport.loseConnection()
 
@@ -73,20 +72,20 @@
             self.dispatcher.connection_aborting(self)
             self.transport.abortConnection()
 
-    # --- Twisted's calls ---
+    # --- Twisted callbacks ---
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is open."""
+        """Reports an open connection to the dispatcher (Twisted callback)."""
         self.connected = self.handshake_complete = True
         if hasattr(self.transport, "setTcpNoDelay"):
             self.transport.setTcpNoDelay(True)
         self.dispatcher.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have arrived."""
+        """Parses received bytes and reports a complete reply (Twisted callback)."""
         attempt = self.attempt
         if attempt is None:
-            # Guards against a duplicate reply or noise, which the next attempt would take for its reply.
+            # A duplicate reply or noise must not be taken for the reply to the next attempt.
             self.dispatcher.counts["bytes behind an answer"] += 1
             self.abort()
             return
@@ -102,7 +101,7 @@
             self.abort()
             return
         self.attempt = None
-        attempt.pooled = None  # the connection is released after the delay, not with its attempt
+        attempt.pooled = None  # the connection is released after the delay, not when the attempt ends
         if self.parser.has_unparsed_bytes():
             self.dispatcher.counts["bytes behind an answer"] += 1
             self.abort()
@@ -111,17 +110,17 @@
         self.dispatcher.response_received(attempt, message, value, True)
 
     def _reuse_delay_over(self) -> None:
-        # Guards against a loop that stood still: it calls its timers before it reads, and what arrived during
-        # the delay may not be read yet. It is read before the next turn's calls.
+        # The event loop calls timers before it reads sockets: after it was blocked, input that arrived during
+        # the delay may not be read yet. It is read before the calls of the next iteration.
         self.dispatcher.clock.callLater(0, self._release)
 
     def _release(self) -> None:
-        """The connection may carry the next attempt."""
+        """Makes the connection available for the next attempt."""
         if self.connected:
             self.dispatcher.connection_freed(self)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Twisted: the connection has ended."""
+        """Reports the end of the connection to the dispatcher (Twisted callback)."""
         self.connected = False
         attempts = [] if self.attempt is None else [self.attempt]
         self.attempt = None
@@ -133,5 +132,5 @@
 
 
 def dialler(network: Network) -> OpenConnection:
-    """What opens connections to nodes that speak RESP2."""
+    """Returns the function that opens connections to nodes that speak RESP2."""
     return connection_opener(network, RespNodeConnection)
--- a/ochrecourse/resp/server.py
+++ b/ochrecourse/resp/server.py
@@ -1,4 +1,4 @@
-"""All clients' connections: the connection limit, eviction of idle connections, and graceful shutdown."""
+"""The RESP2 server: client connections and their limit, eviction of idle ones, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -15,22 +15,21 @@
 from ochrecourse.resp.commands import RequestClasses
 from ochrecourse.resp.pipeline import PipelineTotals
 
-MIN_SILENT_SECONDS = 0.25  # without a command, before which a new connection is not evicted
-MIN_IDLE_SECONDS = 0.25  # without an open request, before which a connection is not evicted
-MAX_IDLE_SECONDS = 6.0  # without an open request, after which a connection is closed; each holds memory
-IDLE_CHECK_SECONDS = 1.0  # between checks for connections that are idle for too long
-ACCEPT_MARGIN = 16  # connections over the limit while others close; the process's own descriptors suffice
-LINGERING_DIVISOR = 4  # of the connection limit: the most connections that may linger
-MIN_LINGERING_LIMIT = 16  # of these, however low the connection limit is
-PARTIAL_COMMAND_SECONDS = 0.2  # for partial commands after `shut_down`; the kill comes 0.5 s after it
-SHUTDOWN_LINGER_SECONDS = (
-    0.15  # for a lingering close after `shut_down`; last replies are out 0.2 s before the kill
-)
+MIN_SILENT_SECONDS = 0.25  # a new connection without a command is not evicted sooner
+MIN_IDLE_SECONDS = 0.25  # a connection without an open request is not evicted sooner
+MAX_IDLE_SECONDS = 6.0  # a connection idle for longer is closed, since each uses memory
+IDLE_CHECK_SECONDS = 1.0  # interval of the checks for idle connections
+ACCEPT_MARGIN = 16  # connections over the limit while others close; the process has descriptors to spare
+LINGERING_DIVISOR = 4  # at most this fraction of the connection limit may linger
+MIN_LINGERING_LIMIT = 16  # lower bound of that number
+PARTIAL_COMMAND_SECONDS = 0.2  # for partial commands after `shut_down`; the kill follows 0.5 s after it
+# For a lingering close after `shut_down`: the last replies are sent 0.2 s before the kill.
+SHUTDOWN_LINGER_SECONDS = 0.15
 
 
 class RespServerFactory(Factory):
     """Accepts clients (client_connection.ConnectionOwner) and observes the gateway's requests
-    (gateway.RequestObserver): one whose deadline passed in a loop that stood still gets an error line.
+    (gateway.RequestObserver): one whose deadline passed while the event loop was blocked gets an error line.
     """
 
     noisy = False
@@ -43,23 +42,23 @@
         max_connections: int,
         eviction_threshold: int,
     ) -> None:
-        """`eviction_threshold`: connections beyond which a silent or idle one is evicted for a new one."""
+        """`eviction_threshold`: number of connections above which a new one evicts a silent or idle one."""
         self.gateway = gateway
         self.clock = clock
         self.request_classes = request_classes
         self.max_connections = max_connections
         self.eviction_threshold = eviction_threshold
-        # Ordered sets, oldest first: all that hold a descriptor, and of these:
+        # Ordered sets, oldest first: all connections with a descriptor, and the subsets by state.
         self.connections: dict[RespClientConnection, None] = {}
         self.silent: dict[RespClientConnection, None] = {}  # without a complete command so far
         self.idle: OrderedDict[RespClientConnection, None] = OrderedDict()  # without an open request
-        self.lingering: dict[RespClientConnection, None] = {}  # closed by this side, not yet by the client
+        self.lingering: dict[RespClientConnection, None] = {}  # closed by this side but not yet by the client
         self.totals = PipelineTotals()
-        self.counts: Counter[str] = Counter()  # clients' errors by code, for the log
-        self.closed_connections = 0  # so far
+        self.counts: Counter[str] = Counter()  # client errors by code, for the log
+        self.closed_connections = 0  # since the start
         self.shutting_down = False
-        self.rejecting = False  # requests that have not started, late in the shutdown
-        self.max_linger_seconds: float | None = None  # where the process is shutting down
+        self.rejecting = False  # late in the shutdown: requests that have not started are rejected
+        self.max_linger_seconds: float | None = None  # set while the process is shutting down
         self.on_drained: Callable[[], None] | None = None  # called when the last connection has ended
         self._idle_check_timer: Timer | None = clock.callLater(
             IDLE_CHECK_SECONDS, self._close_idle_connections
@@ -67,13 +66,13 @@
         self._reject_timer: Timer | None = None
 
     def accept_capacity(self) -> int:
-        """How many more connections may be accepted now; lingering ones count, for they hold descriptors."""
+        """Returns how many more connections may be accepted; lingering ones use descriptors too."""
         return self.max_connections + ACCEPT_MARGIN - len(self.connections)
 
     def buildProtocol(self, addr: Any) -> RespClientConnection | None:
-        """Twisted: the protocol of an accepted connection, None to close it."""
+        """Returns the protocol of an accepted connection, None to close it (Twisted callback)."""
         if self.accept_capacity() <= 0:
-            # Guards against many clients in one turn of the loop: evicted ones end a turn later.
+            # Evicted connections close an iteration later, so many clients at once could exceed the limit.
             self.counts["shut_unread"] += 1
             return None
         return RespClientConnection(self)
@@ -81,7 +80,7 @@
     # --- client_connection.ConnectionOwner ---
 
     def connection_opened(self, connection: RespClientConnection) -> None:
-        """A client has connected; another connection may be evicted for it, or it may be rejected."""
+        """Registers a new connection, for which another may be evicted; otherwise it may be rejected."""
         self.connections[connection] = None
         self.silent[connection] = None
         connection.idle_since = self.clock.seconds()
@@ -96,31 +95,31 @@
             connection.reject()
 
     def connection_sent_command(self, connection: RespClientConnection) -> None:
-        """The first complete command has arrived."""
+        """Unmarks a connection as silent when its first complete command has arrived."""
         self.silent.pop(connection, None)
 
     def connection_busy(self, connection: RespClientConnection) -> None:
-        """The connection has an open request."""
+        """Unmarks a connection as idle when it has an open request."""
         self.idle.pop(connection, None)
 
     def connection_idle(self, connection: RespClientConnection) -> None:
-        """The connection has no open request from now on."""
+        """Marks a connection as idle when it has no open request any more."""
         self.idle[connection] = None
         self.idle.move_to_end(connection)
 
     def connection_lingering(self, connection: RespClientConnection) -> None:
-        """This side closes the connection, which holds its descriptor until its client has closed too."""
+        """Marks a connection as lingering, which keeps its descriptor until the client closes too."""
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
         self.lingering[connection] = None
 
     def limit_lingering(self) -> None:
-        """Ends the oldest lingering connection, where there are too many."""
+        """Closes the oldest lingering connection if there are too many."""
         if len(self.lingering) > max(MIN_LINGERING_LIMIT, self.max_connections // LINGERING_DIVISOR):
             self._close_oldest_lingering()
 
     def connection_closed(self, connection: RespClientConnection) -> None:
-        """The connection has ended and its descriptor is free."""
+        """Removes a connection that has ended and whose descriptor is free."""
         self.connections.pop(connection, None)
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
@@ -132,7 +131,7 @@
     # --- eviction ---
 
     def _close_oldest_lingering(self) -> None:
-        """Ends the connection that has lingered longest, without waiting for its client any more."""
+        """Closes the connection that has lingered longest without waiting for its client any longer."""
         for connection in self.lingering:
             closing = connection.lingering_close
             if closing is not None and not closing.closing_now:
@@ -140,10 +139,10 @@
                 return
 
     def _evict(self) -> bool:
-        """Ends a silent connection, or else the one that was idle longest; False if there is none.
+        """Closes a silent connection, or else the one idle longest. Returns False if there is none.
 
-        Guards against running out of descriptors, and against crowds that ask once and stay connected: while
-        these are idle at the connection limit, nobody else can connect.
+        Bounds the number of descriptors, and prevents many clients that stay connected after one request from
+        occupying the connection limit, so that nobody else can connect.
         """
         now = self.clock.seconds()
         for connection in list(self.silent):
@@ -169,8 +168,7 @@
     # --- graceful shutdown ---
 
     def shut_down(self) -> None:
-        """Closes idle connections at once and others as they become idle; `on_drained` is called after the
-        last one.
+        """Closes idle connections now and others as they become idle; calls `on_drained` after the last one.
 
         Half a second later the process may be killed, whatever clients do until then.
         """
@@ -186,7 +184,7 @@
             self.on_drained()
 
     def _reject_queued(self) -> None:
-        """Guards against clients that hold the process up to its kill with commands that never end."""
+        """Rejects queued requests, so that incomplete commands don't delay the exit until the kill."""
         self.rejecting = True
         for connection in list(self.connections):
             connection.reject_queued()
@@ -200,7 +198,7 @@
     # --- gateway.RequestObserver ---
 
     def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
-        """Answers a request whose deadline passed before the gateway could."""
+        """Sends an error for a request whose deadline passed before the gateway replied."""
         if record.outcome is not RequestOutcome.TOO_LATE:
             return
         for connection in [each for each in self.connections if record.number in each.in_flight]:
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -386,7 +386,7 @@
         here.loop.turn()
         turns += 1
         got += readable(loud)
-    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // client_connection.COMMANDS_PER_TURN
+    assert got == b"+PONG\r\n" * 4000 and turns >= 4000 // client_connection.COMMANDS_PER_ITERATION
 
 
 # --- attempts after a client's end ---
