--- a/ochrecourse/cli/successor.py
+++ b/ochrecourse/cli/successor.py
@@ -15,7 +15,7 @@
 from ochrecourse.cli.gateway_process import EXIT_BAD_SETTINGS, GatewayProcess, StartError
 from ochrecourse.cli.handover import HandoverRequest, socket_address
 from ochrecourse.cli.handover_client import SendRequest, request_sockets
-from ochrecourse.gateway.socket_handover import moved_socket
+from ochrecourse.gateway.socket_handover import socket_mismatch
 from ochrecourse.storage.journal import JournalError
 
 
@@ -44,7 +44,7 @@
         """The endpoint list first: until it is there, the running process serves better than this one."""
         self.process.sockets.descriptors = descriptors
         addresses = {name: socket_address(descriptor) for name, descriptor in descriptors.items()}
-        moved = moved_socket(self.settings, addresses)
+        moved = socket_mismatch(self.settings, addresses)
         if moved:
             self.process.fail(moved)
         else:
--- a/ochrecourse/gateway/__init__.py
+++ b/ochrecourse/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One host's gateway: reports to the scheduler, decisions carried out, and the daemon round them."""
+"""The gateway of one host: executes the scheduler's decisions, serves clients, and runs as a daemon."""
--- a/ochrecourse/gateway/client_connection.py
+++ b/ochrecourse/gateway/client_connection.py
@@ -1,9 +1,9 @@
-"""The clients' side of a gateway: receives requests with their bodies, sends each its answer, streams bodies
-that were read.
+"""Client connections of a gateway in the framed protocol: receives requests and their bodies, and streams
+responses.
 
-A request is submitted when its whole body is here; until then it can only be refused. Its time runs from when
-its header was read. A client that closes its connection cancels all its requests. What a client does wrong
-ends its own connection and nothing else.
+A request is submitted once its body is complete; until then it can only be refused. Its timeout runs from
+when its header was read. A client that closes its connection cancels all its requests. A protocol violation
+ends only the connection on which it occurs.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from ochrecourse.wire.framed_protocol import MESSAGE_TIMEOUT_S, FramedProtocol
 from ochrecourse.wire.state import Role, StreamState, client_connection_state
 
-MAX_TRACE_LENGTH = 64  # characters of a client's own name for a request; it stands in every attempt's header
-MAX_BODY_BYTES = 1 << 32  # what a temporary file is asked to store at most
+MAX_TRACE_LENGTH = 64  # characters of a client's trace id, which is in every attempt's header
+MAX_BODY_BYTES = 1 << 32  # of a request; stored in a temporary file
 MIN_UPLOAD_MS = 1.0
 MAX_UPLOAD_MS = 3_600_000.0
-MAX_TIMEOUT_NS = 1e18  # a longer one is no time that a client means
+MAX_TIMEOUT_NS = 1e18  # a longer timeout is invalid
 
 
 class _Upload:
-    """A request whose body is still arriving; `timer` ends it when its client would have given up."""
+    """A request whose body is still arriving; `timer` refuses it at the client's timeout."""
 
     def __init__(self, message: m.SubmitRequest, read_at: int, body: RequestBody) -> None:
         self.message = message
@@ -43,37 +43,37 @@
 
 @implementer(IPushProducer)
 class ClientConnection(FramedProtocol):
-    """One client's connection. It is the response handler of all requests that arrived on it."""
+    """One client's connection, and the response handler of all its requests."""
 
     def __init__(self, factory: ClientConnectionFactory) -> None:
         super().__init__(factory.clock, Role.RESPONDER, client_connection_state())
         self.factory = factory
         self.gateway = factory.gateway
         self.uploads: dict[int, _Upload] = {}  # by the client's id
-        self.client_ids: dict[int, int] = {}  # the client's id of each request, by the gateway's
-        self.request_ids: dict[int, int] = {}  # and the other way round
-        self.blocked = False  # its transport is full; LineReceiver has its own `paused`, for input
+        self.client_ids: dict[int, int] = {}  # the client's id by the gateway's request id
+        self.request_ids: dict[int, int] = {}  # the gateway's request id by the client's id
+        self.write_blocked = False  # the transport is full; LineReceiver's `paused` is for input
         self.unconsumed: dict[int, int] = {}  # bytes by request, written while the transport was full
-        self.greeting: Timer | None = None
+        self.hello_timer: Timer | None = None
 
     def connection_ready(self) -> None:
-        """The connection is open."""
+        """Sends the gateway's hello, or refuses the connection over the limit."""
         if len(self.factory.connections) >= self.factory.max_connections:
             self.factory.counts["connections over the cap"] += 1
             self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.gateway.name))
             self.fail_connection("too_many_connections", "this gateway has all the connections it takes")
             return
         self.factory.connections[self] = None
-        self.greeting = self.clock.callLater(
+        self.hello_timer = self.clock.callLater(
             MESSAGE_TIMEOUT_S, self.fail_connection, "no_hello", "no hello came"
         )
         self.transport.registerProducer(self, True)
         self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.gateway.name))
 
     def message_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
-        """A whole message was received."""
+        """Handles a complete message."""
         if isinstance(message, m.Hello):
-            stop(self.greeting)
+            stop(self.hello_timer)
         elif isinstance(message, m.SubmitRequest):
             self._request_received(message, body)
         elif isinstance(message, m.BodyChunk):
@@ -134,7 +134,7 @@
             self.gateway.submit(request, self)
         except BadRequestError as error:
             body.close()
-            self._forget(request_id)
+            self._remove_request(request_id)
             self._refuse(message.id, error.code, str(error))
 
     def _refuse(self, client_id: int, code: str, text: str) -> None:
@@ -148,77 +148,77 @@
             stop(upload.timer)
         request_id = self.request_ids.get(client_id)
         if request_id is not None:
-            self._forget(request_id)
+            self._remove_request(request_id)
             self.gateway.cancel(request_id)
         if after not in (StreamState.CLOSED, None):
             self.send_message(m.RequestCancelled(id=client_id))
 
-    def _forget(self, request_id: int) -> int | None:
-        """Forgets a request; returns the client's id of it, None if it was forgotten before."""
+    def _remove_request(self, request_id: int) -> int | None:
+        """Removes a request; returns the client's id of it, None if it was removed before."""
         client_id = self.client_ids.pop(request_id, None)
         if client_id is not None:
             del self.request_ids[client_id]
         return client_id
 
-    # --- the answer (common.requests.ResponseHandler) ---
+    # --- responses (common.requests.ResponseHandler) ---
 
     def served(self, request_id: int, size: int, shard: int) -> None:
-        """The answer begins."""
+        """Begins a response with a body of `size` bytes."""
         self.send_message(m.RequestServed(id=self.client_ids[request_id], size=size, shard=shard))
         if not size:
-            self._forget(request_id)
+            self._remove_request(request_id)
 
     def body_chunk(self, request_id: int, data: bytes) -> None:
-        """More of the answer's body."""
+        """Sends more of the response's body."""
         client_id = self.client_ids.get(request_id)
         if client_id is None:
             self.gateway.response_consumed(request_id, len(data))
             return
         self.send_message(m.BodyChunk(id=client_id), data)
         if client_id not in self.state.streams:
-            self._forget(request_id)
-        elif self.blocked:
+            self._remove_request(request_id)
+        elif self.write_blocked:
             self.unconsumed[request_id] = self.unconsumed.get(request_id, 0) + len(data)
         else:
             self.gateway.response_consumed(request_id, len(data))
 
     def aborted(self, request_id: int) -> None:
-        """The rest of the answer will not follow."""
-        if (client_id := self._forget(request_id)) is not None:
+        """Fails a request whose response was aborted."""
+        if (client_id := self._remove_request(request_id)) is not None:
             self.send_message(m.RequestFailed(id=client_id))
 
     def rejected(self, request_id: int, retry_after: int) -> None:
-        """The request is rejected."""
-        if (client_id := self._forget(request_id)) is not None:
+        """Rejects a request; `retry_after` in ns, 0 for no advice."""
+        if (client_id := self._remove_request(request_id)) is not None:
             self.send_message(m.RequestRejected(id=client_id, retry_after_ms=retry_after / MS))
 
     def failed(self, request_id: int) -> None:
-        """The request failed."""
-        if (client_id := self._forget(request_id)) is not None:
+        """Fails a request whose effect is unknown."""
+        if (client_id := self._remove_request(request_id)) is not None:
             self.send_message(m.RequestFailed(id=client_id))
 
     # --- back-pressure from the client (IPushProducer) ---
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full."""
-        self.blocked = True
+        """Withholds window updates: the transport's buffer is full (Twisted callback)."""
+        self.write_blocked = True
 
     def resumeProducing(self) -> None:
-        """The client has read what was buffered."""
-        self.blocked = False
+        """Grants window for what the client has read (Twisted callback)."""
+        self.write_blocked = False
         unconsumed, self.unconsumed = self.unconsumed, {}
         for request_id, size in unconsumed.items():
             self.gateway.response_consumed(request_id, size)
 
     def stopProducing(self) -> None:
-        """The connection is gone."""
-        self.blocked = True
+        """Blocks writes: the connection has ended (Twisted callback)."""
+        self.write_blocked = True
 
     def connection_ended(self, mid_message: bool) -> None:
-        """The connection is closed: all its requests are cancelled."""
+        """Cancels all requests of a connection that has ended."""
         self.factory.connections.pop(self, None)
         self.factory.connections_closed += 1
-        stop(self.greeting)
+        stop(self.hello_timer)
         if self.failure is not None:
             self.factory.counts[f"connections ended: {self.failure.code}"] += 1
         for upload in self.uploads.values():
@@ -233,7 +233,7 @@
 
 
 class ClientConnectionFactory(Factory):
-    """Makes a `ClientConnection` for each client; beyond `max_connections` at once one is refused."""
+    """Creates a `ClientConnection` for each client; connections over `max_connections` are refused."""
 
     noisy = False
 
@@ -246,7 +246,7 @@
         self.connections_closed = 0  # since the start
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """The protocol of a new connection."""
+        """Returns the protocol of a new connection (Twisted callback)."""
         return ClientConnection(self)
 
     def announce_drain(self) -> None:
@@ -255,6 +255,6 @@
             connection.send_message(m.GoAway(reason="draining"))
 
     def close(self) -> None:
-        """Closes all connections once what was written to them is sent."""
+        """Closes all connections once everything written to them has been sent."""
         for connection in list(self.connections):
             connection.transport.loseConnection()
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -1,7 +1,7 @@
-"""A gateway as one process serves it: how it starts, drains, is handed over and reads its settings again.
+"""The gateway daemon: starting, reloading settings, handover to the next process, draining and stopping.
 
-What it is made of is in daemon_parts.py, what it reports in daemon_status.py. The process around it (signals,
-logging, the health page's port) is in the command line.
+daemon_parts.py creates its parts and daemon_status.py its reports. The process around it (signals, logging,
+the port of the health page) is in ochrecourse/cli.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 from ochrecourse.membership.registry_watcher import RegistryWatcher
 from ochrecourse.settings.addresses import parse_address
 
-NATIVE = "native"  # the listening socket of the native framing, by name
-WEBDAV = "webdav"  # and that of WebDAV
+NATIVE = "native"  # name of the framed protocol's listening socket
+WEBDAV = "webdav"  # name of WebDAV's listening socket
 BACKLOG = 4096  # connections that may wait to be accepted
-ANY_PORT = ("127.0.0.1", 0)  # where the settings name no address
-JOURNAL_END_WAIT_S = 5.0  # for the journal's last sync, once no client is left
-LAST_ANSWERS = 0.2  # s for the last answers to be sent before connections close
+ANY_PORT = ("127.0.0.1", 0)  # if the settings specify no address
+JOURNAL_CLOSE_TIMEOUT_S = 5.0  # for the journal's last sync, after all clients have gone
+FINAL_RESPONSES_DELAY_S = 0.2  # for the last responses to be sent before connections close
 
-# Opens a port for what is named: its name, port, factory and host. Raises CannotListenError.
+# Opens a listening port, given its name, port, factory and host. Raises CannotListenError.
 Listen = Callable[[str, int, Any, str], Any]
 
 
 class Daemon(DaemonStatus):
-    """A gateway as it serves. `record` is a resolved settings record."""
+    """A gateway daemon. `record` is a resolved settings record."""
 
     # --- start ---
 
     def start(self) -> tuple[str, int]:
-        """Serves from now on; returns the address that it listens on. Raises CannotListenError."""
+        """Starts serving and returns the address on which it listens. Raises CannotListenError."""
         self.watch_endpoints()
         return self.listen(self.open_port)
 
     def watch_endpoints(self) -> None:
-        """Watches the endpoint list; nothing is accepted yet."""
+        """Starts watching the endpoint list, without accepting connections yet."""
         self.endpoint_watcher.start()
 
     def open_port(self, name: str, port: int, factory: Any, host: str) -> Any:
-        """Opens a port of the network (`Listen`)."""
+        """Opens a listening port of the network (`Listen`)."""
         return self.network.listenTCP(port, factory, backlog=BACKLOG, interface=host)
 
     def listen(self, listen: Listen) -> tuple[str, int]:
-        """Accepts from now on; returns the address of the native framing. Raises CannotListenError."""
+        """Starts accepting; returns the framed protocol's address. Raises CannotListenError."""
         host, port = parse_address(self.record["gateway"]["listen"]) or ANY_PORT
         self.client_port = listen(NATIVE, port, self.client_factory, host)
         if self.webdav is not None:
@@ -64,7 +64,7 @@
         return at.host, at.port
 
     def use_cached_list(self, snapshot: EndpointListSnapshot) -> None:
-        """A cached endpoint list, where it is not in the folder `gateway.state`."""
+        """Loads a cached endpoint list that is not stored in the directory `gateway.state`."""
         endpoint_list = self.endpoint_watcher.endpoint_list
         self._endpoint_list_received(endpoint_list.restore_snapshot(snapshot, now_ns(self.network)))
 
@@ -76,7 +76,10 @@
             self.fleet_member.nodes_are(self.gateway.entries)
 
     def accept_registry(self) -> bool:
-        """An operator confirms a registry whose data is older than before; False if none is in doubt."""
+        """Accepts, on an operator's order, a registry whose data is older than before.
+
+        Returns False if no registry is distrusted.
+        """
         watcher = self.endpoint_watcher
         if not isinstance(watcher, RegistryWatcher) or not watcher.registry.distrust_reason:
             return False
@@ -84,31 +87,32 @@
         return True
 
     def reload(self, record: Mapping[str, Any]) -> ReloadResult:
-        """Takes over settings that were read again, as far as a running daemon may."""
+        """Applies settings that were read again, as far as a running daemon can."""
         result = reload_result(self.record, record)
         self.gateway.max_open = record["clients"]["open_jobs"]
         self.client_factory.max_connections = record["clients"]["connections"]
         self.record = reloaded_record(self.record, record)
         return result
 
-    # --- the fleet, while sockets are handed over ---
+    # --- the fleet during a handover ---
 
     def join_fleet(self) -> None:
-        """Makes its member of the fleet, where that was left for later. Raises JournalError, OSError."""
+        """Creates the fleet member if that was deferred. Raises JournalError, OSError."""
         if self.fleet_member is None and "fleet" in self.record:
             self.fleet_member = self._make_fleet_member()
             self.fleet_member.nodes_are(self.gateway.entries)
 
     def release_fleet(self, on_released: Callable[[], None] = lambda: None) -> None:
-        """Leaves the fleet to the next process of this name, which may open the journal once `on_released` is
-        called; requests are served as before.
+        """Leaves the fleet for the next process of this name; requests are served as before.
+
+        The next process may open the journal once `on_released` is called.
         """
         if self.fleet_member is None:
             on_released()
             return
 
         def given() -> None:
-            # Not where this process has taken its place back meanwhile: then the lock is its own again.
+            # If this process has rejoined the fleet meanwhile, it needs the lock itself.
             if self.process_lock is not None and self.fleet_member is None:
                 self.process_lock.release()
             on_released()
@@ -117,8 +121,9 @@
         self.released_member.give(given)
 
     def rejoin_fleet(self, listen: Listen) -> None:
-        """The next process ended before it served: takes this gateway's place in the fleet again. Raises
-        JournalError, OSError, CannotListenError.
+        """Rejoins the fleet when the next process exited before it served.
+
+        Raises JournalError, OSError, CannotListenError.
         """
         self.join_fleet()
         self.released_member = None
@@ -126,29 +131,28 @@
             self.fleet_member.start(listen, self.record["fleet"]["listen"])
 
     def hand_over(self) -> None:
-        """Another process accepts on this one's sockets, which are closed here: what is in flight is
-        finished.
-        """
+        """Begins to drain after a handover: another process accepts on the sockets, which are closed here."""
         self.client_port = None
         if self.released_member is not None:
             from ochrecourse.fleet.quota import LENDABLE_FRACTION, SETTLE_MS
 
-            # The next process uses half of the quota at nodes that warm up at first; the other half is for
-            # what is in flight here, until what remains of earlier uses counts as another's.
+            # At nodes in slow start, the next process uses half of the quota at first and this one the other
+            # half for its requests in flight, until the remaining use counts as that of another gateway.
             self.released_member.share(LENDABLE_FRACTION)
             self.network.callLater(SETTLE_MS / 1000, self.released_member.share, 0.0)
         if self.registration is not None:
-            # Guards against an entry that is missing until the next process, whose it is now, writes it anew.
+            # The entry in the registry now belongs to the next process: revoking it here would remove it
+            # until that process writes it again.
             self.registration.stop()
         self._begin_drain()
 
-    # --- the end ---
+    # --- shutdown ---
 
     def drain(self) -> None:
-        """Begins the graceful shutdown. Service addresses are withdrawn first, as docs/bgp.md says; a second
-        call skips that.
+        """Begins the graceful shutdown. Service addresses are withdrawn first, as described in docs/bgp.md; a
+        second call skips that.
 
-        Then nothing new is admitted; when all that is in flight is answered, everything is closed and
+        Then new requests are rejected. When all requests in flight are answered, everything is closed and
         `HostProgram.on_stopped` is called.
         """
         if self.speaker is None or not self.speaker.begin_drain():
@@ -176,26 +180,24 @@
         if self.speaker is None or self.speaker.drain.stage is Stage.SERVING:
             self._close_clients()
         else:
-            self.speaker.look()  # it ends its sessions, then calls `_close_clients`
+            self.speaker.look()  # closes its sessions, then calls `_close_clients`
 
     def _close_clients(self) -> None:
-        """Requests that were on their way when clients were notified are still rejected; then the connections
-        close.
-        """
-        self.network.callLater(LAST_ANSWERS, self.client_factory.close)
+        """Closes client connections after a delay, in which requests already sent are still rejected."""
+        self.network.callLater(FINAL_RESPONSES_DELAY_S, self.client_factory.close)
         if self.webdav is not None:
-            self.network.callLater(LAST_ANSWERS, self.webdav.close)
-        self.network.callLater(2 * LAST_ANSWERS, self._stopped)
+            self.network.callLater(FINAL_RESPONSES_DELAY_S, self.webdav.close)
+        self.network.callLater(2 * FINAL_RESPONSES_DELAY_S, self._stopped)
 
     def _stopped(self) -> None:
         if self.fleet_member is not None:
-            self.fleet_member.close_journal(JOURNAL_END_WAIT_S)
+            self.fleet_member.close_journal(JOURNAL_CLOSE_TIMEOUT_S)
         if self.process_lock is not None:
             self.process_lock.release()
         self.host.on_stopped()
 
     def kill(self) -> None:
-        """Ends everything at once and notifies nobody, as the end of a process does."""
+        """Stops at once and notifies nobody, like the exit of a process."""
         if self.fleet_member is not None:
             self.fleet_member.kill()
         if self.process_lock is not None:
--- a/ochrecourse/gateway/daemon_parts.py
+++ b/ochrecourse/gateway/daemon_parts.py
@@ -1,4 +1,4 @@
-"""What a daemon is made of: a gateway, its clients' side, its endpoint list, and what its settings add."""
+"""The parts of a daemon: gateway, client connections, endpoint list, and optional parts by its settings."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 from ochrecourse.storage.process_lock import ProcessLock
 from ochrecourse.webdav.door import Door
 
-# Each component with chance of its own gets another seed, so that none repeats another's sequence.
+# Each component with its own random generator gets a different seed, so that no sequences are equal.
 WATCHER_SEED = 0x5DEECE66D
 FLEET_SEED = 0x2545F491
 
 
 def ignore_event(event: str, **fields: Any) -> None:
-    """A log that drops everything."""
+    """Drops a log line; the default for `HostProgram.log_event`."""
 
 
 def inline_worker(name: str) -> DiskWorker:
-    """For hosts that write files in the event loop."""
+    """Returns a worker that writes files in the event loop."""
     return InlineWorker()
 
 
 def call_now(call: Callable[..., Any], *args: Any) -> None:
-    """For hosts without threads."""
+    """Makes a call at once, for programs without threads."""
     call(*args)
 
 
@@ -60,13 +60,13 @@
 class HostProgram:
     """What the program around a daemon provides.
 
-    `warn` takes a warning for operators; `on_stopped` is called when the daemon has drained and closed;
-    `log_event` takes a line of the log, with its fields; `clock_zero`: s since 1970 at the network's clock's
-    zero, for dates that clients see; `access_log` takes a WebDAV request's line; `names_journal` stores names
-    and locks, `fleet_journal` what the fleet shares, by default in the folder `gateway.state`;
-    `wall_clock_ms`: ms since 1970; `acquire_lock` acquires the lock of that folder as the daemon is made;
-    `make_disk_worker`: by name, who writes files while the gateway serves; `call_from_thread` has the event
-    loop make a call that such a worker asks for.
+    `warn`: writes a warning for operators; `on_stopped`: called when the daemon has drained and closed;
+    `log_event`: writes a log line with fields; `clock_zero`: Unix time in s at the zero of the network's
+    clock, for dates that clients see; `access_log`: writes the line of a WebDAV request; `names_journal`:
+    stores names and locks, `fleet_journal`: the fleet's shared state, both by default in the directory
+    `gateway.state`; `wall_clock_ms`: Unix time in ms; `acquire_lock`: acquires the lock of that directory
+    when the daemon is created; `make_disk_worker`: creates a worker by name that writes files while the
+    gateway serves; `call_from_thread`: runs a worker's call in the event loop.
     """
 
     network: Network
@@ -86,11 +86,12 @@
 
 
 class DaemonParts(ABC):
-    """The parts of one daemon, made from a resolved settings record."""
+    """The parts of one daemon, created from a resolved settings record."""
 
     def __init__(self, record: Mapping[str, Any], host: HostProgram, join_later: bool = False) -> None:
-        """`join_later`: its member of the fleet is made by `join_fleet`, once its journal is free. Raises
-        JournalError, Unreadable, OSError.
+        """`join_later`: the fleet member is created later by `join_fleet`, when its journal is available.
+
+        Raises JournalError, Unreadable, OSError.
         """
         self.record = record
         self.host = host
@@ -103,7 +104,7 @@
         self.client_factory = ClientConnectionFactory(self.gateway, self.network, max_connections)
         self.endpoint_watcher = self._make_endpoint_watcher()
         self.registration = self._make_registration()
-        self.client_port: Any = None  # once it accepts
+        self.client_port: Any = None  # set while it accepts
         self.webdav_port: Any = None
         state = own["state"]
         self.process_lock = ProcessLock(Path(state) / f"{own['name']}.lock") if state else None
@@ -111,9 +112,9 @@
             host.acquire_lock(self.process_lock)
         self.file_journals: dict[str, FileJournal] = {}
         self.webdav = self._make_webdav() if "webdav" in record else None
-        self.fleet_member: Any = None  # its member of the fleet
-        self.released_member: Any = None  # whose place the next process has taken
-        self.purger: Any = None  # of the fleet's subsystems, the one that drops cached objects
+        self.fleet_member: Any = None
+        self.released_member: Any = None  # the member that was replaced by that of the next process
+        self.purger: Any = None  # the fleet's subsystem that purges cached objects
         if "fleet" in record:
             self._prepare_fleet(join_later)
         self.outcome_watch = Watch()
@@ -121,27 +122,27 @@
 
     @abstractmethod
     def status(self) -> Sight:
-        """What this gateway sees of itself now."""
+        """Returns this gateway's current state, as input to its fitness for service addresses."""
 
     @abstractmethod
     def listen_address(self) -> str:
-        """HOST:PORT of the native framing; empty before it serves."""
+        """Returns HOST:PORT of the framed protocol; empty before it serves."""
 
     @abstractmethod
     def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
-        """A request is over (RequestObserver)."""
+        """Records a finished request (RequestObserver)."""
 
     @abstractmethod
     def _endpoint_list_received(self, update: EndpointListUpdate) -> None:
-        """The endpoint list changed."""
+        """Applies a change of the endpoint list."""
 
     @abstractmethod
     def _begin_drain(self) -> None:
-        """Notifies clients and admits nothing new."""
+        """Notifies clients and stops admitting requests."""
 
     @abstractmethod
     def _close_clients(self) -> None:
-        """All is answered, and no service address leads here any more."""
+        """Closes clients when all requests are answered and the service addresses are withdrawn."""
 
     def _make_gateway(self) -> Gateway:
         own = self.record["gateway"]
@@ -157,7 +158,7 @@
         )
 
     def _make_endpoint_watcher(self) -> ListServerWatcher | RegistryWatcher:
-        """Who watches the endpoint list: at a list server or in a registry."""
+        """Creates the watcher of the endpoint list, at a list server or in a registry."""
         name, state = self.record["gateway"]["name"], self.record["gateway"]["state"]
         cache = Path(state) / f"{name}.nodes" if state else None
         seed = self.seed ^ WATCHER_SEED
@@ -180,7 +181,7 @@
         return ListServerWatcher(context, list_server)
 
     def _make_registration(self) -> Registration | None:
-        """This gateway's own entry in the registry, if it is to have one."""
+        """Creates this gateway's registration in the registry, None if the settings have none."""
         record = self.record
         if "registry" not in record or not record["registry"]["own"]:
             return None
@@ -214,7 +215,7 @@
         return webdav_server(self.record, self.gateway, self.network, names, host.access_log)
 
     def _report_slow_syncs(self, journal: Journal) -> None:
-        """Logs each sync of a journal that took long."""
+        """Logs each slow sync of a journal."""
         if isinstance(journal, FileJournal):
             self.file_journals[journal.name] = journal
             file, log_event = journal.path.name, self.host.log_event
@@ -225,7 +226,7 @@
             journal.on_slow_sync = lambda seconds: self.host.call_from_thread(log_slow_sync, seconds)
 
     def _make_speaker(self) -> Speaker | None:
-        """Who announces the service addresses, where the settings have any."""
+        """Creates the BGP speaker that announces service addresses, None if the settings have none."""
         setup = setup_of(self.record)
         if setup is None:
             return None
@@ -237,17 +238,17 @@
         speaker.gone.append(self._close_clients)
         return speaker
 
-    # --- the fleet; nothing of it is loaded where the settings name none ---
+    # --- the fleet, whose modules are imported only if the settings have one ---
 
     def _prepare_fleet(self, join_later: bool) -> None:
         if not join_later:
             self.fleet_member = self._make_fleet_member()
         elif self.host.fleet_journal is None and self.record["gateway"]["state"]:
-            # Guards against a program that can't read the journal and finds so when it was given up for it.
+            # Fails before the other process releases the journal if this program can't read it.
             self._fleet_journal().check_readable()
 
     def _fleet_journal(self) -> FileJournal:
-        """What the fleet shares, as it is stored in the folder `gateway.state`."""
+        """Opens the journal of the fleet's shared state in the directory `gateway.state`."""
         from ochrecourse.fleet.member_environment import JOURNAL
 
         own, (name, oldest, newest) = self.record["gateway"], JOURNAL
@@ -255,7 +256,7 @@
         return FileJournal(path, name, oldest, min(newest, self.record["fleet"]["newest_form"]))
 
     def _make_fleet_member(self) -> Any:
-        """This gateway's member of the fleet. Raises JournalError, OSError."""
+        """Creates this gateway's fleet member. Raises JournalError, OSError."""
         from ochrecourse.fleet.member import FleetMember
         from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
         from ochrecourse.fleet.stall_detector import StallDetector
@@ -291,12 +292,14 @@
 
     def _fleet_settings(self) -> dict[str, Any]:
         settings, rules = dict(self.record["fleet"]), self.record["rules"]
-        if "zones" in settings and rules["cold_fall"]:  # what a node that warms up bears is a rule already
+        if (
+            "zones" in settings and rules["cold_fall"]
+        ):  # the rate of a node in slow start is derived from the rules
             warm_up_rate = rules["cold_units"] * 1000 / rules["cold_fall"]
             settings["zones"] = {"cold": warm_up_rate, **settings["zones"]}
         return settings
 
 
 def _servers(settings: Mapping[str, Any]) -> list[tuple[str, int]]:
-    """Host and port of each server of the registry."""
+    """Returns host and port of each server of the registry."""
     return [server for each in settings["servers"] if (server := parse_address(each)) is not None]
--- a/ochrecourse/gateway/daemon_status.py
+++ b/ochrecourse/gateway/daemon_status.py
@@ -1,4 +1,4 @@
-"""What a daemon reports of itself: status for its service addresses, health page, metrics, endpoint list."""
+"""The reports of a daemon: status for its service addresses, health page, metrics, endpoint list."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from ochrecourse.nodes.outcome import AttemptEvent
 from ochrecourse.storage.journal import SYNC_BUCKETS_S
 
-RECENT_LAG = 2 * SECOND  # ns in which a late event loop counts for the status
+RECENT_LAG = 2 * SECOND  # period, in ns, whose worst event loop lag is in the status
 
 
 class DaemonStatus(DaemonParts):
-    """The reports of one daemon. Names of figures and fields are those of the operators' pages."""
+    """The reports of one daemon. Names of metrics and fields are documented for operators."""
 
     def listen_address(self) -> str:
-        """HOST:PORT of the native framing; empty before it serves."""
+        """Returns HOST:PORT of the framed protocol; empty before it serves."""
         at = self.client_port.getHost() if self.client_port is not None else None
         return f"{at.host}:{at.port}" if at is not None else ""
 
     def status(self) -> Sight:
-        """What this gateway sees of itself now."""
+        """Returns this gateway's current state, as input to its fitness for service addresses."""
         gateway, watcher, now = self.gateway, self.endpoint_watcher, now_ns(self.network)
         ready_nodes = [node for node, entry in gateway.entries.items() if entry.health is Health.READY]
         recent = self.outcome_watch.look(gateway.request_log.outcomes, now)
@@ -43,7 +43,7 @@
             draining=not gateway.shutdown.accepts_requests(),
             loop_late=gateway.event_loop_lag.worst_since(now - RECENT_LAG),
             has_list=bool(gateway.entries),
-            # A list that is watched is as fresh as its connection, however long ago it last changed.
+            # While the watch is connected, the list is current, however long ago it last changed.
             list_age=0 if watcher.connected else list_age or 0,
             list_fresh=list_age is not None,
             enrolled=registration is None or registration.is_active() or not registration.lease.losses,
@@ -57,7 +57,7 @@
         )
 
     def ready(self) -> tuple[bool, str]:
-        """Whether new requests are of any use here, and why not."""
+        """Returns whether new requests can be served, and "ready" or the reason why not."""
         if not self.gateway.shutdown.accepts_requests():
             return False, "leaving"
         if not self.gateway.entries:
@@ -67,7 +67,7 @@
         return True, "ready"
 
     def endpoint_report(self) -> dict[str, Any]:
-        """The endpoint list as this gateway has it, and how sure of it it is."""
+        """Returns this gateway's endpoint list, its age and source, and conflicts with observations."""
         watcher, now = self.endpoint_watcher, now_ns(self.network)
         age = watcher.endpoint_list.age(now)
         report: dict[str, Any] = {
@@ -95,7 +95,7 @@
         return report
 
     def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
-        """Notes what a request's attempts showed of their nodes."""
+        """Records what a finished request's attempts show about their nodes."""
         for attempt in record.attempts:
             if attempt.reason:
                 ended_at = attempt.sent_at + attempt.took
@@ -104,7 +104,7 @@
     # --- the metrics page ---
 
     def figures(self) -> dict[str, float]:
-        """What the metrics page shows, by name."""
+        """Returns the values of the metrics page by name."""
         figures = {
             **self._request_figures(),
             **self._endpoint_figures(),
--- a/ochrecourse/gateway/gateway.py
+++ b/ochrecourse/gateway/gateway.py
@@ -1,13 +1,13 @@
-"""One host's gateway: reports what happens to the scheduler and carries out its decisions on the nodes.
+"""The gateway of one host: reports events to the scheduler and executes its decisions.
 
-    gateway = Gateway(values, seed, reactor, dialler(reactor), name)  # nothing global
+    gateway = Gateway(values, seed, reactor, dialler(reactor), name)  # no global state
     gateway.endpoint_list_received(ListKind.FULL, entries, addresses)
-    gateway.submit(request, handler)  # the handler is called with exactly one final answer
+    gateway.submit(request, handler)  # the handler is called with exactly one final response
 
-Free of I/O: the clock, the seed and what opens connections (nodes/framed_connection.py) are handed in. It
-decides nothing about a request. Every report goes to `scheduler.Scheduler`; then its decisions are pulled one
-by one until none is left; attempts, replies and list calls are carried out; one timer brings it back at
-`next_due`. Several gateways can live in one process, on the real reactor or a virtual clock.
+Performs no I/O: the clock, the seed and the function that opens connections (nodes/framed_connection.py) are
+injected. The gateway makes no decisions about requests. It reports every event to `scheduler.Scheduler`, then
+pulls decisions (attempts, replies, list calls) until there are none, and executes them; one timer wakes it at
+`next_due`. Several gateways can run in one process, on the real reactor or a virtual clock.
 """
 
 from __future__ import annotations
@@ -32,20 +32,21 @@
 from ochrecourse.nodes.pool import PoolLimits
 from ochrecourse.scheduler.scheduler import Scheduler
 
-SLOW_DIAL = 0.1  # of the shortest latency objective, after which a dial is slow: leaves time for a second one
-SHUTDOWN_CHECK_DELAY = 0.001  # s after the last deadline, so that its own timers have fired
+# A dial is slow after this fraction of the shortest latency objective, which leaves time for a second dial.
+SLOW_DIAL_FRACTION = 0.1
+SHUTDOWN_CHECK_DELAY = 0.001  # s after the last deadline, so that the timers of that deadline have fired
 
 
 class RequestObserver(Protocol):
-    """Who is notified of each request once it is over."""
+    """Is notified of each finished request."""
 
     def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
-        """A request is over and none of its attempts is out; its record is final."""
+        """A request has its outcome and no attempt in flight; its record is final."""
 
 
 class Gateway(RequestExecutor):
-    """One host. `values` is the plain map of settings that the scheduler reads; limits of connections come
-    from the same map.
+    """The gateway of one host. `values` is the flat map of settings that the scheduler reads, which also has
+    the connection limits.
     """
 
     def __init__(  # noqa: PLR0913 (programs of library surface 1 call it so)
@@ -61,16 +62,17 @@
         limits: PoolLimits | None = None,
         unread_since: Callable[[], int] | None = None,
     ) -> None:
-        """`travel`: ns that an answer takes to its client; `decisions`: what makes the host's scheduler;
-        `limits`: of connections, if the map's own are not meant; `unread_since`: the clock's time since when
-        some input may not be read yet, where the loop knows (common/event_loop.py)."""
+        """`travel`: transit time of a response to its client, in ns; `decisions`: creates the scheduler;
+        `limits`: connection limits that override those in `values`; `unread_since`: returns the clock time,
+        in ns, since when input may be unread, if the event loop knows it (common/event_loop.py).
+        """
         self.name = name
         self.travel = travel
         self.observers = observers
         self.max_open = max_open_requests(values)
         self.addresses: dict[int, tuple[str, int]] = {}
         index = SettingsIndex(values)
-        slow_dial = min(index.latency_objectives, default=SECOND) * SLOW_DIAL / SECOND
+        slow_dial = min(index.latency_objectives, default=SECOND) * SLOW_DIAL_FRACTION / SECOND
         dispatcher = Dispatcher(
             name,
             clock,
@@ -81,30 +83,28 @@
         scheduler = decisions(values, seed, now_ns(clock))
         super().__init__(clock, f"{name}/{seed & 0xFFFFFFFF:08x}", index, dispatcher, scheduler)
         self.event_loop_lag = EventLoopLag()
-        self.list_wanted = False  # the scheduler asked for the endpoint list
+        self.list_wanted = False  # whether the scheduler requested the endpoint list
         self.on_list_wanted: Callable[[], None] | None = None
         self.entries: dict[int, NodeEntry] = {}
         self.rejected_on_arrival = 0
-        self.shutdown_deadline = (
-            0  # ns; every request submitted from now on is answered by then; 0: no such time
-        )
+        self.shutdown_deadline = 0  # clock time (ns) by which new requests must be answered; 0: none
         self._last_request_id = 0
         self._deciding = False
         self._catch_up = InputCatchUp(clock, self.event_loop_lag, unread_since, self._decide)
         self._timer: Timer | None = None
-        self._due = 0  # ns, of the timer
+        self._due = 0  # clock time (ns) of the timer
 
     def use_clock(self, clock: Clock) -> None:
-        """Reads this clock from now on, which shows the same time as the one before."""
+        """Replaces the clock by one that shows the same time."""
         self.clock = clock
         self._catch_up.clock = clock
 
-    # --- what is reported ---
+    # --- reported events ---
 
     def endpoint_list_received(
         self, kind: ListKind, entries: Sequence[NodeEntry], addresses: Mapping[int, tuple[str, int]]
     ) -> None:
-        """An endpoint list, or a change of it; times of the nodes' starts are on this host's clock."""
+        """Applies an endpoint list or a change to it; start times of nodes are on this host's clock."""
         if kind in (ListKind.FULL, ListKind.CACHED):
             self.entries.clear()
         self.entries.update({entry.node: entry for entry in entries})
@@ -112,8 +112,7 @@
         self.ready_nodes_by_shard = Counter(ready)
         self.addresses.update(addresses)
         self.scheduler.list_received(kind, entries, now_ns(self.clock))
-        # Guards against an attempt that waits for its connection and is written when its node has long
-        # drained.
+        # An attempt that waits for a connection must not be written to a node that has drained meanwhile.
         self.nodes.cancel_waiting(self._is_ready)
         self._pull()
 
@@ -122,13 +121,14 @@
         return entry is not None and entry.health is Health.READY
 
     def node_rates_received(self, rates: Mapping[int, float]) -> None:
-        """Units a second that may begin at each node named, as the fleet decided; others have no limit."""
+        """Applies the fleet's limits in units per second by node; nodes not in `rates` have no limit."""
         self.scheduler.node_rates_received(rates, now_ns(self.clock))
         self._pull()
 
     def submit(self, request: Request, handler: ResponseHandler) -> int:
-        """Accepts a request and returns its id; its handler is called later or at once. Raises
-        BadRequestError.
+        """Accepts a request and returns its id; the handler may be called before this returns.
+
+        Raises BadRequestError.
         """
         request_class = self.settings_index.classes.get(request.request_class)
         tenant = self.settings_index.tenants.get(request.tenant)
@@ -164,15 +164,15 @@
             if cache_handler is None:
                 return request_id
             self.in_flight[request_id].handler = cache_handler
-        self._to_scheduler(record, request, now)
+        self._submit_to_scheduler(record, request, now)
         return request_id
 
     def next_request_id(self) -> int:
-        """The id that the next request gets; its answer may be handed over before `submit` returns."""
+        """Returns the id of the next request, whose response may be delivered before `submit` returns."""
         return self._last_request_id + 1
 
     def cancel(self, request_id: int) -> None:
-        """The client of a request no longer waits."""
+        """Cancels a request whose client no longer waits."""
         unsent = self.object_cache is not None and self.object_cache.request_cancelled(request_id)
         if self.request_log.settle(request_id, RequestOutcome.CLIENT_CLOSED, now_ns(self.clock)) is not None:
             if not unsent:
@@ -182,21 +182,21 @@
                 cancelled.attempt is not None
                 and cancelled.attempt.write_progress() is not WriteProgress.COMPLETE
             ):
-                self.nodes.cancel(cancelled.attempt)  # nothing of it runs, and nobody waits for it
+                self.nodes.cancel(cancelled.attempt)  # an incomplete attempt is never executed
             self._finish(cancelled)
             self._pull()
         elif unsent:
             self._finish(self.in_flight[request_id])
         elif self.object_cache is not None and self.object_cache.wants_response(request_id):
-            pass  # other requests read the same answer
+            pass  # other requests read the same response
         elif (answered := self.in_flight.get(request_id)) is not None and answered.attempt is not None:
-            # Its answer had begun and nobody reads the rest, which is no fault of anybody.
+            # The response had begun and its rest is not needed: this is not a failure of the request.
             answered.response_bytes_left = 0
             self.nodes.cancel(answered.attempt)
 
     def cancel_all(self, request_ids: Sequence[int]) -> None:
-        """The client of several requests no longer waits: none of them is forwarded in the place of another
-        that is cancelled.
+        """Cancels several requests of a client. None of them is forwarded when another's cancel frees
+        capacity.
         """
         deciding, self._deciding = self._deciding, True
         try:
@@ -207,12 +207,12 @@
         self._pull()
 
     def response_consumed(self, request_id: int, size: int) -> None:
-        """The client received `size` more bytes of its answer."""
+        """Grants the node window for `size` more bytes of a response that the client has received."""
         if self.object_cache is None or not self.object_cache.response_consumed(request_id, size):
             self.grant_credit(request_id, size)
 
     def drain(self) -> None:
-        """Admits nothing new from now on; `on_drained` is called when all that is in flight is answered."""
+        """Rejects new requests and calls `on_drained` when all requests in flight are finished."""
         now = now_ns(self.clock)
         if self.shutdown.begin(now, self.request_log.latest_answer_at()):
             wait = max(0, self.shutdown.finish_by - now) / SECOND + SHUTDOWN_CHECK_DELAY
@@ -220,16 +220,16 @@
             self._check_drained()
 
     def stop(self) -> None:
-        """Ends everything at once, as a kill does, but closes connections and timers."""
+        """Stops at once like a kill, but closes connections and timers."""
         self.shutdown.stage = ShutdownStage.LEFT
         stop(self._timer)
         self._timer = None
         self.nodes.close()
 
-    # --- the one timer, and decisions ---
+    # --- the timer and decisions ---
 
     def _pull(self) -> None:
-        """Carries out decisions until there are none; reports made meanwhile are seen by the same loop."""
+        """Executes decisions until there are none, including those that follow from events meanwhile."""
         if self._deciding or self._catch_up.iterations_left:
             return
         if self._catch_up.input_is_unread():
@@ -261,26 +261,26 @@
             self._timer = self.clock.callLater((self._due - now) / SECOND, self._timer_fired)
 
     def _iterations_behind(self) -> int:
-        """Iterations of the loop until all input that is not read yet is reported; 0 if it is."""
+        """Returns the number of event loop iterations until all unread input is reported; 0 if it is."""
         if self._catch_up.iterations_left:
             return self._catch_up.iterations_left
         behind = self._catch_up.input_is_unread() or self._timer_is_overdue()
         return ITERATIONS_BEHIND + 1 if behind else 0
 
     def _timer_is_overdue(self) -> bool:
-        """Whether the iteration took so long that the timer is late, which then sees to what is unread."""
+        """Whether the timer is late because of a long iteration; it then waits for unread input itself."""
         return self._timer is not None and now_ns(self.clock) - self._due > NEGLIGIBLE_LAG
 
     def _timer_fired(self) -> None:
         self._timer = None
         if self.event_loop_lag.timer_fired(self._due, now_ns(self.clock)):
-            # Guards against forwarding a request whose client has closed, which is not read yet.
+            # Avoids forwarding a request whose client has closed while the close is not read yet.
             self._catch_up.wait(ITERATIONS_BEHIND)
             return
         self._pull()
 
     def _finish(self, in_flight: InFlightRequest) -> None:
-        """Forgets a request if it is over and none of its attempts is out."""
+        """Removes a request that has its outcome and no attempt in flight, and notifies observers."""
         record = in_flight.record
         if self.request_log.remove_finished(record):
             del self.in_flight[record.number]
--- a/ochrecourse/gateway/graceful_shutdown.py
+++ b/ochrecourse/gateway/graceful_shutdown.py
@@ -1,9 +1,9 @@
-"""The stages of a gateway's graceful shutdown: serving, draining, left. Free of I/O and clocks.
+"""The stages of a gateway's graceful shutdown: serving, draining, stopped. Performs no I/O, reads no clock.
 
-Draining means: nothing new is admitted (a request that still arrives is rejected at once, which is harmless,
-as nothing of it ran); clients are notified; what is in flight goes on as the scheduler decides, each request
-to its one final answer. It is complete when the last request is answered and its last attempt has ended, or
-when the last client has given up, whichever is first.
+While draining, clients are notified and new requests are rejected at once, which is safe to retry since
+nothing was executed. Requests in flight continue as the scheduler decides, each to its one final response.
+The drain is complete when the last request is answered and its last attempt has ended, or when the last
+client's deadline has passed, whichever is first.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class ShutdownStage(Enum):
-    """How far a gateway's shutdown is."""
+    """The stages of a gateway's shutdown."""
 
     SERVING = "serving"
     LEAVING = "leaving"  # draining
-    LEFT = "left"
+    LEFT = "left"  # stopped
 
 
 class GracefulShutdown:
@@ -25,10 +25,10 @@
     def __init__(self) -> None:
         self.stage = ShutdownStage.SERVING
         self.began = 0
-        self.finish_by = 0  # by then every client has its answer or has given up
+        self.finish_by = 0  # by then every client has its response or has timed out
 
     def begin(self, now: int, last_deadline: int) -> bool:
-        """Starts to drain; False if that was done before. `last_deadline`: when the last client gives up."""
+        """Starts to drain; returns False if it did before. `last_deadline`: of all open requests, in ns."""
         if self.stage is not ShutdownStage.SERVING:
             return False
         self.stage = ShutdownStage.LEAVING
@@ -41,9 +41,10 @@
         return self.stage is ShutdownStage.SERVING
 
     def check_finished(self, now: int, open_requests: int, in_flight: int) -> bool:
-        """Called whenever something ended; True once, when the gateway may stop.
+        """Checks after each ended request; returns True once, when the gateway may stop.
 
-        `open_requests` have no answer yet; `in_flight` have no answer or an attempt that is out.
+        `open_requests`: number of unanswered ones; `in_flight`: of those unanswered or with an attempt in
+        flight.
         """
         if self.stage is not ShutdownStage.LEAVING:
             return False
--- a/ochrecourse/gateway/log_sampling.py
+++ b/ochrecourse/gateway/log_sampling.py
@@ -1,8 +1,8 @@
-"""Which requests get a line in the log. Free of I/O and clocks.
+"""Samples which requests get a log line. Performs no I/O, reads no clock.
 
-Lines are written at a stated rate at most, by a token bucket that holds one second's worth. Requests that
-were served as they should may use only the upper half of the bucket, so that under load the others still
-find tokens. Lines that are left out are counted, and the next line says how many.
+Lines are limited to a configured rate by a token bucket that holds one second's worth. Requests served by
+their first attempt may use only the upper half of the bucket, so that tokens are left for the others under
+load. Dropped lines are counted, and the next line reports how many.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LogSampler:
-    """The token bucket of one log. `rate`: lines a second."""
+    """The token bucket of one log. `rate`: lines per second."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
@@ -20,19 +20,19 @@
         self.refilled_at = 0
         self.dropped = 0
 
-    def should_log(self, well: bool, now: int) -> bool:
-        """Whether this request gets a line; `well`: served by its first attempt; `now` in ns."""
+    def should_log(self, first_attempt_served: bool, now: int) -> bool:
+        """Whether this request gets a line; `first_attempt_served`: by its first attempt; `now` in ns."""
         if self.refilled_at:
             self.tokens = min(self.burst, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
         self.refilled_at = now
-        floor = self.burst / 2 if well else 0.0
-        if self.tokens - 1 < floor:
+        reserved = self.burst / 2 if first_attempt_served else 0.0
+        if self.tokens - 1 < reserved:
             self.dropped += 1
             return False
         self.tokens -= 1
         return True
 
     def take_dropped(self) -> int:
-        """Lines left out since the last call."""
+        """Returns the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/ochrecourse/gateway/request_executor.py
+++ b/ochrecourse/gateway/request_executor.py
@@ -1,6 +1,6 @@
-"""Carries out a scheduler's decisions about requests: attempts at nodes, and the one answer of each request.
+"""Executes a scheduler's decisions about requests: sends attempts, and gives each request one final response.
 
-Free of I/O: the clock and what opens connections are handed in.
+Performs no I/O: the clock and the dispatcher are injected.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class InFlightRequest:
-    """A request from its submission until it is over: what the gateway needs to carry it out."""
+    """The state of a request from its submission until it is finished."""
 
     __slots__ = ("attempt", "handler", "record", "request", "response_began_at", "response_bytes_left")
 
@@ -37,11 +37,11 @@
         self.record = record
         self.attempt: OutgoingAttempt | None = None
         self.response_bytes_left = 0
-        self.response_began_at = 0  # ns, when the answer of the attempt that is out began to stream
+        self.response_began_at = 0  # ns, when the response of the current attempt began to stream; 0 before
 
 
 class RequestExecutor(ABC):
-    """The requests of one host that are not over, and what carries them out.
+    """The unfinished requests of one host, and the execution of decisions about them.
 
     `Gateway` (gateway.py) submits and cancels requests and pulls the scheduler's decisions.
     """
@@ -54,7 +54,7 @@
         nodes: Dispatcher,
         scheduler: SchedulerApi,
     ) -> None:
-        """`idempotency_prefix`: of this incarnation; no other incarnation of any gateway may have it."""
+        """`idempotency_prefix`: of idempotency keys, unique to this incarnation among all gateways."""
         self.clock = clock
         self.idempotency_prefix = idempotency_prefix
         self.settings_index = settings_index
@@ -64,7 +64,7 @@
         self.shutdown = GracefulShutdown()
         self.in_flight: dict[int, InFlightRequest] = {}
         self.on_drained: list[Callable[[], None]] = []  # called when the graceful shutdown is complete
-        # Called with each attempt that ended.
+        # Called with each attempt that has ended.
         self.attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]] = []
         self.ready_nodes_by_shard: Counter[int] = Counter()
         self.node_health = NodeHealth()
@@ -72,15 +72,15 @@
 
     @abstractmethod
     def _pull(self) -> None:
-        """Carries out what the scheduler decides now."""
+        """Executes the scheduler's pending decisions."""
 
     @abstractmethod
     def _finish(self, in_flight: InFlightRequest) -> None:
-        """Forgets a request if it is over and none of its attempts is out."""
+        """Removes a request that has its outcome and no attempt in flight."""
 
-    # --- the scheduler's side ---
+    # --- scheduler ---
 
-    def _to_scheduler(self, record: RequestRecord, request: Request, now: int) -> None:
+    def _submit_to_scheduler(self, record: RequestRecord, request: Request, now: int) -> None:
         scheduled = interface.Request(
             record.number, record.request_class, record.tenant, request.volume, request.key, request.units,
             request.shard, request.gateways, record.deadline
@@ -115,8 +115,8 @@
             trace=request.trace,
         )
         stall = record.deadline - record.received_at
-        # A request whose data one node alone holds has no other way: a dial that may serve it in time is
-        # worth the wait. Another goes elsewhere after the time that the settings give a dial.
+        # If only one node stores the data, a connection that opens within the latency objective is worth the
+        # wait. Any other request is retried at another node after the dial time-out of the settings.
         is_only_holder = request.shard >= 0 and self.ready_nodes_by_shard[request.shard] <= 1
         wait = record.received_at + index.latency_objectives[class_number] - now if is_only_holder else None
         attempt = OutgoingAttempt(request_id, decision.node, message, request.body, self)
@@ -137,40 +137,38 @@
         self._finish(in_flight)
 
     def grant_credit(self, request_id: int, size: int) -> None:
-        """`size` more bytes of a request's answer may be sent by its node."""
+        """Grants the node window for `size` more bytes of a request's response."""
         in_flight = self.in_flight.get(request_id)
         if in_flight is not None and in_flight.attempt is not None:
             self.nodes.response_consumed(in_flight.attempt, size)
 
-    # --- for the object cache, where there is one (common.object_cache.CachingGateway) ---
+    # --- for the object cache, if there is one (common.object_cache.CachingGateway) ---
 
     def answer_from_cache(self, request_id: int) -> bool:
-        """Records the answer of a request that needs no attempt; False if it is too late for one."""
+        """Records that a request is served without an attempt; returns False if it is too late."""
         return self.request_log.settle(request_id, RequestOutcome.SERVED, now_ns(self.clock)) is not None
 
     def forward(self, request_id: int, handler: ResponseHandler) -> None:
-        """A request that waited for another's answer goes to the nodes, and its answer to this handler."""
+        """Forwards a request that waited for another's response; its own response goes to `handler`."""
         in_flight = self.in_flight[request_id]
         in_flight.handler = handler
-        self._to_scheduler(in_flight.record, in_flight.request, now_ns(self.clock))
+        self._submit_to_scheduler(in_flight.record, in_flight.request, now_ns(self.clock))
 
     def finish_cached(self, request_id: int, complete: bool) -> None:
-        """Ends a request that needed no attempt: all of its answer was handed on, or the rest will not
-        follow.
-        """
+        """Finishes a request that needed no attempt; `complete`: its whole response was delivered."""
         in_flight = self.in_flight[request_id]
         if not complete:
             self.request_log.response_aborted(in_flight.record)
         self._finish(in_flight)
 
-    # --- the nodes' side (nodes.outgoing_attempt.AttemptListener) ---
+    # --- nodes (nodes.outgoing_attempt.AttemptListener) ---
 
     def attempt_written(self, attempt: OutgoingAttempt) -> None:
-        """An attempt has its connection."""
+        """Reports to the scheduler that an attempt is being written."""
         self.scheduler.attempt_written(attempt.request_id, now_ns(self.clock))
 
     def response_began(self, attempt: OutgoingAttempt, answer: m.AttemptServed) -> None:
-        """The answer of an attempt begins."""
+        """Records that a response began, and begins the response to the client."""
         in_flight = self.in_flight[attempt.request_id]
         request_id = in_flight.record.number
         if answer.size > answer.body:
@@ -182,18 +180,18 @@
             in_flight.handler.served(request_id, answer.size, answer.shard)
 
     def response_data(self, attempt: OutgoingAttempt, data: bytes) -> None:
-        """More of the answer's body."""
+        """Passes more of a response's body to the client."""
         in_flight = self.in_flight[attempt.request_id]
         if in_flight.record.outcome is RequestOutcome.SERVED:
             in_flight.response_bytes_left -= len(data)
             in_flight.handler.body_chunk(in_flight.record.number, data)
         else:
-            self.nodes.response_consumed(attempt, len(data))  # nobody waits: let the node finish
+            self.nodes.response_consumed(attempt, len(data))  # discarded: let the node finish
 
     def attempt_ended(
         self, attempt: OutgoingAttempt, event: AttemptEvent, answer: m.AnyMessage | None
     ) -> None:
-        """An attempt ended, once and for all."""
+        """Records the end of an attempt and reports it to the scheduler."""
         request_id = attempt.request_id
         in_flight = self.in_flight[request_id]
         ending = VERDICTS[event].ending
@@ -215,8 +213,8 @@
             number=number,
             node=attempt.node,
             ending=ending,
-            # A stream took until it began: how fast its client reads is not the node's doing. Nor is how long
-            # its connection took to open.
+            # Excludes what does not depend on the node: the wait for a connection, and the time to stream a
+            # response, which depends on how fast the client reads.
             took=(began_at or now) - (attempt.assigned_at or attempt.sent_at),
             last=record.outcome is not None,
             volume_used=reply.volume_used if reply else -1.0,
--- a/ochrecourse/gateway/settings_index.py
+++ b/ochrecourse/gateway/settings_index.py
@@ -1,6 +1,6 @@
-"""What a gateway itself reads of the plain map of settings: request classes and tenants by name, and limits.
+"""The settings that the gateway itself reads from the flat map: request classes, tenants and limits.
 
-Everything else in the map is the scheduler's.
+The scheduler reads the rest of the map.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class SettingsIndex:
-    """Request classes and tenants by name, and what nodes need of a request class.
+    """Request classes and tenants by name, and the properties of request classes that nodes need.
 
-    Lists are indexed by the number of a class or tenant, which is its place in the settings.
+    Lists are indexed by the number of a class or tenant, which is its index in the settings.
     """
 
     def __init__(self, values: Mapping[str, str]) -> None:
@@ -37,12 +37,12 @@
 
 
 def number(values: Mapping[str, str], name: str, default: float) -> float:
-    """A number of the plain map."""
+    """Returns a number from the flat map."""
     return float(values.get(name, default))
 
 
 def pool_limits(values: Mapping[str, str]) -> PoolLimits:
-    """Limits of connections to nodes."""
+    """Returns the limits of connections to nodes."""
     return PoolLimits(
         attempts_per_connection=int(number(values, "Limits.Multiplex", 32)),
         connections_per_node=int(number(values, "Limits.Connections", 4)),
@@ -52,10 +52,10 @@
 
 
 def max_open_requests(values: Mapping[str, str]) -> int:
-    """How many requests may be open at once; one more is rejected."""
+    """Returns how many requests may be open at once; any more are rejected."""
     return int(number(values, "Limits.MaxOpen", DEFAULT_MAX_OPEN_REQUESTS))
 
 
 def dial_timeout(values: Mapping[str, str]) -> float:
-    """Seconds after which a dial is given up, where no request needs it any longer."""
+    """Returns the dial time-out in s; a dial goes on after it only for a request that waits longer."""
     return number(values, "Limits.DialTimeout", DEFAULT_DIAL_TIMEOUT_MS) / 1000
--- a/ochrecourse/gateway/settings_reload.py
+++ b/ochrecourse/gateway/settings_reload.py
@@ -1,4 +1,4 @@
-"""What of the settings a running daemon may change, and how two settings records differ."""
+"""Reloading settings in a running daemon: differences between two records, and which take effect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SettingChange(NamedTuple):
-    """One value that differs between two records; `path` is as in the settings file."""
+    """A value that differs between two records; `path` is as in the settings file."""
 
     path: str
     old: Any
@@ -17,14 +17,14 @@
 
 
 class ReloadResult(NamedTuple):
-    """Changes in words: those that are in force now, and those that need a restart."""
+    """Descriptions of the changes that are in force now, and of those that need a restart."""
 
     in_force: list[str]
     needs_restart: list[str]
 
 
 def changes(old: Any, new: Any, path: str = "") -> list[SettingChange]:
-    """Where two records differ."""
+    """Returns the differences between two records."""
     if isinstance(old, Mapping) and isinstance(new, Mapping):
         names = sorted({*old, *new})
         return [
@@ -36,7 +36,7 @@
 
 
 def reload_result(old: Mapping[str, Any], new: Mapping[str, Any]) -> ReloadResult:
-    """Which changes between two records a running daemon takes over."""
+    """Sorts the changes between two records by whether a running daemon can apply them."""
     result = ReloadResult([], [])
     for change in changes(old, new):
         described = f"{change.path}: {change.old} to {change.new}"
@@ -45,7 +45,7 @@
 
 
 def reloaded_record(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
-    """The record that is in force after a reload: the old one with what may change."""
+    """Returns the record in force after a reload: the old one with the reloadable values of the new."""
     record = {name: dict(value) if isinstance(value, Mapping) else value for name, value in old.items()}
     record["log"] = new["log"]
     record["clients"] = {
--- a/ochrecourse/gateway/socket_handover.py
+++ b/ochrecourse/gateway/socket_handover.py
@@ -1,14 +1,13 @@
-"""When a gateway may hand its listening sockets to the next process of its name, and how far that is.
+"""Handover of a gateway's listening sockets to the next process of the same name: conditions and progress.
 
-Free of I/O and clocks. The next process, the successor, holds the sockets beside this one until it has an
-endpoint list; only then does this one drain. So at each moment some process accepts, and if the successor
-ends before it confirms, nothing has changed. Connections that wait to be accepted belong to the sockets and
-are the successor's.
+Performs no I/O, reads no clock. The next process, the successor, shares the sockets with this one until it
+has an endpoint list; only then does this one drain. So some process accepts at any time, and if the successor
+exits before it confirms, nothing has changed. Connections that wait to be accepted belong to the sockets, so
+the successor accepts them.
 
-What the fleet shares has one writer. Once the successor has its list, this process leaves the fleet, gives up
-the journal and goes on serving; the successor reads the journal, goes on under a new incarnation, and only
-then accepts. If it ends before it does, this process takes its place in the fleet again, under a new
-incarnation too.
+The fleet's journal has a single writer. Once the successor has its list, this process leaves the fleet,
+releases the journal and goes on serving; the successor reads the journal, joins under a new incarnation, and
+only then accepts. If it exits before that, this process rejoins the fleet, also under a new incarnation.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class HandoverStep(Enum):
-    """How far a handover is, on the side that gives."""
+    """The steps of a handover on the side of the process that hands over."""
 
     NONE = "nobody asked"
     OFFERED = "another process holds the sockets too"
@@ -28,23 +27,23 @@
 
 
 def handover_obstacle(record: Mapping[str, Any]) -> str:
-    """Why a gateway with these settings can't hand its sockets over; empty if it can."""
+    """Returns why a gateway with these settings can't hand over its sockets; empty if it can."""
     if "bgp" in record:
-        # Guards against two sessions for one address: the end of the first would withdraw it.
+        # Two BGP sessions would announce one address, and the end of the first would withdraw it.
         return "it announces service addresses: drain it, and BGP moves its traffic"
     if "webdav" in record:
-        # Guards against two trees: names and locks are in the memory of the process that serves them.
+        # Names and locks are in the memory of the serving process, so the two would have different trees.
         return "its names and locks are in its memory: drain it, then start the next process"
     if record["gateway"]["seed"]:
-        # Guards against two requests under one idempotency key, of which a node would drop the second.
+        # Both processes would use the same idempotency keys, and a node would drop the second request.
         return "gateway.seed is set, so both processes would name their jobs alike"
     return ""
 
 
-def moved_socket(record: Mapping[str, Any], addresses: Mapping[str, str]) -> str:
-    """Why these sockets (HOST:PORT by name) are not those of the settings; empty if they are.
+def socket_mismatch(record: Mapping[str, Any], addresses: Mapping[str, str]) -> str:
+    """Returns how these sockets (HOST:PORT by name) differ from the settings; empty if they don't.
 
-    Port 0 is any.
+    Port 0 in the settings matches any port.
     """
     configured = {"native": record["gateway"]["listen"], "admin": record["gateway"]["admin"]}
     configured["fleet"] = record["fleet"]["listen"] if "fleet" in record else ""
@@ -57,7 +56,7 @@
 
 
 class Handover:
-    """The side that gives: one successor at a time, each step once."""
+    """The handover on the side of the process that hands over: one successor at a time, each step once."""
 
     def __init__(self, record: Mapping[str, Any]) -> None:
         self.record = record
@@ -65,7 +64,7 @@
         self.successor: object = None
 
     def offer(self, successor: object, accepts_requests: bool) -> str:
-        """Another process asks for the sockets; why it does not get them, or nothing."""
+        """Handles a process's request for the sockets; returns why it is refused, empty if it is granted."""
         obstacle = handover_obstacle(self.record)
         if obstacle:
             return obstacle
@@ -79,8 +78,8 @@
         return ""
 
     def release(self, successor: object) -> bool:
-        """The successor has an endpoint list and wants the journal of the fleet; True if it is to be given
-        up.
+        """Handles a successor that has an endpoint list and requests the fleet's journal; returns True if
+        the journal is to be released.
         """
         if self.step is not HandoverStep.OFFERED or successor is not self.successor:
             return False
@@ -88,7 +87,7 @@
         return True
 
     def complete(self, successor: object) -> bool:
-        """The successor confirms that it serves; True if this gateway is to drain now."""
+        """Handles the successor's confirmation that it serves; returns True if this gateway is to drain."""
         before = HandoverStep.RELEASED if "fleet" in self.record else HandoverStep.OFFERED
         if self.step is not before or successor is not self.successor:
             return False
@@ -96,8 +95,9 @@
         return True
 
     def successor_lost(self, successor: object) -> bool:
-        """The successor's connection closed; before it confirmed that changes nothing, and another may ask.
-        True if the journal of the fleet was given up for it: it is to be taken back.
+        """Handles the end of a successor's connection. If it had not confirmed, another process may ask.
+
+        Returns True if the fleet's journal was released for it and is to be taken back.
         """
         if successor is not self.successor:
             return False
--- a/ochrecourse/gateway/webdav_setup.py
+++ b/ochrecourse/gateway/webdav_setup.py
@@ -1,4 +1,4 @@
-"""Makes the WebDAV server of a daemon from its settings."""
+"""Creates the WebDAV server of a daemon from its settings."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 
 
 def names_journal(own: Mapping[str, Any]) -> Journal:
-    """Where names and locks are written; `own`: the settings of `gateway`. Raises JournalError, OSError."""
+    """Opens the journal of names and locks; `own`: the `gateway` settings. Raises JournalError, OSError."""
     if not own["state"]:
         return MemoryJournal()
     return FileJournal(Path(own["state"]) / f"{own['name']}.tree", *NAMES_JOURNAL)
 
 
 def names_and_locks(journal: Journal, network: Network, clock_zero: int, warn: Callable[[str], None]) -> Kept:
-    """What a journal has of names and locks; `clock_zero`: s since 1970 at the clock's zero. Raises
-    Unreadable, OSError.
+    """Loads names and locks from a journal; `clock_zero`: Unix time in s at the clock's zero.
+
+    Raises Unreadable, OSError.
     """
     names = Kept(journal, lambda: uuid.uuid4().urn, now_ns(network), clock_zero)
     for note in journal.damage_reports if isinstance(journal, FileJournal) else ():
@@ -44,7 +45,7 @@
     names: Kept,
     access_log: Callable[..., None] | None,
 ) -> Door:
-    """The WebDAV server of a settings record; the deadline of a request is its class's client timeout."""
+    """Returns the WebDAV server of a settings record; its requests have their class's client timeout."""
     settings = record["webdav"]
     timeouts = {each["name"]: each["client_timeout"] / 1000 for each in record["products"]}
     class_rules = [
--- a/ochrecourse/standins/node.py
+++ b/ochrecourse/standins/node.py
@@ -273,5 +273,5 @@
 
     def say_bye(self) -> None:
         for port in self.ports:
-            if Role.RESPONDER in port.state.greeted:
+            if Role.RESPONDER in port.state.hello_senders:
                 port.send_message(m.GoAway(reason="draining"))
--- a/ochrecourse/wire/__init__.py
+++ b/ochrecourse/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The framing and messages that gateways, storage nodes, list servers and clients speak."""
+"""The framed protocol between gateways, storage nodes, list servers and clients, and an HTTP client."""
--- a/ochrecourse/wire/errors.py
+++ b/ochrecourse/wire/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a message, by whose mistake it is."""
+"""Errors of the framed protocol: malformed messages, and violations by this side or the peer."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class MalformedMessageError(WireError):
-    """A header or list that docs/node-protocol.md does not allow; the text says what is wrong with it."""
+    """A header or list that is invalid by docs/node-protocol.md; the text says why."""
 
 
 class ProtocolViolationError(WireError):
-    """A message that may not come now. `code` is for counters, the text for readers."""
+    """A message that is not legal in the current state. `code` is for counters, the text for readers."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -22,8 +22,8 @@
 
 
 class LocalProtocolError(ProtocolViolationError):
-    """This side was about to send an illegal message: a mistake of the calling code."""
+    """This side was about to send an illegal message: a bug in the calling code."""
 
 
 class RemoteProtocolError(ProtocolViolationError):
-    """The peer broke the protocol."""
+    """The peer violated the protocol."""
--- a/ochrecourse/wire/framed_protocol.py
+++ b/ochrecourse/wire/framed_protocol.py
@@ -1,8 +1,8 @@
-"""Header lines and bodies over a stream: Twisted's LineReceiver, switched to raw mode for each body.
+"""The framed protocol on a stream: Twisted's LineReceiver for header lines, in raw mode for bodies.
 
-The same protocol serves clients, gateways, nodes and list servers. It passes complete messages on (a body is
-at most `max_body` bytes behind one header). Anything else is answered with one error notice, and the
-connection ends.
+Clients, gateways, nodes and list servers use the same protocol. `FramedProtocol` delivers complete messages,
+with a body of at most `max_body` bytes after each header. It answers anything else with one error notice and
+closes the connection.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 )
 from ochrecourse.wire.state import ConnectionState, Role, StreamState
 
-MESSAGE_TIMEOUT_S = 5.0  # for a begun header line or body to be complete; a slow sender delays nothing else
-MAX_ERROR_TEXT = 500  # characters of an error notice; the header line has its own bound
+MESSAGE_TIMEOUT_S = 5.0  # for a partial header line or body; only its own connection waits for a slow sender
+MAX_ERROR_TEXT = 500  # characters of an error notice, so that its header line stays within the limit
 
 
 class FramedProtocol(LineReceiver):
-    """One connection, as `role`. Subclasses implement `message_received` and, if they need them,
+    """One connection with this side as `role`. Subclasses implement `message_received` and optionally
     `connection_ready` and `connection_ended`.
     """
 
     transport: Any  # Twisted's interfaces carry no types
     delimiter = b"\r\n"
     MAX_LENGTH = m.MAX_HEADER_BYTES
-    max_body: ClassVar[int] = m.MAX_BODY_BYTES  # bytes behind one header
+    max_body: ClassVar[int] = m.MAX_BODY_BYTES  # bytes after one header
 
     def __init__(self, clock: Clock, role: Role, state: ConnectionState) -> None:
         self.clock = clock
@@ -44,7 +44,7 @@
         self.state = state
         self.is_open = False
         self.failure: ProtocolViolationError | None = None  # why this side is ending the connection
-        self._header: m.AnyMessage | None = None  # of a body that is still arriving
+        self._header: m.AnyMessage | None = None  # of the body that is still arriving
         self._body: list[bytes] = []
         self._body_bytes_left = 0
         self._message_timer: Timer | None = None
@@ -52,22 +52,22 @@
     # --- for subclasses ---
 
     def connection_ready(self) -> None:
-        """The connection is made; nothing was sent or received on it yet."""
+        """Called when the connection is open, before anything is sent or received."""
 
     def message_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
-        """A complete, legal message; `stream_state` is that of its stream after it.
+        """Called with each complete, legal message and the state of its stream after it.
 
-        A ProtocolViolationError that is raised here fails the connection.
+        A ProtocolViolationError raised here fails the connection.
         """
         raise NotImplementedError
 
     def connection_ended(self, mid_message: bool) -> None:
-        """The connection is gone; `mid_message`: inside a header or body that had begun."""
+        """Called when the connection has ended; `mid_message`: within a header or body."""
 
     # --- sending ---
 
     def send_message(self, message: m.AnyMessage, body: bytes = b"") -> None:
-        """Sends a message. Raises LocalProtocolError for one that is not legal now."""
+        """Sends a message. Raises LocalProtocolError if it is not legal in the current state."""
         message.body = len(body)
         try:
             self.state.apply(self.role, message)
@@ -77,7 +77,7 @@
             self.transport.write(m.encode(message, body))
 
     def fail_connection(self, code: str, text: str, stream_id: int = -1) -> None:
-        """Notifies the peer of what it did wrong and ends the connection."""
+        """Sends an error notice for a violation by the peer and closes the connection."""
         self._fail(RemoteProtocolError(code, text), stream_id)
 
     def _fail(self, violation: ProtocolViolationError, stream_id: int = -1) -> None:
@@ -89,31 +89,31 @@
         notice = m.ErrorNotice(code=violation.code, text=str(violation)[:MAX_ERROR_TEXT], id=stream_id)
         self.transport.write(m.encode(notice))
         self.transport.loseConnection()
-        # Guards against a peer that never reads: unsent bytes would keep the connection for ever.
+        # With a peer that never reads, unsent bytes would keep the connection open for ever.
         self.clock.callLater(MESSAGE_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
-        """Ends the connection without waiting for unsent bytes."""
+        """Closes the connection without waiting for unsent bytes."""
         if self.is_open:
             self.transport.abortConnection()
 
-    # --- Twisted's callbacks ---
+    # --- Twisted callbacks ---
 
     def connectionMade(self) -> None:
-        """Twisted's callback: the connection is made."""
+        """Sets up an open connection (Twisted callback)."""
         self.is_open = True
         if hasattr(self.transport, "setTcpNoDelay"):
             self.transport.setTcpNoDelay(True)
         self.connection_ready()
 
     def connectionLost(self, reason: Failure = Failure(error.ConnectionDone())) -> None:  # noqa: B008
-        """Twisted's callback: the connection is gone."""
+        """Reports the end of the connection to `connection_ended` (Twisted callback)."""
         self.is_open = False
         self._stop_message_timer()
         self.connection_ended(self._mid_message())
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's callback: bytes arrived. A message that they leave incomplete is timed."""
+        """Parses received bytes and starts a timer for an incomplete message (Twisted callback)."""
         if self.failure is not None:
             return
         super().dataReceived(data)
@@ -123,10 +123,10 @@
             self._message_timer = self.clock.callLater(MESSAGE_TIMEOUT_S, self._message_timed_out)
 
     def lineReceived(self, line: bytes) -> None:
-        """Twisted's callback: a complete header line, without its end."""
+        """Handles a complete header line, without its line end (Twisted callback)."""
         if self.failure is not None:
             return
-        self._stop_message_timer()  # each complete header or body starts the time anew
+        self._stop_message_timer()  # each header and each body has its own time-out
         try:
             message = m.decode(line)
         except MalformedMessageError as malformed:
@@ -142,7 +142,7 @@
             self._receive(message, b"")
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Twisted's callback: bytes of a body, and perhaps of the next header."""
+        """Handles bytes of a body and possibly of the next header (Twisted callback)."""
         if self.failure is not None or self._header is None:
             return
         body_bytes = data[: self._body_bytes_left]
@@ -158,7 +158,7 @@
         self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Twisted's callback: a header line is too long."""
+        """Fails the connection on a header line that is too long (Twisted callback)."""
         self.fail_connection("header_limit", f"a header line of more than {self.MAX_LENGTH} bytes")
 
     def _receive(self, message: m.AnyMessage, body: bytes) -> None:
--- a/ochrecourse/wire/http_client.py
+++ b/ochrecourse/wire/http_client.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client's side of one connection, one request at a time (RFC 9112).
+"""The client side of an HTTP/1.1 connection, with one request at a time (RFC 9112).
 
-It judges nothing: it reports the status, the headers, the body's size and digest, and whether the body was
-complete.
+It reports the status, the headers, the size and digest of the body, and whether the body was complete, and
+leaves their interpretation to the caller.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from twisted.protocols.basic import LineReceiver
 
-MAX_STORED_BODY_BYTES = 1 << 16  # of a body are stored beside its digest
+MAX_STORED_BODY_BYTES = 1 << 16  # of a body, stored in addition to its digest
 
 
 def _parse_length(text: str, base: int) -> int:
-    """A length from a header or chunk line. Raises ValueError, for one below zero too."""
+    """Parses a length from a header or chunk line. Raises ValueError, also for a negative one."""
     length = int(text, base)
     if length < 0:
         raise ValueError(f"a length below zero: {length}")
@@ -26,9 +26,9 @@
 
 @dataclass(slots=True)
 class HttpResponse:
-    """A response. `size`: bytes of its body; `digest`: SHA-256 of it, in hexadecimal.
+    """A response. `size`: of the body in bytes; `digest`: its SHA-256 in hexadecimal.
 
-    `body` has its first `MAX_STORED_BODY_BYTES`; `complete`: it had the announced length.
+    `body`: its first `MAX_STORED_BODY_BYTES`; `complete`: whether it had the announced length.
     """
 
     status: int
@@ -40,15 +40,16 @@
 
     @property
     def interim(self) -> bool:
-        """Whether the final response follows."""
+        """Whether this is an interim response, after which the final one follows."""
         return 100 <= self.status < 200 and self.status != 101
 
 
 class HttpClientProtocol(LineReceiver):
     """One connection, which calls `on_connected` and `on_closed`.
 
-    `on_response` gets the response to the request in flight, None if the connection ended before one began.
-    `on_body_data`, if it is set, gets the body as it arrives. Malformed responses raise ValueError.
+    `on_response` is called with the response to the request in flight, None if the connection ended before
+    one began. `on_body_data`, if set, is called with the body as it arrives. Malformed responses raise
+    ValueError.
     """
 
     delimiter = b"\r\n"
@@ -65,18 +66,18 @@
         self.on_body_data: Callable[[bytes], None] | None = None
         self.response: HttpResponse | None = None
         self.method = ""
-        self.body_bytes_left = 0  # of the body or its current chunk; below 0: in the trailers
+        self.body_bytes_left = 0  # of the body or its current chunk; negative in the trailers
         self.chunked = False
-        self.until_close = False  # the body lasts until the connection ends
+        self.until_close = False  # whether the end of the connection ends the body
         self.in_chunks = False
         self.hash = hashlib.sha256()
         self.lost = False
-        self.closing = False  # the server takes no more requests on this connection
-        self.number = 0  # for its user: the connection's number among all
-        self.request_count = 0  # for its user: requests so far
+        self.closing = False  # whether the server closes the connection after the response
+        self.number = 0  # set by the caller: the connection's number
+        self.request_count = 0  # set by the caller: number of requests so far
 
     def connectionMade(self) -> None:
-        """Twisted's callback: the connection is made."""
+        """Calls `on_connected` when the connection is open (Twisted callback)."""
         self.transport.setTcpNoDelay(True)
         self.on_connected(self)
 
@@ -88,7 +89,7 @@
         body: bytes,
         on_response: Callable[[HttpResponse | None], None],
     ) -> None:
-        """Sends a request; only when none is in flight."""
+        """Sends a request; requires that none is in flight."""
         lines = [f"{method} {path} HTTP/1.1", "Host: ochrecourse"]
         if body or method == "PUT":
             lines.append(f"Content-Length: {len(body)}")
@@ -97,7 +98,7 @@
         self.transport.write("\r\n".join([*lines, "", ""]).encode() + body)
 
     def lineReceived(self, line: bytes) -> None:
-        """Twisted's callback: a line of the head or between chunks, without its end."""
+        """Handles a line of the head or between chunks, without its line end (Twisted callback)."""
         if self.response is None:
             if line:
                 self.response = HttpResponse(int(line.split(b" ", 2)[1]))
@@ -119,7 +120,7 @@
             return
         self.chunked = "chunked" in response.headers.get("transfer-encoding", "").lower()
         self.body_bytes_left = _parse_length(response.headers.get("content-length", "0"), 10)
-        # A streamed body may come without a length too; any other has none then.
+        # Without a length, a streamed body lasts until the connection ends; any other is empty.
         self.until_close = self.on_body_data is not None and "content-length" not in response.headers
         if self.method == "HEAD" or response.status in (204, 304):
             self.body_bytes_left, self.chunked, self.until_close = 0, False, False
@@ -131,7 +132,7 @@
             self._response_complete()
 
     def _chunk_line(self, line: bytes) -> None:
-        if self.body_bytes_left < 0:  # behind the last chunk: trailers, then an empty line
+        if self.body_bytes_left < 0:  # after the last chunk: trailers, then an empty line
             if not line:
                 self._response_complete()
             return
@@ -144,7 +145,7 @@
             self.body_bytes_left = -1  # the last chunk; an empty line ends the body
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Twisted's callback: bytes of the body, and perhaps what follows it."""
+        """Handles bytes of the body and possibly what follows it (Twisted callback)."""
         assert self.response is not None
         bounded = self.chunked or not self.until_close
         body_data, rest = (
@@ -181,12 +182,12 @@
             on_response(response)
 
     def cancel(self) -> None:
-        """The caller stops waiting: the connection is aborted and no response is delivered."""
+        """Aborts the connection without delivering a response."""
         self.on_response = None
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Twisted's callback: the connection is gone."""
+        """Delivers an incomplete response, if any, and calls `on_closed` (Twisted callback)."""
         self.lost = True
         self._deliver(self.response)
         self.on_closed(self)
--- a/ochrecourse/wire/messages.py
+++ b/ochrecourse/wire/messages.py
@@ -1,11 +1,11 @@
-"""The messages of all framed connections and their JSON header lines.
+"""The messages of the framed protocol and the encoding of their JSON header lines.
 
-This module is the edge between the protocol and the code: JSON names are those of docs/node-protocol.md,
-Python names are the terms of docs/glossary.md. Where the two differ, the class maps them with `rename`.
+JSON names are those of docs/node-protocol.md, Python names the terms of docs/glossary.md. Where they differ,
+the class maps them with `rename`.
 
-A message is one line of JSON of at most `MAX_HEADER_BYTES`, ended by CR LF, with the name of the message
-under "m". If its `body` is above 0, that many raw bytes follow. Unknown fields are skipped and missing fields
-have their default. Sizes are in bytes, durations in milliseconds.
+A header is one line of JSON of at most `MAX_HEADER_BYTES`, ended by CR LF, with the message's name in the
+field "m". If the field `body` is above 0, that many raw bytes follow. Unknown fields are ignored and missing
+fields have their defaults. Sizes are in bytes, durations in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,19 +15,18 @@
 from ochrecourse.wire.errors import MalformedMessageError
 
 PROTOCOL_VERSION = 1  # announced in each side's hello
-MAX_HEADER_BYTES = 4096  # with the line end; the largest message has a dozen short fields
-MAX_BODY_BYTES = (
-    65_536  # behind one header; a larger body continues in chunks, so none blocks a connection long
-)
-MAX_LIST_BODY_BYTES = 4_194_304  # of an endpoint list behind one header; some ten thousand nodes
+MAX_HEADER_BYTES = 4096  # including the line end; the largest message has a dozen short fields
+# After one header; a larger body is sent in chunks, so that none blocks a connection for long.
+MAX_BODY_BYTES = 65_536
+MAX_LIST_BODY_BYTES = 4_194_304  # of an endpoint list after one header; some ten thousand nodes
 WINDOW_BYTES = 262_144  # of a response that a node may send before the first window update
 
 NOT_STORED = "not held"  # reason of a rejection: the node does not store the shard
-NOT_EXECUTED = "no"  # in a confirmed cancellation: nothing of the attempt ran or ever will
+NOT_EXECUTED = "no"  # in a confirmed cancellation: the attempt was not executed and never will be
 
 
 class Message(msgspec.Struct, tag_field="m", omit_defaults=True, kw_only=True, gc=False):
-    """What all messages have: `body`, the number of raw bytes that follow the header."""
+    """The base of all messages. `body`: number of raw bytes that follow the header."""
 
     body: int = 0
 
@@ -41,13 +40,13 @@
 
 
 class GoAway(Message, tag="bye"):
-    """Graceful end: no new requests or attempts on this connection; those in flight are still answered."""
+    """Graceful close: no new requests or attempts on this connection; those in flight are still answered."""
 
     reason: str = ""
 
 
 class ErrorNotice(Message, tag="fault"):
-    """The receiver broke the protocol (`id` below 0), or its request `id` can't be accepted."""
+    """The receiver violated the protocol (`id` below 0), or its request `id` can't be accepted."""
 
     code: str
     text: str
@@ -55,7 +54,7 @@
 
 
 class BodyChunk(Message, tag="part"):
-    """More of a body that a request, an attempt or a response announced with `size`."""
+    """A further chunk of a body whose `size` a request, an attempt or a response announced."""
 
     id: int
 
@@ -70,9 +69,9 @@
 class SubmitRequest(Message, tag="job", rename={"request_class": "product", "tenant": "plan"}):
     """A client's request.
 
-    `timeout_ms` runs from when the client sent it; `key` 0: none; `shard` below 0: a new object; `gateways`:
-    through how many gateways the volume works; `trace`: the client's own name for the request, passed on with
-    each attempt and logged.
+    `timeout_ms`: counted from when the client sent it; `key`: 0 for none; `shard`: negative for a new object;
+    `gateways`: number of gateways that the volume uses; `trace`: the client's id for the request, forwarded
+    with each attempt and logged.
     """
 
     id: int
@@ -89,21 +88,21 @@
 
 
 class CancelRequest(Message, tag="leave"):
-    """The client no longer waits for this request."""
+    """Cancels a request for which the client no longer waits."""
 
     id: int
 
 
 class RequestCancelled(Message, tag="left"):
-    """Confirms a `CancelRequest`: nothing more follows for this request."""
+    """Confirms a `CancelRequest`; no more messages follow for this request."""
 
     id: int
 
 
 class RequestServed(Message, tag="fulfilled"):
-    """The request was served: `size` bytes of response follow, the first `body` of them at once.
+    """The request was served: a response of `size` bytes follows, the first `body` bytes with this header.
 
-    `shard` says where the data lies.
+    `shard`: where the data is stored.
     """
 
     id: int
@@ -112,14 +111,14 @@
 
 
 class RequestRejected(Message, tag="denied", rename={"retry_after_ms": "come_back_ms"}):
-    """The request was rejected; a retry is harmless, best after `retry_after_ms`."""
+    """The request was rejected; a retry is safe, preferably after `retry_after_ms`."""
 
     id: int
     retry_after_ms: float = 0.0
 
 
 class RequestFailed(Message, tag="written_off"):
-    """The request failed and its effect is unknown. Also ends a response that broke off."""
+    """The request failed and its effect is unknown. Also ends an aborted response."""
 
     id: int
 
@@ -137,9 +136,9 @@
 ):
     """One attempt of a request, sent to a node.
 
-    `idempotency_key` names the request for ever and is the same for each of its attempts; the node must know
-    it for `idempotency_window_ms`. `idempotency`: safe, keyed or unsafe. `timeout_ms`: when the gateway stops
-    waiting, 0 never. `number`: 0 for the first attempt.
+    `idempotency_key`: unique to the request for ever and the same in each of its attempts; the node must
+    remember it for `idempotency_window_ms`. `idempotency`: safe, keyed or unsafe. `timeout_ms`: how long the
+    gateway waits, 0 for no limit. `number`: 0 for the first attempt.
     """
 
     id: int
@@ -159,9 +158,9 @@
 
 
 class CancelAttempt(Message, tag="cancel"):
-    """The gateway no longer waits for this attempt.
+    """Cancels an attempt for which the gateway no longer waits.
 
-    The node confirms with `AttemptCancelled` unless its response is on the way.
+    The node confirms with `AttemptCancelled` unless its response is already in flight.
     """
 
     id: int
@@ -174,11 +173,11 @@
 
 
 class NodeReply(Message, rename={"volume_used": "used"}):
-    """What every reply of a node may carry: its load report and how much it served of a volume.
+    """The base of a node's replies, with its load report and the usage of the volume.
 
-    `volume_used`: units served for the volume everywhere in a finished period, against its rate; below 0: not
-    known. `elsewhere`: units served here for the volume through other gateways since the last reply to this
-    one.
+    `volume_used`: units served for the volume in total in a finished period, as a fraction of its rate;
+    negative: unknown. `elsewhere`: units that this node served for the volume through other gateways since
+    the last reply to this one.
     """
 
     id: int
@@ -188,7 +187,7 @@
 
 
 class AttemptServed(NodeReply, tag="done", rename={"volume_used": "used", "replayed": "repeat"}):
-    """The attempt ran. `replayed`: its idempotency key was known and the first response is given again."""
+    """The attempt was executed. `replayed`: its key was known, so the first response is sent again."""
 
     size: int = 0
     shard: int = -1
@@ -196,29 +195,29 @@
 
 
 class AttemptFailed(NodeReply, tag="failed"):
-    """The attempt was begun and failed; it may have had its effect."""
+    """The attempt was begun and failed; it may have taken effect."""
 
     text: str = ""
 
 
 class AttemptRejected(NodeReply, tag="full", rename={"volume_used": "used", "reason": "why"}):
-    """The attempt was rejected before any of it ran. `reason`: full, draining or `NOT_STORED`."""
+    """The attempt was rejected without being executed. `reason`: full, draining or `NOT_STORED`."""
 
     reason: str = "full"
 
 
 class AttemptCancelled(NodeReply, tag="cancelled", rename={"volume_used": "used", "executed": "ran"}):
-    """Confirms a `CancelAttempt`. `executed`: `NOT_EXECUTED` or maybe."""
+    """Confirms a `CancelAttempt`. `executed`: `NOT_EXECUTED` or "maybe"."""
 
     executed: str = "maybe"
 
 
 class HealthCheckReply(NodeReply, tag="alive"):
-    """Answers a `HealthCheck`."""
+    """Replies to a `HealthCheck`."""
 
 
 class WatchEndpoints(Message, tag="follow"):
-    """Asks a list server for all changes after version `epoch`; 0 asks for the whole list."""
+    """Subscribes at a list server to all changes after version `epoch`; 0 requests the whole list."""
 
     epoch: int = 0
 
@@ -226,7 +225,7 @@
 class EndpointEntry(msgspec.Struct, omit_defaults=True, kw_only=True):
     """One node of the endpoint list.
 
-    `health`: ready, draining or gone; `started_ms_ago`: age of its last start, below 0: long ago.
+    `health`: ready, draining or gone; `started_ms_ago`: time since its last start, negative: long ago.
     """
 
     node: int
@@ -238,7 +237,7 @@
 
 
 class EndpointListMessage(Message, tag="nodes"):
-    """An endpoint list, as a JSON array of `EndpointEntry` in the body.
+    """An endpoint list, with a JSON array of `EndpointEntry` as its body.
 
     `kind`: full, or delta against version `epoch` - 1.
     """
@@ -260,7 +259,7 @@
 
 
 def decode(line: bytes) -> AnyMessage:
-    """The message of one header line, given without its line end. Raises MalformedMessageError."""
+    """Decodes the message of a header line without its line end. Raises MalformedMessageError."""
     try:
         message = _decoder.decode(line)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -274,13 +273,13 @@
 
 
 def encode(message: Message, body: bytes = b"") -> bytes:
-    """The header line of a message and the raw bytes behind it."""
+    """Encodes a message as its header line and the raw bytes after it."""
     message.body = len(body)
     return _encoder.encode(message) + b"\r\n" + body
 
 
 def decode_list(body: bytes) -> list[EndpointEntry]:
-    """The entries of an endpoint list. Raises MalformedMessageError."""
+    """Decodes the entries of an endpoint list. Raises MalformedMessageError."""
     try:
         return _list_decoder.decode(body)
     except msgspec.DecodeError as error:
@@ -288,5 +287,5 @@
 
 
 def encode_list(entries: list[EndpointEntry]) -> bytes:
-    """The body of an `EndpointListMessage`."""
+    """Encodes the body of an `EndpointListMessage`."""
     return _encoder.encode(entries)
--- a/ochrecourse/wire/state.py
+++ b/ochrecourse/wire/state.py
@@ -1,10 +1,10 @@
-"""Which message may follow which: the state of a connection and of each stream on it. Free of I/O.
+"""The protocol's state machines for connections and the streams on them. Performs no I/O.
 
 A stream is one request (between a client and a gateway) or one attempt (between a gateway and a node) and has
-an id. The requester opens a stream under an id higher than all before; the responder closes it with exactly
-one closing message. Whoever owns a `ConnectionState` applies every message to it, in the order in which it
-was sent or received. Whatever the tables do not name raises `ProtocolViolationError`, so a second response,
-or one for an id that was never opened, can't reach a request.
+an id. The requester opens a stream with an id higher than all before; the responder closes it with exactly
+one closing message. The owner of a `ConnectionState` applies every message to it in the order in which they
+were sent or received. A transition that is not in the tables raises `ProtocolViolationError`, so a second
+response, or one for an id that was never opened, can't reach a request.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
     OPENING = 0  # opened; more of the request's body follows
     COMPLETE = 1  # opened; the request's body is complete
-    CANCELLED = 2  # the requester stopped waiting; a closing message may be on the way
+    CANCELLED = 2  # cancelled by the requester; a closing message may be in flight
     RESPONDING = 3  # the response began; more of its body follows
-    CANCELLED_RESPONDING = 4  # the same, after the requester stopped waiting
+    CANCELLED_RESPONDING = 4  # the same, after a cancel by the requester
     REJECTED = 5  # closed by the responder while the request's body was arriving; the rest is dropped
     CLOSED = 6
 
 
-# Texts that are sent to peers, so they keep the protocol's words.
+# These texts are sent to peers in error notices and use the protocol's terms.
 STATE_TEXTS: Mapping[StreamState, str] = {
     StreamState.OPENING: "asked",
     StreamState.COMPLETE: "whole",
@@ -58,7 +58,7 @@
 def _transitions(
     closing_messages: tuple[type[m.Message], ...], cancel_message: type[m.Message]
 ) -> dict[Transition, StreamState]:
-    """The transitions that both kinds of stream share."""
+    """Returns the transitions that both kinds of stream share."""
     table: dict[Transition, StreamState] = {
         (StreamState.OPENING, REQUESTER, m.BodyChunk): StreamState.OPENING,
         (StreamState.OPENING, REQUESTER, cancel_message): StreamState.CANCELLED,
@@ -98,15 +98,15 @@
     (StreamState.CANCELLED_RESPONDING, RESPONDER, m.RequestCancelled): StreamState.CLOSED,
 }
 
-# Messages that may be about the connection itself.
+# Messages that may concern the connection instead of a stream.
 CONNECTION_MESSAGES = frozenset((m.Hello, m.GoAway, m.ErrorNotice))
-# What a requester may send before it has seen that the responder closed the stream.
+# Messages that a requester may send before it has received the closing message of the stream.
 CROSSING_MESSAGES = (m.CancelRequest, m.CancelAttempt, m.WindowUpdate)
 
 
 @dataclass(slots=True)
 class Stream:
-    """One stream: its state and how many bytes of its two bodies are still to come."""
+    """One stream: its state and the remaining bytes of its two bodies."""
 
     state: StreamState
     request_bytes_left: int
@@ -114,9 +114,9 @@
 
 
 class ConnectionState:
-    """The state of one connection: the handshake, the go-aways and all open streams by id.
+    """The state of one connection: the handshake, graceful closes, and all open streams by id.
 
-    `opening_messages` are the messages that open a stream.
+    `opening_messages`: the messages that open a stream.
     """
 
     def __init__(self, table: TransitionTable, opening_messages: tuple[type[m.Message], ...]) -> None:
@@ -124,14 +124,14 @@
         self.opening_messages = opening_messages
         self.streams: dict[int, Stream] = {}
         self.highest_id = -1
-        self.greeted: set[Role] = set()  # the sides that sent hello
+        self.hello_senders: set[Role] = set()  # sides that sent hello
         self.handshake_complete = False
         self.going_away: set[Role] = set()
 
     def apply(self, sender: Role, message: Any) -> StreamState | None:
-        """Applies one message. Returns the state of its stream after it, None if it names none.
+        """Applies one message. Returns the state of its stream after it, None if it has none.
 
-        Raises ProtocolViolationError for a message that is not legal now.
+        Raises ProtocolViolationError for a message that is not legal in the current state.
         """
         message_type = type(message)
         if self.handshake_complete and message_type not in CONNECTION_MESSAGES:  # nearly all messages
@@ -139,7 +139,7 @@
         if message_type is m.Hello:
             self._apply_hello(sender, message)
             return None
-        if sender not in self.greeted:
+        if sender not in self.hello_senders:
             raise ProtocolViolationError("no_hello", f"{_wire_name(message)} came before hello")
         if message_type is m.GoAway:
             self.going_away.add(sender)
@@ -149,13 +149,13 @@
         return self._apply_to_stream(sender, message)
 
     def _apply_hello(self, sender: Role, message: m.Hello) -> None:
-        if sender in self.greeted:
+        if sender in self.hello_senders:
             raise ProtocolViolationError("second_hello", "hello came twice")
         if message.version != m.PROTOCOL_VERSION:
             text = f"speaks version {message.version}, this side version {m.PROTOCOL_VERSION}"
             raise ProtocolViolationError("version", text)
-        self.greeted.add(sender)
-        self.handshake_complete = len(self.greeted) == len(Role)
+        self.hello_senders.add(sender)
+        self.handshake_complete = len(self.hello_senders) == len(Role)
 
     def _apply_to_stream(self, sender: Role, message: Any) -> StreamState | None:
         if type(message) in self.opening_messages:
@@ -199,7 +199,10 @@
         return state
 
     def _check_closed_stream(self, sender: Role, message: Any, stream_id: int) -> None:
-        """Accepts a message that crossed the closing one. Raises ProtocolViolationError for any other."""
+        """Accepts a message that was sent before the closing one was received.
+
+        Raises ProtocolViolationError for any other.
+        """
         was_open = 0 <= stream_id <= self.highest_id
         if was_open and sender is Role.REQUESTER and type(message) in CROSSING_MESSAGES:
             return
@@ -210,7 +213,7 @@
 
 
 def _count_response_bytes(stream: Stream, stream_id: int, message: Any, state: StreamState) -> StreamState:
-    """The state after a message with response bytes; closed with the last of them."""
+    """Counts response bytes; returns the stream's state, which is closed after the last of them."""
     if stream.state not in RESPONSE_STATES:
         stream.response_bytes_left = getattr(message, "size", 0)
     stream.response_bytes_left -= message.body
@@ -222,7 +225,7 @@
 def _count_request_bytes(
     stream: Stream, stream_id: int, message: m.BodyChunk, state: StreamState
 ) -> StreamState:
-    """The state after a chunk of the request's body; the last one completes it, or closes a rejected one."""
+    """Counts request bytes; returns the state of the stream, completed or closed by the last of them."""
     stream.request_bytes_left -= message.body
     if stream.request_bytes_left < 0:
         raise ProtocolViolationError("body_too_long", f"the body of {stream_id} is longer than it said")
@@ -232,33 +235,44 @@
 
 
 def _wire_name(message: Any) -> str:
-    """The name of a message in the protocol, its field "m"."""
+    """Returns the name of a message in the protocol, its field "m"."""
     return str(type(message).__struct_config__.tag)
 
 
 def node_connection_state() -> ConnectionState:
-    """The initial state of a connection between a gateway and a node."""
+    """Returns the initial state of a connection between a gateway and a node."""
     return ConnectionState(ATTEMPT_TRANSITIONS, (m.SendAttempt, m.HealthCheck))
 
 
 def client_connection_state() -> ConnectionState:
-    """The initial state of a connection between a client and a gateway."""
+    """Returns the initial state of a connection between a client and a gateway."""
     return ConnectionState(REQUEST_TRANSITIONS, (m.SubmitRequest,))
 
 
 class ListConnectionState(ConnectionState):
-    """Between a gateway, which sends `WatchEndpoints`, and a list server, which sends lists ever after."""
+    """The state of a connection between a gateway and a list server.
+
+    The gateway sends `WatchEndpoints`; from then on the list server sends lists.
+    """
 
     def __init__(self) -> None:
         super().__init__({}, ())
         self.watching = False
 
     def apply(self, sender: Role, message: Any) -> StreamState | None:
-        """Applies one message; there are no streams here, so None. Raises ProtocolViolationError."""
-        if isinstance(message, m.WatchEndpoints) and sender is Role.REQUESTER and sender in self.greeted:
+        """Applies one message; returns None, as there are no streams. Raises ProtocolViolationError."""
+        if (
+            isinstance(message, m.WatchEndpoints)
+            and sender is Role.REQUESTER
+            and sender in self.hello_senders
+        ):
             self.watching = True
             return None
-        if isinstance(message, m.EndpointListMessage) and sender is Role.RESPONDER and sender in self.greeted:
+        if (
+            isinstance(message, m.EndpointListMessage)
+            and sender is Role.RESPONDER
+            and sender in self.hello_senders
+        ):
             if not self.watching:
                 raise ProtocolViolationError("not_followed", "a list came that nobody asked for")
             return None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 import pytest
 from test_sockets import LONG, Client, gateway, ochrecourse, running  # noqa: F401  (fixtures)
 
-from ochrecourse.gateway.socket_handover import Handover, HandoverStep, handover_obstacle, moved_socket
+from ochrecourse.gateway.socket_handover import Handover, HandoverStep, handover_obstacle, socket_mismatch
 
 pytestmark = pytest.mark.long
 PLAIN = {"gateway": {"name": "g0", "seed": 0, "listen": "127.0.0.1:7000", "admin": ""}}
@@ -44,11 +44,11 @@
 )  # fmt: skip
 def test_sockets_that_the_settings_put_elsewhere_are_not_taken(listen, held, moved):
     record = {"gateway": {**PLAIN["gateway"], "listen": listen}}
-    assert bool(moved_socket(record, {"native": held})) == moved
+    assert bool(socket_mismatch(record, {"native": held})) == moved
 
 
 def test_a_socket_of_no_setting_any_more_is_no_move():
-    assert not moved_socket(PLAIN, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
+    assert not socket_mismatch(PLAIN, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
 
 
 def test_one_taker_at_a_time_and_each_step_once():
