--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -6,7 +6,7 @@
 
 import pytest
 from test_service import FLAT
-from test_standing import Wire
+from test_standing import FakeNodeConnection
 
 from ochrecourse import library
 from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
@@ -120,7 +120,7 @@
     def attempt(self, request_id):
         """The attempt of a request, once its connection is up."""
         for dial in self.dials:
-            self.gateway.nodes.connections[dial.number] = wire = Wire(dial)
+            self.gateway.nodes.connections[dial.number] = wire = FakeNodeConnection(dial)
             self.gateway.nodes.connection_opened(wire)
         self.dials.clear()
         return self.gateway.in_flight[request_id].attempt
--- a/tests/test_node_connections.py
+++ b/tests/test_node_connections.py
@@ -1,12 +1,12 @@
-"""Attempts and the connections that carry them: what is written when, and what counts as sent.
+"""Attempts and their connections: when an attempt is written, and when it counts as sent.
 
-The crossings are forced: a connection comes up, breaks or is given up at the very moment that the test names.
+Races are forced: a connection opens, breaks or is abandoned at exactly the moment that the test chooses.
 """
 
 import pytest
 from conftest import START
 from test_service import FLAT, Shop, read, value
-from test_standing import Clerk, Nobody, Street, Wire
+from test_standing import RecordingScheduler, RecordingHandler, DispatcherHarness, FakeNodeConnection
 
 from ochrecourse.common.time_units import MS, SECOND
 from ochrecourse.common.requests import Request
@@ -24,21 +24,21 @@
 from ochrecourse.standins.respnode import good
 from ochrecourse.wire import messages as m
 
-WINDOW = 400 * MS  # for repeats of the class below, shorter than its deadline and than a late dial
+WINDOW = 400 * MS  # idempotency window of the class below, shorter than its deadline and than a late dial
 
 
-class ShortWindow:
-    """A gateway with two storage nodes of one shard; connections come up when the test says so.
+class GatewayHarness:
+    """A gateway with one storage node, whose connections open when the test calls `connect`.
 
-    Its class `mark` is keyed within one cell and may be repeated for 400 ms.
+    Its class `mark` is keyed, with an idempotency window of 400 ms.
     """
 
     def __init__(self):
         self.network = VirtualNetwork(1)
-        self.dials, self.asker = [], Nobody()
+        self.dials, self.handler = [], RecordingHandler()
         values = {**FLAT, "Classes.1.Window": "400", "Classes.1.Aim": "900", "Classes.1.SerialByKey": "false"}
         self.gateway = Gateway(
-            values, 7, self.network, lambda dispatcher, line, address: self.dials.append(line), "n0", decisions=Clerk,
+            values, 7, self.network, lambda dispatcher, dial, address: self.dials.append(dial), "n0", decisions=RecordingScheduler,
             limits=PoolLimits(attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=10 * SECOND),
         )  # fmt: skip
         self.gateway.endpoint_list_received(
@@ -50,30 +50,30 @@
 
     def request(self):
         self.gateway.submit(
-            Request("mark", "p0", 5, 2 * SECOND, self.now(), key=9, shard=0, units=2.0), self.asker
+            Request("mark", "p0", 5, 2 * SECOND, self.now(), key=9, shard=0, units=2.0), self.handler
         )
 
     def connect(self):
-        """The oldest dial that is under way comes up."""
-        line = next(line for line in self.dials if line.number in self.gateway.nodes.dials.in_progress)
-        wire = self.gateway.nodes.connections[line.number] = Wire(line)
-        self.gateway.nodes.connection_opened(wire)
-        return wire
+        """Opens the connection of the oldest dial in progress."""
+        dial = next(dial for dial in self.dials if dial.number in self.gateway.nodes.dials.in_progress)
+        connection = self.gateway.nodes.connections[dial.number] = FakeNodeConnection(dial)
+        self.gateway.nodes.connection_opened(connection)
+        return connection
 
-    def reset(self, wire):
+    def reset(self, connection):
         self.gateway.nodes.connection_closed(
-            wire, list(self.gateway.nodes.in_flight.values()), ConnectionEnd.BETWEEN_MESSAGES
+            connection, list(self.gateway.nodes.in_flight.values()), ConnectionEnd.BETWEEN_MESSAGES
         )
 
-    def first_attempt_breaks(self):
+    def fail_first_attempt(self):
         self.request()
-        wire = self.connect()
-        assert len(wire.sent) == 1
-        self.reset(wire)
-        self.until_dialled(len(self.dials) + 1)
+        connection = self.connect()
+        assert len(connection.sent) == 1
+        self.reset(connection)
+        self.wait_for_dial(len(self.dials) + 1)
 
-    def until_dialled(self, count):
-        """Lets the pause before a further attempt pass."""
+    def wait_for_dial(self, count):
+        """Advances the clock until the retry is dialled."""
         for _ in range(50):
             if len(self.dials) >= count:
                 return
@@ -82,100 +82,100 @@
 
 
 def test_a_repeat_that_waits_for_its_connection_is_not_written_after_its_window():
-    """Guards against an effect that happens twice: the repeat was decided in its window and written behind it."""
-    world = ShortWindow()
-    world.first_attempt_breaks()
-    world.network.advance(0.4)
-    assert world.asker.answers == ["failed"]
-    assert world.connect().sent == []
+    """Guards against executing a request twice: the retry was decided within its window and written after it."""
+    harness = GatewayHarness()
+    harness.fail_first_attempt()
+    harness.network.advance(0.4)
+    assert harness.handler.responses == ["failed"]
+    assert harness.connect().sent == []
 
 
-def test_a_repeat_is_written_up_to_the_end_of_its_window():
-    world = ShortWindow()
-    started = world.now()
-    world.first_attempt_breaks()
-    world.network.advance(
-        (started + WINDOW - world.now()) / SECOND - 0.006
-    )  # less what decisions keep back, and a ms
-    assert len(world.connect().sent) == 1
+def test_a_retry_is_written_until_the_end_of_its_idempotency_window():
+    harness = GatewayHarness()
+    started = harness.now()
+    harness.fail_first_attempt()
+    harness.network.advance(
+        (started + WINDOW - harness.now()) / SECOND - 0.006
+    )  # less the scheduler's margin and 1 ms
+    assert len(harness.connect().sent) == 1
 
 
 def test_a_connection_that_comes_up_in_a_late_turn_takes_no_repeat_whose_window_has_passed():
-    """Guards against a loop that stood still: the connection is seen before the timer that ends the wait."""
-    world = ShortWindow()
-    world.first_attempt_breaks()
-    world.network.now += 0.5  # no timer was called meanwhile
-    assert world.connect().sent == []
-    world.network.advance(0)
-    assert world.asker.answers == ["failed"]
+    """When the event loop was blocked, the connection is handled before the timer that ends the wait."""
+    harness = GatewayHarness()
+    harness.fail_first_attempt()
+    harness.network.now += 0.5  # without calling timers
+    assert harness.connect().sent == []
+    harness.network.advance(0)
+    assert harness.handler.responses == ["failed"]
 
 
 def test_a_connection_that_another_attempt_leaves_takes_no_repeat_whose_window_has_passed():
-    """Guards against the other way to a connection: one that becomes free."""
-    world = ShortWindow()
-    world.request()
-    first = world.connect()
-    busy = world.gateway.nodes.in_flight[1]
-    world.request()
-    second = world.connect()
-    world.gateway.nodes.connection_closed(
-        second, [world.gateway.nodes.in_flight[2]], ConnectionEnd.BETWEEN_MESSAGES
+    """The same as above when another attempt releases its connection."""
+    harness = GatewayHarness()
+    harness.request()
+    first = harness.connect()
+    busy = harness.gateway.nodes.in_flight[1]
+    harness.request()
+    second = harness.connect()
+    harness.gateway.nodes.connection_closed(
+        second, [harness.gateway.nodes.in_flight[2]], ConnectionEnd.BETWEEN_MESSAGES
     )
-    world.gateway.scheduler.nodes[7].window = 8.0  # a second request has room beside the first
-    world.until_dialled(3)
-    world.network.now += 0.5
+    harness.gateway.scheduler.nodes[7].window = 8.0  # so that a second request may run beside the first
+    harness.wait_for_dial(3)
+    harness.network.now += 0.5
     busy.pooled = None
-    world.gateway.nodes.response_received(busy, m.AttemptServed(id=0, size=0, body=0), b"", True)
-    world.gateway.nodes.connection_freed(first)
+    harness.gateway.nodes.response_received(busy, m.AttemptServed(id=0, size=0, body=0), b"", True)
+    harness.gateway.nodes.connection_freed(first)
     assert first.sent == [1]
 
 
-def test_the_window_counts_from_the_writing_of_the_attempt_that_may_have_run():
-    """Guards against a window that a late connection of the first attempt has used up before it began."""
-    world = ShortWindow()
-    world.request()
-    world.network.advance(0.3)
-    wire = world.connect()
-    written = world.now()
-    world.reset(wire)
-    held = next(iter(world.gateway.scheduler.requests.values()))
-    assert held.first_run.sent_at == written
+def test_the_idempotency_window_starts_when_the_first_attempt_is_written():
+    """Guards against a window that passes while the first attempt waits for its connection."""
+    harness = GatewayHarness()
+    harness.request()
+    harness.network.advance(0.3)
+    connection = harness.connect()
+    written = harness.now()
+    harness.reset(connection)
+    request = next(iter(harness.gateway.scheduler.requests.values()))
+    assert request.first_run.sent_at == written
 
 
 def test_a_body_that_is_not_whole_at_the_latest_time_is_given_up_and_proves_that_nothing_ran():
-    """Guards against the last byte of a long body behind the window: the node begins with that byte."""
-    street = Street()
-    now = round(street.network.seconds() * SECOND)
+    """Guards against the last byte of a long body written after the window: the node starts with that byte."""
+    harness = DispatcherHarness()
+    now = round(harness.network.seconds() * SECOND)
     message = m.SendAttempt(
         id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=True, idempotency="keyed",
         idempotency_window_ms=0.0, timeout_ms=1.0, size=99,
     )  # fmt: skip
     limits = AttemptLimits(2 * SECOND, SECOND, None, now + 100 * MS)
-    attempt = street.dispatcher.send(OutgoingAttempt(1, 7, message, None, street), limits)
-    street.came(street.dialled[0])
+    attempt = harness.dispatcher.send(OutgoingAttempt(1, 7, message, None, harness), limits)
+    harness.open_connection(harness.dials[0])
     attempt.written = 50
     assert attempt.write_progress() is WriteProgress.PARTIAL
-    street.network.advance(0.11)
-    assert street.ends == [(1, AttemptEvent.CANCELLED_BEFORE_WRITE)] and attempt.connection.ended
+    harness.network.advance(0.11)
+    assert harness.ends == [(1, AttemptEvent.CANCELLED_BEFORE_WRITE)] and attempt.connection.ended
 
 
-def test_an_attempt_that_was_written_in_time_is_not_ended_by_its_latest_time():
-    street = Street()
-    now = round(street.network.seconds() * SECOND)
-    attempt = street.send(1)
+def test_an_attempt_written_in_time_is_not_ended_by_its_write_deadline():
+    harness = DispatcherHarness()
+    now = round(harness.network.seconds() * SECOND)
+    attempt = harness.send(1)
     limits = AttemptLimits(2 * SECOND, SECOND, None, now + 100 * MS)
-    other = street.dispatcher.send(OutgoingAttempt(2, 7, attempt.message, None, street), limits)
-    for line in list(street.dialled):
-        street.came(line)
-    street.network.advance(0.2)
-    assert street.ends == [] and other.write_progress() is WriteProgress.COMPLETE
+    other = harness.dispatcher.send(OutgoingAttempt(2, 7, attempt.message, None, harness), limits)
+    for dial in list(harness.dials):
+        harness.open_connection(dial)
+    harness.network.advance(0.2)
+    assert harness.ends == [] and other.write_progress() is WriteProgress.COMPLETE
 
 
-# --- connections that speak the platform's protocol ---
+# --- RESP2 connections ---
 
 
-class Pipe:
-    """A transport that keeps what is written and ends in the next turn, as an aborted one does."""
+class FakeTransport:
+    """A transport that records writes and ends in the next iteration, as an aborted one does."""
 
     def __init__(self, network, connection):
         self.network, self.connection = network, connection
@@ -193,12 +193,12 @@
     loseConnection = abortConnection
 
 
-class Lines:
-    """A dispatcher of RESP2 connections that come up when the test says so."""
+class RespDispatcherHarness:
+    """A dispatcher of RESP2 connections, which open when the test calls `connect`."""
 
     def __init__(self):
         self.network = VirtualNetwork(1)
-        self.dials, self.ends, self.answers = [], [], []
+        self.dials, self.ends, self.responses = [], [], []
         limits = PoolLimits(
             attempts_per_connection=1, connections_per_node=9, concurrent_dials=9, idle_timeout=10 * SECOND
         )
@@ -209,242 +209,246 @@
             NodeNetwork(lambda node: ("h", node), self.open),
         )
 
-    def open(self, dispatcher, line, address):
-        self.dials.append(line)
+    def open(self, dispatcher, dial, address):
+        self.dials.append(dial)
 
     def connect(self):
-        line = self.dials[-1]
-        connection = self.dispatcher.connections[line.number] = RespNodeConnection(self.dispatcher, line)
-        connection.transport = Pipe(self.network, connection)
+        dial = self.dials[-1]
+        connection = self.dispatcher.connections[dial.number] = RespNodeConnection(self.dispatcher, dial)
+        connection.transport = FakeTransport(self.network, connection)
         connection.connectionMade()
         return connection
 
-    def send(self, number, patience=2 * SECOND):
-        reader = codec.CommandParser()
-        reader.feed(read(number))
-        body = parse_command(reader.next(), RequestClasses(FLAT), 0).body
+    def send(self, number, timeout=2 * SECOND):
+        parser = codec.CommandParser()
+        parser.feed(read(number))
+        body = parse_command(parser.next(), RequestClasses(FLAT), 0).body
         message = m.SendAttempt(
             id=0, idempotency_key="", request_class="read", volume=1, key=1, units=1.0, shard=0, number=0, write=False, idempotency="safe",
-            idempotency_window_ms=0.0, timeout_ms=patience / MS, size=0,
+            idempotency_window_ms=0.0, timeout_ms=timeout / MS, size=0,
         )  # fmt: skip
         attempt = OutgoingAttempt(number, 7, message, body, self)
-        return self.dispatcher.send(attempt, AttemptLimits(patience, SECOND, patience))
+        return self.dispatcher.send(attempt, AttemptLimits(timeout, SECOND, timeout))
 
     def attempt_written(self, attempt):
-        """Told of every attempt that has a connection."""
+        """Ignored."""
 
     def response_began(self, attempt, response):
-        """Told of every answer."""
+        """Ignored."""
 
     def response_data(self, attempt, data):
-        self.answers.append((attempt.request_id, data))
+        self.responses.append((attempt.request_id, data))
 
     def attempt_ended(self, attempt, event, reply):
         self.ends.append((attempt.request_id, event))
 
 
-@pytest.mark.parametrize("waited", [0.0, 0.2, 1.2])
-def test_the_time_told_to_a_node_is_what_is_left_when_the_request_is_written(waited):
-    """Guards against a node that works on for a client whose time was spent on a connection that came up late."""
-    lines = Lines()
-    lines.send(1)
-    lines.network.advance(waited)
-    told = lines.connect().transport.written.partition(b",d=")[2].partition(b",")[0]
-    assert int(told) == pytest.approx(2000 - waited * 1000, abs=1)
+@pytest.mark.parametrize("elapsed", [0.0, 0.2, 1.2])
+def test_the_time_told_to_a_node_is_what_is_left_when_the_request_is_written(elapsed):
+    """Guards against a node that works beyond a client's timeout because the connection opened late."""
+    harness = RespDispatcherHarness()
+    harness.send(1)
+    harness.network.advance(elapsed)
+    sent_timeout = harness.connect().transport.written.partition(b",d=")[2].partition(b",")[0]
+    assert int(sent_timeout) == pytest.approx(2000 - elapsed * 1000, abs=1)
 
 
-@pytest.mark.parametrize("noise", [b"*1\r\n$1\r\nx\r\n", b"$3\r"])
-def test_nothing_is_written_to_a_connection_that_this_side_is_ending(noise):
-    """Guards against an attempt that is dropped unseen, taken for sent, and then for one that may have run."""
-    lines = Lines()
-    lines.send(1)
-    connection = lines.connect()
+@pytest.mark.parametrize("unexpected_bytes", [b"*1\r\n$1\r\nx\r\n", b"$3\r"])
+def test_nothing_is_written_to_a_connection_that_this_side_is_ending(unexpected_bytes):
+    """Guards against an attempt whose bytes are lost, but which counts as sent and possibly executed."""
+    harness = RespDispatcherHarness()
+    harness.send(1)
+    connection = harness.connect()
     connection.dataReceived(b"*1\r\n$1\r\nv\r\n")
-    lines.network.advance(0.1)
-    connection.dataReceived(noise)  # nobody waits for it: the connection ends, and is gone in the next turn
-    lines.send(2)
-    assert len(lines.dials) == 2
-    lines.connect()
-    lines.network.advance(0.1)
-    assert [job for job, _ in lines.ends] == [1]
-
-
-def test_an_attempt_that_waits_takes_no_connection_that_this_side_is_ending():
-    """Guards against the same by the way of an attempt that waits for its dial."""
-    lines = Lines()
-    lines.send(1)
-    connection = lines.connect()
-    lines.send(2)
+    harness.network.advance(0.1)
+    connection.dataReceived(unexpected_bytes)  # aborts the connection, which ends in the next iteration
+    harness.send(2)
+    assert len(harness.dials) == 2
+    harness.connect()
+    harness.network.advance(0.1)
+    assert [request_id for request_id, _ in harness.ends] == [1]
+
+
+def test_a_waiting_attempt_is_not_written_to_a_connection_being_aborted():
+    """The same for an attempt that waits for its dial."""
+    harness = RespDispatcherHarness()
+    harness.send(1)
+    connection = harness.connect()
+    harness.send(2)
     connection.dataReceived(b"*1\r\n$1\r\nv\r\n$3\r")
-    assert [job for job, _ in lines.ends] == [1]
-    lines.network.advance(0.01)
-    assert [job for job, _ in lines.ends] == [1] and connection.transport.written.count(b"BLK.READ") == 1
+    assert [request_id for request_id, _ in harness.ends] == [1]
+    harness.network.advance(0.01)
+    assert [request_id for request_id, _ in harness.ends] == [1] and connection.transport.written.count(
+        b"BLK.READ"
+    ) == 1
 
 
-def test_a_given_up_attempt_leaves_a_connection_that_carries_no_other():
-    lines = Lines()
-    first = lines.send(1)
-    connection = lines.connect()
-    lines.dispatcher.cancel(first)
-    lines.send(2)
-    assert len(lines.dials) == 2 and connection.transport.written.count(b"BLK.READ") == 1
+def test_a_connection_whose_attempt_was_cancelled_is_not_reused():
+    harness = RespDispatcherHarness()
+    first = harness.send(1)
+    connection = harness.connect()
+    harness.dispatcher.cancel(first)
+    harness.send(2)
+    assert len(harness.dials) == 2 and connection.transport.written.count(b"BLK.READ") == 1
 
 
-@pytest.mark.parametrize("late", [0.001, 0.004, 0.008])
-def test_a_second_answer_that_comes_late_is_not_the_next_request_s(late):
-    """Guards against serving a request with what was made for the one before it on the connection."""
+@pytest.mark.parametrize("delay", [0.001, 0.004, 0.008])
+def test_a_late_duplicate_reply_is_not_taken_for_the_next_request(delay):
+    """Guards against serving a request with the reply to the previous one on its connection."""
     shop = Shop()
     client = shop.client()
 
-    def twice(words):
+    def reply_twice(arguments):
         peer = shop.node.peers[-1]
-        shop.node.reply = lambda words: None
-        shop.network.callLater(late, peer.transport.write, good(words))
-        return good(words)
+        shop.node.reply = lambda arguments: None
+        shop.network.callLater(delay, peer.transport.write, good(arguments))
+        return good(arguments)
 
-    shop.node.reply = twice
+    shop.node.reply = reply_twice
     client.say(read(1) + read(2))
     shop.run(0.05)
     assert len(shop.node.commands) == 2 and client.got == value(1)
 
 
-@pytest.mark.parametrize("late", [0.001, 0.004, 0.008])
-def test_a_connection_on_which_an_answer_came_twice_carries_no_other_request(late):
-    """Guards against the same where the next request comes a moment after the answer."""
+@pytest.mark.parametrize("delay", [0.001, 0.004, 0.008])
+def test_a_connection_with_a_duplicate_reply_is_not_reused(delay):
+    """The same when the next request arrives shortly after the reply."""
     shop = Shop()
     client = shop.client()
     peers = []
 
-    def twice(words):
+    def reply_twice(arguments):
         peers.append(shop.node.peers[-1])
-        shop.node.reply = lambda words: None
-        shop.network.callLater(late, peers[0].transport.write, good(words))
-        return good(words)
+        shop.node.reply = lambda arguments: None
+        shop.network.callLater(delay, peers[0].transport.write, good(arguments))
+        return good(arguments)
 
-    shop.node.reply = twice
+    shop.node.reply = reply_twice
     client.say(read(1))
     for _ in range(100):
         if client.got:
             break
         shop.run(0.0002)
-    shop.run(max(0.0, late - 0.002))  # so that it is read before the second answer comes
+    shop.run(max(0.0, delay - 0.002))  # so that it is read before the duplicate reply arrives
     client.say(read(2))
     shop.run(0.05)
     assert client.got == value(1) and len(shop.node.commands) == 2 and shop.node.lost == 1
 
 
-@pytest.mark.parametrize("waits", [True, False])
-def test_a_second_answer_that_stands_unread_when_its_connection_has_rested_is_not_the_next_request_s(waits):
-    """Guards against a loop that stood still: it calls its timers before it reads, and so ended the rest of a connection
-    on which a second answer had come in its time."""
-    lines = Lines()
-    lines.send(1)
-    connection = lines.connect()
-    answer = good([b"", b"", b"%016x" % 1])
-    connection.dataReceived(answer)
-    if waits:
-        lines.send(2)
-    lines.network.now += 0.05  # no timer was called meanwhile
-    if not waits:
-        lines.network.callLater(0, lines.send, 2)  # read before the second answer is
-    lines.network.callLater(0, connection.dataReceived, answer)
-    lines.network.advance(0)
-    assert [job for job, _ in lines.answers] == [1]
+@pytest.mark.parametrize("second_waits", [True, False])
+def test_a_second_answer_that_stands_unread_when_its_connection_has_rested_is_not_the_next_request_s(
+    second_waits,
+):
+    """A blocked event loop calls its timers before it reads: the reuse delay ended before the duplicate reply, which
+    had arrived within it, was read."""
+    harness = RespDispatcherHarness()
+    harness.send(1)
+    connection = harness.connect()
+    reply = good([b"", b"", b"%016x" % 1])
+    connection.dataReceived(reply)
+    if second_waits:
+        harness.send(2)
+    harness.network.now += 0.05  # without calling timers
+    if not second_waits:
+        harness.network.callLater(0, harness.send, 2)  # read before the duplicate reply
+    harness.network.callLater(0, connection.dataReceived, reply)
+    harness.network.advance(0)
+    assert [request_id for request_id, _ in harness.responses] == [1]
 
 
-# --- what lies between a decision and its writing ---
+# --- limits between the decision and the write of an attempt ---
 
 
 def test_what_is_drawn_from_a_limit_and_waits_for_its_connection_leaves_no_room_to_fill(make_desk):
-    """Guards against a limit that is passed when late connections come up together: until a request is written its
-    units still lie in the nodes' store, which holds no more than its depth."""
+    """Guards against exceeding a limit when late connections open together: until an attempt is written, its units
+    still count in the token bucket, which holds no more than its depth."""
     desk = make_desk()
-    rested = START + 20 * SECOND  # the gateway's part is 5 units a second and 20 at most
-    patience = 60 * SECOND
-    late = desk.take(rested, tenant=1, units=8.0, patience=patience, shard=0)
-    assert [said.request_id for said in desk.pull(rested)] == [late]
-    after = rested + 10 * SECOND
+    start = START + 20 * SECOND  # the gateway's share is 5 units per second with a burst of 20
+    timeout = 60 * SECOND
+    request_id = desk.take(start, tenant=1, units=8.0, patience=timeout, shard=0)
+    assert [decision.request_id for decision in desk.pull(start)] == [request_id]
+    later = start + 10 * SECOND
     volume = desk.scheduler.volumes[1]
-    volume.refill(after)
+    volume.refill(later)
     assert volume.limit_tokens == pytest.approx(12.0)
-    desk.scheduler.attempt_written(late, after)
-    volume.refill(after + SECOND)
+    desk.scheduler.attempt_written(request_id, later)
+    volume.refill(later + SECOND)
     assert volume.limit_tokens == pytest.approx(17.0)
 
 
 @pytest.mark.parametrize("ending", [Ending.UNREACHABLE, Ending.FULL])
-def test_what_is_drawn_is_let_go_with_its_request(make_desk, ending):
-    """Guards against room that is lost for good with a request that was never written, or was turned away."""
+def test_reserved_units_are_released_when_the_attempt_ends(make_desk, ending):
+    """Guards against capacity that is lost with a request that was never written or was rejected."""
     desk = make_desk(Limits__MaxAttempts="1")
-    rested = START + 20 * SECOND
-    desk.take(rested, tenant=1, units=8.0)
-    attempt = desk.pull(rested)[0]
+    start = START + 20 * SECOND
+    desk.take(start, tenant=1, units=8.0)
+    attempt = desk.pull(start)[0]
     if ending is Ending.FULL:
-        desk.scheduler.attempt_written(attempt.request_id, rested)
-    desk.end(attempt, rested + MS, ending)
-    desk.pull(rested + MS)
+        desk.scheduler.attempt_written(attempt.request_id, start)
+    desk.end(attempt, start + MS, ending)
+    desk.pull(start + MS)
     volume = desk.scheduler.volumes[1]
     assert volume.unwritten_units == 0.0
-    volume.refill(rested + 30 * SECOND)
+    volume.refill(start + 30 * SECOND)
     assert volume.limit_tokens == pytest.approx(20.0)
 
 
-# --- attempts that wait for a connection, after a long turn of the loop ---
+# --- attempts that wait for a connection, after a long iteration of the event loop ---
 
 
-class Behind(Street):
-    """A dispatcher two turns before all that stands unread is known."""
+class BlockedLoopHarness(DispatcherHarness):
+    """A dispatcher two iterations before all unread input is read."""
 
     def __init__(self):
         super().__init__()
         self.dispatcher.iterations_behind = lambda: 2
 
 
-def test_a_connection_that_opens_after_a_long_turn_takes_its_attempts_when_all_is_read():
-    street = Behind()
-    street.send(1)
-    street.came(street.dialled[0])
-    assert street.wires[street.dialled[0].number].sent == []
-    street.network.advance(0)
-    assert street.wires[street.dialled[0].number].sent == [1]
+def test_a_connection_opened_after_a_long_iteration_gets_attempts_once_input_is_read():
+    harness = BlockedLoopHarness()
+    harness.send(1)
+    harness.open_connection(harness.dials[0])
+    assert harness.connections[harness.dials[0].number].sent == []
+    harness.network.advance(0)
+    assert harness.connections[harness.dials[0].number].sent == [1]
 
 
-def test_an_attempt_that_is_given_up_before_all_is_read_is_not_written():
-    """Guards against the client whose end stands unread behind the connection that it waits for."""
-    street = Behind()
-    attempt = street.send(1)
-    street.came(street.dialled[0])
-    street.dispatcher.cancel(attempt)
-    street.network.advance(0)
-    assert street.wires[street.dialled[0].number].sent == [] and street.ends == [
+def test_an_attempt_cancelled_before_all_input_is_read_is_not_written():
+    """Guards against writing an attempt of a client whose close is read after the connection has opened."""
+    harness = BlockedLoopHarness()
+    attempt = harness.send(1)
+    harness.open_connection(harness.dials[0])
+    harness.dispatcher.cancel(attempt)
+    harness.network.advance(0)
+    assert harness.connections[harness.dials[0].number].sent == [] and harness.ends == [
         (1, AttemptEvent.CANCELLED_BEFORE_WRITE)
     ]
 
 
-def test_a_connection_that_closes_before_all_is_read_is_a_dial_that_failed():
-    """Guards against attempts that wait for ever for a connection which opened and closed unseen."""
-    street = Behind()
-    street.send(1)
-    street.came(street.dialled[0])
-    street.dispatcher.connection_closed(
-        street.wires[street.dialled[0].number], [], ConnectionEnd.BETWEEN_MESSAGES
+def test_a_connection_closed_before_all_input_is_read_counts_as_a_failed_dial():
+    """Guards against attempts that wait for ever for a connection that opened and closed again."""
+    harness = BlockedLoopHarness()
+    harness.send(1)
+    harness.open_connection(harness.dials[0])
+    harness.dispatcher.connection_closed(
+        harness.connections[harness.dials[0].number], [], ConnectionEnd.BETWEEN_MESSAGES
     )
-    street.network.advance(0)
+    harness.network.advance(0)
     assert (
-        street.ends == [(1, AttemptEvent.DIAL_REFUSED)]
-        and not street.dispatcher.in_flight
-        and not street.dispatcher.dials.in_progress
+        harness.ends == [(1, AttemptEvent.DIAL_REFUSED)]
+        and not harness.dispatcher.in_flight
+        and not harness.dispatcher.dials.in_progress
     )
 
 
-def test_a_connection_that_is_left_after_a_long_turn_takes_what_waits_when_all_is_read():
-    street = Street()
-    first = street.send(1)
-    street.came(street.dialled[0])
-    street.send(2)
-    wire = street.wires[street.dialled[0].number]
-    street.dispatcher.iterations_behind = lambda: 2
-    street.answer(first)
-    assert wire.sent == [1]
-    street.network.advance(0)
-    assert wire.sent == [1, 2]
+def test_a_connection_released_after_a_long_iteration_gets_waiting_attempts_once_input_is_read():
+    harness = DispatcherHarness()
+    first = harness.send(1)
+    harness.open_connection(harness.dials[0])
+    harness.send(2)
+    connection = harness.connections[harness.dials[0].number]
+    harness.dispatcher.iterations_behind = lambda: 2
+    harness.respond(first)
+    assert connection.sent == [1]
+    harness.network.advance(0)
+    assert connection.sent == [1, 2]
--- a/tests/test_pool_total.py
+++ b/tests/test_pool_total.py
@@ -1,4 +1,4 @@
-"""The bound on connections to all nodes together."""
+"""The limit on connections to all nodes together."""
 
 from ochrecourse.interface import Ending
 from ochrecourse.nodes.pool import ConnectionStatus, Pool, PoolLimits
@@ -20,16 +20,20 @@
     for connection in (first, second):
         assert pool.next_dial() is connection
         pool.opened(connection, 5)
-    assert pool.place(3, 3) == (None, False, None)  # both have an attempt: no room, and nobody is closed
+    assert pool.place(3, 3) == (None, False, None)  # both carry an attempt, so neither is evicted
     pool.attempt_ended(first, 1, 6)
-    place = pool.place(3, 4)
-    assert place.evicted is first and first.status is ConnectionStatus.DRAINING and place.connection.node == 3
+    placement = pool.place(3, 4)
+    assert (
+        placement.evicted is first
+        and first.status is ConnectionStatus.DRAINING
+        and placement.connection.node == 3
+    )
     pool.remove(first)
     assert pool.place(1, 5) == (None, False, None)
     pool.attempt_ended(second, 2, 7)
-    assert pool.place(2, 6) == (second, True, None)  # its own resting connection is used, not closed
+    assert pool.place(2, 6) == (second, True, None)  # the node's own idle connection is reused, not evicted
 
 
-def test_shortage_on_this_side_is_not_told_as_a_node_that_can_not_be_reached():
-    # The scheduler takes an unreachable node for a shut one, and would send it less for what is our own lack.
+def test_lack_of_connections_is_not_reported_as_an_unreachable_node():
+    # The scheduler would send less to an unreachable node, although the shortage is on this side.
     assert VERDICTS[AttemptEvent.NO_CAPACITY] == AttemptVerdict(Ending.MOOT, Executed.NO)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""State without I/O: proofs, pool, books, lateness, leaving, sampling, the list of nodes."""
+"""Components without I/O: attempt outcomes, pool, request log, loop lag, shutdown, log sampling, endpoint list."""
 
 import errno
 import io
@@ -33,19 +33,19 @@
 from ochrecourse.standins.listserver import ListServer
 from ochrecourse.wire.messages import EndpointEntry
 
-# --- what events prove ---
+# --- outcomes of attempts ---
 
 
-def test_every_event_has_its_proof_and_none_claims_more_than_is_known():
+def test_every_attempt_event_has_a_verdict_that_claims_no_more_than_is_known():
     assert set(VERDICTS) == set(AttemptEvent)
-    sure = {Ending.UNREACHABLE, Ending.FULL, Ending.MOOT}
-    for seen, proof in VERDICTS.items():
-        assert (proof.ending in sure) == (proof.executed is Executed.NO), seen
-        assert (proof.ending is Ending.SERVED) == (seen is AttemptEvent.SERVED)
+    certainly_not_executed = {Ending.UNREACHABLE, Ending.FULL, Ending.MOOT}
+    for event, verdict in VERDICTS.items():
+        assert (verdict.ending in certainly_not_executed) == (verdict.executed is Executed.NO), event
+        assert (verdict.ending is Ending.SERVED) == (event is AttemptEvent.SERVED)
 
 
 @pytest.mark.parametrize(
-    ("written", "answering", "how", "seen"),
+    ("progress", "responding", "end", "event"),
     [
         (WriteProgress.NOTHING, False, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_BEFORE_WRITE),
         (WriteProgress.PARTIAL, False, ConnectionEnd.BETWEEN_MESSAGES, AttemptEvent.CLOSED_DURING_WRITE),
@@ -56,11 +56,11 @@
         (WriteProgress.PARTIAL, False, ConnectionEnd.VIOLATION, AttemptEvent.VIOLATION_BEFORE_WRITE),
     ],
 )
-def test_the_end_of_a_connection_by_how_far_the_leg_had_come(written, answering, how, seen):
-    assert event_on_close(written, answering, how) is seen
+def test_the_end_of_a_connection_by_how_far_the_leg_had_come(progress, responding, end, event):
+    assert event_on_close(progress, responding, end) is event
 
 
-def test_a_time_out_proves_that_nothing_ran_only_before_the_last_byte():
+def test_a_time_out_proves_no_execution_only_before_the_last_byte_is_written():
     assert event_on_timeout(WriteProgress.PARTIAL, False) is AttemptEvent.TIMEOUT_BEFORE_WRITE
     assert event_on_timeout(WriteProgress.COMPLETE, False) is AttemptEvent.TIMEOUT
     assert event_on_timeout(WriteProgress.COMPLETE, True) is AttemptEvent.RESPONSE_ABORTED
@@ -76,22 +76,22 @@
     )
 
 
-def test_legs_fill_connections_up_to_their_caps_then_find_no_room(pool):
-    places = [pool.place(70, leg) for leg in range(1, 6)]
-    assert [place.connection and place.connection.number for place in places] == [1, 1, 2, 2, None]
-    assert not any(place.ready for place in places)
+def test_attempts_fill_connections_up_to_their_limits_and_then_get_none(pool):
+    placements = [pool.place(70, attempt) for attempt in range(1, 6)]
+    assert [place.connection and place.connection.number for place in placements] == [1, 1, 2, 2, None]
+    assert not any(place.ready for place in placements)
 
 
-def test_dials_of_one_gateway_wait_for_each_other(pool):
-    for leg, node in enumerate((70, 71, 72), 1):
-        pool.place(node, leg)
+def test_concurrent_dials_of_one_gateway_are_limited(pool):
+    for attempt, node in enumerate((70, 71, 72), 1):
+        pool.place(node, attempt)
     first = pool.next_dial()
     assert first.node == 70 and pool.next_dial() is None
     assert pool.opened(first, 0) == [1]
     assert pool.next_dial().node == 71
 
 
-def test_a_failed_dial_gives_its_legs_back_and_frees_the_next(pool):
+def test_a_failed_dial_returns_its_attempts_and_starts_the_next_dial(pool):
     pool.place(70, 1)
     pool.place(70, 2)
     pool.place(71, 3)
@@ -99,7 +99,7 @@
     assert pool.next_dial().node == 71 and 70 not in pool.connections
 
 
-def test_a_queued_connection_that_nobody_waits_for_is_not_dialled(pool):
+def test_a_queued_connection_without_waiting_attempts_is_not_dialled(pool):
     pool.next_dial()
     pool.place(70, 1)
     connection = pool.place(71, 2).connection
@@ -108,15 +108,15 @@
     assert pool.next_dial() is None and 71 not in pool.connections
 
 
-def test_legs_with_long_bodies_have_connections_of_their_own():
-    """Guards against short answers that wait behind the bytes of long ones."""
+def test_attempts_with_long_bodies_use_separate_connections():
+    """Guards against short responses that wait behind the bytes of long ones."""
     pool = Pool(
         PoolLimits(attempts_per_connection=2, connections_per_node=4, concurrent_dials=9, idle_timeout=SECOND)
     )
     pool.response_began("export", True)
     connections = [
-        pool.place(7, i, product).connection
-        for i, product in enumerate(["read", "export", "read", "export", "export"])
+        pool.place(7, i, request_class).connection
+        for i, request_class in enumerate(["read", "export", "read", "export", "export"])
     ]
     assert [connection.long_bodies for connection in connections] == [False, True, False, True, True] and len(
         {connection.number for connection in connections}
@@ -130,7 +130,7 @@
     assert pool.place(7, 8, "export").connection.long_bodies is False
 
 
-def test_one_connection_carries_all():
+def test_a_limit_of_one_connection_carries_all_attempts():
     pool = Pool(
         PoolLimits(attempts_per_connection=9, connections_per_node=1, concurrent_dials=9, idle_timeout=SECOND)
     )
@@ -138,7 +138,7 @@
     assert pool.place(7, 1, "export").connection is pool.place(7, 2, "read").connection
 
 
-def test_idle_connections_are_closed_in_order_and_a_new_leg_saves_one(pool):
+def test_idle_connections_are_closed_in_order_unless_a_new_attempt_uses_one(pool):
     connections = []
     for node in (70, 71):
         connection = pool.place(node, node).connection
@@ -155,7 +155,7 @@
     )
 
 
-def test_a_leaving_connection_takes_no_leg_and_closes_with_its_last(pool):
+def test_a_draining_connection_gets_no_attempts_and_closes_after_its_last(pool):
     connection = pool.place(70, 1).connection
     pool.next_dial()
     pool.opened(connection, 0)
@@ -164,112 +164,110 @@
     assert pool.attempt_ended(connection, 1, 0)
 
 
-def test_a_node_is_out_of_reach_after_failures_in_a_row_or_a_silence_and_back_with_a_word():
-    reach = NodeHealth()
+def test_a_node_is_unreachable_after_consecutive_failures_or_silence_until_a_reply():
+    health = NodeHealth()
     for _ in range(3):
-        assert reach.count_reachable([70, 71], SECOND) == 2
-        reach.attempt_ended(70, Ending.TIMEOUT)
-    assert reach.count_reachable([70, 71], SECOND) == 1
-    reach.attempt_ended(70, Ending.FULL)  # a hung node may still turn away what its queue won't hold
-    assert reach.count_reachable([70, 71], SECOND) == 1
-    reach.attempt_ended(70, Ending.ERROR)
-    assert reach.count_reachable([70, 71], SECOND) == 2
-    reach.attempt_sent(71, SECOND)
-    assert reach.count_reachable([71], 9 * SECOND) == 1  # one leg may be a heavy job
-    reach.attempt_sent(71, 2 * SECOND)
+        assert health.count_reachable([70, 71], SECOND) == 2
+        health.attempt_ended(70, Ending.TIMEOUT)
+    assert health.count_reachable([70, 71], SECOND) == 1
+    health.attempt_ended(70, Ending.FULL)  # a hung node may still reject attempts when its queue is full
+    assert health.count_reachable([70, 71], SECOND) == 1
+    health.attempt_ended(70, Ending.ERROR)
+    assert health.count_reachable([70, 71], SECOND) == 2
+    health.attempt_sent(71, SECOND)
+    assert health.count_reachable([71], 9 * SECOND) == 1  # a single attempt may be an expensive request
+    health.attempt_sent(71, 2 * SECOND)
     assert (
-        reach.count_reachable([71], SECOND + 500 * MS) == 1 and reach.count_reachable([71], 2 * SECOND) == 0
+        health.count_reachable([71], SECOND + 500 * MS) == 1 and health.count_reachable([71], 2 * SECOND) == 0
     )
-    reach.attempt_ended(71, Ending.SERVED)
-    assert reach.count_reachable([71], 2 * SECOND) == 1
+    health.attempt_ended(71, Ending.SERVED)
+    assert health.count_reachable([71], 2 * SECOND) == 1
 
 
-# --- the books ---
+# --- the request log ---
 
 
-def story(number=1, latest=1000):
-    return RequestRecord(number, 0, 0, 1, 1.0, 0, 900, latest)
+def make_record(number=1, latest_answer_at=1000):
+    return RequestRecord(number, 0, 0, 1, 1.0, 0, 900, latest_answer_at)
 
 
-def test_a_job_is_answered_once_and_never_after_its_client_gave_up():
-    books = RequestLog()
-    books.add(story(1))
-    books.add(story(2))
-    assert books.settle(1, RequestOutcome.REJECTED, 500) and not books.settle(1, RequestOutcome.FAILED, 501)
-    assert (
-        books.settle(2, RequestOutcome.FAILED, 1001) is None and books.outcomes[RequestOutcome.TOO_LATE] == 1
-    )
-    assert books.open == 0 and books.settle(3, RequestOutcome.REJECTED, 0) is None
+def test_a_request_is_settled_once_and_never_after_its_client_timed_out():
+    log = RequestLog()
+    log.add(make_record(1))
+    log.add(make_record(2))
+    assert log.settle(1, RequestOutcome.REJECTED, 500) and not log.settle(1, RequestOutcome.FAILED, 501)
+    assert log.settle(2, RequestOutcome.FAILED, 1001) is None and log.outcomes[RequestOutcome.TOO_LATE] == 1
+    assert log.open == 0 and log.settle(3, RequestOutcome.REJECTED, 0) is None
 
 
-def test_a_job_with_a_leg_out_stays_in_the_books_until_it_ends():
-    books = RequestLog()
-    books.add(one := story())
-    books.attempt_sent(1, 0, 70, 10)
-    books.settle(1, RequestOutcome.CLIENT_CLOSED, 20)
-    assert not books.remove_finished(one) and books.attempt_sent(1, 1, 70, 30) is None
-    books.attempt_ended(1, 0, Ending.TIMEOUT, "why", 40)
-    assert books.remove_finished(one) and not books.remove_finished(one) and not books.requests
+def test_a_request_with_an_attempt_in_flight_stays_in_the_log_until_it_ends():
+    log = RequestLog()
+    log.add(record := make_record())
+    log.attempt_sent(1, 0, 70, 10)
+    log.settle(1, RequestOutcome.CLIENT_CLOSED, 20)
+    assert not log.remove_finished(record) and log.attempt_sent(1, 1, 70, 30) is None
+    log.attempt_ended(1, 0, Ending.TIMEOUT, "why", 40)
+    assert log.remove_finished(record) and not log.remove_finished(record) and not log.requests
 
 
 @pytest.mark.parametrize("call", [
-    lambda books: books.add(story()),
-    lambda books: books.attempt_sent(1, 2, 70, 0),
-    lambda books: books.attempt_ended(1, 0, Ending.ERROR, "", 0),
-    lambda books: books.attempt_ended(9, 0, Ending.ERROR, "", 0),
+    lambda log: log.add(make_record()),
+    lambda log: log.attempt_sent(1, 2, 70, 0),
+    lambda log: log.attempt_ended(1, 0, Ending.ERROR, "", 0),
+    lambda log: log.attempt_ended(9, 0, Ending.ERROR, "", 0),
 ])  # fmt: skip
-def test_what_is_not_booked_is_told(call):
-    books = RequestLog()
-    books.add(story())
+def test_unknown_or_duplicate_requests_and_attempts_raise_an_error(call):
+    log = RequestLog()
+    log.add(make_record())
     with pytest.raises(UnknownRequestError):
-        call(books)
+        call(log)
 
 
-def test_an_answer_that_breaks_off_counts_as_written_off():
-    books = RequestLog()
-    books.add(one := story())
-    books.settle(1, RequestOutcome.SERVED, 5)
-    books.response_aborted(one)
-    assert books.outcomes[RequestOutcome.SERVED] == 0 and books.outcomes[RequestOutcome.FAILED] == 1
+def test_an_aborted_response_counts_as_a_failed_request():
+    log = RequestLog()
+    log.add(record := make_record())
+    log.settle(1, RequestOutcome.SERVED, 5)
+    log.response_aborted(record)
+    assert log.outcomes[RequestOutcome.SERVED] == 0 and log.outcomes[RequestOutcome.FAILED] == 1
 
 
-# --- lateness, leaving, sampling ---
+# --- event loop lag, graceful shutdown, log sampling ---
 
 
-def test_jobs_read_after_a_stall_are_taken_to_have_waited_for_it():
-    late = EventLoopLag()
-    assert not late.timer_fired(100 * MS, 102 * MS) and late.earliest_arrival(102 * MS) == 102 * MS
-    assert late.timer_fired(200 * MS, 500 * MS) and late.earliest_arrival(500 * MS) == 200 * MS
-    late.iteration_finished()
-    assert late.earliest_arrival(501 * MS) == 501 * MS and late.worst_since(400 * MS) == 300 * MS
-    assert late.worst_since(600 * MS) == 0
+def test_requests_read_after_a_blocked_event_loop_count_as_waiting_since_before_it():
+    lag = EventLoopLag()
+    assert not lag.timer_fired(100 * MS, 102 * MS) and lag.earliest_arrival(102 * MS) == 102 * MS
+    assert lag.timer_fired(200 * MS, 500 * MS) and lag.earliest_arrival(500 * MS) == 200 * MS
+    lag.iteration_finished()
+    assert lag.earliest_arrival(501 * MS) == 501 * MS and lag.worst_since(400 * MS) == 300 * MS
+    assert lag.worst_since(600 * MS) == 0
 
 
-def test_a_gateway_leaves_with_its_last_job_or_its_last_client():
-    leaving = GracefulShutdown()
+def test_shutdown_is_complete_after_the_last_request_or_the_last_deadline():
+    shutdown = GracefulShutdown()
     assert (
-        leaving.accepts_requests()
-        and leaving.begin(100, 500)
-        and not leaving.begin(101, 900)
-        and not leaving.accepts_requests()
+        shutdown.accepts_requests()
+        and shutdown.begin(100, 500)
+        and not shutdown.begin(101, 900)
+        and not shutdown.accepts_requests()
     )
-    assert not leaving.check_finished(200, 1, 0) and not leaving.check_finished(200, 0, 1)
+    assert not shutdown.check_finished(200, 1, 0) and not shutdown.check_finished(200, 0, 1)
     assert (
-        leaving.check_finished(500, 1, 1)
-        and leaving.stage is ShutdownStage.LEFT
-        and not leaving.check_finished(501, 0, 0)
+        shutdown.check_finished(500, 1, 1)
+        and shutdown.stage is ShutdownStage.LEFT
+        and not shutdown.check_finished(501, 0, 0)
     )
 
 
-def test_jobs_that_went_wrong_find_room_in_a_flooded_log():
-    sampling = LogSampler(10)
-    assert sum(sampling.should_log(True, 1) for _ in range(50)) == 5
-    assert sum(sampling.should_log(False, 1) for _ in range(50)) == 5
-    assert sampling.take_dropped() == 90 and sampling.take_dropped() == 0
-    assert sampling.should_log(False, 1 + SECOND)
+def test_failed_requests_are_logged_when_the_rate_limit_is_exceeded():
+    sampler = LogSampler(10)
+    assert sum(sampler.should_log(True, 1) for _ in range(50)) == 5
+    assert sum(sampler.should_log(False, 1) for _ in range(50)) == 5
+    assert sampler.take_dropped() == 90 and sampler.take_dropped() == 0
+    assert sampler.should_log(False, 1 + SECOND)
 
 
-# --- the list of nodes ---
+# --- the endpoint list ---
 
 
 def listed(node, health="ready", age=-1.0):
@@ -293,7 +291,7 @@
     )
     assert (
         endpoint_list.apply_update("delta", 9, [listed(70, "gone")], SECOND) is None
-    )  # still none until the whole list came
+    )  # deltas are ignored until the whole list arrives
     assert endpoint_list.apply_update("full", 9, [listed(71)], SECOND).kind is ListKind.FULL and set(
         endpoint_list.entries
     ) == {71}
@@ -306,14 +304,14 @@
     assert first == again == 9500 * MS or first == 9500 * MS
 
 
-@pytest.mark.parametrize("bad", [
+@pytest.mark.parametrize("invalid_entry", [
     EndpointEntry(node=70, address="nowhere"), EndpointEntry(node=70, address="h:99999"), EndpointEntry(node=70, address="h:1", health="ill"),
     EndpointEntry(node=-1, address="h:1"), EndpointEntry(node=1, address="h:1", zone=70_000),
 ])  # fmt: skip
-def test_a_list_with_a_wrong_entry_is_not_applied_at_all(bad):
+def test_a_list_with_a_wrong_entry_is_not_applied_at_all(invalid_entry):
     endpoint_list = EndpointList()
     with pytest.raises(BadEndpointListError):
-        endpoint_list.apply_update("full", 1, [listed(71), bad], SECOND)
+        endpoint_list.apply_update("full", 1, [listed(71), invalid_entry], SECOND)
     assert not endpoint_list.entries and endpoint_list.epoch == 0
 
 
@@ -335,15 +333,15 @@
     assert endpoint_cache.load(path) is None
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
     assert endpoint_cache.load(path) == EndpointListSnapshot(4, 7, [listed(70)])
-    whole = path.read_bytes()
-    for broken in (
-        whole[:-1],
-        whole[:10],
+    content = path.read_bytes()
+    for damaged in (
+        content[:-1],
+        content[:10],
         b"",
-        whole.replace(b"127", b"128"),
+        content.replace(b"127", b"128"),
         b"ochrecourse nodes 9 0 00000000\n",
     ):
-        path.write_bytes(broken)
+        path.write_bytes(damaged)
         with pytest.raises(atomic_file.DamagedFileError):
             endpoint_cache.load(path)
 
@@ -351,22 +349,22 @@
 def test_a_cached_list_that_is_truncated_or_changed_anywhere_is_never_used(tmp_path):
     path = tmp_path / "g0.nodes"
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
-    whole = path.read_bytes()
-    for at in range(len(whole)):
-        for broken in (whole[:at], whole[:at] + bytes((whole[at] ^ 1 << at % 8,)) + whole[at + 1 :]):
-            path.write_bytes(broken)
+    content = path.read_bytes()
+    for at in range(len(content)):
+        for damaged in (content[:at], content[:at] + bytes((content[at] ^ 1 << at % 8,)) + content[at + 1 :]):
+            path.write_bytes(damaged)
             with pytest.raises(atomic_file.DamagedFileError):
                 endpoint_cache.load(path)
 
 
-@pytest.mark.parametrize(("head", "told"), [
+@pytest.mark.parametrize(("first_line", "message"), [
     (b"ochrecourse nodes 9 0 00000000\n", "a newer version, 9"), (b"ochrecourse nodes 0 0 00000000\n", "another version, 0"),
     (b"ochrecourse webdav-tree 1 0 00000000\n", "holds webdav-tree"), (b"words\n", "not a file of ours"),
 ])  # fmt: skip
-def test_a_file_of_another_kind_or_version_is_reported_in_one_line(tmp_path, head, told):
+def test_a_file_of_another_kind_or_version_is_reported_in_one_line(tmp_path, first_line, message):
     path = tmp_path / "g0.nodes"
-    path.write_bytes(head)
-    with pytest.raises(atomic_file.DamagedFileError, match=told):
+    path.write_bytes(first_line)
+    with pytest.raises(atomic_file.DamagedFileError, match=message):
         endpoint_cache.load(path)
 
 
@@ -379,16 +377,16 @@
 
 
 @pytest.mark.parametrize("step", ["open", "write", "fsync", "replace"])
-@pytest.mark.parametrize("trouble", [errno.ENOSPC, errno.EROFS, errno.EIO])
-def test_a_list_that_can_not_be_written_leaves_the_old_one(tmp_path, monkeypatch, step, trouble):
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EROFS, errno.EIO])
+def test_a_list_that_can_not_be_written_leaves_the_old_one(tmp_path, monkeypatch, step, error_number):
     path = tmp_path / "g0.nodes"
     endpoint_cache.save(path, EndpointListSnapshot(1, 7, [listed(70)]))
 
-    def fail(*words, **more):
-        raise OSError(trouble, os.strerror(trouble))
+    def fail(*args, **kwargs):
+        raise OSError(error_number, os.strerror(error_number))
 
-    class Full:
-        """A file that takes half of what is written."""
+    class HalfWritingFile:
+        """A file that fails after writing half of the data."""
 
         def __init__(self, name, mode):
             self.file = io.FileIO(name, mode)
@@ -396,18 +394,18 @@
         def __enter__(self):
             return self
 
-        def __exit__(self, *words):
+        def __exit__(self, *args):
             self.file.close()
 
         def write(self, data):
             self.file.write(data[: len(data) // 2])
             fail()
 
-    with monkeypatch.context() as broken:
+    with monkeypatch.context() as patches:
         if step in ("open", "write"):
-            broken.setattr("builtins.open", fail if step == "open" else Full)
+            patches.setattr("builtins.open", fail if step == "open" else HalfWritingFile)
         else:
-            broken.setattr(f"os.{step}", fail)
+            patches.setattr(f"os.{step}", fail)
         with pytest.raises(OSError):
             endpoint_cache.save(path, EndpointListSnapshot(2, 8, [listed(71)]))
     assert endpoint_cache.load(path).epoch == 1
@@ -415,7 +413,7 @@
 
 @pytest.fixture
 def watched():
-    """A list server and a watcher of it on a virtual network, and the updates that it received."""
+    """A list server and its watcher on a virtual network, and the updates that the watcher received."""
     network, updates = VirtualNetwork(3), []
     server = ListServer(network, 1, 0.01, lambda record: None)
     server.put(listed(70), 0)
@@ -430,7 +428,7 @@
 def test_a_break_during_a_drain_notice_costs_less_than_a_second(watched):
     network, server, watcher, updates = watched
     server.change(listed(71, "draining"), 0)
-    server.break_all()  # the notice is on its way
+    server.break_all()  # the notice is in flight
     network.advance(0.6)
     assert updates[-1].entries[0].health is Health.DRAINING and watcher.counts["breaks"] == 1
     assert watcher.endpoint_list.entries[71].health == "draining"
@@ -462,32 +460,34 @@
 
 
 def test_a_watcher_starts_with_the_cached_list_and_ignores_a_damaged_one(tmp_path):
-    path, told, warned = tmp_path / "n", [], []
+    path, updates, warnings = tmp_path / "n", [], []
     endpoint_cache.save(path, EndpointListSnapshot(4, 7, [listed(70)]))
     ListServerWatcher(
-        WatcherContext("g0", VirtualNetwork(1), told.append, path, 1, warned.append), ("h", 1)
+        WatcherContext("g0", VirtualNetwork(1), updates.append, path, 1, warnings.append), ("h", 1)
     ).start()
-    assert told[0].kind is ListKind.CACHED and not warned
+    assert updates[0].kind is ListKind.CACHED and not warnings
     path.write_bytes(b"rubbish")
     ListServerWatcher(
-        WatcherContext("g0", VirtualNetwork(1), told.append, path, 1, warned.append), ("h", 1)
+        WatcherContext("g0", VirtualNetwork(1), updates.append, path, 1, warnings.append), ("h", 1)
     ).start()
-    assert len(told) == 1 and "not a file of ours" in warned[0]
+    assert len(updates) == 1 and "not a file of ours" in warnings[0]
 
 
 START = 100 * SECOND
 
 
-def test_a_stream_that_began_frees_its_place_at_the_node(make_desk):
-    """Guards against slow readers: as many streams as a node has places would keep every other job from it."""
+def test_a_stream_that_has_begun_frees_capacity_at_its_node(make_desk):
+    """Slow clients must not block a node: streams would use all its capacity and keep other requests from it."""
     desk = make_desk()
-    jobs = [desk.take(shard=0, units=8.0) for _ in range(12)]
-    legs = [each for each in desk.pull() if hasattr(each, "node")]
-    assert 0 < len(legs) < 12
-    for leg in legs:
-        desk.scheduler.stream_began(leg.request_id)
+    requests = [desk.take(shard=0, units=8.0) for _ in range(12)]
+    attempts = [each for each in desk.pull() if hasattr(each, "node")]
+    assert 0 < len(attempts) < 12
+    for attempt in attempts:
+        desk.scheduler.stream_began(attempt.request_id)
     more = [each for each in desk.pull(START + MS) if hasattr(each, "node")]
-    assert more and {each.request_id for each in more} <= set(jobs) - {leg.request_id for leg in legs}
-    for leg in legs:
-        desk.end(leg, START + 500 * MS)
-    assert desk.scheduler.nodes[legs[0].node].outstanding >= 0
+    assert more and {each.request_id for each in more} <= set(requests) - {
+        attempt.request_id for attempt in attempts
+    }
+    for attempt in attempts:
+        desk.end(attempt, START + 500 * MS)
+    assert desk.scheduler.nodes[attempts[0].node].outstanding >= 0
