--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway between scripted clients and scripted nodes: what goes wrong on one connection stays there."""
+"""The gateway with scripted clients and nodes: an error on one connection does not affect others."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def answer(wire, message, body):
-    """A node that does what it is asked."""
+    """A node that serves every attempt and confirms every cancel."""
     if isinstance(message, m.SendAttempt) and message.body == message.size:
         wire.say(m.AttemptServed(id=message.id, size=4, shard=0), b"data")
     elif isinstance(message, m.CancelAttempt):
@@ -17,10 +17,10 @@
 
 
 def silent(wire, message, body):
-    """A node that takes legs and says nothing."""
+    """A node that never replies."""
 
 
-def test_a_job_goes_through_and_is_answered_once(make_yard):
+def test_a_request_is_forwarded_and_answered_once(make_yard):
     yard = make_yard(answer)
     client = yard.client()
     yard.ask(client)
@@ -29,8 +29,8 @@
     assert client.got[2][1] == b"data" and yard.stories[0].outcome is RequestOutcome.SERVED
 
 
-def test_a_silent_node_gets_an_answer_before_the_clients_timeout(make_yard):
-    # A leg's time-out at the client timeout left no time for the answer itself.
+def test_a_request_to_a_silent_node_fails_before_the_clients_timeout(make_yard):
+    # An attempt's time-out at the client's timeout left no time to send the response.
     yard = make_yard(silent)
     client = yard.client()
     yard.ask(client, product="bind", key=5, timeout_ms=700)
@@ -41,13 +41,13 @@
     )
 
 
-def test_a_second_answer_breaks_the_nodes_connection_and_reaches_no_client(make_yard):
-    def twice(wire, message, body):
+def test_a_duplicate_response_ends_the_nodes_connection_and_reaches_no_client(make_yard):
+    def reply_twice(wire, message, body):
         if isinstance(message, m.SendAttempt):
             for _ in range(2):
                 wire.say(m.AttemptServed(id=message.id, size=2, shard=0), b"ok")
 
-    yard = make_yard(twice)
+    yard = make_yard(reply_twice)
     client = yard.client()
     yard.ask(client)
     yard.run()
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "code"),
+    ("malformed", "code"),
     [
         (m.encode(m.AttemptServed(id=99, size=0)), "never_opened"),
         (b"{not json}\r\n", "bad_message"),
@@ -69,45 +69,45 @@
         (b'{"m":"done","id":1,"size":90000,"body":70000}\r\n', "body_limit"),
     ],
 )
-def test_a_node_that_breaks_the_protocol_loses_its_legs_only(make_yard, raw, code):
-    def garble(wire, message, body):
+def test_a_protocol_violation_by_a_node_affects_only_its_own_attempts(make_yard, malformed, code):
+    def send_malformed(wire, message, body):
         if isinstance(message, m.SendAttempt):
-            wire.transport.write(raw)
+            wire.transport.write(malformed)
 
-    yard = make_yard(garble, answer)
+    yard = make_yard(send_malformed, answer)
     client = yard.client()
     yard.ask(client, 1, product="bind", key=3)
     yard.ask(client, 2, shard=1)
     yard.run()
-    told = {
+    message_types = {
         each.id: type(each) for each, _ in client.got if isinstance(each, m.RequestFailed | m.RequestServed)
     }
-    assert told == {1: m.RequestFailed, 2: m.RequestServed}
+    assert message_types == {1: m.RequestFailed, 2: m.RequestServed}
     assert yard.nodes[0].wires[0].told(m.ErrorNotice)[0].code == code
     first = next(story for story in yard.stories if story.request_class == 2)
     assert first.attempts[0].ending is Ending.RESET
 
 
-def test_answers_one_byte_at_a_time_are_whole(make_yard):
-    def drip(wire, message, body):
+def test_responses_sent_byte_by_byte_are_complete(make_yard):
+    def send_bytewise(wire, message, body):
         if isinstance(message, m.SendAttempt):
             data = m.encode(m.AttemptServed(id=message.id, size=6), b"abcdef")
             for i in range(len(data)):
                 wire.network.callLater(i * 0.001, wire.transport.write, data[i : i + 1])
 
-    yard = make_yard(drip)
+    yard = make_yard(send_bytewise)
     client = yard.client()
     yard.ask(client)
     yard.run()
     assert client.told(m.RequestServed) and client.got[-1][1] == b"abcdef"
 
 
-def test_a_late_answer_is_dropped_and_counted(make_yard):
-    def late(wire, message, body):
+def test_a_late_response_is_dropped_and_counted(make_yard):
+    def reply_late(wire, message, body):
         if isinstance(message, m.CancelAttempt):
             wire.say(m.AttemptServed(id=message.id, size=0))
 
-    yard = make_yard(late)
+    yard = make_yard(reply_late)
     client = yard.client()
     yard.ask(client, product="bind", key=9, timeout_ms=600)
     yard.run()
@@ -115,7 +115,7 @@
     assert yard.gateway.nodes.counts["late answers dropped"] == 1 and not yard.nodes[0].wires[0].lost
 
 
-def test_a_cancel_that_nobody_confirms_costs_the_connection(make_yard):
+def test_an_unconfirmed_cancel_ends_the_connection(make_yard):
     yard = make_yard(silent)
     client = yard.client()
     yard.ask(client, product="bind", key=9, timeout_ms=600)
@@ -123,7 +123,7 @@
     assert yard.nodes[0].wires[0].lost and not yard.gateway.in_flight
 
 
-def test_a_node_that_stops_reading_stalls_only_its_own_leg(make_yard):
+def test_a_node_that_stops_reading_stalls_only_its_own_attempt(make_yard):
     def stop_reading(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wire.transport.pauseProducing()
@@ -144,25 +144,25 @@
     connection = next(iter(yard.gateway.nodes.connections.values()))
     assert (
         connection.transport.on_way_size < 4 * m.MAX_BODY_BYTES
-    )  # the body waits in the spool, not in memory
+    )  # the rest of the body is in its temporary file, not in memory
     yard.run()
-    # Nothing can have run, for the node never had the whole leg: it is denied, not written off.
+    # The node never had the whole attempt, so it was not executed: the request is rejected, not failed.
     assert (
         client.told(m.RequestRejected)[0].id == 1
         and yard.stories[-1].attempts[0].ending is Ending.UNREACHABLE
     )
 
 
-def test_a_long_answer_keeps_to_its_window_while_the_client_does_not_read(make_yard):
-    sent, credit = [], []
+def test_a_long_response_stays_within_its_window_while_the_client_does_not_read(make_yard):
+    sent, granted = [], []
 
     def stream(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wire.say(m.AttemptServed(id=message.id, size=8 << 20))
-            credit.append(m.WINDOW_BYTES)
+            granted.append(m.WINDOW_BYTES)
         if isinstance(message, m.WindowUpdate):
-            credit.append(message.increment_bytes)
-        while sum(credit) > sum(sent) and sum(sent) < 8 << 20:
+            granted.append(message.increment_bytes)
+        while sum(granted) > sum(sent) and sum(sent) < 8 << 20:
             wire.say(m.BodyChunk(id=1), bytes(m.MAX_BODY_BYTES))
             sent.append(m.MAX_BODY_BYTES)
 
@@ -178,13 +178,13 @@
     assert yard.stories[0].outcome is RequestOutcome.SERVED
 
 
-def test_an_answer_that_breaks_off_is_told_as_written_off(make_yard):
-    def half(wire, message, body):
+def test_an_aborted_response_is_reported_as_failed(make_yard):
+    def reply_partially(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wire.say(m.AttemptServed(id=message.id, size=10), b"12345")
             wire.transport.loseConnection()
 
-    yard = make_yard(half)
+    yard = make_yard(reply_partially)
     client = yard.client()
     yard.ask(client)
     yard.run()
@@ -216,52 +216,56 @@
         (lambda y, c: c.say(m.Hello(version=1, role="client")), "second_hello", True),
     ],
 )  # fmt: skip
-def test_what_a_client_does_wrong_is_told_there_and_costs_nobody_else(make_yard, send, code, ends):
+def test_an_error_of_one_client_is_reported_to_it_and_affects_no_other(make_yard, send, code, ends):
     yard = make_yard(answer)
-    wrong, right = yard.client(), yard.client()
+    faulty, correct = yard.client(), yard.client()
     yard.run(0.01)
-    send(yard, wrong)
-    yard.ask(right, 1)
+    send(yard, faulty)
+    yard.ask(correct, 1)
     yard.run()
-    assert wrong.told(m.ErrorNotice)[-1].code == code and wrong.lost is ends
-    assert right.told(m.RequestServed) and not right.lost
+    assert faulty.told(m.ErrorNotice)[-1].code == code and faulty.lost is ends
+    assert correct.told(m.RequestServed) and not correct.lost
     assert any(code in name for name in yard.front.counts)
 
 
-def test_a_client_that_sends_a_byte_a_second_is_cut_off(make_yard):
+def test_a_client_that_sends_one_byte_per_second_is_disconnected(make_yard):
     yard = make_yard(answer)
-    slow = yard.client()
+    slow_client = yard.client()
     data = m.encode(m.SubmitRequest(id=1, request_class="read", tenant="p0", volume=1, timeout_ms=99_000))
     for i in range(30):
-        yard.network.callLater(i, slow.transport.write, data[i : i + 1])
+        yard.network.callLater(i, slow_client.transport.write, data[i : i + 1])
     yard.run(20)
-    assert slow.told(m.ErrorNotice)[0].code == "slow" and slow.lost and not yard.front.connections
+    assert (
+        slow_client.told(m.ErrorNotice)[0].code == "slow" and slow_client.lost and not yard.front.connections
+    )
 
 
-def test_a_client_that_never_says_hello_is_cut_off_and_one_too_many_is_told(make_yard, make_wire):
+def test_clients_without_hello_and_clients_over_the_limit_are_disconnected(make_yard, make_wire):
     yard = make_yard(answer)
     wires = [yard.client() for _ in range(9)]
     yard.run(1)
     assert wires[8].told(m.ErrorNotice)[0].code == "too_many_connections" and wires[8].lost
-    mute = make_yard(answer)
-    wire = make_wire(mute.network).connect(mute.port)
-    mute.run(8)
+    node_without_hello = make_yard(answer)
+    wire = make_wire(node_without_hello.network).connect(node_without_hello.port)
+    node_without_hello.run(8)
     assert wire.told(m.ErrorNotice)[0].code == "no_hello" and wire.lost
 
 
-def test_a_body_shorter_than_said_is_refused_when_the_client_gives_up(make_yard):
+def test_an_incomplete_body_is_refused_at_the_clients_timeout(make_yard):
     yard = make_yard(answer)
     client = yard.client()
     yard.ask(client, size=200_000, timeout_ms=500)
     yard.run(1)
     assert client.told(m.ErrorNotice)[0].code == "late_body" and not client.lost
-    client.say(m.BodyChunk(id=1), bytes(100))  # the rest, on its way when it was refused, does no harm
+    client.say(
+        m.BodyChunk(id=1), bytes(100)
+    )  # a chunk that was in flight when the request was refused is ignored
     yard.ask(client, 2)
     yard.run()
     assert client.told(m.RequestServed)[0].id == 2
 
 
-def test_a_client_that_leaves_hears_no_more_of_its_job(make_yard):
+def test_a_cancelled_request_gets_only_its_confirmation(make_yard):
     yard = make_yard(silent)
     client = yard.client()
     yard.ask(client, timeout_ms=900)
@@ -272,7 +276,7 @@
     assert yard.stories[0].outcome is RequestOutcome.CLIENT_CLOSED and not yard.gateway.in_flight
 
 
-def test_clients_that_vanish_leave_their_jobs(make_yard):
+def test_requests_of_a_client_that_disconnects_are_cancelled(make_yard):
     yard = make_yard(silent)
     client = yard.client()
     for number in range(1, 6):
@@ -285,8 +289,8 @@
     ] * 5 and not yard.gateway.in_flight
 
 
-def test_a_loop_that_stood_still_gives_no_answer_after_the_clients_timeout(make_yard):
-    # The client's time runs while the loop does not: jobs read after a stall are taken to have waited for all of it.
+def test_a_blocked_event_loop_sends_no_response_after_the_clients_timeout(make_yard):
+    # The client's timeout runs while the event loop is blocked: requests read afterwards count as sent before it.
     yard = make_yard(silent)
     client = yard.client()
     yard.run(0.1)
@@ -301,22 +305,22 @@
     assert len(client.told(m.RequestFailed)) == 1
 
 
-def test_drain_answers_what_is_held_and_denies_what_comes(make_yard):
+def test_a_drain_answers_requests_in_flight_and_rejects_new_ones(make_yard):
     yard = make_yard(silent)
     client = yard.client()
-    left = []
-    yard.gateway.on_drained.append(lambda: left.append(yard.network.seconds()))
+    drained = []
+    yard.gateway.on_drained.append(lambda: drained.append(yard.network.seconds()))
     yard.ask(client, 1, product="bind", key=2, timeout_ms=800)
     yard.run(0.1)
     yard.gateway.drain()
     yard.ask(client, 2)
     yard.run(0.1)
-    assert client.told(m.RequestRejected)[0].id == 2 and not left
+    assert client.told(m.RequestRejected)[0].id == 2 and not drained
     yard.run()
-    assert client.told(m.RequestFailed)[0].id == 1 and left
+    assert client.told(m.RequestFailed)[0].id == 1 and drained
 
 
-def test_connections_are_pooled_capped_and_closed_when_idle(make_yard):
+def test_connections_are_pooled_limited_and_closed_when_idle(make_yard):
     yard = make_yard(answer, Limits__IdleClose="500", Limits__Multiplex="2", Limits__Connections="2")
     client = yard.client()
     for number in range(1, 20):
@@ -327,15 +331,15 @@
     assert all(wire.lost for wire in yard.nodes[0].wires) and yard.nodes[0].wires[0].told(m.GoAway)
 
 
-def test_a_refused_dial_and_a_node_without_hello_prove_that_nothing_ran(make_yard, make_node):
+def test_a_refused_dial_and_a_missing_hello_prove_that_nothing_was_executed(make_yard, make_node):
     yard = make_yard(answer)
-    yard.gateway.addresses[70] = ("127.0.0.1", 9)  # nobody listens there
+    yard.gateway.addresses[70] = ("127.0.0.1", 9)  # no listener
     client = yard.client()
     yard.ask(client, product="bind", key=1)
     yard.run()
     assert client.told(m.RequestRejected) and yard.stories[0].attempts[0].ending is Ending.UNREACHABLE
-    mute = make_node(yard.network, silent, hello=False)
-    yard.gateway.addresses[70] = ("127.0.0.1", mute.port)
+    node_without_hello = make_node(yard.network, silent, hello=False)
+    yard.gateway.addresses[70] = ("127.0.0.1", node_without_hello.port)
     yard.run(5)
     yard.ask(client, 2, product="bind", key=1)
     yard.run()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2: the codec at every byte, every field of a command, replies of nodes good and spoilt."""
+"""RESP2: the codec at every split, every field of a command, valid and malformed replies of nodes."""
 
 import pytest
 from hypothesis import given
@@ -28,31 +28,31 @@
 )
 
 
-def pulled(reader, pieces):
-    got = []
+def parse_all(parser, pieces):
+    messages = []
     for piece in pieces:
-        reader.feed(piece)
-        while (one := reader.next()) is not None:
-            got.append(one)
-    return got
+        parser.feed(piece)
+        while (message := parser.next()) is not None:
+            messages.append(message)
+    return messages
 
 
 @given(
     st.lists(st.lists(st.binary(max_size=40), min_size=1, max_size=codec.MAX_COMMAND_ARGUMENTS), max_size=4),
     st.data(),
 )
-def test_commands_are_the_same_however_they_are_split(commands, data):
-    whole = b"".join(codec.encode_command(words) for words in commands)
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=12)))
-    pieces = [whole[a:b] for a, b in zip([0, *cuts], [*cuts, len(whole)], strict=True)]
-    reader = CommandParser()
-    assert pulled(reader, pieces) == commands
-    assert not reader.has_partial_message()
-
-
-def test_replies_are_the_same_at_every_split():
-    whole = b"+OK\r\n-ERR failed\r\n:7\r\n$-1\r\n$3\r\na\r\n\r\n*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n"
-    want = [
+def test_commands_are_the_same_however_the_input_is_split(commands, data):
+    encoded = b"".join(codec.encode_command(arguments) for arguments in commands)
+    cuts = sorted(data.draw(st.lists(st.integers(0, len(encoded)), max_size=12)))
+    pieces = [encoded[a:b] for a, b in zip([0, *cuts], [*cuts, len(encoded)], strict=True)]
+    parser = CommandParser()
+    assert parse_all(parser, pieces) == commands
+    assert not parser.has_partial_message()
+
+
+def test_replies_are_the_same_at_every_split_of_the_input():
+    data = b"+OK\r\n-ERR failed\r\n:7\r\n$-1\r\n$3\r\na\r\n\r\n*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n"
+    expected = [
         (SimpleString(b"OK"),),
         (ErrorReply(b"ERR failed"),),
         (7,),
@@ -60,9 +60,9 @@
         (b"a\r\n",),
         ([b"v", None, b""],),
     ]
-    for at in range(len(whole) + 1):
-        assert pulled(ReplyParser(), [whole[:at], whole[at:]]) == want
-    assert pulled(ReplyParser(), [whole[i : i + 1] for i in range(len(whole))]) == want
+    for at in range(len(data) + 1):
+        assert parse_all(ReplyParser(), [data[:at], data[at:]]) == expected
+    assert parse_all(ReplyParser(), [data[i : i + 1] for i in range(len(data))]) == expected
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
 )
 def test_each_protocol_error_of_a_client_is_named_at_the_announced_length(data, code):
     with pytest.raises(RespProtocolError) as raised:
-        pulled(CommandParser(), [data])
+        parse_all(CommandParser(), [data])
     assert raised.value.code == code
 
 
@@ -106,31 +106,31 @@
 )
 def test_each_malformed_reply_is_named(data, code):
     with pytest.raises(RespProtocolError) as raised:
-        pulled(ReplyParser(), [data])
+        parse_all(ReplyParser(), [data])
     assert raised.value.code == code
 
 
-def test_idle_parser_holds_no_bytes():
-    # Guards against connections that rest and keep their last long value.
-    for reader, data in (
+def test_an_idle_parser_keeps_no_bytes_in_its_buffer():
+    # Guards against idle connections that keep the memory of their last long value.
+    for parser, data in (
         (ReplyParser(), codec.encode_bulk_string(b"x" * 300_000)),
         (CommandParser(), codec.encode_command([b"x" * 60_000])),
     ):
-        assert len(pulled(reader, [data])) == 1 and not reader._buffer and not reader.has_partial_message()
+        assert len(parse_all(parser, [data])) == 1 and not parser._buffer and not parser.has_partial_message()
 
 
-def test_command_is_forwarded_with_the_attempts_own_timeout_and_nothing_else_changed():
-    for words in (READ, WRITE):
-        request = parse_command(words, REQUEST_CLASSES, 5)
-        again = pulled(CommandParser(), [request.body.encode(123 * MS + 999_999)])[0]
-        assert again == [*words[:3], words[3].replace(b"d=480", b"d=123"), *words[4:]]
+def test_a_command_is_forwarded_with_only_its_timeout_replaced_by_the_attempts():
+    for arguments in (READ, WRITE):
+        request = parse_command(arguments, REQUEST_CLASSES, 5)
+        again = parse_all(CommandParser(), [request.body.encode(123 * MS + 999_999)])[0]
+        assert again == [*arguments[:3], arguments[3].replace(b"d=480", b"d=123"), *arguments[4:]]
         assert (request.key, request.volume, request.timeout) == (0x7F3A9C21E0B4D655, 0x3B4D60021, 480 * MS)
         assert (request.units, request.shard, request.gateways, request.read_at) == (2.0, 5, 3, 5)
     assert request.request_class == "mark" and request.tenant == "p0" and request.body.size == 4
 
 
 @pytest.mark.parametrize(
-    ("words", "code"),
+    ("arguments", "code"),
     [
         ([b"GET", *READ[1:]], "unknown_command"),
         (READ[:3], "bad_arity"),
@@ -150,20 +150,20 @@
         ),
     ],
 )  # fmt: skip
-def test_each_bad_field_is_a_protocol_error_before_anything_is_submitted(words, code):
+def test_each_bad_field_is_a_protocol_error_before_anything_is_submitted(arguments, code):
     with pytest.raises(RespProtocolError) as raised:
-        parse_command(words, REQUEST_CLASSES, 0)
+        parse_command(arguments, REQUEST_CLASSES, 0)
     assert raised.value.code == code
 
 
-def test_replies_of_a_node_and_what_may_be_missing_from_them():
-    done, value = parse_reply([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
-    assert (value, done.size, done.body, done.volume_used, done.elsewhere) == (b"v", 1, 1, 0.37, 4)
-    assert done.load == {"inflight": 7.0, "util": 0.61}
-    # A figure or report that can't be read is dropped; the value stands.
-    for use, load in ((None, None), (b"used=much", b"\xff"), (b"", b"util=" + b"9" * 40)):
-        done, value = parse_reply([b"v", use, load])
-        assert (value, done.volume_used, done.elsewhere, done.load) == (b"v", -1.0, 0, {})
+def test_node_replies_are_parsed_with_missing_or_malformed_figures():
+    served, value = parse_reply([b"v", b"used=37,cost=4", b"inflight=7,util=0.61"])
+    assert (value, served.size, served.body, served.volume_used, served.elsewhere) == (b"v", 1, 1, 0.37, 4)
+    assert served.load == {"inflight": 7.0, "util": 0.61}
+    # Figures or a report that can't be parsed are dropped; the value is kept.
+    for usage, load in ((None, None), (b"used=much", b"\xff"), (b"", b"util=" + b"9" * 40)):
+        served, value = parse_reply([b"v", usage, load])
+        assert (value, served.volume_used, served.elsewhere, served.load) == (b"v", -1.0, 0, {})
     assert isinstance(parse_reply(ErrorReply(b"BUSY"))[0], m.AttemptRejected)
     failed, _ = parse_reply(ErrorReply(b"ERR failed used=50"))
     assert isinstance(failed, m.AttemptFailed) and failed.volume_used == 0.5
@@ -183,6 +183,6 @@
     ],
 )
 def test_anything_else_from_a_node_is_a_protocol_error(reply):
-    # A line that only begins like busy proves nothing: taken for it, a leg that ran would be sent again.
+    # A line that only begins with BUSY proves nothing: an attempt that was executed would be retried.
     with pytest.raises(RespProtocolError, match=r"neither|an answer is"):
         parse_reply(reply)
