--- a/tests/test_client_machine.py
+++ b/tests/test_client_machine.py
@@ -1,5 +1,8 @@
-"""Clients that do whatever clients do, as a state machine on the virtual network with TCP's ends, and an oracle that
-sees only what clients and storage nodes see, and when the gateway shut a connection."""
+"""A state machine of arbitrary client behaviour on the virtual network with TCP's closing semantics. The oracle uses
+only what clients and storage nodes observe, and when the gateway closed a connection.
+
+The examples are derived from the source of the class `Clients`, its docstrings included.
+"""
 
 import contextlib
 
@@ -30,29 +33,29 @@
 from ochrecourse.resp.commands import parse_command
 from ochrecourse.standins.respnode import VALUE, good
 
-BREAK = 0.1  # s after a client's end from which on an attempt is a break
-SEEN = 0.01  # s after which a client's end is known, on connections that take half a millisecond
-WAY = 0.0006  # s that anything takes from one end of a connection to the other at most
-KILL = 2.7  # s after the order to leave: the longest client timeout and the platform's 0.7 s
-LONG = b"v" * 40_000  # two of it are more than a connection holds on its way
-LAST = 8.0  # s in which all that is open comes to its end
+BREAK = 0.1  # s after a client's close, from which an attempt for it is an error
+SEEN = 0.01  # s after which a client's close is noticed, with a latency of half a millisecond
+WAY = 0.0006  # s, upper bound of the network latency
+KILL = 2.7  # s after the shutdown begins: the longest client timeout and the platform's 0.7 s
+LONG = b"v" * 40_000  # two of them exceed what a connection buffers in flight
+LAST = 8.0  # s within which all open requests end
 
 
 class Peer:
-    """A client: what it sent and when, what it got, how it and its connection ended."""
+    """A client, which records what it sent and received, and how its connection ended."""
 
     def __init__(self, network, port, stubborn):
         peer = self
         self.network = network
         self.transport = None
-        self.stubborn = stubborn  # it goes on when this side has been shut
-        self.sent = []  # (id or None for a PING, when its last byte was written), in order
+        self.stubborn = stubborn  # it keeps sending after the gateway's half-close
+        self.sent = []  # (id or None for a PING, time when its last byte was written), in order
         self.replies, self.got = codec.ReplyParser(), []
-        self.bad = False  # it sent what no client should
-        self.closed = False  # the gateway was told to make room
-        self.half = False  # its last command is not whole
-        self.left_at = None  # when it closed, shut its sending side or reset
-        self.shut_at = None  # when the gateway shut the connection
+        self.bad = False  # it violated the protocol
+        self.closed = False  # the gateway closed the connection as idle
+        self.half = False  # its last command is incomplete
+        self.left_at = None  # when it closed, half-closed or reset the connection
+        self.shut_at = None  # when the gateway closed or half-closed the connection
         self.reason = None
         self.side = None  # the gateway's end of the connection
         self.paused = self.dawdled = False
@@ -93,10 +96,10 @@
 
     @initialize()
     def start(self):
-        self.attempts = []  # (id, when) as they come to the node
+        self.attempts = []  # (id, time) in the order in which they reach the node
         self.mode = "answers"
         self.long = False
-        self.hanging = set()  # requests that a node holds without an answer
+        self.hanging = set()  # requests to which a node has not replied
         self.shop = Shop.__new__(Shop)
         made = VirtualNetwork.__init__
 
@@ -348,25 +351,25 @@
             assert peer.reason.check(ConnectionDone), "reset by the gateway"
 
 
-SHUTS = {}  # when the gateway's end of a connection was shut or closed first
+SHUTS = {}  # when each end of a connection was first closed or half-closed by its own side
 
 
 @pytest.fixture(autouse=True)
-def shuts(monkeypatch):
-    """Notes when each end of a virtual connection is first shut, closed or reset by its own side."""
+def record_closes(monkeypatch):
+    """Records when each end of a virtual connection is first half-closed, closed or reset by its own side."""
     SHUTS.clear()
     for name in ("loseWriteConnection", "loseConnection", "abortConnection"):
-        whole = getattr(VirtualTransport, name)
+        original = getattr(VirtualTransport, name)
 
-        def noted(transport, *args, _whole=whole):
+        def recording_close(transport, *args, _whole=original):
             if not transport.lost:
                 SHUTS.setdefault(transport, transport.network.now)
             return _whole(transport, *args)
 
-        monkeypatch.setattr(VirtualTransport, name, noted)
+        monkeypatch.setattr(VirtualTransport, name, recording_close)
 
 
-def play():
+def run_examples():
     profile = settings(
         max_examples=150, stateful_step_count=30, deadline=None, derandomize=True, database=None,
         phases=[Phase.generate], report_multiple_bugs=False,
@@ -374,18 +377,18 @@
     run_state_machine_as_test(Clients, settings=profile)
 
 
-def test_clients_of_all_kinds_get_one_answer_each_and_leave_nothing_behind():
-    play()
+def test_each_request_gets_one_reply_and_disconnected_clients_leave_no_state():
+    run_examples()
 
 
-# --- mistakes made on purpose, each of which the machine must find ---
+# --- injected faults, each of which the state machine must find ---
 
 
-def reads_nothing_at_the_limit(monkeypatch):
-    whole = RespClientConnection._advance
+def stops_reading_at_the_request_limit(monkeypatch):
+    original = RespClientConnection._advance
 
     def advance(connection):
-        whole(connection)
+        original(connection)
         if connection.connected and connection.lingering_close is None:
             full = len(connection.in_flight) >= pipeline.MAX_RUNNING_REQUESTS
             (connection.transport.pauseProducing if full else connection.transport.resumeProducing)()
@@ -393,7 +396,7 @@
     monkeypatch.setattr(RespClientConnection, "_advance", advance)
 
 
-def closes_at_once(monkeypatch):
+def closes_without_lingering(monkeypatch):
     def drained(closing):
         closing.transport.unregisterProducer()
         closing.transport.loseConnection()
@@ -401,24 +404,27 @@
     monkeypatch.setattr(LingeringClose, "write_buffer_drained", drained)
 
 
-def leaves_only_what_was_sent_on(monkeypatch):
-    whole = Gateway.cancel_all
+def cancels_only_forwarded_requests(monkeypatch):
+    original = Gateway.cancel_all
     monkeypatch.setattr(
         Gateway,
         "cancel_all",
-        lambda self, jobs: whole(self, [job for job in jobs if self.in_flight[job].attempt is not None]),
+        lambda self, request_ids: original(
+            self, [request_id for request_id in request_ids if self.in_flight[request_id].attempt is not None]
+        ),
     )
 
 
-def takes_what_comes_behind_its_shutdown(monkeypatch):
-    whole = RespClientConnection.dataReceived
+def executes_commands_read_after_the_half_close(monkeypatch):
+    original = RespClientConnection.dataReceived
 
     def received(connection, data):
         if connection.lingering_close is None or connection.protocol_error is not None:
-            whole(connection, data)
+            original(connection, data)
             return
         connection.parser.feed(data)
-        with contextlib.suppress(codec.RespProtocolError):  # nonsense is no failure of the mistake's own
+        # Malformed input must not make the injected fault itself fail.
+        with contextlib.suppress(codec.RespProtocolError):
             while (words := connection.parser.next()) is not None:
                 if len(words) > 1:
                     connection.gateway.submit(
@@ -429,13 +435,13 @@
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
-def takes_what_comes_behind_a_mistake(monkeypatch):
+def executes_commands_read_after_a_protocol_error(monkeypatch):
     def received(connection, data):
         for part in data.split(b"nonsense\r\n"):
             connection.parser.feed(part)
-            breach, connection.protocol_error = connection.protocol_error, None
+            earlier_error, connection.protocol_error = connection.protocol_error, None
             connection._process_input()
-            connection.protocol_error = connection.protocol_error or breach
+            connection.protocol_error = connection.protocol_error or earlier_error
         if b"nonsense" in data and connection.protocol_error is None:
             connection._fail(codec.RespProtocolError("not_a_command", "made on purpose"))
             connection._advance()
@@ -443,11 +449,11 @@
     monkeypatch.setattr(RespClientConnection, "dataReceived", received)
 
 
-def waits_for_those_who_never_close(monkeypatch):
+def lingers_without_a_time_limit(monkeypatch):
     monkeypatch.setattr(LingeringClose, "_restart_timer", lambda closing, seconds: None)
 
 
-def drops_what_waits_when_it_leaves(monkeypatch):
+def drops_queued_requests_at_shutdown(monkeypatch):
     def reject_queued(connection):
         connection.pipeline.slots.clear()
         connection.pipeline.queued.clear()
@@ -459,11 +465,11 @@
 @pytest.mark.parametrize(
     "mistake",
     [
-        reads_nothing_at_the_limit, closes_at_once, leaves_only_what_was_sent_on, takes_what_comes_behind_its_shutdown,
-        takes_what_comes_behind_a_mistake, waits_for_those_who_never_close, drops_what_waits_when_it_leaves,
+        stops_reading_at_the_request_limit, closes_without_lingering, cancels_only_forwarded_requests, executes_commands_read_after_the_half_close,
+        executes_commands_read_after_a_protocol_error, lingers_without_a_time_limit, drops_queued_requests_at_shutdown,
     ],
 )  # fmt: skip
 def test_a_mistake_made_on_purpose_is_found(mistake, monkeypatch):
     mistake(monkeypatch)
     with pytest.raises((AssertionError, ExceptionGroup)):
-        play()
+        run_examples()
