--- a/tests/test_node_machine.py
+++ b/tests/test_node_machine.py
@@ -1,9 +1,12 @@
-"""Storage nodes and connections to them that do whatever they do, as a state machine on the virtual network with TCP's
-ends, and an oracle that sees only what nodes and clients see, and what is written to a connection when its end is known.
+"""A state machine of arbitrary behaviour of storage nodes and connections to them, on the virtual network with TCP's
+closing semantics. The oracle uses only what nodes and clients observe, and what is written to a connection after its end
+is known.
 
-Ways take one or two ticks of a common grid, so that what crosses on a machine within one turn of the loop does so here:
-an end, an answer, a request and a connection that comes up often arrive in the very same moment. The gateway's loop may
-stand still; then it calls the timers that came due and reads what came after that, as a loop on sockets does.
+Network latencies are one or two ticks of a common grid, so that events that race on a real machine within one iteration
+of the event loop do so here: a close, a reply, a request and a connection that opens often arrive at the same time. The
+gateway's event loop may be blocked; it then calls the timers that are due before it reads, as a loop on sockets does.
+
+The order of the rules, and so the examples, depend on the names of the rules.
 """
 
 import dataclasses
@@ -41,14 +44,14 @@
 from ochrecourse.resp.node_connection import RespNodeConnection
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer
 
-TICK = 2.0**-12  # s; a way takes one or two, so that nothing is rounded and things meet
-WAY = 2 * TICK  # s that anything takes from one end of a connection to the other at most
-WINDOW = 0.4  # s from the first attempt that may have run in which a keyed request may be repeated
-BREAK = 0.1  # s after a client's end from which on an attempt is a break
-LISTED = 0.01  # s after which a change of the list is known
-LAST = 8.0  # s in which all that is open comes to its end
-IDLE = 11.0  # s after which a connection without a request has been closed
-KILL = 2.7  # s after the order to leave: the longest client timeout and the platform's 0.7 s
+TICK = 2.0**-12  # s; latencies are one or two ticks, so that times are exact and events coincide
+WAY = 2 * TICK  # s, upper bound of the network latency
+WINDOW = 0.4  # s, idempotency window of a keyed request from the first attempt that may have run
+BREAK = 0.1  # s after a client's close, from which an attempt for it is an error
+LISTED = 0.01  # s after which a change of the endpoint list is known
+LAST = 8.0  # s within which all open requests end
+IDLE = 11.0  # s after which an idle connection has been closed
+KILL = 2.7  # s after the shutdown begins: the longest client timeout and the platform's 0.7 s
 KINDS = {"read": b"BLK.READ", "mark": b"BLK.WRITE", "bind": b"BLK.WRITE"}  # safe, keyed, unsafe
 BUSY = b"-BUSY\r\n"
 BUSYISH = [b"-BUSYISH\r\n", b"-BUSY \xff\r\n"]
@@ -56,21 +59,21 @@
     b"\x00\xffnoise\r\n", b"*3\r\n$2\r\nlonger\r\n$-1\r\n$-1\r\n", b"*9\r\n",
     b"+OK\r\n", b"$4\r\nbare\r\n",
 ]  # fmt: skip
-SEEDS = range(1, 9)  # of the examples, which are the same each time
+SEEDS = range(1, 9)  # fixed, so that the examples are the same in each run
 SETTINGS = {
     **FLAT, "Classes.0.Aim": "900", "Classes.1.Aim": "900", "Classes.2.Aim": "900", "Classes.1.Window": "400",
     "Classes.0.Deadline": "2000", "Classes.1.Deadline": "2000", "Classes.2.Deadline": "2000",
     "Policies.0.Rate": "400", "Policies.0.Reserve": "4000",
 }  # fmt: skip
 
-# What was drawn, over all examples: a machine that never comes to a crossing proves nothing of it.
-SEEN = Counter()
-DROPPED = []  # what was written to a connection of a node after this side had ended it or had read its end
-SHUTS = {}  # when the gateway ended a connection
+# How often each behaviour was drawn over all examples: a race that never occurs is not tested.
+COVERAGE = Counter()
+LATE_WRITES = []  # data written to a node's connection after the gateway had closed it or had read its end
+CLOSED_AT = {}  # when each end of a connection was first closed by its own side
 
 
 class Dial:
-    """A dial that is under way, as Twisted's connector gives it up."""
+    """A dial in progress, which can be abandoned like Twisted's connector."""
 
     def __init__(self, call, factory):
         self.call, self.factory = call, factory
@@ -81,14 +84,14 @@
             self.factory.clientConnectionFailed(None, Failure(UserError()))
 
 
-class Late(VirtualNetwork):
-    """A network on which connections to a port come up as late as `dials` says (None: never; "refused")."""
+class DelayedDialNetwork(VirtualNetwork):
+    """A network on which connections to a port open after the delays in `dials` (None: never; "refused")."""
 
-    def __init__(self, seed, gives_up):
+    def __init__(self, seed, abandons_dials):
         super().__init__(seed)
-        self.gives_up = gives_up
+        self.abandons_dials = abandons_dials
         self.tcp = True
-        self.dials = {}  # by port: how late the next ones are, the last of them for all that follow
+        self.dials = {}  # by port: delays of the next dials; the last one applies to all further dials
 
     def delay(self):
         grid = (self.now // TICK + 1 + self.chance.randrange(2)) * TICK
@@ -106,67 +109,68 @@
             failure = Failure(ConnectionRefusedError())
             call = self.later(home, self.delay(), factory.clientConnectionFailed, None, failure)
         else:
-            SEEN["late dials"] += bool(each)
+            COVERAGE["late dials"] += bool(each)
             call = self.later(
                 home, each + self.delay(), self._connect, home, host, port, factory, timeout
             )  # fmt: skip
-        return Dial(call, factory) if self.gives_up else None
+        return Dial(call, factory) if self.abandons_dials else None
 
 
-READ = ("_arrive", "_connect", "_was_reset", "_peer_closed", "accept")  # what a loop finds when it polls
+# Calls that an event loop makes when it polls.
+READ_CALLS = ("_arrive", "_connect", "_was_reset", "_peer_closed", "accept")
 
 
-class Here(VirtualHost):
-    """The gateway's host, whose loop may stand still; `stalls` are when it did."""
+class GatewayHost(VirtualHost):
+    """The gateway's host, whose event loop can be blocked; `standstills`: begin and end of each time."""
 
     def __init__(self, network):
         super().__init__(network, "gateway")
-        self.stalls = []
+        self.standstills = []
         network.hosts[self.name] = self
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
         return self.network.dial(self, host, port, factory, timeout)
 
-    def stall(self, seconds, backwards):
+    def block(self, seconds, backwards):
         if not self.still:
-            self.stalls.append((self.network.now, self.network.now + seconds))
+            self.standstills.append((self.network.now, self.network.now + seconds))
             self.stand_still(True)
-            self.network.callLater(seconds, self.go_on, backwards)
+            self.network.callLater(seconds, self.resume, backwards)
 
-    def go_on(self, backwards):
-        """As a loop does: first its timers, then what can be read, in no certain order."""
-        read = [call for call in self.held if call.call.__name__ in READ]
+    def resume(self, backwards):
+        """Resumes like an event loop: first timers, then readable sockets in any order."""
+        read = [call for call in self.held if call.call.__name__ in READ_CALLS]
         timers = [call for call in self.held if call not in read]
         self.held = timers + (read[::-1] if backwards else read)
         self.stand_still(False)
 
     def unread_since(self):
-        """As turns.py has it: in the moment in which a standstill ends all of it may stand unread."""
-        begin, end = self.stalls[-1] if self.stalls else (0.0, 0.0)
+        """Like common/event_loop.py: when a standstill ends, all input since its begin may be unread."""
+        begin, end = self.standstills[-1] if self.standstills else (0.0, 0.0)
         return round((begin if end == self.network.now else self.network.now) * SECOND)
 
-    def known_at(self, when):
-        """When what happens at another host at this time can be known here."""
-        ends = [end for begin, end in self.stalls if begin <= when + WAY and when < end]
+    def observable_at(self, when):
+        """Returns when an event at another host at this time can be observed here."""
+        ends = [end for begin, end in self.standstills if begin <= when + WAY and when < end]
         return max(ends, default=when)
 
-    def stood(self, since, until):
-        """For how long it stood still between two times."""
-        return sum(max(0.0, min(until, end) - max(since, begin)) for begin, end in self.stalls)
+    def blocked_time(self, since, until):
+        """Returns for how long the event loop was blocked between two times."""
+        return sum(max(0.0, min(until, end) - max(since, begin)) for begin, end in self.standstills)
 
 
 class Attempt:
-    """A request that came whole to a node."""
+    """An attempt that reached a node completely."""
 
     def __init__(self, number, asked, peer, now):
         self.name = asked[2]
         self.at = now
-        self.told = int(asked[3].split(b",d=")[1].split(b",")[0]) / 1000
+        self.timeout = int(asked[3].split(b",d=")[1].split(b",")[0]) / 1000
         self.peer = peer
-        self.value = VALUE + asked[2] + b"/%d" % number  # made for this attempt alone
-        self.open = True  # the node has not answered
-        self.hangs = False  # until a rule lets the node answer
-        self.busy = False  # the node said that it did not run it
+        self.value = VALUE + asked[2] + b"/%d" % number  # unique to this attempt
+        self.open = True  # the node has not replied
+        self.hangs = False  # the node replies only when a rule makes it
+        self.busy = False  # the node replied that it was not executed
 
     def served(self):
         return b"*3\r\n" + codec.encode_bulk_string(self.value) + b"$-1\r\n$-1\r\n"
@@ -189,20 +193,20 @@
         self.up = False
 
     def dataReceived(self, data):
-        shut = SHUTS.get(self.transport.peer)
+        shut = CLOSED_AT.get(self.transport.peer)
         now = self.node.world.network.now
-        assert shut is None or now <= shut + WAY, "bytes on a connection that the gateway had ended"
+        assert shut is None or now <= shut + WAY, "bytes on a connection that the gateway had closed"
         self.rest += data
         while (asked := self._command()) is not None:
-            self.node.came(self, asked)
-        assert not self.rest, "a part of a request"
+            self.node.command_received(self, asked)
+        assert not self.rest, "an incomplete request"
 
-    def rests(self):
+    def is_idle(self):
         return self.up and (self.attempt is None or not self.attempt.open)
 
 
 class Node(RespNode):
-    """A storage node. `mode` is what it does with requests, unless `World.next` says what becomes of the next ones."""
+    """A storage node. `mode`: how it handles attempts, unless `World.next` has modes for the next ones."""
 
     def __init__(self, world, number):
         super().__init__()
@@ -210,7 +214,7 @@
         self.network = world.network
         self.port = self.network.listenTCP(0, self).getHost().port
         self.cell = number % world.cells
-        self.name, self.lives = f"s-{number}", 0
+        self.name, self.incarnation = f"s-{number}", 0
         self.state, self.left_at = "Ready", None
         self.mode = ("now", 0.0)
 
@@ -223,14 +227,16 @@
             "lifecycle": state or self.state, "startedAtMs": 0,
         }  # fmt: skip
 
-    def came(self, peer, asked):
+    def command_received(self, peer, asked):
         attempt = peer.attempt = Attempt(len(self.world.attempts), asked, peer, self.network.now)
         self.world.attempts.append(attempt)
         if self.left_at is not None:
-            known = self.world.here.known_at(self.left_at)
-            assert self.network.now <= known + LISTED, "sent to a node that was not listed as ready"
+            known = self.world.here.observable_at(self.left_at)
+            assert self.network.now <= known + LISTED, (
+                "sent to a node that was not ready in the endpoint list"
+            )
         mode, gap = self.world.next.popleft() if self.world.next else self.mode
-        SEEN[mode] += 1
+        COVERAGE[mode] += 1
         getattr(self, mode)(attempt, gap)
 
     def say(self, attempt, data, last=True):
@@ -241,7 +247,7 @@
     def later(self, gap, *what):
         self.network.callLater(gap, *what)
 
-    # --- what it does with a request ---
+    # --- modes of handling an attempt ---
 
     def now(self, attempt, gap):
         self.say(attempt, attempt.served())
@@ -250,10 +256,10 @@
         self.later(0.03 + 40 * gap, self.say, attempt, attempt.served())
 
     def pieces(self, attempt, gap):
-        whole = attempt.served()
-        self.say(attempt, whole[:1], False)
-        self.later(gap, self.say, attempt, whole[1:-4], False)
-        self.later(3 * gap, self.say, attempt, whole[-4:])
+        reply = attempt.served()
+        self.say(attempt, reply[:1], False)
+        self.later(gap, self.say, attempt, reply[1:-4], False)
+        self.later(3 * gap, self.say, attempt, reply[-4:])
 
     def twice(self, attempt, gap):
         self.say(attempt, attempt.served())
@@ -310,11 +316,11 @@
     "now", "late", "pieces", "twice", "joined", "broken", "busyish", "half_and_reset", "half_and_close", "endless", "hangs",
     "resets", "closes", "answers_and_closes", "busy", "fails",
 ]  # fmt: skip
-GAPS = [0.0, 0.001, 0.004, 0.008]  # s; a second answer comes no later than that
+GAPS = [0.0, 0.001, 0.004, 0.008]  # s; the longest delay of a duplicate reply
 
 
 class Request:
-    """What a client sent."""
+    """A request that a client sent."""
 
     def __init__(self, name, kind, at, patience):
         self.name, self.kind, self.at = name, kind, at
@@ -322,14 +328,14 @@
 
 
 class Client:
-    """A client: what it sent, what it got and when, how it and its connection ended."""
+    """A client, which records what it sent, what it received and when, and how its connection ended."""
 
     def __init__(self, world, patience):
         client = self
         self.network = world.network
         self.patience = patience  # s
         self.transport = self.side = None
-        self.sent, self.got = [], []  # requests; replies and when they came, in order
+        self.sent, self.got = [], []  # requests; replies with their times, in order
         self.replies = codec.ReplyParser()
         self.left_at = None
         self.lost = False
@@ -355,7 +361,7 @@
 
     @property
     def shut_at(self):
-        return SHUTS.get(self.side)
+        return CLOSED_AT.get(self.side)
 
     def leave(self, how):
         getattr(self.transport, how)()
@@ -363,25 +369,25 @@
 
 
 class World:
-    """A gateway in service, its nodes and its list agent."""
+    """A running gateway service, its nodes and its list agent."""
 
-    def __init__(self, nodes, cells, gives_up):
+    def __init__(self, nodes, cells, abandons_dials):
         self.cells = cells
-        self.network = Late(3, gives_up)
-        self.here = Here(self.network)
+        self.network = DelayedDialNetwork(3, abandons_dials)
+        self.here = GatewayHost(self.network)
         self.attempts = []
-        self.next = deque()  # what nodes do with the next attempts, whichever node they come to
+        self.next = deque()  # modes for the next attempts at any node
         self.nodes = [Node(self, number) for number in range(nodes)]
         self.agent, self.version = ListAgent(), 5
-        self.list_kept()
+        self.update_first_list()
         agent_port = self.network.listenTCP(0, self.agent).getHost().port
         self.over = []
-        told = {
+        start_settings = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{agent_port}", "seed": "0f",
             "limits": {"sockets": 256}, "settings": SETTINGS, "known": {**self.agent.first, "reset": False},
         }  # fmt: skip
         self.service = GatewayService(
-            parse_start_settings(told),
+            parse_start_settings(start_settings),
             "none",
             ServiceEnvironment(
                 self.here,
@@ -392,35 +398,35 @@
             ),
         )
         self.port = self.service.serve()[1]
-        self.beat()
+        self.send_heartbeat()
         self.network.advance(0.05)
 
-    def beat(self):
+    def send_heartbeat(self):
         for watch in self.agent.watches:
             watch.say(b"\n")
-        self.network.callLater(2.0, self.beat)
+        self.network.callLater(2.0, self.send_heartbeat)
 
-    def list_kept(self):
+    def update_first_list(self):
         listed = [node.entry() for node in self.nodes if node.state != "Gone"]
         self.agent.first = {"generation": self.version, "reset": True, "instances": listed}
 
-    def list_changes(self, entries):
+    def publish_changes(self, entries):
         self.version += 1
-        self.list_kept()
-        told = {"generation": self.version, "reset": False, "instances": entries}
+        self.update_first_list()
+        change = {"generation": self.version, "reset": False, "instances": entries}
         for watch in self.agent.watches:
-            watch.say(json.dumps(told).encode() + b"\n")
+            watch.say(json.dumps(change).encode() + b"\n")
 
 
 class Nodes(RuleBasedStateMachine):
-    """Rules are what nodes, their connections, the list and clients may do; the invariants and `teardown` judge."""
-
-    @initialize(nodes=st.integers(2, 4), cells=st.integers(1, 3), gives_up=st.booleans())
-    def start(self, nodes, cells, gives_up):
-        """`gives_up`: dials that are given up end; else their connections may come up all the same."""
-        DROPPED.clear()
-        SHUTS.clear()
-        self.world = World(nodes, cells, gives_up)
+    """The rules are actions of nodes, connections, the endpoint list and clients; invariants and `teardown` check."""
+
+    @initialize(nodes=st.integers(2, 4), cells=st.integers(1, 3), abandons_dials=st.booleans())
+    def start(self, nodes, cells, abandons_dials):
+        """`abandons_dials`: whether abandoned dials end; otherwise their connections may still open."""
+        LATE_WRITES.clear()
+        CLOSED_AT.clear()
+        self.world = World(nodes, cells, abandons_dials)
         self.network = self.world.network
         self.nodes = self.world.nodes
         self.clients = []
@@ -439,9 +445,9 @@
         return client
 
     def send(self, client, kind, cell, count=1):
-        """New requests of one client in one write; `cell` -1: any node may serve them."""
+        """Sends new requests of one client in one write; `cell` -1: any node may serve them."""
         if not client.here or len(client.sent) - len(client.got) + count > pipeline.MAX_RUNNING_REQUESTS:
-            return  # what waits for its turn on its connection has no time of its own yet
+            return  # the timeout of requests queued on a connection has not started
         data = b""
         for _ in range(count):
             self.number += 1
@@ -464,7 +470,7 @@
         ends=st.lists(st.tuples(st.sampled_from(MODES), st.sampled_from(GAPS)), max_size=3),
     )  # fmt: skip
     def asks(self, kind, cell, count, patience, which, ends):
-        """A new client, or one that is here; `ends`: what becomes of the next attempts."""
+        """A new or connected client sends requests; `ends`: modes for the next attempts."""
         if ends:
             self.world.next = deque(ends)
         here = [client for client in self.clients if client.here]
@@ -512,7 +518,7 @@
     def nodes_answer_what_hangs(self, which, how):
         for node in self.chosen(which):
             for peer in list(node.peers):
-                if not peer.rests() and peer.attempt.hangs:
+                if not peer.is_idle() and peer.attempt.hangs:
                     peer.attempt.hangs = False
                     getattr(node, how)(peer.attempt, 0.004)
 
@@ -523,7 +529,7 @@
     def nodes_end_connections(self, which, how, of):
         for node in self.chosen(which):
             for peer in list(node.peers):
-                if of == "all" or peer.rests() == (of == "rests"):
+                if of == "all" or peer.is_idle() == (of == "rests"):
                     getattr(peer.transport, how)()
 
     @rule(
@@ -531,13 +537,13 @@
         cell=st.integers(-1, 2), ticks=st.sampled_from([0, 0, 0, -1, 1, -2, 2]), count=st.integers(1, 2),
     )  # fmt: skip
     def requests_meet_the_end_of_a_connection_that_rests(self, do, kind, cell, ticks, count):
-        """Or noise on it; requests come some ticks sooner or later."""
+        """Idle connections end or carry unexpected bytes; requests arrive some ticks before or after that."""
         client = self.connects(0.9)
         self.world.next.clear()
         self.send(client, "read", cell, 2)
         self.network.advance(0.03)
-        resting = [peer for node in self.nodes for peer in node.peers if peer.rests()]
-        SEEN["crossings"] += bool(resting)
+        resting = [peer for node in self.nodes for peer in node.peers if peer.is_idle()]
+        COVERAGE["crossings"] += bool(resting)
         if ticks > 0:
             self.send(client, kind, cell, count)
         self.network.advance(abs(ticks) * TICK)
@@ -603,7 +609,7 @@
         if state != node.state:
             node.left_at = None if state == "Ready" else node.left_at or self.network.now
             node.state = state
-            self.world.list_changes([node.entry()])
+            self.world.publish_changes([node.entry()])
 
     @precondition(lambda self: self.world.agent.watches)
     @rule(
@@ -622,10 +628,10 @@
     def node_is_replaced_at_its_address(self, which, resets):
         node = self.nodes[which % len(self.nodes)]
         gone = [node.entry(state="Gone")] if node.state != "Gone" else []
-        node.lives += 1
-        node.name = f"{node.name.partition('+')[0]}+{node.lives}"
+        node.incarnation += 1
+        node.name = f"{node.name.partition('+')[0]}+{node.incarnation}"
         node.state, node.left_at = "Ready", None
-        self.world.list_changes([*gone, node.entry()])
+        self.world.publish_changes([*gone, node.entry()])
         if resets:
             self.nodes_end_connections(self.nodes.index(node), "abortConnection", "all")
 
@@ -651,13 +657,13 @@
                 break
             self.network.advance(TICK)
         self.network.advance(begins)
-        self.world.here.stall(0.02, backwards)
+        self.world.here.block(0.02, backwards)
         self.send(client, kind, cell)
         self.network.advance(0.03)
 
     @rule(seconds=st.sampled_from([0.02, 0.15, 0.5]), backwards=st.booleans())
     def the_loop_stands_still(self, seconds, backwards):
-        self.world.here.stall(seconds, backwards)
+        self.world.here.block(seconds, backwards)
 
     @rule(seconds=st.sampled_from([TICK, 0.002, 0.011, 0.05, 0.15, 0.4, 1.2]))
     def time_passes(self, seconds):
@@ -667,29 +673,29 @@
 
     @invariant()
     def nothing_is_written_to_a_connection_that_ends(self):
-        assert not DROPPED, "written to a connection that this side had ended"
+        assert not LATE_WRITES, "written to a connection that the gateway had closed"
 
     @invariant()
     def attempts_begin_in_time(self):
-        """The rules of each attempt by itself."""
+        """Checks each attempt on its own."""
         left = {each.name: client.left_at for client in getattr(self, "clients", ()) for each in client.sent}
         attempts = self.world.attempts if hasattr(self, "world") else ()
         for each in attempts:
             asked = self.requests[each.name]
-            read_late = self.world.here.known_at(asked.at) - asked.at  # which it can't know
-            assert each.at + each.told <= asked.due + read_late, (
-                f"told {each.told}, {asked.due - each.at:.3f} were left"
+            read_late = self.world.here.observable_at(asked.at) - asked.at  # which the gateway can't know
+            assert each.at + each.timeout <= asked.due + read_late, (
+                f"sent timeout {each.timeout} s, {asked.due - each.at:.3f} s were left"
             )
             end = left[each.name]
-            # A standstill ends with a turn in which this network brings accept, bytes and ends one by one, so what
-            # happens in it counts from its end; test_client_close has these crossings on a real loop.
-            known = end and self.world.here.known_at(end)
+            # A standstill ends with an iteration in which this network delivers accepts, bytes and closes one by one,
+            # so events in it count from its end; test_client_close tests these races on a real event loop.
+            known = end and self.world.here.observable_at(end)
             assert end is None or each.at <= known + BREAK, (
-                f"begun {each.at - end:.3f} s after its client left"
+                f"attempt {each.at - end:.3f} s after its client's close"
             )
 
     def by_request(self):
-        """Attempts of each request, in their order."""
+        """Returns the attempts of each request, in order."""
         found = {}
         for each in self.world.attempts:
             found.setdefault(each.name, []).append(each)
@@ -702,31 +708,31 @@
             if not may_have_run or kind == "read":
                 continue
             first, last = may_have_run[0], attempts[-1]
-            SEEN[f"{kind} repeated"] += last is not first
+            COVERAGE[f"{kind} repeated"] += last is not first
             if kind == "bind":
-                assert last is first, "an unsafe request that may have run is sent again"
-            assert last.at <= first.at + WINDOW, f"repeated {last.at - first.at:.3f} s after it first began"
+                assert last is first, "an unsafe request that may have run was retried"
+            assert last.at <= first.at + WINDOW, f"retried {last.at - first.at:.3f} s after its first attempt"
 
     def judge_client(self, client, attempted):
-        """Each request has exactly one whole answer in time, or its client left, or it crossed the shutdown."""
+        """Each request has exactly one complete reply in time, unless its client left or it crossed the shutdown."""
         for asked, (reply, at) in zip(client.sent, client.got, strict=False):
-            due = asked.due + self.world.here.stood(asked.at, at)
+            due = asked.due + self.world.here.blocked_time(asked.at, at)
             assert at <= due, f"answered {at - asked.due:.3f} s late"
             attempts = attempted.get(asked.name, [])
             if isinstance(reply, bytes):
-                assert attempts and reply == attempts[-1].value, "an answer that was made for another attempt"
-                SEEN["served"] += 1
+                assert attempts and reply == attempts[-1].value, "a reply that belongs to another attempt"
+                COVERAGE["served"] += 1
             elif reply.text.startswith(b"BUSY") and asked.kind != "read":
                 ran = [each for each in attempts if not each.busy]
-                assert not ran, "said that nothing ran, and an attempt had begun"
-        assert len(client.got) <= len(client.sent), "more answers than requests"
+                assert not ran, "rejected as not executed, but an attempt may have run"
+        assert len(client.got) <= len(client.sent), "more replies than requests"
         if client.left_at is not None:
             return
         for asked in client.sent[len(client.got) :]:
-            assert asked.name not in attempted, "sent on and not answered"
+            assert asked.name not in attempted, "forwarded and not answered"
             if client.side.protocol is None:
-                continue  # never accepted: this network's port leaves who waits as it closes; test_listening has that
-            read_at = self.world.here.known_at(asked.at) + WAY
+                continue  # never accepted: this network drops pending connections when a port closes; see test_listening
+            read_at = self.world.here.observable_at(asked.at) + WAY
             assert client.shut_at is not None and read_at >= client.shut_at, "read and not answered"
 
     def teardown(self):
@@ -734,8 +740,8 @@
             return
         if self.left_at is not None:
             self.network.run_until(max(self.network.now, self.left_at + KILL))
-            self.network.advance(self.world.here.stood(self.left_at, self.network.now + LAST))
-            assert self.world.over == [1], "it did not end before its kill"
+            self.network.advance(self.world.here.blocked_time(self.left_at, self.network.now + LAST))
+            assert self.world.over == [1], "the service did not exit before the kill"
             self.network.advance(WAY)
         else:
             self.network.advance(LAST)
@@ -747,34 +753,34 @@
         for client in self.clients:
             self.judge_client(client, attempted)
         self.network.advance(IDLE if self.left_at is None else 0.0)
-        assert not any(node.peers for node in self.nodes), "a connection that nobody uses is kept"
+        assert not any(node.peers for node in self.nodes), "an unused connection is still open"
 
 
 @pytest.fixture(autouse=True)
-def ends(monkeypatch):
-    """Notes when each end of a connection is ended by its own side, and what the gateway writes to a node after that."""
+def record_connection_ends(monkeypatch):
+    """Records when each end of a connection is closed by its own side, and what the gateway writes to a node later."""
     for name in ("loseWriteConnection", "loseConnection", "abortConnection"):
-        whole = getattr(VirtualTransport, name)
+        original = getattr(VirtualTransport, name)
 
-        def noted(transport, *args, _whole=whole):
+        def recording_end(transport, *args, _whole=original):
             if not transport.lost:
-                SHUTS.setdefault(transport, transport.network.now)
+                CLOSED_AT.setdefault(transport, transport.network.now)
             return _whole(transport, *args)
 
-        monkeypatch.setattr(VirtualTransport, name, noted)
+        monkeypatch.setattr(VirtualTransport, name, recording_end)
     write = VirtualTransport.write
 
-    def written(transport, data):
+    def recording_write(transport, data):
         ended = transport.lost or transport.disconnecting or transport.shut
         if ended and isinstance(transport.peer.protocol, NodePeer):
-            DROPPED.append(data)
+            LATE_WRITES.append(data)
         write(transport, data)
 
-    monkeypatch.setattr(VirtualTransport, "write", written)
+    monkeypatch.setattr(VirtualTransport, "write", recording_write)
 
 
-def play(seeds=SEEDS):
-    """Several short runs: in one long one most examples are alike."""
+def run_examples(seeds=SEEDS):
+    """Runs several short series of examples, since most examples of one long series are alike."""
     profile = settings(
         max_examples=20, stateful_step_count=30, deadline=None, database=None, phases=[Phase.generate],
         report_multiple_bugs=False,
@@ -783,38 +789,38 @@
         run_state_machine_as_test(seed(each)(Nodes), settings=profile)
 
 
-def test_requests_are_served_by_their_own_answers_and_repeated_in_their_window_whatever_connections_do():
-    SEEN.clear()
-    play()
+def test_requests_get_their_own_replies_and_are_retried_within_their_window_whatever_connections_do():
+    COVERAGE.clear()
+    run_examples()
     for what in [*MODES, "late dials", "crossings", "mark repeated", "served"]:
-        assert SEEN[what], f"never drawn: {what}"
+        assert COVERAGE[what], f"never drawn: {what}"
 
 
-# --- mistakes made on purpose, each of which the machine must find ---
+# --- injected faults, each of which the state machine must find ---
 
 
-def writes_repeats_behind_their_window(monkeypatch):
-    whole = Dispatcher.send
+def writes_retries_after_their_window(monkeypatch):
+    original = Dispatcher.send
     monkeypatch.setattr(
         Dispatcher,
         "send",
-        lambda self, attempt, limits: whole(self, attempt, dataclasses.replace(limits, write_before=0)),
+        lambda self, attempt, limits: original(self, attempt, dataclasses.replace(limits, write_before=0)),
     )
 
 
-def uses_a_connection_again_at_once(monkeypatch):
+def reuses_connections_without_delay(monkeypatch):
     monkeypatch.setattr(node_connection, "REUSE_DELAY_SECONDS", 0.0)
 
 
-def ends_a_rest_before_it_has_read(monkeypatch):
+def ends_the_reuse_delay_before_reading(monkeypatch):
     monkeypatch.setattr(RespNodeConnection, "_reuse_delay_over", RespNodeConnection._release)
 
 
-def gives_attempts_to_a_connection_that_it_ends(monkeypatch):
+def assigns_attempts_to_an_aborting_connection(monkeypatch):
     monkeypatch.setattr(Dispatcher, "connection_aborting", lambda self, connection: None)
 
 
-def takes_a_reset_for_proof_that_nothing_ran(monkeypatch):
+def takes_a_reset_for_proof_of_no_execution(monkeypatch):
     monkeypatch.setattr(
         dispatcher,
         "event_on_close",
@@ -822,31 +828,31 @@
     )
 
 
-def takes_half_an_answer_for_proof_that_nothing_ran(monkeypatch):
-    whole = outcome.event_on_close
+def takes_a_partial_reply_for_proof_of_no_execution(monkeypatch):
+    original = outcome.event_on_close
 
     def seen(progress, responding, end):
         return (
             outcome.AttemptEvent.CLOSED_BEFORE_WRITE
             if end is outcome.ConnectionEnd.IN_HEADER
-            else whole(progress, responding, end)
+            else original(progress, responding, end)
         )
 
     monkeypatch.setattr(dispatcher, "event_on_close", seen)
 
 
-def takes_what_begins_like_busy_for_busy(monkeypatch):
-    whole = commands.parse_reply
+def takes_a_reply_that_begins_with_busy_for_busy(monkeypatch):
+    original = commands.parse_reply
 
     def parse_reply(reply):
         if isinstance(reply, codec.ErrorReply) and reply.text.startswith(b"BUSY"):
             reply = codec.ErrorReply(b"BUSY")
-        return whole(reply)
+        return original(reply)
 
     monkeypatch.setattr(node_connection, "parse_reply", parse_reply)
 
 
-def keeps_the_connection_of_an_attempt_that_it_gave_up(monkeypatch):
+def reuses_the_connection_of_a_cancelled_attempt(monkeypatch):
     def cancel(connection, attempt):
         connection.attempt = None
         connection.dispatcher.connection_freed(connection)
@@ -854,41 +860,43 @@
     monkeypatch.setattr(RespNodeConnection, "cancel", cancel)
 
 
-def takes_what_came_behind_an_answer_for_the_next_one(monkeypatch):
-    whole = RespNodeConnection.dataReceived
+def takes_bytes_after_a_reply_for_the_next_reply(monkeypatch):
+    original = RespNodeConnection.dataReceived
 
     def received(connection, data):
         if connection.attempt is None:
             connection.parser.feed(data)
             return
-        whole(connection, data)
+        original(connection, data)
 
     monkeypatch.setattr(RespNodeConnection, "dataReceived", received)
 
 
-def tells_the_time_that_was_left_at_the_decision(monkeypatch):
-    whole = RespNodeConnection.send
+def sends_the_timeout_as_of_the_decision(monkeypatch):
+    original = RespNodeConnection.send
 
     def send(connection, attempt):
         sent_at, attempt.sent_at = attempt.sent_at, gateway.now_ns(connection.dispatcher.clock)
-        whole(connection, attempt)
+        original(connection, attempt)
         attempt.sent_at = sent_at
 
     monkeypatch.setattr(RespNodeConnection, "send", send)
 
 
-def writes_what_waited_for_a_node_that_is_not_listed_any_more(monkeypatch):
+def writes_waiting_attempts_to_a_node_that_is_not_ready(monkeypatch):
     monkeypatch.setattr(Dispatcher, "cancel_waiting", lambda self, is_ready: None)
 
 
-def writes_what_its_client_has_left(monkeypatch):
-    whole = Dispatcher.cancel
+def writes_attempts_of_closed_clients(monkeypatch):
+    original = Dispatcher.cancel
     monkeypatch.setattr(
-        Dispatcher, "cancel", lambda self, attempt: whole(self, attempt) if attempt.stream_id >= 0 else None
+        Dispatcher,
+        "cancel",
+        lambda self, attempt: original(self, attempt) if attempt.stream_id >= 0 else None,
     )
 
 
-def takes_a_connection_that_it_has_given_up(monkeypatch):
+def accepts_a_connection_whose_dial_was_abandoned(monkeypatch):
     def build(dial, address):
         connection = dial.dispatcher.connections[dial.pooled.number] = RespNodeConnection(
             dial.dispatcher, dial.pooled
@@ -899,12 +907,12 @@
 
 
 MISTAKES = [
-    writes_repeats_behind_their_window, uses_a_connection_again_at_once, ends_a_rest_before_it_has_read, gives_attempts_to_a_connection_that_it_ends,
-    takes_a_reset_for_proof_that_nothing_ran, takes_half_an_answer_for_proof_that_nothing_ran,
-    takes_what_begins_like_busy_for_busy, keeps_the_connection_of_an_attempt_that_it_gave_up,
-    takes_what_came_behind_an_answer_for_the_next_one, tells_the_time_that_was_left_at_the_decision,
-    writes_what_waited_for_a_node_that_is_not_listed_any_more, writes_what_its_client_has_left,
-    takes_a_connection_that_it_has_given_up,
+    writes_retries_after_their_window, reuses_connections_without_delay, ends_the_reuse_delay_before_reading, assigns_attempts_to_an_aborting_connection,
+    takes_a_reset_for_proof_of_no_execution, takes_a_partial_reply_for_proof_of_no_execution,
+    takes_a_reply_that_begins_with_busy_for_busy, reuses_the_connection_of_a_cancelled_attempt,
+    takes_bytes_after_a_reply_for_the_next_reply, sends_the_timeout_as_of_the_decision,
+    writes_waiting_attempts_to_a_node_that_is_not_ready, writes_attempts_of_closed_clients,
+    accepts_a_connection_whose_dial_was_abandoned,
 ]  # fmt: skip
 
 
@@ -912,4 +920,4 @@
 def test_a_mistake_made_on_purpose_is_found(mistake, monkeypatch):
     mistake(monkeypatch)
     with pytest.raises((AssertionError, ExceptionGroup)):
-        play()
+        run_examples()
