--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -22,7 +22,7 @@
 WEBDAV = "webdav"  # name of WebDAV's listening socket
 BACKLOG = 4096  # connections that may wait to be accepted
 ANY_PORT = ("127.0.0.1", 0)  # if the settings specify no address
-JOURNAL_CLOSE_TIMEOUT_S = 5.0  # for the journal's last sync, after all clients have gone
+JOURNAL_CLOSE_TIMEOUT_S = 5.0  # for the journal's last sync, after all clients have disconnected
 FINAL_RESPONSES_DELAY_S = 0.2  # for the last responses to be sent before connections close
 
 # Opens a listening port, given its name, port, factory and host. Raises CannotListenError.
--- a/ochrecourse/gateway/settings_index.py
+++ b/ochrecourse/gateway/settings_index.py
@@ -57,5 +57,5 @@
 
 
 def dial_timeout(values: Mapping[str, str]) -> float:
-    """Returns the dial time-out in s; a dial goes on after it only for a request that waits longer."""
+    """Returns the dial time-out in s; a dial continues after it only if a request still waits for it."""
     return number(values, "Limits.DialTimeout", DEFAULT_DIAL_TIMEOUT_MS) / 1000
--- a/ochrecourse/resp/pipeline.py
+++ b/ochrecourse/resp/pipeline.py
@@ -152,7 +152,7 @@
         self._clear_queue()
 
     def clear(self) -> None:
-        """Removes all commands when the client is gone."""
+        """Removes all commands when the client has disconnected."""
         for slot in self.slots:
             self.totals.release_request_id(slot.client_request_id, slot)
         self.totals.unanswered_commands -= len(self.slots)
