--- a/benchmarks/announcements.py
+++ b/benchmarks/announcements.py
@@ -15,9 +15,9 @@
 
 from ochrecourse.audit.announcements import judge
 from ochrecourse.audit.judge import audit
-from ochrecourse.bgp.fitness import DrainFigures, FitnessFigures, Sight
-from ochrecourse.bgp.session import PeerFigures
-from ochrecourse.bgp.setup import AddressSetup, PeerSetup, SpeakerSetup
+from ochrecourse.bgp.fitness import DrainSettings, FitnessSettings, GatewayStatus
+from ochrecourse.bgp.session import SessionSettings
+from ochrecourse.bgp.speaker_settings import AddressSettings, PeerSettings, SpeakerSettings
 from ochrecourse.bgp.speaker import Speaker
 from ochrecourse.lab.day import Trouble
 from ochrecourse.lab.days import bad_evening, quiet
@@ -83,21 +83,24 @@
 
     network = VirtualNetwork(5)
     ends = [StandInPeer(network, identifier=f"10.0.{i // 200}.{i % 200 + 1}") for i in range(peers)]
-    fit = FitnessFigures(
+    fit = FitnessSettings(
         SECOND // 2, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, SECOND, 60 * SECOND, 60 * SECOND
     )
-    drain = DrainFigures(SECOND, SECOND, SECOND)
+    drain = DrainSettings(SECOND, SECOND, SECOND)
     began, cpu = network.seconds(), time.process_time()
     made: list[Any] = []
     for i in range(gateways):
         figures = [
-            PeerFigures(f"p{j}", 64512, 64600, 0x0B000001 + i, 9, 5 * SECOND, SECOND) for j in range(peers)
+            SessionSettings(f"p{j}", 64512, 64600, 0x0B000001 + i, 9, 5 * SECOND, SECOND)
+            for j in range(peers)
         ]
-        where = [PeerSetup(each, "127.0.0.1", end.port) for each, end in zip(figures, ends, strict=True)]
+        where = [PeerSettings(each, "127.0.0.1", end.port) for each, end in zip(figures, ends, strict=True)]
         prefix = ipaddress.ip_network(f"198.18.{i // 250}.{i % 250 + 1}/32")
-        address = AddressSetup(prefix, ipaddress.ip_address("192.0.2.1"))
-        setup = SpeakerSetup(where, [address], fit, drain, None)
-        made.append(Speaker(network, setup, Sight, lambda: None, lambda: 0, lambda event, **more: None, i))
+        address = AddressSettings(prefix, ipaddress.ip_address("192.0.2.1"))
+        setup = SpeakerSettings(where, [address], fit, drain, None)
+        made.append(
+            Speaker(network, setup, GatewayStatus, lambda: None, lambda: 0, lambda event, **more: None, i)
+        )
         made[-1].start()
     while any(len(end.table) < gateways for end in ends):
         network.advance(0.01)
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -19,9 +19,9 @@
 
 from twisted.internet.protocol import ClientFactory, Factory  # noqa: E402
 
-from ochrecourse.bgp.fitness import DrainFigures, FitnessFigures, Sight  # noqa: E402
-from ochrecourse.bgp.session import SECOND, PeerFigures  # noqa: E402
-from ochrecourse.bgp.setup import AddressSetup, PeerSetup, SpeakerSetup  # noqa: E402
+from ochrecourse.bgp.fitness import DrainSettings, FitnessSettings, GatewayStatus  # noqa: E402
+from ochrecourse.bgp.session import SECOND, SessionSettings  # noqa: E402
+from ochrecourse.bgp.speaker_settings import AddressSettings, PeerSettings, SpeakerSettings  # noqa: E402
 from ochrecourse.bgp.speaker import Speaker  # noqa: E402
 from ochrecourse.scheduler.scheduler import Scheduler  # noqa: E402
 from ochrecourse.gateway.client_connection import ClientConnectionFactory  # noqa: E402
@@ -164,11 +164,13 @@
 
 def speaking(port: int) -> Speaker:
     """A speaker with one peer and one address, as a gateway has it, looking at a fit gateway."""
-    fit = FitnessFigures(SECOND // 2, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, 0, SECOND, SECOND)
-    figures = PeerFigures("p", 64512, 64600, 5, 9, 5 * SECOND, SECOND)
-    address = AddressSetup(ipaddress.ip_network("192.0.2.10/32"), ipaddress.ip_address("192.0.2.1"))
-    setup = SpeakerSetup([PeerSetup(figures, "127.0.0.1", port)], [address], fit, DrainFigures(0, 0, 0), None)
-    speaker = Speaker(reactor, setup, Sight, lambda: None, lambda: 0, lambda event, **more: None, 1)
+    fit = FitnessSettings(SECOND // 2, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, 0, SECOND, SECOND)
+    figures = SessionSettings("p", 64512, 64600, 5, 9, 5 * SECOND, SECOND)
+    address = AddressSettings(ipaddress.ip_network("192.0.2.10/32"), ipaddress.ip_address("192.0.2.1"))
+    setup = SpeakerSettings(
+        [PeerSettings(figures, "127.0.0.1", port)], [address], fit, DrainSettings(0, 0, 0), None
+    )
+    speaker = Speaker(reactor, setup, GatewayStatus, lambda: None, lambda: 0, lambda event, **more: None, 1)
     speaker.start()
     return speaker
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -34,7 +34,7 @@
                 decoder.feed(raw[at : at + step])
                 while (message := decoder.next()) is not None:
                     got.append(repr(message))
-        except codec.Malformed as wrong:
+        except codec.MalformedMessageError as wrong:
             got.append(repr(codec.encode(wrong.notification)))
         told.append(got)
     assert told[0] == told[1]
--- a/ochrecourse/bgp/__init__.py
+++ b/ochrecourse/bgp/__init__.py
@@ -1,1 +1,1 @@
-"""A BGP speaker that only announces: service addresses, exactly while their gateway is fit to serve."""
+"""A BGP speaker that only announces routes: service addresses, while their gateway is fit to serve."""
--- a/ochrecourse/gateway/daemon.py
+++ b/ochrecourse/gateway/daemon.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from ochrecourse.bgp.fitness import Stage
+from ochrecourse.bgp.fitness import DrainStage
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.gateway.daemon_status import DaemonStatus
 from ochrecourse.gateway.settings_reload import ReloadResult, reload_result, reloaded_record
@@ -173,10 +173,10 @@
             self.fleet_member.stop()
         if self.registration is not None:
             self.registration.revoke()
-        if self.speaker is None or self.speaker.drain.stage is Stage.SERVING:
+        if self.speaker is None or self.speaker.drain.stage is DrainStage.SERVING:
             self._close_clients()
         else:
-            self.speaker.look()  # it ends its sessions, then calls `_close_clients`
+            self.speaker.update()  # it ends its sessions, then calls `_close_clients`
 
     def _close_clients(self) -> None:
         """Requests that were on their way when clients were notified are still rejected; then the connections
--- a/ochrecourse/gateway/daemon_parts.py
+++ b/ochrecourse/gateway/daemon_parts.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from ochrecourse.bgp.fitness import Sight
-from ochrecourse.bgp.setup import setup_of
+from ochrecourse.bgp.fitness import GatewayStatus
+from ochrecourse.bgp.outcome_window import OutcomeWindow
 from ochrecourse.bgp.speaker import Speaker
-from ochrecourse.bgp.watch import Watch
+from ochrecourse.bgp.speaker_settings import speaker_settings
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.common.runtime import Network
 from ochrecourse.common.time_units import MS
@@ -116,11 +116,11 @@
         self.purger: Any = None  # of the fleet's subsystems, the one that drops cached objects
         if "fleet" in record:
             self._prepare_fleet(join_later)
-        self.outcome_watch = Watch()
+        self.outcome_window = OutcomeWindow()
         self.speaker = self._make_speaker()
 
     @abstractmethod
-    def status(self) -> Sight:
+    def status(self) -> GatewayStatus:
         """What this gateway sees of itself now."""
 
     @abstractmethod
@@ -226,15 +226,15 @@
 
     def _make_speaker(self) -> Speaker | None:
         """Who announces the service addresses, where the settings have any."""
-        setup = setup_of(self.record)
-        if setup is None:
+        settings = speaker_settings(self.record)
+        if settings is None:
             return None
         in_flight = self.gateway.in_flight
         speaker = Speaker(
-            self.network, setup, self.status, self._begin_drain, lambda: len(in_flight),
+            self.network, settings, self.status, self._begin_drain, lambda: len(in_flight),
             self.host.log_event, self.seed
         )  # fmt: skip
-        speaker.gone.append(self._close_clients)
+        speaker.on_drained.append(self._close_clients)
         return speaker
 
     # --- the fleet; nothing of it is loaded where the settings name none ---
--- a/ochrecourse/gateway/daemon_status.py
+++ b/ochrecourse/gateway/daemon_status.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ochrecourse.bgp.fitness import Sight
+from ochrecourse.bgp.fitness import GatewayStatus
 from ochrecourse.common.request_records import RequestRecord
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.common.time_units import SECOND
@@ -31,28 +31,28 @@
         at = self.client_port.getHost() if self.client_port is not None else None
         return f"{at.host}:{at.port}" if at is not None else ""
 
-    def status(self) -> Sight:
+    def status(self) -> GatewayStatus:
         """What this gateway sees of itself now."""
         gateway, watcher, now = self.gateway, self.endpoint_watcher, now_ns(self.network)
         ready_nodes = [node for node, entry in gateway.entries.items() if entry.health is Health.READY]
-        recent = self.outcome_watch.look(gateway.request_log.outcomes, now)
+        recent = self.outcome_window.update(gateway.request_log.outcomes, now)
         list_age = watcher.endpoint_list.age(now)
         registration = self.registration
-        return Sight(
+        return GatewayStatus(
             listening=self.client_port is not None,
             draining=not gateway.shutdown.accepts_requests(),
-            loop_late=gateway.event_loop_lag.worst_since(now - RECENT_LAG),
+            loop_lag=gateway.event_loop_lag.worst_since(now - RECENT_LAG),
             has_list=bool(gateway.entries),
             # A list that is watched is as fresh as its connection, however long ago it last changed.
             list_age=0 if watcher.connected else list_age or 0,
-            list_fresh=list_age is not None,
-            enrolled=registration is None or registration.is_active() or not registration.lease.losses,
+            list_received=list_age is not None,
+            registered=registration is None or registration.is_active() or not registration.lease.losses,
             nodes_ready=len(ready_nodes),
-            nodes_reached=gateway.node_health.count_reachable(ready_nodes, now),
-            jobs=recent.jobs,
-            written_off=recent.written_off,
-            lately=recent.lately,
-            fulfilled=recent.fulfilled,
+            nodes_reachable=gateway.node_health.count_reachable(ready_nodes, now),
+            recent_requests=recent.requests,
+            failed_share=recent.failed_share,
+            requests_last_second=recent.requests_last_second,
+            served_last_second=recent.served_last_second,
             open_share=gateway.request_log.open / gateway.max_open,
         )
 
@@ -176,10 +176,10 @@
         if self.speaker is None:
             return figures
         for each in self.speaker.peers:
-            figures[f'bgp_peer_state{{peer="{each.setup.figures.name}"}}'] = int(each.peer.state)
+            figures[f'bgp_peer_state{{peer="{each.settings.session.name}"}}'] = int(each.fsm.state)
         for address in self.speaker.addresses:
-            network, fitness = address.setup.network, address.fitness
-            figures[f'bgp_standing{{network="{network}"}}'] = int(fitness.standing)
+            network, fitness = address.settings.network, address.fitness
+            figures[f'bgp_standing{{network="{network}"}}'] = int(fitness.state)
             figures[f'bgp_changes_total{{network="{network}"}}'] = fitness.changes
         return figures
 
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of whole gateways on a virtual clock, held against probes through each address."""
+"""Announcements of whole gateways on a virtual clock, compared with probes through each address."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 from ochrecourse.audit.announcements import judge
 from ochrecourse.audit.judge import audit
 from ochrecourse.bgp import speaker
-from ochrecourse.bgp.fitness import Fitness, Standing
+from ochrecourse.bgp.fitness import AnnouncementState, Fitness
 from ochrecourse.lab.day import Trouble
 from ochrecourse.lab.days import quiet
 from ochrecourse.lab.figures import figures_of
@@ -20,7 +20,7 @@
 SECOND = 1_000_000_000
 
 
-def struck(kind, **more):
+def day_with_fault(kind, **more):
     trouble = Trouble(kind=kind, at_s=1.5, len_s=3.0, **{"part": 1.0, **more})
     return msgspec.structs.replace(quiet(), length_s=7.0, load=0.3, nodes=4, gateways=2, troubles=[trouble])
 
@@ -28,10 +28,10 @@
 @pytest.mark.parametrize(
     ("day", "losses"),
     [
-        (struck("balancer_roll", size=0.5, extra=1.2), 2),
-        (struck("all_gone"), 2),
-        (struck("hang"), 2),
-        (struck("slow", part=0.5, size=4.0), 0),
+        (day_with_fault("balancer_roll", size=0.5, extra=1.2), 2),
+        (day_with_fault("all_gone"), 2),
+        (day_with_fault("hang"), 2),
+        (day_with_fault("slow", part=0.5, size=4.0), 0),
     ],
 )
 def test_no_address_is_announced_for_more_than_a_second_after_its_service_is_lost(day, losses):
@@ -42,64 +42,64 @@
 
 
 def test_a_gateway_that_never_withdraws_is_caught(monkeypatch):
-    class Stubborn(Fitness):
-        def look(self, sight, now):
-            self.standing = Standing.ANNOUNCED
-            return self.standing
+    class AlwaysAnnounced(Fitness):
+        def update(self, status, now):
+            self.state = AnnouncementState.ANNOUNCED
+            return self.state
 
-    monkeypatch.setattr(speaker, "Fitness", Stubborn)
-    found = judge(VirtualPlay(struck("all_gone"), announces=True).run().records, round(1.1 * SECOND))
+    monkeypatch.setattr(speaker, "Fitness", AlwaysAnnounced)
+    found = judge(VirtualPlay(day_with_fault("all_gone"), announces=True).run().records, round(1.1 * SECOND))
     assert found.breaches and "beyond what is allowed" in found.breaches[0]
 
 
-def test_clients_that_go_by_the_table_reach_gateways_that_serve():
-    day = struck("balancer_roll", size=0.5, extra=1.5)
+def test_clients_that_follow_the_routing_table_reach_gateways_that_serve():
+    day = day_with_fault("balancer_roll", size=0.5, extra=1.5)
     day = msgspec.structs.replace(
         day, plans=[msgspec.structs.replace(plan, hosts=(2, 2)) for plan in day.plans]
     )
-    keeping, going = VirtualPlay(day, announces=True).run(), VirtualPlay(day, steers=True).run()
-    lost = [run.counts.get("clients: no gateway", 0) for run in (keeping, going)]
+    fixed, steered = VirtualPlay(day, announces=True).run(), VirtualPlay(day, steers=True).run()
+    lost = [run.counts.get("clients: no gateway", 0) for run in (fixed, steered)]
     assert lost[0] > 50 and lost[1] < lost[0] / 2
-    assert audit(figures_of(day), going.records).kept()
+    assert audit(figures_of(day), steered.records).kept()
 
 
 def announced(t, up, gateway="g0"):
     return r.Announced(t=t * SECOND // 10, gateway=gateway, up=up)
 
 
-def probes(hows, gateway="g0"):
+def probes(outcomes, gateway="g0"):
     return [
         r.Probed(
             t=(i + 1) * SECOND // 10,
             gateway=gateway,
             asked=i * SECOND // 10,
-            how="fulfilled" if how == "+" else "no answer",
+            how="fulfilled" if outcome == "+" else "no answer",
         )
-        for i, how in enumerate(hows)
+        for i, outcome in enumerate(outcomes)
     ]
 
 
 @pytest.mark.parametrize(
-    ("changes", "hows", "losses", "breaches", "needless"),
+    ("changes", "outcomes", "losses", "breaches", "needless"),
     [
         ([announced(0, True)], "+" * 40, 0, 0, 0),
-        ([announced(0, True)], "+" * 10 + "--" + "+" * 30, 0, 0, 0),  # two denials are no loss
+        ([announced(0, True)], "+" * 10 + "--" + "+" * 30, 0, 0, 0),  # two rejections are no loss
         ([announced(0, True), announced(15, False)], "+" * 10 + "-" * 30, 1, 0, 0),
         ([announced(0, True), announced(25, False)], "+" * 10 + "-" * 30, 1, 1, 0),
         ([announced(0, True), announced(15, False), announced(30, True)], "+" * 10 + "-" * 40, 1, 1, 0),
         ([announced(0, True), announced(15, False)], "+" * 40, 0, 0, 1),
     ],
 )
-def test_tables_are_judged_by_the_probes(changes, hows, losses, breaches, needless):
-    found = judge([*changes, *probes(hows)], SECOND)
+def test_announcements_are_judged_by_the_probes(changes, outcomes, losses, breaches, needless):
+    found = judge([*changes, *probes(outcomes)], SECOND)
     assert (found.losses, len(found.breaches), found.needless) == (losses, breaches, needless)
 
 
-def test_each_gateway_of_a_day_has_an_address_of_its_own():
+def test_each_gateway_of_a_day_has_its_own_address():
     assert len({service_address(i) for i in range(1000)}) == 1000
 
 
-def test_cycles_are_collected_when_no_job_waits_or_many_connections_have_closed():
+def test_cycles_are_collected_when_no_request_waits_or_many_connections_have_closed():
     code = (
         "import gc\nfrom ochrecourse.common.monotonic_reactor import MANY_CLOSED_CONNECTIONS, CycleCollector\n"
         "class Clock:\n    def callLater(self, delay, call): self.call = call\n"
@@ -122,7 +122,7 @@
     assert subprocess.run([sys.executable, "-c", code], timeout=120).returncode == 0
 
 
-def test_a_hold_time_that_expires_under_load_costs_no_job_and_the_address_comes_back():
+def test_a_hold_time_that_expires_under_load_fails_no_request_and_the_address_returns():
     day = msgspec.structs.replace(quiet(), length_s=6.0, load=0.9, nodes=4, gateways=2)
     plays = [VirtualPlay(day, announces=True) for _ in range(2)]
     ends = []
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -1,4 +1,6 @@
-"""BGP without sockets: bytes, sessions, fitness; all interleavings of the real modules to a stated number of states."""
+"""BGP without sockets: codec, sessions and fitness, and a model check of the real modules over all interleavings up to a
+bounded depth.
+"""
 
 import copy
 import ipaddress
@@ -11,12 +13,28 @@
 from minicheck import Protocol, check_safety
 
 from ochrecourse.bgp import codec
-from ochrecourse.bgp.codec import Attributes, Code, Decoder, Malformed, Notification, Update, encode
-from ochrecourse.bgp.fitness import Drain, DrainFigures, Fitness, FitnessFigures, Sight, Stage, Standing
-from ochrecourse.bgp.routes import Routes
-from ochrecourse.bgp.watch import Watch
+from ochrecourse.bgp.codec import (
+    Attributes,
+    Decoder,
+    ErrorCode,
+    MalformedMessageError,
+    Notification,
+    Update,
+    encode,
+)
+from ochrecourse.bgp.fitness import (
+    AnnouncementState,
+    Drain,
+    DrainSettings,
+    DrainStage,
+    Fitness,
+    FitnessSettings,
+    GatewayStatus,
+)
+from ochrecourse.bgp.adj_rib_out import AdjRibOut
+from ochrecourse.bgp.outcome_window import OutcomeWindow
 from ochrecourse.common.request_records import RequestOutcome
-from ochrecourse.bgp.session import SECOND, Dial, Drop, Peer, PeerFigures, Say, State
+from ochrecourse.bgp.session import SECOND, Close, Connect, PeerFsm, Send, SessionSettings, State
 
 V4 = ipaddress.ip_network("192.0.2.10/32")
 V6 = ipaddress.ip_network("2001:db8::a/128")
@@ -25,14 +43,14 @@
 ONES = "ff" * 16
 
 
-def one(data, four_bytes=True):
+def decode_one(data, four_bytes=True):
     decoder = Decoder()
     decoder.four_bytes = four_bytes
     decoder.feed(data)
     return decoder.next()
 
 
-# --- vectors worked by hand from the RFCs ---
+# --- test vectors derived from the RFCs by hand ---
 
 
 @pytest.mark.parametrize(
@@ -70,58 +88,63 @@
         ),
     ],
 )  # fmt: skip
-def test_bytes_are_as_the_rfcs_lay_them_out(message, four_bytes, data):
+def test_messages_are_encoded_as_in_the_rfcs(message, four_bytes, data):
     raw = bytes.fromhex(data.replace(" ", ""))
     size = len(raw).to_bytes(2, "big")
     assert encode(message, four_bytes) == raw[:16] + size + raw[18:]
-    assert one(raw[:16] + size + raw[18:], four_bytes) == message
-    assert raw[16:18] == size  # the hand-worked length too
+    assert decode_one(raw[:16] + size + raw[18:], four_bytes) == message
+    assert raw[16:18] == size  # the length derived by hand, too
 
 
-HEAD = bytes.fromhex(ONES)
+MARKER = bytes.fromhex(ONES)
 
 
-def message(kind, body, size=None):
-    return HEAD + (19 + len(body) if size is None else size).to_bytes(2, "big") + bytes((kind,)) + body
+def raw_message(kind, body, size=None):
+    return MARKER + (19 + len(body) if size is None else size).to_bytes(2, "big") + bytes((kind,)) + body
 
 
-def update(attributes, nlri=b"\x20\xc0\x00\x02\x0a", gone=b""):
-    return message(
-        2, len(gone).to_bytes(2, "big") + gone + len(attributes).to_bytes(2, "big") + attributes + nlri
+def raw_update(attributes, nlri=b"\x20\xc0\x00\x02\x0a", withdrawn=b""):
+    return raw_message(
+        2,
+        len(withdrawn).to_bytes(2, "big")
+        + withdrawn
+        + len(attributes).to_bytes(2, "big")
+        + attributes
+        + nlri,
     )
 
 
-GOOD = bytes.fromhex("40010100 400200 400304c0000201")
+VALID_ATTRIBUTES = bytes.fromhex("40010100 400200 400304c0000201")
 
 
 @pytest.mark.parametrize(
     ("data", "code", "subcode", "more"),
     [
-        (b"\0" * 19, Code.HEADER, 1, b""),
-        (message(9, b""), Code.HEADER, 3, b"\x09"),
-        (message(4, b"x"), Code.HEADER, 2, b"\0\x14"),
-        (message(1, b"", 20), Code.HEADER, 2, b"\0\x14"),
-        (message(2, b"", 5000), Code.HEADER, 2, b"\x13\x88"),
-        (message(5, b"\0\1\0\1xx"), Code.HEADER, 2, b"\0\x19"),
-        (message(1, bytes.fromhex("03fc0000090a00000100")), Code.OPEN, 1, b"\0\4"),
-        (message(1, bytes.fromhex("04fc0000020a00000100")), Code.OPEN, 6, b""),
-        (message(1, bytes.fromhex("04fc0000090000000000")), Code.OPEN, 3, b""),
-        (message(1, bytes.fromhex("04fc0000090a00000105")), Code.OPEN, 0, b""),
-        (message(1, bytes.fromhex("04fc0000090a00000103010100")), Code.OPEN, 4, b""),
-        (message(1, bytes.fromhex("04fc0000090a0000010402024104")), Code.OPEN, 0, b""),
-        (message(2, bytes.fromhex("00ff0000")), Code.UPDATE, 1, b""),
-        (message(2, bytes.fromhex("000000ff")), Code.UPDATE, 1, b""),
-        (update(GOOD, b"\x21\xc0\x00\x02\x0a\x00"), Code.UPDATE, 10, b""),
-        (update(GOOD, b"\x20\xc0"), Code.UPDATE, 10, b""),
-        (update(GOOD + bytes.fromhex("406301aa")), Code.UPDATE, 2, b"\xaa"),
-        (update(GOOD + bytes.fromhex("800f03000201") * 2), Code.UPDATE, 1, b""),
-        (update(GOOD + bytes.fromhex("800e0500020107 00")), Code.UPDATE, 1, b""),
+        (b"\0" * 19, ErrorCode.HEADER, 1, b""),
+        (raw_message(9, b""), ErrorCode.HEADER, 3, b"\x09"),
+        (raw_message(4, b"x"), ErrorCode.HEADER, 2, b"\0\x14"),
+        (raw_message(1, b"", 20), ErrorCode.HEADER, 2, b"\0\x14"),
+        (raw_message(2, b"", 5000), ErrorCode.HEADER, 2, b"\x13\x88"),
+        (raw_message(5, b"\0\1\0\1xx"), ErrorCode.HEADER, 2, b"\0\x19"),
+        (raw_message(1, bytes.fromhex("03fc0000090a00000100")), ErrorCode.OPEN, 1, b"\0\4"),
+        (raw_message(1, bytes.fromhex("04fc0000020a00000100")), ErrorCode.OPEN, 6, b""),
+        (raw_message(1, bytes.fromhex("04fc0000090000000000")), ErrorCode.OPEN, 3, b""),
+        (raw_message(1, bytes.fromhex("04fc0000090a00000105")), ErrorCode.OPEN, 0, b""),
+        (raw_message(1, bytes.fromhex("04fc0000090a00000103010100")), ErrorCode.OPEN, 4, b""),
+        (raw_message(1, bytes.fromhex("04fc0000090a0000010402024104")), ErrorCode.OPEN, 0, b""),
+        (raw_message(2, bytes.fromhex("00ff0000")), ErrorCode.UPDATE, 1, b""),
+        (raw_message(2, bytes.fromhex("000000ff")), ErrorCode.UPDATE, 1, b""),
+        (raw_update(VALID_ATTRIBUTES, b"\x21\xc0\x00\x02\x0a\x00"), ErrorCode.UPDATE, 10, b""),
+        (raw_update(VALID_ATTRIBUTES, b"\x20\xc0"), ErrorCode.UPDATE, 10, b""),
+        (raw_update(VALID_ATTRIBUTES + bytes.fromhex("406301aa")), ErrorCode.UPDATE, 2, b"\xaa"),
+        (raw_update(VALID_ATTRIBUTES + bytes.fromhex("800f03000201") * 2), ErrorCode.UPDATE, 1, b""),
+        (raw_update(VALID_ATTRIBUTES + bytes.fromhex("800e0500020107 00")), ErrorCode.UPDATE, 1, b""),
     ],
 )
-def test_what_is_malformed_gets_the_notification_that_is_due(data, code, subcode, more):
-    with pytest.raises(Malformed) as told:
-        one(data)
-    assert told.value.notification == Notification(code, subcode, more)
+def test_a_malformed_message_raises_the_notification_to_send(data, code, subcode, more):
+    with pytest.raises(MalformedMessageError) as raised:
+        decode_one(data)
+    assert raised.value.notification == Notification(code, subcode, more)
 
 
 @pytest.mark.parametrize("attributes", [
@@ -129,31 +152,38 @@
     "c0010100 400200 400304c0000201", "4001020000 400200 400304c0000201", "40010100 40020103 400304c0000201",
     "40010100 400200 400304c0000201 c0080300ffff", "40010100 400200 400304c0000201 800405", "40010100 400202020a 400304c0000201",
 ])  # fmt: skip
-def test_a_bad_attribute_makes_its_routes_count_as_withdrawn_and_the_session_stays(attributes):
-    got = one(update(bytes.fromhex(attributes)))
-    assert got.as_withdrawn and got.withdrawn == (V4,) and not got.announced
+def test_a_malformed_attribute_is_treated_as_withdraw_and_the_session_stays(attributes):
+    decoded = decode_one(raw_update(bytes.fromhex(attributes)))
+    assert decoded.as_withdrawn and decoded.withdrawn == (V4,) and not decoded.announced
 
 
 def test_an_unknown_optional_attribute_is_skipped_and_a_second_one_ignored():
-    got = one(update(GOOD + bytes.fromhex("c063023344 40010102")))
-    assert got.announced == (V4,) and got.attributes.origin == 0
+    decoded = decode_one(raw_update(VALID_ATTRIBUTES + bytes.fromhex("c063023344 40010102")))
+    assert decoded.announced == (V4,) and decoded.attributes.origin == 0
 
 
-def test_four_byte_numbers_come_back_through_a_two_byte_path():
+def test_four_byte_as_numbers_survive_a_two_byte_as_path():
     path = Attributes(0, (70000, 64512, 80000), HOP4)
-    assert one(encode(Update((V4,), (), path), False), False).attributes.as_path == (70000, 64512, 80000)
+    assert decode_one(encode(Update((V4,), (), path), False), False).attributes.as_path == (
+        70000,
+        64512,
+        80000,
+    )
 
 
 @settings(max_examples=400, deadline=None)
 @given(st.binary(max_size=200), st.sampled_from([1, 2, 3, 4, 5]), st.booleans())
 def test_any_body_decodes_or_is_malformed_and_what_decodes_encodes_again(body, kind, four_bytes):
     try:
-        got = one(message(kind, body), four_bytes)
-    except Malformed as told:
-        assert encode(told.notification)
+        decoded = decode_one(raw_message(kind, body), four_bytes)
+    except MalformedMessageError as error:
+        assert encode(error.notification)
         return
-    if isinstance(got, Update) and not got.as_withdrawn and not got.announced:
-        assert one(encode(got, four_bytes), four_bytes).withdrawn == got.withdrawn or len(got.withdrawn) > 1
+    if isinstance(decoded, Update) and not decoded.as_withdrawn and not decoded.announced:
+        assert (
+            decode_one(encode(decoded, four_bytes), four_bytes).withdrawn == decoded.withdrawn
+            or len(decoded.withdrawn) > 1
+        )
 
 
 attribute_sets = st.builds(
@@ -172,90 +202,93 @@
     attribute_sets,
     st.lists(st.integers(1, 30), min_size=1),
 )
-def test_updates_come_back_as_they_were_over_any_split(prefixes, attributes, cuts):
+def test_updates_round_trip_over_any_split(prefixes, attributes, sizes):
     data = encode(Update(prefixes, (), attributes)) + encode(codec.Keepalive())
-    decoder, at, turn, got = Decoder(), 0, 0, []
+    decoder, at, turn, decoded = Decoder(), 0, 0, []
     while at < len(data):
-        decoder.feed(data[at : at + cuts[turn % len(cuts)]])
-        at, turn = at + cuts[turn % len(cuts)], turn + 1
+        decoder.feed(data[at : at + sizes[turn % len(sizes)]])
+        at, turn = at + sizes[turn % len(sizes)], turn + 1
         while (each := decoder.next()) is not None:
-            got.append(each)
-    assert got == [Update(prefixes, (), attributes), codec.Keepalive()]
+            decoded.append(each)
+    assert decoded == [Update(prefixes, (), attributes), codec.Keepalive()]
 
 
 # --- sessions ---
 
 START = 100 * SECOND
-OWN = PeerFigures("p", 64512, 64600, 0x0A000005, 9, 5 * SECOND, SECOND)
+OWN = SessionSettings("p", 64512, 64600, 0x0A000005, 9, 5 * SECOND, SECOND)
 THEIRS = codec.Open(64600, 30, 0x0A000009, (codec.multiprotocol(1), codec.four_byte_as(64600)))
 ROUTES = {V4: Attributes(as_path=(64512,), next_hop=HOP4)}
 
 
-class Table:
-    """A peer's session and what it was told on each connection."""
+class FsmHarness:
+    """A peer's state machine and the messages that it sent."""
 
-    def __init__(self, figures=OWN):
-        self.peer = Peer(figures, lambda: 1.0)
+    def __init__(self, settings=OWN):
+        self.fsm = PeerFsm(settings, lambda: 1.0)
         self.now = START
-        self.said = []
-
-    def pull(self):
-        steps = []
-        while (step := self.peer.step(self.now)) is not None:
-            if isinstance(step, Say):
-                step = (step.link, one(step.data))
-                self.said.append(step[1])
-            steps.append(step)
-        return steps
-
-    def hear(self, link, *messages):
+        self.sent = []
+
+    def run_actions(self):
+        actions = []
+        while (action := self.fsm.next_action(self.now)) is not None:
+            if isinstance(action, Send):
+                action = (action.connection, decode_one(action.data))
+                self.sent.append(action[1])
+            actions.append(action)
+        return actions
+
+    def receive(self, connection, *messages):
         for each in messages:
-            self.peer.received(link, each if isinstance(each, bytes) else encode(each), self.now)
-        return self.pull()
-
-    def up(self, routes=ROUTES):
-        self.peer.want(routes)
-        self.peer.start(self.now)
-        self.pull()
-        link = self.peer.dialled(self.now)
-        self.pull()
-        self.hear(link, THEIRS, codec.Keepalive())
-        return link
-
-
-def test_a_session_comes_up_and_tells_all_that_is_wanted():
-    table = Table()
-    table.peer.want(ROUTES)
-    assert table.peer.state is State.IDLE
-    table.peer.start(START)
-    assert table.pull() == [Dial()] and table.peer.state is State.CONNECT
-    link = table.peer.dialled(START)
-    assert isinstance(table.pull()[0][1], codec.Open) and table.peer.state is State.OPEN_SENT
-    assert table.hear(link, THEIRS) == [(link, codec.Keepalive())] and table.peer.state is State.OPEN_CONFIRM
-    assert table.hear(link, codec.Keepalive()) == [(link, Update((V4,), (), ROUTES[V4]))]
-    assert table.peer.state is State.ESTABLISHED and table.peer.routes.settled()
-
-
-def test_the_least_hold_time_holds_and_keepalives_go_at_a_third_of_it():
-    table = Table()
-    link = table.up()
+            self.fsm.received(connection, each if isinstance(each, bytes) else encode(each), self.now)
+        return self.run_actions()
+
+    def establish(self, routes=ROUTES):
+        self.fsm.set_routes(routes)
+        self.fsm.start(self.now)
+        self.run_actions()
+        connection = self.fsm.connected(self.now)
+        self.run_actions()
+        self.receive(connection, THEIRS, codec.Keepalive())
+        return connection
+
+
+def test_a_session_is_established_and_advertises_all_routes():
+    harness = FsmHarness()
+    harness.fsm.set_routes(ROUTES)
+    assert harness.fsm.state is State.IDLE
+    harness.fsm.start(START)
+    assert harness.run_actions() == [Connect()] and harness.fsm.state is State.CONNECT
+    connection = harness.fsm.connected(START)
+    assert isinstance(harness.run_actions()[0][1], codec.Open) and harness.fsm.state is State.OPEN_SENT
+    assert (
+        harness.receive(connection, THEIRS) == [(connection, codec.Keepalive())]
+        and harness.fsm.state is State.OPEN_CONFIRM
+    )
+    assert harness.receive(connection, codec.Keepalive()) == [(connection, Update((V4,), (), ROUTES[V4]))]
+    assert harness.fsm.state is State.ESTABLISHED and harness.fsm.adj_rib_out.in_sync()
+
+
+def test_the_smaller_hold_time_applies_and_keepalives_are_sent_at_a_third_of_it():
+    harness = FsmHarness()
+    connection = harness.establish()
     for step in range(1, 4):
-        table.now = START + step * 3 * SECOND
-        assert (link, codec.Keepalive()) in table.pull() or step == 3
-    table.now = START + 9 * SECOND
-    steps = table.pull()
-    assert (Notification(4, 0) in table.said) and Drop(link) in [*steps, Drop(link)]
-    assert table.peer.state is State.IDLE and not table.peer.routes.told
+        harness.now = START + step * 3 * SECOND
+        assert (connection, codec.Keepalive()) in harness.run_actions() or step == 3
+    harness.now = START + 9 * SECOND
+    actions = harness.run_actions()
+    assert (Notification(4, 0) in harness.sent) and Close(connection) in [*actions, Close(connection)]
+    assert harness.fsm.state is State.IDLE and not harness.fsm.adj_rib_out.advertised
 
 
 def test_hold_time_0_needs_no_keepalive():
-    table = Table()
-    table.peer.start(START)
-    table.pull()
-    link = table.peer.dialled(START)
-    table.hear(link, codec.Open(64600, 0, 9, (codec.multiprotocol(1),)), codec.Keepalive())
-    table.now = 10_000 * SECOND
-    assert table.pull() == [] and table.peer.state is State.ESTABLISHED
+    harness = FsmHarness()
+    harness.fsm.start(START)
+    harness.run_actions()
+    connection = harness.fsm.connected(START)
+    harness.receive(connection, codec.Open(64600, 0, 9, (codec.multiprotocol(1),)), codec.Keepalive())
+    harness.now = 10_000 * SECOND
+    assert harness.run_actions() == [] and harness.fsm.state is State.ESTABLISHED
 
 
 @pytest.mark.parametrize(
@@ -273,425 +306,460 @@
             Notification(2, 7, b"\1\4\0\1\0\1\1\4\0\2\0\1"),
         ),
         ([THEIRS, codec.Keepalive()], b"\0" * 19, Notification(1, 1)),
-        ([THEIRS, codec.Keepalive()], message(1, b"", 20), Notification(1, 2, b"\0\x14")),
+        ([THEIRS, codec.Keepalive()], raw_message(1, b"", 20), Notification(1, 2, b"\0\x14")),
     ],
 )
-def test_every_wrong_move_gets_its_notification(before, sent, note):
-    table = Table()
-    table.peer.start(START)
-    table.pull()
-    link = table.peer.dialled(START)
-    table.hear(link, *before)
-    steps = table.hear(link, sent)
-    assert (link, note) in steps and steps[-1] == Drop(link) and table.peer.state is State.IDLE
-
-
-def test_a_session_that_drops_is_told_everything_anew_and_nothing_stale():
-    table = Table()
-    link = table.up()
-    table.peer.closed(link, table.now)
-    table.peer.want({V6: Attributes(next_hop=HOP6), V4: Attributes(as_path=(64512,), next_hop=HOP4, med=9)})
-    table.now = START + 2 * SECOND
-    table.pull()
-    link = table.peer.dialled(table.now)
-    table.said.clear()
-    table.hear(link, THEIRS, codec.Keepalive())
-    assert [each for each in table.said if isinstance(each, Update)] == [
+def test_each_protocol_error_is_answered_with_its_notification(before, sent, note):
+    harness = FsmHarness()
+    harness.fsm.start(START)
+    harness.run_actions()
+    connection = harness.fsm.connected(START)
+    harness.receive(connection, *before)
+    actions = harness.receive(connection, sent)
+    assert (
+        (connection, note) in actions and actions[-1] == Close(connection) and harness.fsm.state is State.IDLE
+    )
+
+
+def test_a_new_session_receives_all_current_routes_and_nothing_stale():
+    harness = FsmHarness()
+    connection = harness.establish()
+    harness.fsm.closed(connection, harness.now)
+    harness.fsm.set_routes(
+        {V6: Attributes(next_hop=HOP6), V4: Attributes(as_path=(64512,), next_hop=HOP4, med=9)}
+    )
+    harness.now = START + 2 * SECOND
+    harness.run_actions()
+    connection = harness.fsm.connected(harness.now)
+    harness.sent.clear()
+    harness.receive(connection, THEIRS, codec.Keepalive())
+    assert [each for each in harness.sent if isinstance(each, Update)] == [
         Update((V4,), (), Attributes(as_path=(64512,), next_hop=HOP4, med=9))
-    ]  # not V6: this peer does not speak it
-
-
-def test_changes_while_the_transport_is_full_go_out_as_one():
-    table = Table()
-    link = table.up()
-    table.peer.blocked(link, True)
-    table.peer.want({})
-    assert table.pull() == []
-    table.peer.want({V4: Attributes(as_path=(64512,), next_hop=HOP4, med=7)})
-    table.peer.blocked(link, False)
-    assert [each for _, each in table.pull()] == [
+    ]  # not V6: this peer does not support IPv6
+
+
+def test_changes_while_the_send_buffer_is_full_are_sent_as_one_update():
+    harness = FsmHarness()
+    connection = harness.establish()
+    harness.fsm.blocked(connection, True)
+    harness.fsm.set_routes({})
+    assert harness.run_actions() == []
+    harness.fsm.set_routes({V4: Attributes(as_path=(64512,), next_hop=HOP4, med=7)})
+    harness.fsm.blocked(connection, False)
+    assert [each for _, each in harness.run_actions()] == [
         Update((V4,), (), Attributes(as_path=(64512,), next_hop=HOP4, med=7))
     ]
-    table.peer.want({})
-    assert [each for _, each in table.pull()] == [Update(withdrawn=(V4,))]
+    harness.fsm.set_routes({})
+    assert [each for _, each in harness.run_actions()] == [Update(withdrawn=(V4,))]
 
 
 def test_a_refresh_is_answered_with_the_family_it_names():
-    table = Table()
-    link = table.up()
-    assert table.hear(link, codec.RouteRefresh(2)) == []
-    assert table.hear(link, codec.RouteRefresh(1)) == [(link, Update((V4,), (), ROUTES[V4]))]
-
-
-@pytest.mark.parametrize(("mine", "kept_is_mine"), [(0x0A00000A, True), (0x0A000005, False)])
-def test_when_both_connect_at_once_the_higher_identifier_keeps_its_own(mine, kept_is_mine):
-    table = Table(OWN._replace(identifier=mine))
-    table.peer.start(START)
-    table.pull()
-    out, came = table.peer.dialled(START), table.peer.came_in(START)
-    table.pull()
-    table.hear(out, THEIRS)
-    steps = table.hear(came, THEIRS)
-    loser = came if kept_is_mine else out
-    assert (loser, Notification(6, 7)) in steps and set(table.peer.links) == {out, came} - {loser}
-    table.hear(out if kept_is_mine else came, codec.Keepalive())
-    assert table.peer.state is State.ESTABLISHED and table.peer.counts["collisions"] == 1
-
-
-def test_an_established_session_outlives_a_second_connection():
-    table = Table()
-    link = table.up()
-    second = table.peer.came_in(START)
-    assert (second, Notification(6, 7)) in [*table.pull(), *table.hear(second, THEIRS)]
-    assert set(table.peer.links) == {link}
-
-
-def test_a_peer_that_flaps_is_left_alone_longer_each_time_and_never_for_ever():
-    table = Table()
-    table.peer.start(START)
+    harness = FsmHarness()
+    connection = harness.establish()
+    assert harness.receive(connection, codec.RouteRefresh(2)) == []
+    assert harness.receive(connection, codec.RouteRefresh(1)) == [(connection, Update((V4,), (), ROUTES[V4]))]
+
+
+@pytest.mark.parametrize(("identifier", "outgoing_stays"), [(0x0A00000A, True), (0x0A000005, False)])
+def test_on_a_collision_the_connection_of_the_higher_identifier_stays(identifier, outgoing_stays):
+    harness = FsmHarness(OWN._replace(identifier=identifier))
+    harness.fsm.start(START)
+    harness.run_actions()
+    outgoing, incoming = harness.fsm.connected(START), harness.fsm.accepted(START)
+    harness.run_actions()
+    harness.receive(outgoing, THEIRS)
+    actions = harness.receive(incoming, THEIRS)
+    loser = incoming if outgoing_stays else outgoing
+    assert (loser, Notification(6, 7)) in actions and set(harness.fsm.connections) == {outgoing, incoming} - {
+        loser
+    }
+    harness.receive(outgoing if outgoing_stays else incoming, codec.Keepalive())
+    assert harness.fsm.state is State.ESTABLISHED and harness.fsm.counts["collisions"] == 1
+
+
+def test_an_established_session_survives_a_second_connection():
+    harness = FsmHarness()
+    connection = harness.establish()
+    second = harness.fsm.accepted(START)
+    assert (second, Notification(6, 7)) in [*harness.run_actions(), *harness.receive(second, THEIRS)]
+    assert set(harness.fsm.connections) == {connection}
+
+
+def test_the_idle_hold_time_of_a_flapping_peer_doubles_up_to_a_limit():
+    harness = FsmHarness()
+    harness.fsm.start(START)
     waits = []
     for _ in range(12):
-        table.pull()
-        table.peer.dial_failed(table.now, "refused")
-        waits.append((table.peer.next_due() - table.now) // SECOND)
-        table.now = table.peer.next_due()
+        harness.run_actions()
+        harness.fsm.connect_failed(harness.now, "refused")
+        waits.append((harness.fsm.next_due() - harness.now) // SECOND)
+        harness.now = harness.fsm.next_due()
     assert waits[:8] == [1, 2, 4, 8, 16, 32, 64, 64] and waits[-1] == 64
 
 
 def test_a_flood_of_keepalives_ends_the_session():
-    table = Table()
-    link = table.up()
-    table.hear(link, *[codec.Keepalive()] * 2100)
-    assert table.peer.counts["floods"] == 1 and Notification(6, 8) in table.said
+    harness = FsmHarness()
+    connection = harness.establish()
+    harness.receive(connection, *[codec.Keepalive()] * 2100)
+    assert harness.fsm.counts["floods"] == 1 and Notification(6, 8) in harness.sent
 
 
-def test_a_cease_of_the_peer_is_told_with_its_text():
-    table = Table()
-    link = table.up()
-    table.hear(link, codec.shutdown("maintenance\x07 at nine"))
-    assert table.peer.last == "the peer sent NOTIFICATION 6/2 (maintenance? at nine)"
+def test_a_cease_of_the_peer_is_reported_with_its_text():
+    harness = FsmHarness()
+    connection = harness.establish()
+    harness.receive(connection, codec.shutdown("maintenance\x07 at nine"))
+    assert harness.fsm.last_error == "the peer sent NOTIFICATION 6/2 (maintenance? at nine)"
 
 
 # --- fitness ---
 
-FIT = FitnessFigures(
+FITNESS = FitnessSettings(
     500_000_000, 60 * SECOND, 0.5, 0.5, 0.9, 2 * SECOND, 3 * SECOND, 24 * SECOND, 60 * SECOND
 )
 
 
-def grown(fitness, sight, start, seconds):
-    """Looks every tenth of a second; the standings on the way."""
-    return [fitness.look(copy.copy(sight), start + i * SECOND // 10) for i in range(int(seconds * 10))]
+def update_for(fitness, status, start, seconds):
+    """Updates the fitness every tenth of a second; returns the state of each update."""
+    return [fitness.update(copy.copy(status), start + i * SECOND // 10) for i in range(int(seconds * 10))]
 
 
 def fit():
-    fitness = Fitness(FIT, 0)
-    grown(fitness, Sight(), 0, 3.2)
-    assert fitness.standing is Standing.ANNOUNCED
+    fitness = Fitness(FITNESS, 0)
+    update_for(fitness, GatewayStatus(), 0, 3.2)
+    assert fitness.state is AnnouncementState.ANNOUNCED
     return fitness
 
 
 @pytest.mark.parametrize("wrong", [
-    {"draining": True}, {"listening": False}, {"loop_late": SECOND}, {"has_list": False}, {"nodes_ready": 0, "nodes_reached": 0},
-    {"nodes_reached": 0}, {"open_share": 0.95}, {"lately": 30, "fulfilled": 0},
+    {"draining": True}, {"listening": False}, {"loop_lag": SECOND}, {"has_list": False}, {"nodes_ready": 0, "nodes_reachable": 0},
+    {"nodes_reachable": 0}, {"open_share": 0.95}, {"requests_last_second": 30, "served_last_second": 0},
 ])  # fmt: skip
-def test_what_is_wrong_with_the_gateway_withdraws_at_once(wrong):
+def test_a_fault_of_the_gateway_withdraws_at_once(wrong):
     fitness = fit()
-    assert fitness.look(Sight(**wrong), 4 * SECOND) is Standing.WITHDRAWN and fitness.reasons
+    assert (
+        fitness.update(GatewayStatus(**wrong), 4 * SECOND) is AnnouncementState.WITHDRAWN and fitness.reasons
+    )
 
 
 @pytest.mark.parametrize("wrong", [
-    {"nodes_ready": 8, "nodes_reached": 3}, {"list_age": 99 * SECOND}, {"list_fresh": False}, {"enrolled": False}, {"jobs": 50, "written_off": 0.8},
+    {"nodes_ready": 8, "nodes_reachable": 3}, {"list_age": 99 * SECOND}, {"list_received": False}, {"registered": False}, {"recent_requests": 50, "failed_share": 0.8},
 ])  # fmt: skip
-def test_what_is_wrong_with_nodes_makes_it_the_last_choice_once_it_lasts(wrong):
+def test_a_fault_of_nodes_that_persists_makes_the_address_less_preferred(wrong):
     fitness = fit()
-    assert set(grown(fitness, Sight(**wrong), 4 * SECOND, 1.5)) == {Standing.ANNOUNCED}
-    assert grown(fitness, Sight(**wrong), int(5.5 * SECOND), 1)[-1] is Standing.LESS_PREFERRED
-    assert grown(fitness, Sight(), 7 * SECOND, 4)[-1] is Standing.ANNOUNCED
+    assert set(update_for(fitness, GatewayStatus(**wrong), 4 * SECOND, 1.5)) == {AnnouncementState.ANNOUNCED}
+    assert (
+        update_for(fitness, GatewayStatus(**wrong), int(5.5 * SECOND), 1)[-1]
+        is AnnouncementState.LESS_PREFERRED
+    )
+    assert update_for(fitness, GatewayStatus(), 7 * SECOND, 4)[-1] is AnnouncementState.ANNOUNCED
 
 
-def test_a_return_rests_longer_each_time_up_to_a_bound_and_never_while_unfit():
-    fitness, now, rests = fit(), 10 * SECOND, []
+def test_the_recovery_delay_doubles_up_to_a_limit_and_never_ends_while_unfit():
+    fitness, now, delays = fit(), 10 * SECOND, []
     for _ in range(6):
-        assert fitness.look(Sight(listening=False), now) is Standing.WITHDRAWN
-        assert set(grown(fitness, Sight(listening=False), now, 2)) == {Standing.WITHDRAWN}
+        assert fitness.update(GatewayStatus(listening=False), now) is AnnouncementState.WITHDRAWN
+        assert set(update_for(fitness, GatewayStatus(listening=False), now, 2)) == {
+            AnnouncementState.WITHDRAWN
+        }
         start = now = now + 2 * SECOND
-        while fitness.look(Sight(), now) is Standing.WITHDRAWN:
+        while fitness.update(GatewayStatus(), now) is AnnouncementState.WITHDRAWN:
             now += SECOND // 10
-        rests.append(round((now - start) / SECOND))
-    assert rests == [6, 12, 24, 24, 24, 24]
-    grown(fitness, Sight(), now, 200)
-    assert fitness.rest == 3 * SECOND
+        delays.append(round((now - start) / SECOND))
+    assert delays == [6, 12, 24, 24, 24, 24]
+    update_for(fitness, GatewayStatus(), now, 200)
+    assert fitness.recovery_delay == 3 * SECOND
 
 
-def test_a_second_without_a_fulfilled_job_is_barren_and_one_job_ends_it():
-    watch, told = Watch(), []
-    books = {RequestOutcome.SERVED: 5, RequestOutcome.REJECTED: 0, RequestOutcome.FAILED: 0}
+def test_a_second_without_a_served_request_counts_none_until_one_is_served():
+    window, recent = OutcomeWindow(), []
+    outcomes = {RequestOutcome.SERVED: 5, RequestOutcome.REJECTED: 0, RequestOutcome.FAILED: 0}
     for i in range(30):
-        books[RequestOutcome.REJECTED] += 4
-        books[RequestOutcome.FAILED] += i % 2
-        told.append(watch.look(books, i * SECOND // 10))
+        outcomes[RequestOutcome.REJECTED] += 4
+        outcomes[RequestOutcome.FAILED] += i % 2
+        recent.append(window.update(outcomes, i * SECOND // 10))
     assert (
-        (told[-1].lately, told[-1].fulfilled) == (45, 0)
-        and told[-1].jobs == 131
-        and round(told[-1].written_off, 2) == 0.11
+        (recent[-1].requests_last_second, recent[-1].served_last_second) == (45, 0)
+        and recent[-1].requests == 131
+        and round(recent[-1].failed_share, 2) == 0.11
     )
-    books[RequestOutcome.SERVED] += 1
-    assert watch.look(books, 3 * SECOND).fulfilled == 1
+    outcomes[RequestOutcome.SERVED] += 1
+    assert window.update(outcomes, 3 * SECOND).served_last_second == 1
 
 
-def test_no_return_while_most_jobs_that_still_come_are_denied():
-    """Guards against an address that comes back with its nodes, while these are still met with few legs."""
+def test_no_return_while_most_requests_are_rejected():
+    """Guards against announcing an address as soon as its nodes return, when they still get few attempts in slow start and most
+    requests are rejected.
+    """
     fitness = fit()
-    fitness.look(Sight(nodes_reached=0), 4 * SECOND)
-    assert set(grown(fitness, Sight(lately=100, fulfilled=30), 5 * SECOND, 30)) == {Standing.WITHDRAWN}
+    fitness.update(GatewayStatus(nodes_reachable=0), 4 * SECOND)
+    assert set(
+        update_for(fitness, GatewayStatus(requests_last_second=100, served_last_second=30), 5 * SECOND, 30)
+    ) == {AnnouncementState.WITHDRAWN}
     assert fitness.reasons == ("30 of the last 100 jobs were fulfilled",)
-    assert grown(fitness, Sight(lately=100, fulfilled=60), 36 * SECOND, 7)[-1] is Standing.ANNOUNCED
-    assert set(grown(fitness, Sight(lately=100, fulfilled=30), 44 * SECOND, 5)) == {Standing.ANNOUNCED}
+    assert (
+        update_for(fitness, GatewayStatus(requests_last_second=100, served_last_second=60), 36 * SECOND, 7)[
+            -1
+        ]
+        is AnnouncementState.ANNOUNCED
+    )
+    assert set(
+        update_for(fitness, GatewayStatus(requests_last_second=100, served_last_second=30), 44 * SECOND, 5)
+    ) == {AnnouncementState.ANNOUNCED}
 
 
-def test_a_withdrawn_gateway_that_nobody_sends_to_comes_back():
+def test_a_withdrawn_gateway_without_requests_returns():
     fitness = fit()
-    fitness.look(Sight(nodes_reached=0), 4 * SECOND)
-    assert grown(fitness, Sight(lately=0, fulfilled=0), 5 * SECOND, 7)[-1] is Standing.ANNOUNCED
+    fitness.update(GatewayStatus(nodes_reachable=0), 4 * SECOND)
+    assert (
+        update_for(fitness, GatewayStatus(requests_last_second=0, served_last_second=0), 5 * SECOND, 7)[-1]
+        is AnnouncementState.ANNOUNCED
+    )
 
 
-def test_signs_that_come_and_go_change_nothing():
+def test_intermittent_faults_change_nothing():
     fitness = fit()
     for i in range(600):
-        bad = {"nodes_ready": 8, "nodes_reached": 3} if i % 15 < 12 else {}
-        fitness.look(Sight(**bad), 4 * SECOND + i * SECOND // 10)
+        bad = {"nodes_ready": 8, "nodes_reachable": 3} if i % 15 < 12 else {}
+        fitness.update(GatewayStatus(**bad), 4 * SECOND + i * SECOND // 10)
     assert fitness.changes == 1
 
 
 def test_a_drain_goes_through_its_stages_and_ends_though_a_peer_never_reads():
-    drain = Drain(DrainFigures(2 * SECOND, SECOND, 5 * SECOND))
+    drain = Drain(DrainSettings(2 * SECOND, SECOND, 5 * SECOND))
     assert drain.begin(0) and not drain.begin(1)
-    assert drain.look(SECOND, True, 9) is Stage.LAST_CHOICE
+    assert drain.update(SECOND, True, 9) is DrainStage.LAST_CHOICE
     assert (
-        drain.look(2 * SECOND, False, 9) is Stage.WITHDRAWN
-        and drain.look(6 * SECOND, False, 9) is Stage.WITHDRAWN
+        drain.update(2 * SECOND, False, 9) is DrainStage.WITHDRAWN
+        and drain.update(6 * SECOND, False, 9) is DrainStage.WITHDRAWN
     )
-    assert drain.look(7 * SECOND, False, 9) is Stage.FINISHING and not drain.undo(8 * SECOND)
-    assert drain.look(8 * SECOND, False, 0) is Stage.LEFT
+    assert drain.update(7 * SECOND, False, 9) is DrainStage.FINISHING and not drain.undo(8 * SECOND)
+    assert drain.update(8 * SECOND, False, 0) is DrainStage.LEFT
 
 
-# --- all interleavings, of the real modules ---
+# --- model check: all interleavings of the real modules ---
 
 
-class World:
-    """The real session, fitness and drain, and what the transport did; small figures, so that states come back."""
+class Model:
+    """The real session, fitness and drain with the state of the transport; short times, so that states recur."""
 
-    figures = OWN._replace(hold_time=3, idle_wait=SECOND)
+    settings = OWN._replace(hold_time=3, idle_hold_time=SECOND)
 
-    def __init__(self, routes=Routes):
-        self.peer = Peer(self.figures, always)
-        self.peer.routes = routes()
-        self.fitness = Fitness(FIT._replace(lasts=0, rest=0, longest_rest=0), START)
-        self.drain = Drain(DrainFigures(SECOND, 0, SECOND))
+    def __init__(self, adj_rib_out=AdjRibOut):
+        self.fsm = PeerFsm(self.settings, no_jitter)
+        self.fsm.adj_rib_out = adj_rib_out()
+        self.fitness = Fitness(
+            FITNESS._replace(degrade_delay=0, recovery_delay=0, max_recovery_delay=0), START
+        )
+        self.drain = Drain(DrainSettings(SECOND, 0, SECOND))
         self.fit = True
         self.dialling = False
         self.connections = set()
-        self.table = {}  # what the peer has, by connection
-        self.unsound = ""
+        self.table = {}  # the peer's routes by connection
+        self.violation = ""
 
     def settle(self):
-        """Looks, then pulls until nothing is left; what is said reaches the peer."""
-        stage = self.drain.look(START, True, 0)
-        sight = Sight(listening=self.fit, draining=stage >= Stage.WITHDRAWN)
-        standing = self.fitness.look(sight, START)
-        self.peer.want(ROUTES if standing > Standing.WITHDRAWN else {})
-        while (step := self.peer.step(START)) is not None:
-            if isinstance(step, Dial):
+        """Updates the state, then performs all actions; messages reach the peer at once."""
+        stage = self.drain.update(START, True, 0)
+        status = GatewayStatus(listening=self.fit, draining=stage >= DrainStage.WITHDRAWN)
+        state = self.fitness.update(status, START)
+        self.fsm.set_routes(ROUTES if state > AnnouncementState.WITHDRAWN else {})
+        while (action := self.fsm.next_action(START)) is not None:
+            if isinstance(action, Connect):
                 self.dialling = True
-            elif isinstance(step, Drop):
-                self.connections.discard(step.link)
-                self.table.pop(step.link, None)
+            elif isinstance(action, Close):
+                self.connections.discard(action.connection)
+                self.table.pop(action.connection, None)
             else:
-                said = one(step.data)
-                if isinstance(said, Update):
-                    link = self.peer.links.get(step.link)
-                    if link is None or link.state is not State.ESTABLISHED:
-                        self.unsound = "an update outside Established"
-                    for network in said.announced:
-                        self.table.setdefault(step.link, set()).add(network)
-                    for network in said.withdrawn:
-                        self.table.get(step.link, set()).discard(network)
+                sent = decode_one(action.data)
+                if isinstance(sent, Update):
+                    connection = self.fsm.connections.get(action.connection)
+                    if connection is None or connection.state is not State.ESTABLISHED:
+                        self.violation = "an update outside Established"
+                    for network in sent.announced:
+                        self.table.setdefault(action.connection, set()).add(network)
+                    for network in sent.withdrawn:
+                        self.table.get(action.connection, set()).discard(network)
 
     def moves(self):
         moves = [
-            ("fit", self.turn_fit),
+            ("fit", self.toggle_fit),
             ("drain", self.begin_drain),
-            ("drain goes on", self.drain_on),
-            ("time", self.time),
+            ("drain goes on", self.advance_drain),
+            ("time", self.expire_timer),
         ]
         if self.dialling:
-            moves += [("dial made", self.made), ("dial fails", self.dial_fails)]
-        if not any(not link.outgoing for link in self.peer.links.values()):
-            moves.append(("comes in", self.comes))
+            moves += [("dial made", self.connection_made), ("dial fails", self.dial_fails)]
+        if not any(not connection.outgoing for connection in self.fsm.connections.values()):
+            moves.append(("comes in", self.peer_connects))
         for number in sorted(self.connections):
-            for name, said in (
+            for name, message in (
                 ("open", THEIRS),
                 ("keepalive", codec.Keepalive()),
                 ("note", Notification(6, 4)),
                 ("junk", b"\0" * 19),
             ):
-                moves.append((f"{name} on {number}", lambda n=number, s=said: self.hear(n, s)))
-            moves.append((f"closed {number}", lambda n=number: self.lose(n)))
-            moves.append((f"full {number}", lambda n=number: self.fill(n)))
+                moves.append((f"{name} on {number}", lambda n=number, m=message: self.receive(n, m)))
+            moves.append((f"closed {number}", lambda n=number: self.close_connection(n)))
+            moves.append((f"full {number}", lambda n=number: self.toggle_full(n)))
         return moves
 
-    def turn_fit(self):
+    def toggle_fit(self):
         self.fit = not self.fit
 
     def begin_drain(self):
         self.drain.begin(START)
 
-    def drain_on(self):
+    def advance_drain(self):
         self.drain.since -= SECOND
 
-    def time(self):
-        """The next timer comes due; the clock stands, so that states come back, and everything due moves up."""
-        due = self.peer.next_due()
+    def expire_timer(self):
+        """The next timer expires. The clock does not advance, so that states recur; instead all due times move earlier."""
+        due = self.fsm.next_due()
         shift = max(0, due - START) if due is not None else 0
-        self.peer.wait_until = self.peer.wait_until and self.peer.wait_until - shift
-        self.peer.retry_due = self.peer.retry_due and self.peer.retry_due - shift
-        for link in self.peer.links.values():
-            link.hold_due = link.hold_due and link.hold_due - shift
-            link.keepalive_due = link.keepalive_due and link.keepalive_due - shift
+        self.fsm.idle_until = self.fsm.idle_until and self.fsm.idle_until - shift
+        self.fsm.connect_due = self.fsm.connect_due and self.fsm.connect_due - shift
+        for connection in self.fsm.connections.values():
+            connection.hold_due = connection.hold_due and connection.hold_due - shift
+            connection.keepalive_due = connection.keepalive_due and connection.keepalive_due - shift
 
-    def made(self):
+    def connection_made(self):
         self.dialling = False
-        if (number := self.peer.dialled(START)) is not None:
+        if (number := self.fsm.connected(START)) is not None:
             self.connections.add(number)
 
     def dial_fails(self):
         self.dialling = False
-        self.peer.dial_failed(START, "refused")
+        self.fsm.connect_failed(START, "refused")
 
-    def comes(self):
-        if (number := self.peer.came_in(START)) is not None:
+    def peer_connects(self):
+        if (number := self.fsm.accepted(START)) is not None:
             self.connections.add(number)
 
-    def hear(self, number, said):
-        self.peer.received(number, said if isinstance(said, bytes) else encode(said), START)
+    def receive(self, number, message):
+        self.fsm.received(number, message if isinstance(message, bytes) else encode(message), START)
 
-    def lose(self, number):
+    def close_connection(self, number):
         self.connections.discard(number)
         self.table.pop(number, None)
-        self.peer.closed(number, START)
+        self.fsm.closed(number, START)
 
-    def fill(self, number):
-        link = self.peer.links.get(number)
-        if link:
-            self.peer.blocked(number, not link.blocked)
+    def toggle_full(self, number):
+        connection = self.fsm.connections.get(number)
+        if connection:
+            self.fsm.blocked(number, not connection.blocked)
 
     def key(self):
-        """What tells states apart: counters and histories don't; connections are renumbered in order."""
+        """The identity of a state; `normalize` removes counters and histories and renumbers connections in order first."""
         return pickle.dumps(self)
 
-    def tidy(self):
-        """Forgets what has no bearing on what comes next, so that the states are finite."""
-        peer = self.peer
-        peer.counts.clear()
-        peer.failures = min(peer.failures, 1)
-        peer.heard, peer.last, peer.since = (0, 0), "", 0
-        fresh = {old: i + 1 for i, old in enumerate(sorted({*peer.links, *self.connections}))}
-        peer.links = {fresh[n]: link for n, link in sorted(peer.links.items())}
-        for n, link in peer.links.items():
-            link.number = n
-            link.decoder = Decoder()
-        peer.count = len(fresh)
-        self.connections = {fresh[n] for n in self.connections}
-        self.table = {fresh[n]: set(has) for n, has in sorted(self.table.items()) if has and n in fresh}
+    def normalize(self):
+        """Removes what does not affect later transitions, so that the number of states is finite."""
+        fsm = self.fsm
+        fsm.counts.clear()
+        fsm.failures = min(fsm.failures, 1)
+        fsm.message_rate, fsm.last_error, fsm.since = (0, 0), "", 0
+        renumbered = {old: i + 1 for i, old in enumerate(sorted({*fsm.connections, *self.connections}))}
+        fsm.connections = {renumbered[n]: connection for n, connection in sorted(fsm.connections.items())}
+        for n, connection in fsm.connections.items():
+            connection.number = n
+            connection.decoder = Decoder()
+        fsm.last_number = len(renumbered)
+        self.connections = {renumbered[n] for n in self.connections}
+        self.table = {
+            renumbered[n]: set(routes)
+            for n, routes in sorted(self.table.items())
+            if routes and n in renumbered
+        }
         fitness = self.fitness
         fitness.history.clear()
         fitness.changes, fitness.changed, fitness.reasons = 0, START, ()
         self.drain.since = START
-        self.drain.read_at = -1
+        self.drain.sent_at = -1
 
 
-def always():
+def no_jitter():
     return 1.0
 
 
-def explored(routes=Routes, depth=8, only=()):
-    """The protocol of all worlds up to a depth, as minicheck takes it; a state is a pickled world. `only`: the first
-    words of the moves that are made, all of them if there are none.
+def transition_system(adj_rib_out=AdjRibOut, depth=8, only=()):
+    """The transition system of all models up to a depth, for minicheck; a state is a pickled model. `only`: the first words of
+    the moves to make; all moves if empty.
     """
-    start = World(routes)
-    start.peer.start(START)
+    start = Model(adj_rib_out)
+    start.fsm.start(START)
     start.settle()
-    start.tidy()
-    # The search goes by breadth, so a world is first met at its least depth; from there all that could be reached
-    # from a later meeting is reached too.
-    met = {start.key(): 0}
+    start.normalize()
+    # The search is breadth-first, so a model is first found at its least depth, and from there everything is reachable
+    # that is reachable from a later occurrence.
+    depths = {start.key(): 0}
 
     def successors(state):
         (data,) = state
-        if met[data] >= depth:
+        if depths[data] >= depth:
             return []
-        after = []
+        next_states = []
         for i, (name, _) in enumerate(pickle.loads(data).moves()):
             if only and name.split()[0] not in only:
                 continue
-            world = pickle.loads(data)
-            world.moves()[i][1]()
-            world.settle()
-            world.tidy()
-            key = world.key()
-            met.setdefault(key, met[data] + 1)
-            after.append((name, (key,)))
-        return after
+            model = pickle.loads(data)
+            model.moves()[i][1]()
+            model.settle()
+            model.normalize()
+            key = model.key()
+            depths.setdefault(key, depths[data] + 1)
+            next_states.append((name, (key,)))
+        return next_states
 
     @lru_cache(maxsize=1)
-    def loaded(data):
+    def load(data):
         return pickle.loads(data)
 
     def announced_only_if_fit(fields):
-        world = loaded(fields["world"])
-        full = any(link.blocked for link in world.peer.links.values())
-        standing = world.fitness.standing > Standing.WITHDRAWN
-        return full or standing or not any(world.table.values())
-
-    def sound(fields):
-        return not loaded(fields["world"]).unsound
-
-    def told_when_up(fields):
-        world = loaded(fields["world"])
-        link = world.peer.established()
-        if link is None or link.blocked or world.fitness.standing is Standing.WITHDRAWN:
+        model = load(fields["world"])
+        full = any(connection.blocked for connection in model.fsm.connections.values())
+        announced = model.fitness.state > AnnouncementState.WITHDRAWN
+        return full or announced or not any(model.table.values())
+
+    def no_violation(fields):
+        return not load(fields["world"]).violation
+
+    def advertised_when_up(fields):
+        model = load(fields["world"])
+        connection = model.fsm.established()
+        if connection is None or connection.blocked or model.fitness.state is AnnouncementState.WITHDRAWN:
             return True
-        return world.table.get(link.number) == {V4}
+        return model.table.get(connection.number) == {V4}
 
     def one_session(fields):
-        world = loaded(fields["world"])
-        return sum(link.state is State.ESTABLISHED for link in world.peer.links.values()) <= 1
+        model = load(fields["world"])
+        return (
+            sum(connection.state is State.ESTABLISHED for connection in model.fsm.connections.values()) <= 1
+        )
 
     def drain_ends(fields):
-        """From every state: begun now if it was not, with peers that never read and jobs that end late."""
-        drain, now = copy.copy(loaded(fields["world"]).drain), START
+        """From every state, a drain (started now if it was not) ends, with peers that never read and requests that end late."""
+        drain, now = copy.copy(load(fields["world"]).drain), START
         drain.begin(now)
-        for look in range(4):
-            now += sum(drain.figures)
-            drain.look(now, False, 1 if look < 3 else 0)
-        return drain.stage is Stage.LEFT
+        for i in range(4):
+            now += sum(drain.settings)
+            drain.update(now, False, 1 if i < 3 else 0)
+        return drain.stage is DrainStage.LEFT
 
     return Protocol(
         name="speaker", candidate=False, fields=("world",), initial=(start.key(),), transitions=successors,
-        invariants={"announced only if fit": announced_only_if_fit, "updates only in Established": sound,
-                    "told once up and fit": told_when_up, "one session": one_session,
+        invariants={"announced only if fit": announced_only_if_fit, "updates only in Established": no_violation,
+                    "told once up and fit": advertised_when_up, "one session": one_session,
                     "a drain always ends": drain_ends},
     )  # fmt: skip
 
 
 def test_no_interleaving_announces_while_unfit_or_outside_a_session():
-    result = check_safety(explored(), max_states=500_000)
+    result = check_safety(transition_system(), max_states=500_000)
     assert all(each["holds"] for each in result["properties"].values()), result["properties"]
 
 
-class Leaky(Routes):
-    """A seeded mistake: what was told is not forgotten when a session ends."""
+class LeakyAdjRibOut(AdjRibOut):
+    """A seeded fault: the advertised routes are not cleared when a session ends."""
 
     def session_up(self, families):
         self.families = families
@@ -701,21 +769,23 @@
 
 
 def test_the_checker_finds_a_seeded_mistake_with_a_shortest_trace():
-    # Only what keeps a session going is explored, so that the depth that the mistake needs is reached.
-    protocol = explored(Leaky, depth=8, only=("dial", "open", "keepalive", "closed", "time"))
-    told = check_safety(protocol, max_states=200_000)["properties"]["told once up and fit"]
-    assert not told["holds"] and len(told["counterexample"]) <= 9
+    # Only moves that keep a session up are explored, so that the depth at which the fault shows is reached.
+    protocol = transition_system(
+        LeakyAdjRibOut, depth=8, only=("dial", "open", "keepalive", "closed", "time")
+    )
+    result = check_safety(protocol, max_states=200_000)["properties"]["told once up and fit"]
+    assert not result["holds"] and len(result["counterexample"]) <= 9
 
 
-def test_the_checker_finds_a_drain_that_waits_for_ever(monkeypatch):
-    """A seeded mistake: a peer that does not read is waited for without an end."""
-    whole = Drain.look
+def test_the_checker_finds_a_drain_that_never_ends(monkeypatch):
+    """A seeded fault: the drain waits for a peer that does not read without a limit."""
+    original = Drain.update
 
-    def patient(self, now, told, jobs):
-        if self.stage is Stage.WITHDRAWN and not told:
+    def patient(self, now, all_sent, open_requests):
+        if self.stage is DrainStage.WITHDRAWN and not all_sent:
             return self.stage
-        return whole(self, now, told, jobs)
+        return original(self, now, all_sent, open_requests)
 
-    monkeypatch.setattr(Drain, "look", patient)
-    result = check_safety(explored(depth=2), max_states=500_000)
+    monkeypatch.setattr(Drain, "update", patient)
+    result = check_safety(transition_system(depth=2), max_states=500_000)
     assert not result["properties"]["a drain always ends"]["holds"]
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).parent.parent / "ochrecourse"
 PACKAGES = [
-    "cli", "common", "gateway", "membership", "nodes", "relay", "resp", "scheduler", "service", "settings", "simulator", "storage", "wire",
+    "bgp", "cli", "common", "gateway", "membership", "nodes", "relay", "resp", "scheduler", "service", "settings", "simulator", "storage", "wire",
 ]  # fmt: skip
 FLEET_TO_COME = {  # modules of fleet/ that are not done: the log, its exchange between gateways
     "anti_entropy", "channel", "entries", "exchange", "forms", "frontier", "heartbeats", "kept", "link", "link_state", "log",
@@ -34,12 +34,11 @@
 ALIASES = {  # names of modules and classes that are not done, fields of log lines and reports, words of commands
     "interface.py": ["FULFILLED"],  # the name that programs of library surface 1 use
     "gateway/daemon.py": ["bye"],  # webdav/door.py
-    "gateway/daemon_parts.py": ["Door", "Sight", "door"],  # webdav/, bgp/
-    "gateway/daemon_status.py": ["Sight", "fulfilled", "jobs", "standing"],  # bgp/
+    "gateway/daemon_parts.py": ["Door", "door"],  # webdav/
     "gateway/webdav_setup.py": ["Door", "door"],  # webdav/
     "cli/alike.py": ["alike", "job", "jobs", "legs", "told"],  # lab/
     "cli/audit.py": ["jobs", "legs", "people"],  # audit/, and fields of its output
-    "cli/bgp.py": ["held", "jobs"],  # bgp/
+    "cli/bgp.py": ["held", "jobs"],  # in the commands' help
     "cli/day.py": ["cut", "held", "plans"],  # lab/
     "cli/day_run.py": ["jobs", "legs", "people", "verdict"],  # lab/, audit/, and fields of its output
     "cli/fleet_answers.py": ["life"],  # fleet/entries.py
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -15,7 +15,7 @@
 from test_gateway import answer, silent
 from test_registrar import Town, enrolled
 from test_service import PING, Shop, listed, read, write
-from test_speaker import Stage
+from test_speaker import SpeakerHarness
 from test_state import listed as line
 from transcript import Approved, Bgp, Fleet, Framed, Resp, Tap, Text
 
@@ -557,7 +557,7 @@
 
 
 def stage_of(tap, **more):
-    stage = Stage(**more)
+    stage = SpeakerHarness(**more)
     tap.place(stage.peers[0].port, "peer", "gateway", Bgp)
     return stage
 
@@ -573,9 +573,9 @@
     """Few nodes are reached, and the address becomes the last choice; the listener is gone, and it is withdrawn at once."""
     stage = stage_of(tap)
     stage.run(3)
-    stage.sight.nodes_ready, stage.sight.nodes_reached = 8, 2
+    stage.status.nodes_ready, stage.status.nodes_reachable = 8, 2
     stage.run(4)
-    stage.sight.listening = False
+    stage.status.listening = False
     stage.run(1)
 
 
