--- a/ochrecourse/bgp/fitness.py
+++ b/ochrecourse/bgp/fitness.py
@@ -224,7 +224,7 @@
     def __init__(self, settings: DrainSettings) -> None:
         self.settings = settings
         self.stage = DrainStage.SERVING
-        self.since = 0
+        self.since = 0  # when the stage was entered
         self.sent_at = -1  # when the withdrawal was sent to all peers; -1: not yet
 
     def begin(self, now: int) -> bool:
--- a/ochrecourse/bgp/session.py
+++ b/ochrecourse/bgp/session.py
@@ -109,7 +109,7 @@
         self.actions: deque[Action] = deque()
         self.counts: Counter[str] = Counter()
         self.last_error = ""  # why the last session or connection attempt ended
-        self.since = now
+        self.since = now  # when a session was last established or ended
         self.message_rate = (0, 0)  # a second of the clock, messages received in it
 
     # --- state ---
--- a/tests/test_bgp.py
+++ b/tests/test_bgp.py
@@ -423,7 +423,7 @@
     return [fitness.update(copy.copy(status), start + i * SECOND // 10) for i in range(int(seconds * 10))]
 
 
-def fit():
+def announced_fitness():
     fitness = Fitness(FITNESS, 0)
     update_for(fitness, GatewayStatus(), 0, 3.2)
     assert fitness.state is AnnouncementState.ANNOUNCED
@@ -435,7 +435,7 @@
     {"nodes_reachable": 0}, {"open_share": 0.95}, {"requests_last_second": 30, "served_last_second": 0},
 ])  # fmt: skip
 def test_a_fault_of_the_gateway_withdraws_at_once(wrong):
-    fitness = fit()
+    fitness = announced_fitness()
     assert (
         fitness.update(GatewayStatus(**wrong), 4 * SECOND) is AnnouncementState.WITHDRAWN and fitness.reasons
     )
@@ -445,7 +445,7 @@
     {"nodes_ready": 8, "nodes_reachable": 3}, {"list_age": 99 * SECOND}, {"list_received": False}, {"registered": False}, {"recent_requests": 50, "failed_share": 0.8},
 ])  # fmt: skip
 def test_a_fault_of_nodes_that_persists_makes_the_address_less_preferred(wrong):
-    fitness = fit()
+    fitness = announced_fitness()
     assert set(update_for(fitness, GatewayStatus(**wrong), 4 * SECOND, 1.5)) == {AnnouncementState.ANNOUNCED}
     assert (
         update_for(fitness, GatewayStatus(**wrong), int(5.5 * SECOND), 1)[-1]
@@ -455,7 +455,7 @@
 
 
 def test_the_recovery_delay_doubles_up_to_a_limit_and_never_ends_while_unfit():
-    fitness, now, delays = fit(), 10 * SECOND, []
+    fitness, now, delays = announced_fitness(), 10 * SECOND, []
     for _ in range(6):
         assert fitness.update(GatewayStatus(listening=False), now) is AnnouncementState.WITHDRAWN
         assert set(update_for(fitness, GatewayStatus(listening=False), now, 2)) == {
@@ -490,7 +490,7 @@
     """Guards against announcing an address as soon as its nodes return, when they still get few attempts in slow start and most
     requests are rejected.
     """
-    fitness = fit()
+    fitness = announced_fitness()
     fitness.update(GatewayStatus(nodes_reachable=0), 4 * SECOND)
     assert set(
         update_for(fitness, GatewayStatus(requests_last_second=100, served_last_second=30), 5 * SECOND, 30)
@@ -508,7 +508,7 @@
 
 
 def test_a_withdrawn_gateway_without_requests_returns():
-    fitness = fit()
+    fitness = announced_fitness()
     fitness.update(GatewayStatus(nodes_reachable=0), 4 * SECOND)
     assert (
         update_for(fitness, GatewayStatus(requests_last_second=0, served_last_second=0), 5 * SECOND, 7)[-1]
@@ -517,7 +517,7 @@
 
 
 def test_intermittent_faults_change_nothing():
-    fitness = fit()
+    fitness = announced_fitness()
     for i in range(600):
         bad = {"nodes_ready": 8, "nodes_reachable": 3} if i % 15 < 12 else {}
         fitness.update(GatewayStatus(**bad), 4 * SECOND + i * SECOND // 10)
