--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -21,11 +21,11 @@
 import click
 
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
-from ochrecourse.fleet import kept as kept_module
-from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.kept import Held, Kept, Life
+from ochrecourse.fleet import log_store as log_store_module
+from ochrecourse.fleet.entries import Entry, Timestamp
+from ochrecourse.fleet.log_store import EntryRecord, LogStore, IncarnationRecord
 from ochrecourse.fleet.link import Link
-from ochrecourse.fleet.log import Bounds, Log
+from ochrecourse.fleet.log import LogLimits, Log
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import JOURNAL, MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.member_timer import MemberTimer
@@ -38,7 +38,7 @@
 BODY = 48  # bytes of an entry's body
 FRAME = 64  # entries that are merged at once where merges are counted; a slice has about as many
 LONGEST = 3600.0  # s after which a meeting counts as failed
-BOUNDS = Bounds(channel_bytes=1 << 30, channels=4096)
+BOUNDS = LogLimits(channel_bytes=1 << 30, channels=4096)
 
 
 def entries(site: str, count: int, channels: int) -> Iterator[Entry]:
@@ -46,7 +46,7 @@
     last: tuple[str, int, int] | None = None
     for i in range(count):
         writer, seq = f"{site}{i % WRITERS}", i // WRITERS + 1
-        at = Stamp(WALL - AWAY + i * AWAY // max(1, count), i % 8)
+        at = Timestamp(WALL - AWAY + i * AWAY // max(1, count), i % 8)
         body = f'"{site} {i}'.ljust(BODY - 1, ".").encode() + b'"'
         yield Entry(f"c{i % channels}", writer, 5, seq, at, (last,) if last else (), body)
         last = (writer, 5, seq)
@@ -69,11 +69,11 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.log"
         first = FileJournal(path, *JOURNAL)
-        first.rewrite(kept_module._encode(Held(each)) for each in entries("b", count, channels))
+        first.rewrite(log_store_module._encode(EntryRecord(each)) for each in entries("b", count, channels))
         first.close()
         size, began = path.stat().st_size, time.process_time()
         again = FileJournal(path, *JOURNAL)
-        kept = Kept(again, "a0", BOUNDS, WALL, 1)
+        kept = LogStore(again, "a0", BOUNDS, WALL, 1)
         took = time.process_time() - began
         assert sum(kept.log.vector().values()) == count
         return f"{took:.2f} s CPU, {size / 1e6:.1f} MB, {took / count * 1e6:.1f} us an entry"
@@ -88,10 +88,10 @@
     spans = []
     for i in range(0, len(theirs), FRAME):
         spans.append(spent(lambda i=i: log.merge(theirs[i : i + FRAME], WALL)))  # type: ignore[misc]
-    lacks = [spent(lambda: log.missing({}, 256, 8192)) for _ in range(20)]
+    lacks = [spent(lambda: log.missing_entries({}, 256, 8192)) for _ in range(20)]
     dump = spent(lambda: log.dump("c0"))
-    log.note_floor(Stamp(WALL, 0))
-    shrink = spent(lambda: log.compact("c0", Stamp(WALL, 0), {}))
+    log.advance_frontier(Timestamp(WALL, 0))
+    shrink = spent(lambda: log.compact("c0", Timestamp(WALL, 0), {}))
     return [
         f"merges a second on a core: {len(theirs) / sum(spans):.0f}; one of {FRAME}: {percentiles(spans)} ms",
         f"one look for what a peer lacks: {percentiles(lacks)} ms; dump of a channel: {1000 * dump:.1f} ms; "
@@ -118,8 +118,10 @@
     parts: dict[str, FleetMember] = {}
     for index, name in enumerate("ab"):
         journal = MemoryJournal()
-        journal.stored = [kept_module._encode(Life(7))]
-        journal.stored += [kept_module._encode(Held(e)) for e in entries(name, count // 2, channels)]
+        journal.stored = [log_store_module._encode(IncarnationRecord(7))]
+        journal.stored += [
+            log_store_module._encode(EntryRecord(e)) for e in entries(name, count // 2, channels)
+        ]
         other, port = ("b", 20_001) if name == "a" else ("a", 20_000)
         said = {
             "name": "f", "listen": "", "peers": [{"name": other, "address": f"127.0.0.1:{port}"}],
--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -23,7 +23,7 @@
 from ochrecourse.audit import calendars
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet.clock_confidence import WallClockMonitor
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.purge_subsystem import PurgeEnvironment, PurgeSubsystem
 from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
 from ochrecourse.common.time_units import MS
@@ -108,7 +108,7 @@
             channel, value = wanted
             assert isinstance(value, dict)
             self.seq += 1
-            entry = Entry(channel, "e", 1, self.seq, Stamp(self.ms, 0), (), msgspec.json.encode(value))
+            entry = Entry(channel, "e", 1, self.seq, Timestamp(self.ms, 0), (), msgspec.json.encode(value))
             self.purger.entry_received(entry, 0)
             if value["what"] == "edition":
                 self.editions.append((self.ms, self.settings))
--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -17,11 +17,11 @@
 import click
 
 from ochrecourse.storage.journal import MemoryJournal
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.exchange import Exchange
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.shared import Common
 from ochrecourse.fleet.views import Admit, Admitted
@@ -40,18 +40,20 @@
     def __init__(self, name: str, wall_ms: int, journal: MemoryJournal | None = None) -> None:
         self.name = name
         self.journal = journal or MemoryJournal()
-        self.kept = Kept(self.journal, name, Bounds(), wall_ms, 1)
+        self.kept = LogStore(self.journal, name, LogLimits(), wall_ms, 1)
         self.log = self.kept.log
-        self.members = Members(name, self.log.life, 0, QUIET, LET_GO, NAMES, wall_ms * MS)
+        self.members = Members(name, self.log.incarnation, 0, QUIET, LET_GO, NAMES, wall_ms * MS)
         self.frontier = Frontier(self.log, NAMES)
 
     def beat(self, wall_ms: int) -> None:
         now = wall_ms * MS
-        self.kept.work(1 << 20)
+        self.kept.maintain(1 << 20)
         fields = self.frontier.fields(self.kept.promise(wall_ms))
-        self.members.own(now, told={PART: self.frontier.told()}, **fields)
+        self.members.own(now, statuses={PART: self.frontier.told()}, **fields)
         if self.frontier.over:
-            self.members.begin(self.kept.begin(wall_ms, 1, self.members.outlived))
+            self.members.begin_incarnation(
+                self.kept.begin_incarnation(wall_ms, 1, self.members.highest_incarnation)
+            )
         for _ in range(5):
             wanted = self.frontier.wants(self.members.reached(now), self.members.away(now))
             if wanted is None:
@@ -60,16 +62,16 @@
 
     def tell(self, other: Seat, wall_ms: int) -> None:
         for row in list(self.members.rows.values()):
-            if row.beat and other.members.hear(row, wall_ms * MS):
+            if row.number and other.members.hear(row, wall_ms * MS):
                 other.frontier.hear(row)
         for piece in self.log.snapshots_for(other.log.vector()):
             if other.kept.take_snapshot(piece):
                 other.frontier.snapshot_came()
-        other.kept.merge(self.log.missing(other.log.vector(), 4096, 1 << 22), wall_ms)
+        other.kept.merge(self.log.missing_entries(other.log.vector(), 4096, 1 << 22), wall_ms)
 
     def compact(self) -> None:
         """As `event_compaction` does for channel `fleet`."""
-        upto = Stamp(self.log.frontier().ms // MINUTE * MINUTE, 0)
+        upto = Timestamp(self.log.frontier().ms // MINUTE * MINUTE, 0)
         before = self.log.snapshot(CHANNEL)
         if (before is None or before.upto < upto) and self.frontier.crowded(upto):
             self.kept.compact(CHANNEL, upto, {PART: self.frontier.settled(upto)})
@@ -94,16 +96,16 @@
         for _ in range(4):
             self.round()
         a, b = self.seats["a"], self.seats["b"]
-        last = b.log.life
+        last = b.log.incarnation
         for _ in range(lives):
             self.wall += 1
-            at = Stamp(self.wall, 0)
+            at = Timestamp(self.wall, 0)
             life = max(last + 1, self.wall << 16)
             body = b'{"what":"note"}'
             chain = a.log.chains.get(("b", last))
             before = [(last, chain.last)] if chain else []
             a.kept.append(CHANNEL, Admit([Admitted("b", life, None, before)]).value(), self.wall)
-            a.kept.merge([Entry(CHANNEL, "b", life, 1, Stamp(at.ms + 1, 0), (), body)], self.wall + 1)
+            a.kept.merge([Entry(CHANNEL, "b", life, 1, Timestamp(at.ms + 1, 0), (), body)], self.wall + 1)
             self.wall += 1
             last = life
         self.wall += 2
--- a/ochrecourse/cli/fleet_answers.py
+++ b/ochrecourse/cli/fleet_answers.py
@@ -16,6 +16,7 @@
 
 DEFAULT_READ_ENTRIES = 100
 MAX_READ_ENTRIES = 10_000
+ENTRY_ATTRIBUTES = {"life": "incarnation"}  # fields of an answer whose attribute has another name
 
 
 def answer_fleet_command(member: Any, request: ControlRequest, on_answer: OnAnswer) -> None:
@@ -33,13 +34,18 @@
 
 
 def _answer_append(on_answer: OnAnswer, fields: tuple[str, ...] = ("writer", "seq")) -> Callable[[Any], None]:
-    """Answers what became of an append (`fleet.kept.AppendResult`) with these fields of its entry."""
+    """Answers what became of an append (`fleet.log_store.AppendResult`) with these fields of its entry."""
 
     def answer(result: Any) -> None:
         if result.error is not None:
             on_answer({"error": str(result.error)})
         else:
-            on_answer({"done": True, **{field: getattr(result.entry, field) for field in fields}})
+            on_answer(
+                {
+                    "done": True,
+                    **{field: getattr(result.entry, ENTRY_ATTRIBUTES.get(field, field)) for field in fields},
+                }
+            )
 
     return answer
 
@@ -47,11 +53,11 @@
 @contextlib.contextmanager
 def _rejections_reported() -> Iterator[None]:
     """Turns an append that the fleet's log rejects, or can't store, into a ControlError."""
-    from ochrecourse.fleet.log import Refused
+    from ochrecourse.fleet.log import AppendRejectedError
 
     try:
         yield
-    except (Refused, OSError) as error:
+    except (AppendRejectedError, OSError) as error:
         raise ControlError(str(error)) from None
 
 
@@ -95,7 +101,7 @@
 
 
 def _compact(member: Any, request: ControlRequest) -> Answer:
-    from ochrecourse.fleet.entries import Stamp
+    from ochrecourse.fleet.entries import Timestamp
 
     channel = _channel(request)
     upto: Any = request.arguments.get("upto")
@@ -103,7 +109,7 @@
     if "value" not in request.arguments or not valid:
         raise ControlError("compact takes a value, and up to where: `at` of an entry that was read")
     with _rejections_reported():
-        member.compact(channel, Stamp(*upto), request.arguments["value"])
+        member.compact(channel, Timestamp(*upto), request.arguments["value"])
     return {"done": True}
 
 
--- a/ochrecourse/fleet/anti_entropy.py
+++ b/ochrecourse/fleet/anti_entropy.py
@@ -18,7 +18,7 @@
 from ochrecourse.fleet.entries import Entry, Stream
 from ochrecourse.fleet.frontier import CHANNEL
 from ochrecourse.fleet.link_state import LinkState
-from ochrecourse.fleet.log import BadEntry
+from ochrecourse.fleet.log import InvalidEntryError
 from ochrecourse.fleet.messages import LONGEST_BODY, LONGEST_NAME, BadPeer, Entries, Have
 from ochrecourse.fleet.shared import SLICE
 from ochrecourse.fleet.snapshot_transfer import SnapshotTransfer
@@ -55,7 +55,7 @@
         self._lag_at = -1
         self._anyway: set[Stream] = set()
         self._over: dict[Stream, int] = {}  # entries that came of lives that are over, to be acknowledged
-        self._forgot = self.common.log.forgot  # lives that are over are forgotten here too
+        self._forgot = self.common.log.retirement_count  # lives that are over are forgotten here too
         self._done_at = -1  # nothing was missing there at this version of the log
         self._newest_at = 0  # how many of the newest events of channel `fleet` were looked at
         self._still: dict[Stream, tuple[int, int, int]] = {}  # acknowledged, beats since, beats to wait
@@ -64,8 +64,8 @@
 
     def turn(self) -> None:
         """A beat has passed."""
-        if self._forgot != self.common.log.forgot:
-            self._forgot = self.common.log.forgot
+        if self._forgot != self.common.log.retirement_count:
+            self._forgot = self.common.log.retirement_count
             self._forget()
         if self._lag_at != self.common.version or self._lag:
             self._lag_at = self.common.version
@@ -78,10 +78,10 @@
         known: tuple[dict[Stream, Any], ...]
         known = (self.there, self._out, self._acked, self._told, self._lag, self._still)
         for each in known:
-            for stream in [s for s in each if self.common.log.gone(s)]:
+            for stream in [s for s in each if self.common.log.has_ended(s)]:
                 del each[stream]
         self._none_flies()
-        self._anyway = {s for s in self._anyway if not self.common.log.gone(s)}
+        self._anyway = {s for s in self._anyway if not self.common.log.has_ended(s)}
 
     def _look_at_lag(self) -> None:
         behind: dict[Stream, tuple[int, int]] = {}
@@ -132,7 +132,7 @@
     def took_have(self, told: list[tuple[str, int, int]], more: bool, now: int) -> None:
         for writer, life, seq in told:
             stream = (writer, life)
-            if self.common.log.gone(stream):
+            if self.common.log.has_ended(stream):
                 continue
             if seq > self._acked.get(stream, 0):
                 self._acked[stream] = seq
@@ -165,18 +165,18 @@
 
     def took_entries(self, entries: list[Entry], wall_ms: int) -> list[Entry]:
         common, chains = self.common, self.common.log.chains
-        own = (common.members.name, common.members.life)
+        own = (common.members.name, common.members.incarnation)
         for entry in entries:
             if entry.stream == own and (own not in chains or entry.seq > chains[own].last):
                 raise BadPeer("name", f"an entry in this gateway's name ({own[0]}, number {entry.seq})")
         try:
             new = common.kept.merge(entries, wall_ms)
-        except BadEntry as trouble:
+        except InvalidEntryError as trouble:
             raise BadPeer("bad_entry", str(trouble)) from None
         self.entries_in += len(entries)
         for entry in entries:
             chain = chains.get(entry.stream)
-            if common.log.gone(entry.stream):
+            if common.log.has_ended(entry.stream):
                 self._over[entry.stream] = max(entry.seq, self._over.get(entry.stream, 0))
             elif chain is not None and entry.seq <= chain.last:
                 if entry.seq > self.there.get(entry.stream, 0):
@@ -239,7 +239,7 @@
                 if stream[0] in self.no_more and stream not in self._anyway
             }
             there = {**there, **held}
-        entries = log.missing(there, most, min(SLICE, self._window))
+        entries = log.missing_entries(there, most, min(SLICE, self._window))
         if not entries:
             self._done_at = self.common.version
             self._anyway.clear()
@@ -265,7 +265,7 @@
         self._newest_at = common.newest_count
         early, size = [], 0
         for entry in list(common.newest)[-fresh:] if fresh else ():
-            if common.log.gone(entry.stream):
+            if common.log.has_ended(entry.stream):
                 continue
             lacks = entry.seq > self.there.get(entry.stream, 0) + 1 and entry.writer != self.state.peer
             if lacks and entry.writer not in self.no_more and size < LONGEST_BODY // 2:
--- a/ochrecourse/fleet/calendar_edition.py
+++ b/ochrecourse/fleet/calendar_edition.py
@@ -12,7 +12,7 @@
 from typing import Any, Literal, NamedTuple
 
 from ochrecourse.common.errors import OchrecourseError
-from ochrecourse.fleet.entries import Place
+from ochrecourse.fleet.entries import LogPosition
 
 MAX_INSTANTS = 20_000  # of one edition; what a body of 1 MiB would hold
 MAX_RULES = 64  # of one edition
@@ -67,7 +67,7 @@
     1970.
     """
 
-    place: Place
+    place: LogPosition
     site: str
     number: int
     settings_version: int
@@ -83,10 +83,10 @@
     @property
     def id(self) -> EditionId:
         """The entry that brought it."""
-        return (self.place.writer, self.place.life, self.place.seq)
+        return (self.place.writer, self.place.incarnation, self.place.seq)
 
     @property
-    def rank(self) -> tuple[int, Place]:
+    def rank(self) -> tuple[int, LogPosition]:
         """Of the editions in force, the one of the highest rank applies."""
         return (self.number, self.place)
 
@@ -102,7 +102,7 @@
         return self.instants[index].at_ms if index < len(self.instants) else NEVER_MS
 
 
-def parse_edition(body: Mapping[str, Any], place: Place) -> Edition:
+def parse_edition(body: Mapping[str, Any], place: LogPosition) -> Edition:
     """The edition in the body of an event. Raises InvalidCalendarEventError."""
     site = parse_name(body, "site")
     number = parse_whole_number(body.get("number"), "number")
--- a/ochrecourse/fleet/channel_readers.py
+++ b/ochrecourse/fleet/channel_readers.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ochrecourse.fleet.channel import Told
+from ochrecourse.fleet.channel import Delivery
 from ochrecourse.fleet.log import Log
 
 MAX_BATCH = 256  # entries that a reader gets at once
 
-OnEntries = Callable[[list[Told], str], None]
+OnEntries = Callable[[list[Delivery], str], None]
 
 
 class ChannelReader:
@@ -36,8 +36,8 @@
         self.readers: list[ChannelReader] = []
 
     def follow(self, channel: str, cursor: str, on_entries: OnEntries) -> Callable[[], None]:
-        """Adds a reader and delivers what is new for it; returns what stops it. Raises log.Refused for a bad
-        cursor.
+        """Adds a reader and delivers what is new for it; returns what stops it. Raises AppendRejectedError
+        for a bad cursor.
         """
         self.log.read(channel, cursor, 1)
         reader = ChannelReader(channel, cursor, on_entries)
@@ -60,14 +60,14 @@
             reader.on_entries(entries, cursor)
 
 
-def delivery_as_json(delivery: Told) -> dict[str, Any]:
+def delivery_as_json(delivery: Delivery) -> dict[str, Any]:
     """What a reader got, as values for JSON."""
     entry, snapshot = delivery.entry, delivery.snapshot
     if entry is not None:
         return {
             "channel": entry.channel,
             "writer": entry.writer,
-            "life": entry.life,
+            "life": entry.incarnation,
             "seq": entry.seq,
             "at": list(entry.at),
             "late": delivery.late,
--- a/ochrecourse/fleet/disk_recovery.py
+++ b/ochrecourse/fleet/disk_recovery.py
@@ -19,9 +19,9 @@
     parse_acknowledged_disk,
     parse_recovery,
 )
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 
-NEVER = Stamp(NEVER_MS, 0)
+NEVER = Timestamp(NEVER_MS, 0)
 
 
 class NewDisk(NamedTuple):
@@ -35,7 +35,7 @@
     """The incarnation with a new disk that another edge acknowledged last, and when."""
 
     incarnation: int
-    at: Stamp
+    at: Timestamp
 
 
 class Recovery(NamedTuple):
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self.new_disks: dict[str, NewDisk] = {}  # by edge, the last one
         self.recoveries: dict[str, Recovery] = {}  # by edge, the last one
-        self.recovered_at: dict[EdgeIncarnation, Stamp] = {}  # when each incarnation first said so
+        self.recovered_at: dict[EdgeIncarnation, Timestamp] = {}  # when each incarnation first said so
         # By the edge that acknowledges and the edge that is acknowledged.
         self.acknowledgements: dict[tuple[str, str], Acknowledgement] = {}
         # By each incarnation that was new as the site bootstrapped: all of them.
@@ -67,7 +67,7 @@
         edge = entry.writer
         if body["what"] == DISK_NEW:
             before = self.new_disks.get(edge, NewDisk(0, 0))
-            self.new_disks[edge] = max(NewDisk(entry.life, entry.at.ms), before)
+            self.new_disks[edge] = max(NewDisk(entry.incarnation, entry.at.ms), before)
         elif body["what"] == DISK_ACKNOWLEDGED:
             other, incarnation = parse_acknowledged_disk(body)
             known = self.acknowledgements.get((edge, other), Acknowledgement(BEFORE_ALL_MS, entry.at))
@@ -75,7 +75,7 @@
         else:
             self._recovered(edge, *parse_recovery(body, edge_count), entry.at)
 
-    def _recovered(self, edge: str, incarnation: int, others: list[EdgeIncarnation], at: Stamp) -> None:
+    def _recovered(self, edge: str, incarnation: int, others: list[EdgeIncarnation], at: Timestamp) -> None:
         recovery = Recovery(incarnation, bool(others))
         self.recoveries[edge] = max(self.recoveries.get(edge, NO_RECOVERY), recovery)
         key = EdgeIncarnation(edge, incarnation)
--- a/ochrecourse/fleet/durable_claim.py
+++ b/ochrecourse/fleet/durable_claim.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-from ochrecourse.fleet.entries import Stamp
-from ochrecourse.fleet.kept import Kept
+from ochrecourse.fleet.entries import Timestamp
+from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import START
 
 
@@ -22,13 +22,13 @@
 
     incarnation: int
     status: bytes
-    floor: Stamp = START
+    floor: Timestamp = START
 
 
 class DurableClaim:
     """The newest claim that is durable. One sync is requested at a time."""
 
-    def __init__(self, log_store: Kept) -> None:
+    def __init__(self, log_store: LogStore) -> None:
         self.log_store = log_store
         self._claim: LogClaim | None = None
         self._is_syncing = False
--- a/ochrecourse/fleet/entries.py
+++ b/ochrecourse/fleet/entries.py
@@ -13,19 +13,23 @@
 Stream = tuple[str, int]  # a writer and its life; no two lives of one name are equal
 
 
-class Stamp(NamedTuple):
+class Timestamp(NamedTuple):
     """A hybrid logical clock: ms since 1970 as its writer had or had seen them, and a turn within one ms."""
 
     ms: int
-    turn: int
+    counter: int
 
+    def __repr__(self) -> str:
+        """The form that texts of errors show to peers and operators."""
+        return f"Stamp(ms={self.ms!r}, turn={self.counter!r})"
 
-class Place(NamedTuple):
+
+class LogPosition(NamedTuple):
     """Where an entry stands in the one order, which entries of one stream and causes and effects keep."""
 
-    at: Stamp
+    at: Timestamp
     writer: str
-    life: int
+    incarnation: int
     seq: int
 
 
@@ -38,22 +42,22 @@
 
     channel: str
     writer: str
-    life: int
+    incarnation: int
     seq: int
-    at: Stamp
+    at: Timestamp
     cause: tuple[tuple[str, int, int], ...]
     body: bytes
 
     @property
     def stream(self) -> Stream:
-        return (self.writer, self.life)
+        return (self.writer, self.incarnation)
 
     @property
-    def place(self) -> Place:
-        return Place(self.at, self.writer, self.life, self.seq)
+    def position(self) -> LogPosition:
+        return LogPosition(self.at, self.writer, self.incarnation, self.seq)
 
 
-class Row(msgspec.Struct, array_like=True, gc=False):
+class Heartbeat(msgspec.Struct, array_like=True, gc=False):
     """A gateway as it says it is now. The newest by (life, beat) stands.
 
     `promise`: whatever this gateway appends from now on stands behind it. `seq`, `head`: the last entry of
@@ -63,12 +67,12 @@
     """
 
     name: str
-    life: int
-    beat: int
+    incarnation: int
+    number: int
     zone: int
     seq: int
-    head: bytes
-    promise: Stamp
-    floor: Stamp
-    before: tuple[tuple[int, int], ...] = ()
-    told: dict[str, bytes] = {}
+    head_hash: bytes
+    promise: Timestamp
+    watermark: Timestamp
+    earlier_incarnations: tuple[tuple[int, int], ...] = ()
+    statuses: dict[str, bytes] = {}
--- a/ochrecourse/fleet/event_appender.py
+++ b/ochrecourse/fleet/event_appender.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from ochrecourse.fleet.entries import Entry
-from ochrecourse.fleet.kept import AppendResult, Kept, OnAppended
-from ochrecourse.fleet.log import Refused
+from ochrecourse.fleet.log_store import AppendResult, LogStore, OnAppended
+from ochrecourse.fleet.log import AppendRejectedError
 from ochrecourse.fleet.operator_log import OperatorLog
 from ochrecourse.fleet.wanted_appends import OnEnded, WantedEntry
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        log_store: Kept,
+        log_store: LogStore,
         wall_ms: Callable[[], int],
         operator_log: OperatorLog,
         on_appended: Callable[[], None],
@@ -34,12 +34,12 @@
 
     def append(self, channel: str, value: object, must: bool) -> Entry:
         """Appends an entry, and blocks until it is durable; with `must` a full channel takes it too. Raises
-        log.Refused, OSError; then nothing was appended.
+        log.AppendRejectedError, OSError; then nothing was appended.
         """
         try:
             self._check(channel)
             entry = self.log_store.append(channel, value, self.wall_ms(), must)
-        except (Refused, OSError) as error:
+        except (AppendRejectedError, OSError) as error:
             self._refused(channel, str(error))
             raise
         self._appended()
@@ -48,7 +48,7 @@
 
     def request_append(self, channel: str, value: object, must: bool, on_result: OnAppended) -> None:
         """Appends an entry, and calls `on_result` once it is durable, or could not be made so; possibly
-        before this returns. Raises log.Refused, OSError; then nothing is under way.
+        before this returns. Raises AppendRejectedError, OSError; then nothing is under way.
         """
 
         def ended(result: AppendResult) -> None:
@@ -61,7 +61,7 @@
         try:
             self._check(channel)
             self.log_store.request_append(channel, value, self.wall_ms(), must, ended)
-        except (Refused, OSError) as error:
+        except (AppendRejectedError, OSError) as error:
             self._refused(channel, str(error))
             raise
 
@@ -71,17 +71,17 @@
         """
         try:
             self.request_append(*wanted, lambda result: on_ended(result.error is None))
-        except (Refused, OSError):
+        except (AppendRejectedError, OSError):
             on_ended(False)
 
     def _check(self, channel: str) -> None:
-        """Raises log.Refused."""
+        """Raises AppendRejectedError."""
         if self.stopped:
             # Guards against an answer for an entry that no peer receives, and whose journal the next process
             # may have replaced.
-            raise Refused("this gateway has left its fleet")
+            raise AppendRejectedError("this gateway has left its fleet")
         if channel.encode("utf-8", "replace").decode() != channel:
-            raise Refused("a channel's name that is no text")
+            raise AppendRejectedError("a channel's name that is no text")
 
     def _appended(self) -> None:
         self._last_refusal = ""
--- a/ochrecourse/fleet/event_compaction.py
+++ b/ochrecourse/fleet/event_compaction.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from ochrecourse.fleet.channel import ORDINARY
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.log import Refused, Snapshot
+from ochrecourse.fleet.log import AppendRejectedError, Snapshot
 from ochrecourse.fleet.shared import Common
 from ochrecourse.fleet.subsystem import UNKNOWN_EVENTS, Subsystem, retained_events
 
@@ -41,26 +41,28 @@
     def compact_if_due(self, subsystems: Sequence[Subsystem]) -> None:
         """Compacts up to the last step, if the channel is full enough."""
         log = self.common.log
-        upto = Stamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
+        upto = Timestamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
         previous = log.snapshot(CHANNEL)
         if previous is not None and previous.upto >= upto:
             return
-        is_full = log.bytes_of(CHANNEL) >= COMPACTION_THRESHOLD * log.bounds.channel_bytes
+        is_full = log.channel_bytes(CHANNEL) >= COMPACTION_THRESHOLD * log.limits.channel_bytes
         if not is_full and not self.frontier.crowded(upto):
             return
         value = self._snapshot_value(previous, upto, subsystems)
         try:
             compact(self.common, CHANNEL, upto, value)
-        except Refused as error:
+        except AppendRejectedError as error:
             if str(error) != self._last_refusal:
                 self._last_refusal = str(error)
                 self.write_log("fleet log not compacted", channel=CHANNEL, why=str(error))
             return
         self._last_refusal = ""
-        self.write_log("fleet log compacted", channel=CHANNEL, upto_ms=upto.ms, bytes=log.bytes_of(CHANNEL))
+        self.write_log(
+            "fleet log compacted", channel=CHANNEL, upto_ms=upto.ms, bytes=log.channel_bytes(CHANNEL)
+        )
 
     def _snapshot_value(
-        self, previous: Snapshot | None, upto: Stamp, subsystems: Sequence[Subsystem]
+        self, previous: Snapshot | None, upto: Timestamp, subsystems: Sequence[Subsystem]
     ) -> dict[str, Any]:
         """What replaces the events, by the name of who needs it."""
         events = self._events_since(previous, upto)
@@ -86,21 +88,21 @@
             value.setdefault(name, section)
         return value
 
-    def _events_since(self, previous: Snapshot | None, upto: Stamp) -> list[Entry]:
+    def _events_since(self, previous: Snapshot | None, upto: Timestamp) -> list[Entry]:
         """The events that the snapshot replaces. What the last one replaced may be here still, after a
         restart.
         """
         log = self.common.log
-        since = previous.upto if previous is not None else Stamp(0, 0)
+        since = previous.upto if previous is not None else Timestamp(0, 0)
         return [
             entry
             for entry in log.events(CHANNEL)
-            if since < entry.at <= upto and log.judge(entry) == ORDINARY
+            if since < entry.at <= upto and log.classify(entry) == ORDINARY
         ]
 
 
-def compact(common: Common, channel: str, upto: Stamp, value: object) -> None:
-    """Replaces the entries of a channel up to a timestamp by a value. Raises log.Refused."""
+def compact(common: Common, channel: str, upto: Timestamp, value: object) -> None:
+    """Replaces the entries of a channel up to a timestamp by a value. Raises AppendRejectedError."""
     common.kept.compact(channel, upto, value)
     common.holes += 1
 
--- a/ochrecourse/fleet/exchange.py
+++ b/ochrecourse/fleet/exchange.py
@@ -276,7 +276,7 @@
             version=min(forms.in_force, forms.speaks.newest),
             fleet=self.common.fleet,
             name=members.name,
-            life=members.life,
+            life=members.incarnation,
             zone=members.zone,
             oldest=told.oldest,
             newest=told.newest,
--- a/ochrecourse/fleet/forms.py
+++ b/ochrecourse/fleet/forms.py
@@ -28,14 +28,14 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 
 FIRST = 1  # in force where nothing was said; the oldest that is spoken
 PACKED = 2  # from this form on: MessagePack and checksums
 NEWEST = PACKED  # that this program speaks
 MOST = 1024  # an event that names a greater one is no order of ours
 CHANNEL = "fleet"
-PART = "forms"  # the key in Row.told
+PART = "forms"  # the key in Heartbeat.statuses
 NAMED = 8  # gateways that a refusal names; the report has them all
 
 
@@ -68,9 +68,9 @@
     return form if FIRST < form <= MOST else 0
 
 
-def spoken(row: Row) -> Span:
+def spoken(row: Heartbeat) -> Span:
     """What a gateway says of itself in its row. Raises ValueError (msgspec.DecodeError) where it is none."""
-    told = row.told.get(PART)
+    told = row.statuses.get(PART)
     return OLD if told is None else whole(_span(told))
 
 
@@ -115,10 +115,10 @@
     def beat_passed(self, now: int) -> None:
         pass
 
-    def keeps(self, events: Sequence[Entry], upto: Stamp) -> list[Entry]:
+    def keeps(self, events: Sequence[Entry], upto: Timestamp) -> list[Entry]:
         """The event by which the form in force stands; of equal ones the first."""
         raised = [entry for entry in events if form_of(entry)]
-        return [min(raised, key=lambda entry: (-form_of(entry), entry.place))] if raised else []
+        return [min(raised, key=lambda entry: (-form_of(entry), entry.position))] if raised else []
 
     def report(self) -> dict[str, Any]:
         return {"in_force": self.in_force, "speaks": list(self.speaks), "by": self.by}
@@ -145,7 +145,7 @@
             )
         return ""
 
-    def why_not(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Row]) -> str:
+    def why_not(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]) -> str:
         """Why a form may not be raised to; empty if it may. `counting`: lives that count, by name; `rows`:
         what gateways say of themselves now."""
         if form < self.in_force:
@@ -166,11 +166,11 @@
             return f"{len(lacking)} of {len(counting)} that count do not speak form {form}: {named}"
         return ""
 
-    def lacking(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Row]) -> Iterable[str]:
+    def lacking(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]) -> Iterable[str]:
         """Who counts and does not speak a form, or was not heard in the life that counts."""
         for name, life in sorted(counting.items()):
             row = rows.get(name)
-            if row is None or row.life != life:
+            if row is None or row.incarnation != life:
                 yield name
                 continue
             try:
--- a/ochrecourse/fleet/frontier.py
+++ b/ochrecourse/fleet/frontier.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Entry, Row, Stamp, Stream
-from ochrecourse.fleet.log import LATE, START, Log, Refused, body_bytes
-from ochrecourse.fleet.streams import gone
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp, Stream
+from ochrecourse.fleet.log import LATE, START, Log, AppendRejectedError, encode_value
+from ochrecourse.fleet.streams import has_ended
 from ochrecourse.fleet.views import Admit, Admitted, Close, GiveUp, Retire, View, body_of, view_of
 
 CHANNEL = "fleet"
-PART = "log"  # the key of `told` in Row.told
+PART = "log"  # the key of `told` in Heartbeat.statuses
 LIVES = 64  # that have ended beyond one a name, from which they are retired: what a beat looks at stays small
 STAY = 16  # lives of a name that may stay when others are retired: those of which entries are still held
 TOLD = 2000  # names and lives that a row, or an event, tells of those at once: some 40 KB
@@ -39,7 +39,7 @@
     view: bytes
     away: list[tuple[str, int]]
     dead: bytes
-    born: Stamp
+    born: Timestamp
     forks: list[tuple[str, int, int]] = []
     idle: list[tuple[str, int, list[int]]] = []
 
@@ -59,21 +59,24 @@
         self.founders = frozenset(founders) | {log.name}
         self.view = View()
         self._base = View()  # of the snapshot that stands for older events
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, Heartbeat] = {}
         self.said: dict[str, Told] = {}
         self.floor = START
         self.promise = START
-        self._born, self._life = log.clock, log.life  # past all promises of earlier lives, if they are kept
-        self._waiting: dict[str, Row] = {}  # rows whose entries are awaited while newer come
-        self._reached: dict[Stream, Stamp] = {}  # promises that are kept here so far
+        self._born, self._life = (
+            log.clock,
+            log.incarnation,
+        )  # past all promises of earlier lives, if they are kept
+        self._waiting: dict[str, Heartbeat] = {}  # rows whose entries are awaited while newer come
+        self._reached: dict[Stream, Timestamp] = {}  # promises that are kept here so far
         self._doubted: set[Stream] = set()  # held for gone, which is never taken back
         self._events: list[Entry] = []
         self._changed = False
         self._came = True  # snapshots that were not made here
         self._spent = 0  # lives that ended, and of which a retirement, or a snapshot after it, would free us
         self._idle: list[tuple[str, int, list[int]]] = []
-        self._idle_at: tuple[Stamp, int] | None = None
-        log.judge = self._judge
+        self._idle_at: tuple[Timestamp, int] | None = None
+        log.classify = self._judge
         for entry in log.events(CHANNEL):
             self._note(entry)
         self._changed = True
@@ -85,7 +88,7 @@
         if entry.channel == CHANNEL and body_of(entry) is not None:
             self._events.append(entry)
             self._changed = True
-        if entry.life < self.view.newest.get(entry.writer, 0):
+        if entry.incarnation < self.view.newest.get(entry.writer, 0):
             self._idle_at = None
 
     def snapshot_came(self) -> None:
@@ -93,22 +96,24 @@
         self._changed = self._came = True
         self._idle_at = None
 
-    def hear(self, row: Row) -> None:
+    def hear(self, row: Heartbeat) -> None:
         """A row that `members` found new."""
         if row.name == self.log.name:
             return
-        self.log.compare(row.name, row.life, row.seq, row.head)
+        self.log.compare_head_hash(row.name, row.incarnation, row.seq, row.head_hash)
         try:
-            said = msgspec.json.decode(row.told[PART], type=Told)
+            said = msgspec.json.decode(row.statuses[PART], type=Told)
         except (KeyError, msgspec.DecodeError, UnicodeError):
             said = Told(b"", [], b"", START)
         self.rows[row.name], self.said[row.name] = row, said
         for name, life, same in said.forks:
             stream = (name, life)
-            if stream in self.log.chains and same < self.log.forked.get(stream, same + 1):
-                self.log.fork(stream, same, f"two histories from entry {same + 1}, as {row.name} has them,")
+            if stream in self.log.chains and same < self.log.fork_points.get(stream, same + 1):
+                self.log.report_fork(
+                    stream, same, f"two histories from entry {same + 1}, as {row.name} has them,"
+                )
         waiting = self._waiting.get(row.name)
-        if waiting is None or waiting.life != row.life:
+        if waiting is None or waiting.incarnation != row.incarnation:
             self._waiting[row.name] = row
 
     # decisions
@@ -118,8 +123,8 @@
 
     def settle(self) -> None:
         """Draws the conclusions from all that was noted; cheap when nothing was."""
-        if self._life != self.log.life:
-            self._born, self._life = self.log.clock, self.log.life
+        if self._life != self.log.incarnation:
+            self._born, self._life = self.log.clock, self.log.incarnation
         snapshot = self.log.snapshot(CHANNEL)
         if self._changed or (snapshot is not None and snapshot.upto > self._base.upto):
             self._changed = False
@@ -127,14 +132,14 @@
         self._achieve()
         self.floor = self._floor()
         told = [self._floor_of(name, life) for name, life in self.view.counting.items()]
-        self.log.note_floor(min([self.floor, *told]))
-        self.log.lates = self._lates() if self.view.last <= self.log.stable else set()
+        self.log.advance_frontier(min([self.floor, *told]))
+        self.log.late_streams = self._lates() if self.view.last <= self.log.stable else set()
 
     def _lates(self) -> set[Stream]:
         """Streams that hold late entries; others are spared the look at each entry."""
         found = set()
         for stream, chain in self.log.chains.items():
-            first = next(chain.after(0), None)
+            first = next(chain.entries_after(0), None)
             last = self.view.judge(stream, chain.last, chain.at)
             if first is not None and LATE in (self._judge(first), last):
                 found.add(stream)
@@ -148,18 +153,22 @@
             self._came = True
             self.log.retire(self._base.over)  # by the view before: it may know what was settled
         self.view = view_of(self._base, self._events)
-        self.log.views += 1
+        self.log.view_version += 1
         if self._came and snapshot is not None:
             self._came = False
-            self.log.stand(self._base.upto)
+            self.log.apply_snapshots(self._base.upto)
         view = self.view
         self._spent = sum(
             life < view.newest.get(name, 0) and life not in view.over.get(name, (0, ()))[1]
             for name, life in {**view.starts, **view.ends}
         )
         # Guards against a disk lost while the clock was put back: what is appended would be late for a while.
-        self.log.clock = max(self.log.clock, self.view.starts.get((self.log.name, self.log.life), START))
-        self.log.outlived = max(self.log.outlived, self.view.newest.get(self.log.name, 0))
+        self.log.clock = max(
+            self.log.clock, self.view.starts.get((self.log.name, self.log.incarnation), START)
+        )
+        self.log.highest_incarnation = max(
+            self.log.highest_incarnation, self.view.newest.get(self.log.name, 0)
+        )
         self._reached = {
             (name, life): self._reached.get((name, life), self.view.starts[name, life])
             for name, life in self.view.counting.items()
@@ -172,46 +181,46 @@
         if any(draft.channel == CHANNEL for draft in self.log.drafts):
             return
         for stream in self.view.counting.items():
-            if stream == (self.log.name, self.log.life):
+            if stream == (self.log.name, self.log.incarnation):
                 self._reached[stream] = max(self._reached[stream], self.promise)
                 continue
             if stream in self._doubted:
                 continue
             name = stream[0]
             for row in (self._waiting.get(name), self.rows.get(name)):
-                if row is None or (row.name, row.life) != stream:
+                if row is None or (row.name, row.incarnation) != stream:
                     continue
-                self.log.compare(name, row.life, row.seq, row.head)
+                self.log.compare_head_hash(name, row.incarnation, row.seq, row.head_hash)
                 if self._holds(stream, row.seq):
                     self._reached[stream] = max(self._reached[stream], row.promise)
                     self._waiting[name] = self.rows[name]
 
     def _holds(self, stream: Stream, seq: int) -> bool:
         chain = self.log.chains.get(stream)
-        same = self.log.forked.get(stream, seq)
+        same = self.log.fork_points.get(stream, seq)
         return seq == 0 or (chain is not None and chain.last >= seq and same >= seq)
 
-    def _floor(self) -> Stamp:
+    def _floor(self) -> Timestamp:
         """START while an ended life is not held up to its end."""
         if not self._reached or not all(self._holds(s, end) for s, end in self.view.ends.items()):
             return START
         return min(self._reached.values())
 
-    def _floor_of(self, name: str, life: int) -> Stamp:
+    def _floor_of(self, name: str, life: int) -> Timestamp:
         """A counting member's floor as told from the view that is ours; START where it told of another."""
-        if (name, life) == (self.log.name, self.log.life):
+        if (name, life) == (self.log.name, self.log.incarnation):
             return self.floor
         row = self.rows.get(name)
-        if row is None or row.life != life or self.said[name].view != self.view.digest:
+        if row is None or row.incarnation != life or self.said[name].view != self.view.digest:
             return START
-        return row.floor
+        return row.watermark
 
     @property
     def over(self) -> bool:
         """Whether this life has ended for the fleet, a peer holds it for gone, it has two histories, or there
         was a greater one."""
-        own = (self.log.name, self.log.life)
-        if self.log.outlived > own[1] or own in self.view.ends or own in self.log.forked:
+        own = (self.log.name, self.log.incarnation)
+        if self.log.highest_incarnation > own[1] or own in self.view.ends or own in self.log.fork_points:
             return True
         if self.view.given.get(own[0], -1) >= own[1]:
             return True
@@ -222,12 +231,12 @@
         `away`: names as `members` has them. Asked again after each append until None."""
         self.settle()
         value = self._wanted(reached, away)
-        body = body_bytes(value)
-        said = any(e.body == body for e in self._events if e.stream == (self.log.name, self.log.life))
+        body = encode_value(value)
+        said = any(e.body == body for e in self._events if e.stream == (self.log.name, self.log.incarnation))
         return None if said else value  # once is enough, also where it changed nothing
 
     def _wanted(self, reached: Collection[str], away: Collection[str]) -> object | None:
-        own = (self.log.name, self.log.life)
+        own = (self.log.name, self.log.incarnation)
         if self.view.counting.get(own[0]) != own[1]:
             return self._begin(reached)
         voters = self.view.voters()
@@ -251,44 +260,50 @@
         # Guards against a beginning that stands before its own start, which is another's promise: it would be
         # late by what it says itself, and never count.
         self.log.clock = max(self.log.clock, start)
-        lives = [(n, self.log.life if n == self.log.name else self.rows[n].life) for n in sorted(here)]
+        lives = [
+            (n, self.log.incarnation if n == self.log.name else self.rows[n].incarnation)
+            for n in sorted(here)
+        ]
         if any(life <= self.view.newest.get(n, 0) for n, life in lives):
             return None  # lost its disk while its clock went back, and must first begin beyond
         return Admit([self._admitted(n, life, start) for n, life in lives], first=True).value()
 
     def _dead(self) -> bytes:
         """A digest of what is held of lives that nobody lives any more; nothing once this life counts."""
-        if self.view.counting.get(self.log.name) == self.log.life:
+        if self.view.counting.get(self.log.name) == self.log.incarnation:
             return b""
-        now = {name: row.life for name, row in self.rows.items()} | {self.log.name: self.log.life}
+        now = {name: row.incarnation for name, row in self.rows.items()} | {
+            self.log.name: self.log.incarnation
+        }
         over = self.view.over  # some have forgotten those already
         held = [
             (*s, chain.last)
             for s, chain in sorted(self.log.chains.items())
-            if s[1] < now.get(s[0], 0) and not gone(over, s)
+            if s[1] < now.get(s[0], 0) and not has_ended(over, s)
         ]
         return blake2b(msgspec.json.encode(held), digest_size=8).digest()
 
     def _given_up(self, name: str) -> bool:
         """Whether a name was given up and no life beyond that has been heard of."""
         row = self.rows.get(name)
-        life = self.log.life if name == self.log.name else row.life if row is not None else 0
+        life = self.log.incarnation if name == self.log.name else row.incarnation if row is not None else 0
         return life <= self.view.given.get(name, -1)
 
     def give_up(self, name: str, reached: Collection[str]) -> object:
-        """The body of the event by which a person gives up a name. Raises Refused, in words for them."""
+        """The body of the event by which a person gives up a name. Raises AppendRejectedError, in words for
+        them."""
         self.settle()
         lives = [life for writer, life in self.log.chains if writer == name]
-        lives += [row.life] if (row := self.rows.get(name)) is not None else []
+        lives += [row.incarnation] if (row := self.rows.get(name)) is not None else []
         lives += [self.view.newest[name]] if name in self.view.newest else []
         if name == self.log.name:
-            raise Refused(f"{name} is this gateway itself")
+            raise AppendRejectedError(f"{name} is this gateway itself")
         if name not in self.founders and not lives:
-            raise Refused(f"no gateway of this fleet is named {name[:64]!r}")
+            raise AppendRejectedError(f"no gateway of this fleet is named {name[:64]!r}")
         if name in reached:
-            raise Refused(f"{name} is reached; only a name that does not come back is given up")
+            raise AppendRejectedError(f"{name} is reached; only a name that does not come back is given up")
         if self._given_up(name):
-            raise Refused(f"{name} is given up already")
+            raise AppendRejectedError(f"{name} is given up already")
         return GiveUp(name, max(lives, default=0)).value()
 
     def _knows_before(self, name: str) -> bool:
@@ -296,13 +311,13 @@
         return all(
             self._holds((name, life), seq)
             or (name, life) in self.view.ends
-            or gone(self.view.over, (name, life))
-            for life, seq in self.rows[name].before
+            or has_ended(self.view.over, (name, life))
+            for life, seq in self.rows[name].earlier_incarnations
         )
 
-    def _admitted(self, name: str, life: int, start: Stamp | None) -> Admitted:
+    def _admitted(self, name: str, life: int, start: Timestamp | None) -> Admitted:
         before = [
-            (earlier[1], min(chain.last, self.log.forked.get(earlier, chain.last)))
+            (earlier[1], min(chain.last, self.log.fork_points.get(earlier, chain.last)))
             for earlier, chain in sorted(self.log.chains.items())
             if earlier[0] == name and earlier[1] < life and self._open(earlier)
         ]
@@ -310,18 +325,24 @@
 
     def _admit(self, reached: Collection[str]) -> object | None:
         """New lives of names that are heard, by the least name that counts."""
-        lives_now = {n: row.life for n, row in self.rows.items()} | {self.log.name: self.log.life}
+        lives_now = {n: row.incarnation for n, row in self.rows.items()} | {
+            self.log.name: self.log.incarnation
+        }
         here = sorted(n for n in reached if n in lives_now and self.view.counting.get(n) == lives_now[n])
         lives = []
         for name in sorted(reached):
             row = self.rows.get(name)
-            if row is None or row.life <= self.view.newest.get(name, 0) or not self._knows_before(name):
+            if (
+                row is None
+                or row.incarnation <= self.view.newest.get(name, 0)
+                or not self._knows_before(name)
+            ):
                 continue
             if next((n for n in here if n != name), "") == self.log.name:
-                lives.append(self._admitted(name, row.life, self._start_of(name)))
+                lives.append(self._admitted(name, row.incarnation, self._start_of(name)))
         return Admit(lives).value() if lives else None
 
-    def _start_of(self, name: str) -> Stamp | None:
+    def _start_of(self, name: str) -> Timestamp | None:
         """From where a new life's entries may be ordinary: past every frontier. No frontier is past a promise
         that holds it back here; before this gateway counted, none was past its own admission."""
         life = self.view.counting.get(name)
@@ -332,24 +353,24 @@
     def _close(self, reached: Collection[str]) -> object | None:
         """A life that more than half of the members hold for gone, by the least of their names. Who holds us
         for gone has no vote here: of two that would end each other, one at most finds a majority."""
-        counting, own = self.view.voters(), (self.log.name, self.log.life)
+        counting, own = self.view.voters(), (self.log.name, self.log.incarnation)
         for stream in sorted(self._doubted):
             votes = [own[0]]
             for name in set(reached) & set(counting):
                 said = self.said.get(name)
-                if said is None or self.rows[name].life != counting[name] or own in said.away:
+                if said is None or self.rows[name].incarnation != counting[name] or own in said.away:
                     continue
                 if stream in said.away and said.view == self.view.digest:
                     votes.append(name)
             if 2 * len(votes) > len(counting) and min(votes) == own[0]:
                 chain = self.log.chains.get(stream)
                 last = chain.last if chain else 0
-                return Close(*stream, min(last, self.log.forked.get(stream, last))).value()
+                return Close(*stream, min(last, self.log.fork_points.get(stream, last))).value()
         return None
 
     def _cut_short(self) -> object | None:
         """An ended life of which two histories are known ends where they part."""
-        for stream, same in self.log.forked.items():
+        for stream, same in self.log.fork_points.items():
             if self.view.ends.get(stream, 0) > same:
                 return Close(*stream, same).value()
         return None
@@ -358,18 +379,18 @@
 
     def _open(self, stream: Stream) -> bool:
         """Whether nothing says yet where a life ended."""
-        return stream not in self.view.ends and not gone(self.view.over, stream)
+        return stream not in self.view.ends and not has_ended(self.view.over, stream)
 
-    def crowded(self, upto: Stamp) -> bool:
+    def crowded(self, upto: Timestamp) -> bool:
         """Whether a snapshot up to there would help to retire lives, of which there are many."""
         news = any(self._base.upto < e.at <= upto for e in self._events)
         return news and self._spent >= LIVES + len(self.view.newest)
 
     def _look_idle(self) -> None:
         """Finds anew what this gateway acknowledges as over, where snapshots have moved."""
-        if self._idle_at == (self._base.upto, self.log.shrunk):
+        if self._idle_at == (self._base.upto, self.log.compaction_count):
             return
-        self._idle_at = (self._base.upto, self.log.shrunk)
+        self._idle_at = (self._base.upto, self.log.compaction_count)
         self._idle = []
         newest = self._base.newest
         busy: dict[str, list[int]] = {}
@@ -393,7 +414,7 @@
         for name, life in sorted(counting.items()):
             if name != self.log.name:
                 row = self.rows.get(name)
-                if row is None or row.life != life:
+                if row is None or row.incarnation != life:
                     return None
                 told.append(self.said[name].idle)
         by_name = [{name: (upto, stay) for name, upto, stay in each} for each in told]
@@ -409,19 +430,19 @@
 
     # what this gateway says of itself
 
-    def fields(self, promise: Stamp) -> dict[str, Any]:
+    def fields(self, promise: Timestamp) -> dict[str, Any]:
         """The log's part of this gateway's next row (`members.own`); `told` is the part under PART.
-        `promise`: as `kept.Kept.promise` gave it just now."""
+        `promise`: as `log_store.LogStore.promise` gave it just now."""
         self.promise = promise
         self.settle()
-        name, life = self.log.name, self.log.life
+        name, life = self.log.name, self.log.incarnation
         chain = self.log.chains.get((name, life))
         return {
             "seq": chain.last if chain else 0,
-            "head": chain.head(chain.last) if chain else b"",
+            "head_hash": chain.hash_at(chain.last) if chain else b"",
             "promise": promise,
-            "floor": self.floor,
-            "before": self.earlier_incarnations(),
+            "watermark": self.floor,
+            "earlier_incarnations": self.earlier_incarnations(),
         }
 
     def earlier_incarnations(self) -> tuple[tuple[int, int], ...]:
@@ -429,7 +450,7 @@
         return tuple(
             (life, chain.last)
             for (writer, life), chain in sorted(self.log.chains.items())
-            if writer == self.log.name and life < self.log.life and self._open((writer, life))
+            if writer == self.log.name and life < self.log.incarnation and self._open((writer, life))
         )
 
     def told(self) -> bytes:
@@ -442,7 +463,7 @@
 
     def _told(self, claims: bool) -> bytes:
         self.settle()  # guards against the digest of one view beside a floor that rests on the next
-        forks = [(*stream, same) for stream, same in sorted(self.log.forked.items())]
+        forks = [(*stream, same) for stream, same in sorted(self.log.fork_points.items())]
         if not claims:
             return msgspec.json.encode(Told(b"", [], b"", self._born, forks))
         self._look_idle()
@@ -450,7 +471,7 @@
             Told(self.view.digest, sorted(self._doubted), self._dead(), self._born, forks, self._idle)
         )
 
-    def settled(self, upto: Stamp) -> object:
+    def settled(self, upto: Timestamp) -> object:
         """The part of a snapshot of channel `fleet` that stands for this module's events at or before `upto`;
         it belongs under PART in the snapshot's value."""
         return view_of(self._base, [e for e in self._events if e.at <= upto]).value()
--- a/ochrecourse/fleet/heartbeats.py
+++ b/ochrecourse/fleet/heartbeats.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Set
 from typing import Any
 
-from ochrecourse.fleet.entries import Row, Stamp
+from ochrecourse.fleet.entries import Heartbeat, Timestamp
 from ochrecourse.fleet.link_state import LinkState
 from ochrecourse.fleet.members import BadRow
 from ochrecourse.fleet.messages import (
@@ -29,7 +29,7 @@
 )
 
 LONGEST_TOLD = 131_072  # bytes that all parts of the program say in one row
-NO_STAMP = Stamp(0, 0)
+NO_STAMP = Timestamp(0, 0)
 
 
 class Heartbeats:
@@ -44,8 +44,8 @@
         self.no_more: set[str] = set()  # the other side said enough of these
         self._asked: set[str] = set()  # names asked for again, told at once
         self._theirs: dict[str, tuple[int, int]] = {}  # newest life and beat of each row the other side has
-        self._sent: dict[str, Row] = {}  # the row before, by name, each way
-        self._came: dict[str, Row] = {}
+        self._sent: dict[str, Heartbeat] = {}  # the row before, by name, each way
+        self._came: dict[str, Heartbeat] = {}
         self._said_enough: set[str] = set()
         self._enough: set[str] = set()  # to be said
         self._again: set[str] = set()
@@ -112,7 +112,7 @@
             self._came[name] = row
             if new:
                 self.common.news(row)
-            self._theirs[name] = max(self._theirs.get(name, (-1, -1)), (row.life, row.beat))
+            self._theirs[name] = max(self._theirs.get(name, (-1, -1)), (row.incarnation, row.number))
             if name == members.name:
                 continue
             if name == self.state.peer or (new and name not in source):
@@ -121,42 +121,55 @@
             elif source.get(name) is not self.link and name not in self._said_enough:
                 self._enough.add(name)
 
-    def _whole_row(self, step: Step, wall_ms: int) -> Row:
+    def _whole_row(self, step: Step, wall_ms: int) -> Heartbeat:
         name, beats, ms, turn, floor_ms, floor_turn, more = step
         base = self._came.get(name)
         if more is not None and more.life is not None:
             if not 0 < len(name.encode()) <= LONGEST_NAME:
                 raise BadPeer("bad_row", "a row with a name that is none")
-            base = Row(name, more.life, 0, 0, 0, b"", NO_STAMP, NO_STAMP)
+            base = Heartbeat(name, more.life, 0, 0, 0, b"", NO_STAMP, NO_STAMP)
         elif base is None:
             raise BadPeer("bad_row", f"{name[:LONGEST_NAME]}: a step of a row that was not told whole")
-        promise = Stamp(base.promise.ms + ms, turn)
-        floor = Stamp(base.floor.ms + floor_ms, floor_turn)
-        beat = base.beat + beats
-        if beats < 0 or min(*promise, *floor, base.life) < 0 or max(*promise, *floor, base.life, beat) >> 63:
+        promise = Timestamp(base.promise.ms + ms, turn)
+        floor = Timestamp(base.watermark.ms + floor_ms, floor_turn)
+        beat = base.number + beats
+        if (
+            beats < 0
+            or min(*promise, *floor, base.incarnation) < 0
+            or max(*promise, *floor, base.incarnation, beat) >> 63
+        ):
             raise BadPeer("bad_row", f"{name}: figures out of bounds")
         if promise.ms > wall_ms + self.common.ahead_ms:
             text = f"{name}: its clock is {(promise.ms - wall_ms) / 1000:g} s ahead"
             raise BadPeer("ahead", text)
         if more is None:
-            return Row(
-                name, base.life, beat, base.zone, base.seq, base.head, promise, floor, base.before, base.told
+            return Heartbeat(
+                name,
+                base.incarnation,
+                beat,
+                base.zone,
+                base.seq,
+                base.head_hash,
+                promise,
+                floor,
+                base.earlier_incarnations,
+                base.statuses,
             )
-        told = base.told
+        told = base.statuses
         if more.told or more.gone:
             told = {part: text for part, text in told.items() if part not in more.gone} | more.told
             if sum(map(len, told.values())) > LONGEST_TOLD:
                 raise BadPeer("oversize", f"{name}: a row that tells more than {LONGEST_TOLD} bytes")
-        return Row(
+        return Heartbeat(
             name,
-            base.life,
+            base.incarnation,
             beat,
             base.zone if more.zone is None else more.zone,
             base.seq if more.seq is None else more.seq,
-            base.head if more.head is None else more.head,
+            base.head_hash if more.head is None else more.head,
             promise,
             floor,
-            base.before if more.before is None else more.before,
+            base.earlier_incarnations if more.before is None else more.before,
             told,
         )
 
@@ -190,8 +203,8 @@
             row = rows.get(name)
             if row is None:
                 continue
-            at = (row.life, row.beat)
-            if name == self.state.peer and hello is not None and row.life <= hello.life:
+            at = (row.incarnation, row.number)
+            if name == self.state.peer and hello is not None and row.incarnation <= hello.life:
                 continue  # but a life of its that it does not know of is told: it lost its disk
             if at <= self._theirs.get(name, (-1, -1)):
                 continue
@@ -205,33 +218,45 @@
         return self.state.frame(Rows(), encode_list(parts, form)) if parts else None
 
 
-def _step(base: Row | None, row: Row) -> Step:
+def _step(base: Heartbeat | None, row: Heartbeat) -> Step:
     """What a row is against the one before on the same link."""
-    if base is None or base.life != row.life:
+    if base is None or base.incarnation != row.incarnation:
         base = None
-    b_promise, b_floor = (base.promise, base.floor) if base is not None else (NO_STAMP, NO_STAMP)
+    b_promise, b_floor = (base.promise, base.watermark) if base is not None else (NO_STAMP, NO_STAMP)
     more: More | None = None
     if base is None:
         more = More(
-            life=row.life, zone=row.zone, seq=row.seq, head=row.head, before=row.before, told=row.told
+            life=row.incarnation,
+            zone=row.zone,
+            seq=row.seq,
+            head=row.head_hash,
+            before=row.earlier_incarnations,
+            told=row.statuses,
         )
-    elif (base.zone, base.seq, base.before, base.told) != (row.zone, row.seq, row.before, row.told):
-        told = {part: text for part, text in row.told.items() if base.told.get(part) != text}
+    elif (base.zone, base.seq, base.earlier_incarnations, base.statuses) != (
+        row.zone,
+        row.seq,
+        row.earlier_incarnations,
+        row.statuses,
+    ):
+        told = {part: text for part, text in row.statuses.items() if base.statuses.get(part) != text}
         more = More(
             zone=row.zone if row.zone != base.zone else None,
             seq=row.seq if row.seq != base.seq else None,
-            head=row.head if row.head != base.head else None,
-            before=row.before if row.before != base.before else None,
+            head=row.head_hash if row.head_hash != base.head_hash else None,
+            before=row.earlier_incarnations
+            if row.earlier_incarnations != base.earlier_incarnations
+            else None,
             told=told,
-            gone=tuple(part for part in base.told if part not in row.told),
+            gone=tuple(part for part in base.statuses if part not in row.statuses),
         )
     return (
         row.name,
-        row.beat - (base.beat if base is not None else 0),
+        row.number - (base.number if base is not None else 0),
         row.promise.ms - b_promise.ms,
-        row.promise.turn,
-        row.floor.ms - b_floor.ms,
-        row.floor.turn,
+        row.promise.counter,
+        row.watermark.ms - b_floor.ms,
+        row.watermark.counter,
         more,
     )
 
--- a/ochrecourse/fleet/log_state.py
+++ b/ochrecourse/fleet/log_state.py
@@ -11,7 +11,7 @@
 from ochrecourse.common.runtime import now_ns
 from ochrecourse.fleet.forms import Forms
 from ochrecourse.fleet.frontier import Frontier
-from ochrecourse.fleet.kept import BeginResult, Kept
+from ochrecourse.fleet.log_store import BeginResult, LogStore
 from ochrecourse.fleet.member_environment import MemberEnvironment
 from ochrecourse.fleet.member_settings import MemberSettings
 from ochrecourse.fleet.members import Members
@@ -39,7 +39,7 @@
         self.random_source = random.Random(environment.seed)
         own_name = environment.gateway.name
         now = now_ns(environment.network)
-        self.log_store = Kept(
+        self.log_store = LogStore(
             environment.journal,
             own_name,
             settings.log_bounds,
@@ -49,11 +49,13 @@
             lambda: now_ns(environment.network),
         )
         self.log = self.log_store.log
-        self.members = Members(own_name, self.log.life, zone, settings.quiet, settings.let_go, peers, now)
+        self.members = Members(
+            own_name, self.log.incarnation, zone, settings.quiet, settings.let_go, peers, now
+        )
         self.frontier = Frontier(self.log, peers)
-        self.log.came_back()
+        self.log.journal_recovered()
         self.frontier.settle()
-        self.forms = Forms(settings.newest_form, self.log_store.form)
+        self.forms = Forms(settings.newest_form, self.log_store.format_version)
 
     def wall_ms(self) -> int:
         """ms since 1970 by this gateway's clock."""
@@ -61,35 +63,35 @@
 
     def begin_incarnation_if_due(self) -> None:
         """Begins one if the fleet has released the present one, or has received a greater one."""
-        is_due = self.frontier.over or self.members.outlived > self.log.life
-        if is_due and not self.log_store.is_beginning:
-            self.log_store.request_begin(
-                self.wall_ms(), self._random_bits(), self.members.outlived, self._incarnation_begun
+        is_due = self.frontier.over or self.members.highest_incarnation > self.log.incarnation
+        if is_due and not self.log_store.is_beginning_incarnation:
+            self.log_store.request_incarnation(
+                self.wall_ms(), self._random_bits(), self.members.highest_incarnation, self._incarnation_begun
             )
 
     def _incarnation_begun(self, result: BeginResult) -> None:
         if result.error is not None:
-            life, why = self.log.life, str(result.error)
+            life, why = self.log.incarnation, str(result.error)
             self.operator_log.write_once_per_beat("", "fleet life goes on", life=life, why=why)
             return
-        self.members.begin(result.life, self.frontier.earlier_incarnations())
-        self.operator_log.write("fleet life begun", life=result.life, before=result.previous)
+        self.members.begin_incarnation(result.incarnation, self.frontier.earlier_incarnations())
+        self.operator_log.write("fleet life begun", life=result.incarnation, before=result.previous)
 
     def update_journal_form(self) -> None:
         """Puts the journal in the form in force, as far as this program writes it: a program that does not
         speak it notices at the first line, and not after half of the records.
         """
         form = min(self.forms.in_force, self.forms.speaks.newest)
-        if form > self.log_store.form:
-            self.log_store.raised(form)
+        if form > self.log_store.format_version:
+            self.log_store.set_format_version(form)
             speaks = list(self.forms.speaks)
             self.operator_log.write("fleet form", form=self.forms.in_force, speaks=speaks, by=self.forms.by)
 
     def continue_rewrite(self) -> bool:
         """Rewrites the next piece of the journal; True if that ended a compaction of the log."""
-        was_shrinking = bool(self.log.shrinking)
-        self.log_store.work(JOURNAL_BYTES_PER_PULL)
-        return was_shrinking and not self.log.shrinking
+        was_shrinking = bool(self.log.compacting)
+        self.log_store.maintain(JOURNAL_BYTES_PER_PULL)
+        return was_shrinking and not self.log.compacting
 
     def _random_bits(self) -> int:
         return self.random_source.getrandbits(INCARNATION_RANDOM_BITS)
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -14,18 +14,18 @@
 import msgspec
 
 from ochrecourse.common.runtime import now_ns
-from ochrecourse.fleet.channel import Told
+from ochrecourse.fleet.channel import Delivery
 from ochrecourse.fleet.channel_readers import ChannelReaders, OnEntries
 from ochrecourse.fleet.durable_claim import DurableClaim, LogClaim
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.event_appender import EventAppender
 from ochrecourse.fleet.event_compaction import EventCompaction, compact
 from ochrecourse.fleet.forms import FIRST, Raise
 from ochrecourse.fleet.frontier import CHANNEL, PART
-from ochrecourse.fleet.kept import AppendResult, OnAppended
+from ochrecourse.fleet.log_store import AppendResult, OnAppended
 from ochrecourse.fleet.link import Door, Link
 from ochrecourse.fleet.log_state import LogState
-from ochrecourse.fleet.log import Holes, Refused, Snapshot
+from ochrecourse.fleet.log import Holes, AppendRejectedError, Snapshot
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.member_report import MemberReport
 from ochrecourse.fleet.member_settings import MemberSettings
@@ -75,7 +75,7 @@
         self.peer_errors: Counter[str] = Counter()
         self.listening_port: Any = None
         self.stopped = False
-        self._new_heartbeats: dict[str, Row] = {}  # since the last beat
+        self._new_heartbeats: dict[str, Heartbeat] = {}  # since the last beat
         self._rate_limits: dict[int, float] = {}  # units a second by node
         self.log_state = LogState(
             self.settings, environment, placement.zone, self.peer_addresses.by_name, self.operator_log
@@ -91,7 +91,9 @@
         self.timer = MemberTimer(
             self.network,
             self.settings.beat_interval,
-            TimerCallbacks(self._beat, self._pull, lambda: self.common.waits or self.log_store.busy),
+            TimerCallbacks(
+                self._beat, self._pull, lambda: self.common.waits or self.log_store.needs_maintenance
+            ),
         )
         self.appender = EventAppender(
             self.log_store, self.wall_ms, self.operator_log, lambda: self.peer_links.pump_all()
@@ -120,7 +122,7 @@
             beat=settings.beat_interval,
             quiet=settings.quiet,
             flight=settings.max_entries_in_flight,
-            ahead_ms=bounds.ahead_ms,
+            ahead_ms=bounds.max_clock_ahead_ms,
             admit=self._rejection_of,
             news=self._heartbeat_received,
             restored=self._snapshot_received,
@@ -166,7 +168,7 @@
         self.operator_log.write(
             "fleet joined",
             fleet=self.common.fleet,
-            life=self.log.life,
+            life=self.log.incarnation,
             peers=len(self.peer_addresses.by_name),
             listen=f"{bound_to.host}:{bound_to.port}",
             entries=sum(self.log.vector().values()),
@@ -202,7 +204,7 @@
         """
         self.stop()
         release = _Once(on_given)
-        self.log_store.give(release)
+        self.log_store.release(release)
         self.member_zones.detach()
         if not release.is_called:
             self.network.callLater(HANDOVER_WAIT_S, self._release_slow_journal, release)
@@ -214,7 +216,7 @@
 
     def close_journal(self, timeout_s: float) -> bool:
         """Blocks until all that was written is on disk, before the process ends; whether it is in time."""
-        return self.log_store.wait(timeout_s)
+        return self.log_store.wait_durable(timeout_s)
 
     def share(self, share: float) -> None:
         """Leaves that share of the rate limits to this process; the rest is for the next one."""
@@ -272,51 +274,52 @@
 
     def append(self, channel: str, value: object) -> Entry:
         """Appends an entry, which is on disk here before it goes to the others, and blocks until it is.
-        Raises log.Refused, OSError; then nothing was appended.
+        Raises AppendRejectedError, OSError; then nothing was appended.
         """
         _check_kind(channel, value)
         return self.appender.append(channel, value, False)
 
     def request_append(self, channel: str, value: object, on_result: OnAppended) -> None:
         """Appends an entry without blocking: `on_result` is called once it is on disk here and goes to the
-        others, or could not be written; possibly before this returns. Raises log.Refused, OSError; then
-        nothing is under way.
+        others, or could not be written; possibly before this returns. Raises AppendRejectedError, OSError;
+        then nothing is under way.
         """
         _check_kind(channel, value)
         self.appender.request_append(channel, value, False, on_result)
 
     def give_up(self, name: str, on_result: OnAppended) -> None:
-        """An operator says that a gateway does not return. Raises log.Refused, OSError."""
+        """An operator says that a gateway does not return. Raises AppendRejectedError, OSError."""
         value = self.frontier.give_up(name, self.members.reached(now_ns(self.network)))
         self.request_append(CHANNEL, value, on_result)
 
     def raise_form(self, form: int, on_result: OnAppended = _ignore_result) -> None:
-        """Puts a form in force from here on. Raises log.Refused with what is in the way, OSError."""
+        """Puts a form in force from here on. Raises AppendRejectedError with what is in the way, OSError."""
         obstacle = self.form_waits(form)
         if obstacle:
-            raise Refused(obstacle)
+            raise AppendRejectedError(obstacle)
         self.appender.request_append(CHANNEL, msgspec.to_builtins(Raise(form)), True, on_result)
 
     def form_waits(self, form: int) -> str:
         """Why a form may not be put in force now; empty if it may."""
         return self.forms.why_not(form, self.frontier.view.counting, self.members.rows)
 
-    def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Told], str]:
-        """What a reader at `cursor` has not had, in order, and the next cursor. Raises log.Refused."""
+    def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Delivery], str]:
+        """What a reader at `cursor` has not had, in order, and the next cursor. Raises
+        AppendRejectedError."""
         return self.log.read(channel, cursor, max_entries)
 
     def follow(self, channel: str, cursor: str, on_entries: OnEntries) -> Callable[[], None]:
         """Calls `on_entries` with what a reader at `cursor` has not had, and the next cursor, now and
-        whenever there is more; returns what ends it. Raises log.Refused for a bad cursor.
+        whenever there is more; returns what ends it. Raises AppendRejectedError for a bad cursor.
         """
         return self.readers.follow(channel, cursor, on_entries)
 
-    def compact(self, channel: str, upto: Stamp, value: object) -> None:
+    def compact(self, channel: str, upto: Timestamp, value: object) -> None:
         """Replaces all entries of a channel at or before `upto`, which is at the stability frontier or before
-        it, by a value (JSON). Raises log.Refused.
+        it, by a value (JSON). Raises AppendRejectedError.
         """
         if channel == CHANNEL:
-            raise Refused(f"channel {CHANNEL} compacts itself")
+            raise AppendRejectedError(f"channel {CHANNEL} compacts itself")
         compact(self.common, channel, upto, value)
 
     def dump(self, channel: str) -> bytes:
@@ -328,7 +331,7 @@
     def _rejection_of(self, hello: Hello) -> str:
         return self.peer_addresses.rejection_of(hello.name)
 
-    def _heartbeat_received(self, heartbeat: Row) -> None:
+    def _heartbeat_received(self, heartbeat: Heartbeat) -> None:
         self.frontier.hear(heartbeat)
         self._new_heartbeats[heartbeat.name] = heartbeat
 
@@ -382,11 +385,11 @@
     def _send_heartbeat(self, now: int) -> None:
         status, statuses = self.frontier.told(), self.subsystem_host.statuses(now)
         fields = self.frontier.fields(self.log_store.promise(self.wall_ms()))
-        claim = self._durable_claim.update(LogClaim(self.log.life, status, fields["floor"]))
+        claim = self._durable_claim.update(LogClaim(self.log.incarnation, status, fields["watermark"]))
         if claim is None:
-            claim = LogClaim(self.log.life, self.frontier.told_nothing())
-        fields["floor"] = claim.floor
-        self.members.own(now, told={PART: claim.status, **statuses}, **fields)
+            claim = LogClaim(self.log.incarnation, self.frontier.told_nothing())
+        fields["watermark"] = claim.floor
+        self.members.own(now, statuses={PART: claim.status, **statuses}, **fields)
 
     def _update_rate_limits(self, now: int) -> None:
         limits = self.subsystem_host.rate_limits(now)
@@ -402,9 +405,9 @@
 
 
 def _check_kind(channel: str, value: object) -> None:
-    """Raises log.Refused."""
+    """Raises AppendRejectedError."""
     if channel == CHANNEL and isinstance(value, dict) and value.get("what") == "form":
-        raise Refused("a form is raised by its own word, which asks whether all speak it")
+        raise AppendRejectedError("a form is raised by its own word, which asks whether all speak it")
 
 
 class _Once:
--- a/ochrecourse/fleet/member_report.py
+++ b/ochrecourse/fleet/member_report.py
@@ -37,11 +37,12 @@
         return {
             "fleet": self.common.fleet,
             "name": members.name,
-            "life": log.life,
+            "life": log.incarnation,
             "members": [self._member(name, name in reached, now) for name in members.names()],
             "links": sorted(self.links.by_peer),
             "channels": {
-                name: {"entries": log.count_of(name), "bytes": log.bytes_of(name)} for name in log.channels()
+                name: {"entries": log.entry_count(name), "bytes": log.channel_bytes(name)}
+                for name in log.channels()
             },
             "frontier_ms": frontier.ms,
             "behind_ms": self.wall_ms() - frontier.ms,
@@ -63,7 +64,7 @@
             "reached": reached,
             "linked": name in self.links.by_peer,
             "zone": row.zone if row is not None else None,
-            "life": row.life if row is not None else None,
+            "life": row.incarnation if row is not None else None,
             "entries": row.seq if row is not None else None,
             "silent_s": round((now - last_received_at) / SECOND, 3),
         }
--- a/ochrecourse/fleet/member_settings.py
+++ b/ochrecourse/fleet/member_settings.py
@@ -8,7 +8,7 @@
 
 from ochrecourse.common.time_units import MS
 from ochrecourse.fleet.forms import NEWEST
-from ochrecourse.fleet.log import Bounds
+from ochrecourse.fleet.log import LogLimits
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     quiet: int
     let_go: int
     clock_shift_ms: int
-    log_bounds: Bounds
+    log_bounds: LogLimits
     max_entries_in_flight: int
     catch_up_bytes_per_s: int
     newest_form: int
@@ -47,7 +47,7 @@
             quiet=round(settings["quiet"] * MS),
             let_go=round(settings["let_go"] * MS),
             clock_shift_ms=round(settings["shift"]),
-            log_bounds=Bounds(
+            log_bounds=LogLimits(
                 round(log["entry"]), round(log["channel"]), log["channels"], round(settings["ahead"])
             ),
             max_entries_in_flight=log["flight"],
--- a/ochrecourse/fleet/members.py
+++ b/ochrecourse/fleet/members.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Row, Stamp
+from ochrecourse.fleet.entries import Heartbeat, Timestamp
 
-NOBODY = Stamp(0, 0)
+NOBODY = Timestamp(0, 0)
 MOST = 4096  # names; a peer that makes up more is refused rather than remembered
 
 
@@ -35,32 +35,36 @@
         now: int = 0,
     ) -> None:
         self.name = name
-        self.life = life
+        self.incarnation = life
         self.zone = zone
         self.quiet = quiet
         self.let_go = let_go
-        self.rows: dict[str, Row] = {name: Row(name, life, 0, zone, 0, b"", NOBODY, NOBODY)}
+        self.rows: dict[str, Heartbeat] = {name: Heartbeat(name, life, 0, zone, 0, b"", NOBODY, NOBODY)}
         self.heard_at: dict[str, int] = {peer: now for peer in peers if peer != name}
-        self.outlived = 0  # the greatest life heard under this name that is not this process's
+        self.highest_incarnation = 0  # the greatest life heard under this name that is not this process's
         self.renewed = 0  # lives begun because of it
 
-    def own(self, now: int, **fields: Any) -> Row:
+    def own(self, now: int, **fields: Any) -> Heartbeat:
         """This gateway's next row: the last one with one beat more and `fields` of it as they are now."""
         last = self.rows[self.name]
-        row = msgspec.structs.replace(last, life=self.life, zone=self.zone, beat=last.beat + 1, **fields)
+        row = msgspec.structs.replace(
+            last, incarnation=self.incarnation, zone=self.zone, number=last.number + 1, **fields
+        )
         self.rows[self.name] = row
         return row
 
-    def begin(self, life: int, before: tuple[tuple[int, int], ...] | None = None) -> None:
+    def begin_incarnation(self, life: int, before: tuple[tuple[int, int], ...] | None = None) -> None:
         """Goes on under a new life: the fleet has let the old one go, or knows of a greater one. `before`:
-        earlier lives, as `Row` has them."""
-        self.renewed += self.life < self.outlived
-        self.life = life
+        earlier lives, as `Heartbeat` has them."""
+        self.renewed += self.incarnation < self.highest_incarnation
+        self.incarnation = life
         row = self.rows[self.name]
-        before = row.before if before is None else before
-        self.rows[self.name] = msgspec.structs.replace(row, life=life, seq=0, head=b"", before=before)
+        before = row.earlier_incarnations if before is None else before
+        self.rows[self.name] = msgspec.structs.replace(
+            row, incarnation=life, seq=0, head_hash=b"", earlier_incarnations=before
+        )
 
-    def hear(self, row: Row, now: int) -> bool:
+    def hear(self, row: Heartbeat, now: int) -> bool:
         """Whether the row is news. Raises BadRow, and then nothing is changed."""
         if row.name == self.name:
             return self._hear_of_self(row)
@@ -68,9 +72,9 @@
         if last is None:
             if len(self.rows) >= MOST:
                 raise BadRow(f"{row.name}: more than {MOST} names in this fleet")
-        elif (row.life, row.beat) <= (last.life, last.beat):
+        elif (row.incarnation, row.number) <= (last.incarnation, last.number):
             return False
-        elif row.life == last.life:
+        elif row.incarnation == last.incarnation:
             if row.promise < last.promise:
                 raise BadRow(f"{row.name}: promise goes back from {last.promise} to {row.promise}")
             if row.seq < last.seq:
@@ -79,16 +83,23 @@
         self.heard_at[row.name] = now
         return True
 
-    def _hear_of_self(self, row: Row) -> bool:
+    def _hear_of_self(self, row: Heartbeat) -> bool:
         """Own rows come back from peers. One of a greater life may be from before a lost disk, the clock
         since put back: then a life beyond it is begun (`outlived`). One more is of another process."""
         own = self.rows[self.name]
-        if row.life < own.life or (row.life == own.life and row.beat <= own.beat):
+        if row.incarnation < own.incarnation or (
+            row.incarnation == own.incarnation and row.number <= own.number
+        ):
             return False
-        if row.life > own.life and (not self.renewed or row.life <= self.outlived):
-            self.outlived = max(self.outlived, row.life)
+        if row.incarnation > own.incarnation and (
+            not self.renewed or row.incarnation <= self.highest_incarnation
+        ):
+            self.highest_incarnation = max(self.highest_incarnation, row.incarnation)
             return False
-        raise BadRow(f"{row.name}: another process runs under this name, life {row.life}, ours {own.life}")
+        raise BadRow(
+            f"{row.name}: another process runs under this name, life {row.incarnation}, "
+            f"ours {own.incarnation}"
+        )
 
     def _since(self, name: str, now: int) -> int:
         return 0 if name == self.name else now - self.heard_at[name]
--- a/ochrecourse/fleet/purge_settlement.py
+++ b/ochrecourse/fleet/purge_settlement.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.fleet.calendar_edition import Occurrence
-from ochrecourse.fleet.entries import Entry, Place
+from ochrecourse.fleet.entries import Entry, LogPosition
 
 MAX_TEXT_CHARS = 64  # of an edge, a rule or a date
 MAX_RECORDS = 64  # of one edge and rule, the newest: more than purge_schedule.MAX_CATCH_UP_MS has days
@@ -32,7 +32,7 @@
     late_ms: int
     edition: int
     dropped: int
-    place: Place
+    place: LogPosition
 
     def covers(self, occurrence: Occurrence) -> bool:
         """Whether this occurrence is settled by it."""
@@ -92,7 +92,7 @@
         late_ms=late_ms,
         edition=edition,
         dropped=dropped,
-        place=entry.place,
+        place=entry.position,
     )
 
 
--- a/ochrecourse/fleet/purge_subsystem.py
+++ b/ochrecourse/fleet/purge_subsystem.py
@@ -18,7 +18,7 @@
 from ochrecourse.fleet.cached_objects import MAX_DISCARDED_PER_STEP
 from ochrecourse.fleet.calendar_edition import InvalidCalendarEventError, Scope, parse_edition
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
-from ochrecourse.fleet.entries import Entry, Row
+from ochrecourse.fleet.entries import Entry, Heartbeat
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
 from ochrecourse.fleet.purge_report import purge_report
@@ -77,7 +77,7 @@
 
     clock: Clock
     wall_ms: Callable[[], int]
-    heartbeats: Callable[[], Mapping[str, Row]]
+    heartbeats: Callable[[], Mapping[str, Heartbeat]]
     has_entries: Callable[[str, int, int], bool]
     log_event: Callable[..., None]
 
@@ -101,7 +101,9 @@
         self.edition_days = edition_days
         self.environment = environment
         self.cache: Purgeable | None = None
-        self._awaited: dict[str, Row] = {}  # heartbeats whose entries are awaited while newer ones arrive
+        self._awaited: dict[
+            str, Heartbeat
+        ] = {}  # heartbeats whose entries are awaited while newer ones arrive
         self._statuses: dict[str, ReceivedStatus] = {}
         self._incarnations: dict[int, int] = {}  # own ones that wrote of the calendar, with the last sequence
         self._encoded_at, self._encoded_status = -CLOCK_INTERVAL_NS, b""
@@ -175,7 +177,9 @@
             return
         self._compare_edition(entry)
         if entry.writer == self.schedule.name:
-            self._incarnations[entry.life] = max(entry.seq, self._incarnations.get(entry.life, 0))
+            self._incarnations[entry.incarnation] = max(
+                entry.seq, self._incarnations.get(entry.incarnation, 0)
+            )
 
     def has_written(self) -> bool:
         """Whether the log has an entry of this gateway about its calendar."""
@@ -191,7 +195,7 @@
             return
         log_event, site = self.environment.log_event, self.schedule.site
         try:
-            parse_edition(body, entry.place)
+            parse_edition(body, entry.position)
         except InvalidCalendarEventError as error:
             log_event("calendar refused", site=site, by=entry.writer, why=str(error))
             return
@@ -233,7 +237,7 @@
         edges = calendar.edges if calendar is not None else ()
         for name, heartbeat in ((name, heartbeats[name]) for name in edges if name in heartbeats):
             awaited = self._awaited.get(name)
-            if awaited is None or awaited.life != heartbeat.life:
+            if awaited is None or awaited.incarnation != heartbeat.incarnation:
                 awaited = self._awaited[name] = heartbeat
             for each in (awaited, heartbeat):
                 if self._is_complete(each):
@@ -247,12 +251,15 @@
             text = "copies are used" if not reason else "copies are not used"
             self.environment.log_event(text, site=self.schedule.site, why=reason)
 
-    def _is_complete(self, heartbeat: Row) -> bool:
+    def _is_complete(self, heartbeat: Heartbeat) -> bool:
         """Whether the log has all that a heartbeat reports; what earlier incarnations accepted counts too."""
-        ends: list[tuple[int, int]] = [*heartbeat.before, (heartbeat.life, heartbeat.seq)]
+        ends: list[tuple[int, int]] = [
+            *heartbeat.earlier_incarnations,
+            (heartbeat.incarnation, heartbeat.seq),
+        ]
         if heartbeat.name != self.schedule.name:
             received = self._statuses.get(heartbeat.name)
-            if received is None or heartbeat.told.get(self.name) != received.encoded:
+            if received is None or heartbeat.statuses.get(self.name) != received.encoded:
                 return False  # it has no status, or its status was refused
             ends += received.status.incarnations
         has_entries = self.environment.has_entries
@@ -319,7 +326,7 @@
     damaged = [*member.log_store.notes, *getattr(member.log_store.journal, "damage_reports", ())]
     if site is not None and (damaged or not subsystem.has_written()):
         # Guards against an edge that no longer knows what it accepted: a disk that is lost or damaged.
-        schedule.disk_is_new(member.log.life)
+        schedule.disk_is_new(member.log.incarnation)
     return subsystem
 
 
--- a/ochrecourse/fleet/quota.py
+++ b/ochrecourse/fleet/quota.py
@@ -139,7 +139,7 @@
         concerns_this = False
         for loan in self._loans_in(entry, body):
             loans_by_place = self.lent if entry.writer == self.name else self.borrowed
-            key = _LoanKey(f"{entry.writer}/{entry.life}/{entry.seq}", loan.borrower)
+            key = _LoanKey(f"{entry.writer}/{entry.incarnation}/{entry.seq}", loan.borrower)
             loans_by_place.setdefault(loan.place, {}).setdefault(key, loan)
             concerns_this = True
         return concerns_this
--- a/ochrecourse/fleet/shared.py
+++ b/ochrecourse/fleet/shared.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ochrecourse.fleet.entries import Entry, Row, Stream
+from ochrecourse.fleet.entries import Entry, Heartbeat, Stream
 from ochrecourse.fleet.forms import Forms
 from ochrecourse.fleet.frontier import CHANNEL
-from ochrecourse.fleet.kept import Kept
+from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import Holes, Log, Snapshot
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.messages import Hello
@@ -30,14 +30,14 @@
     """One gateway as all its links see it. Spans in ns. `admit` says why a greeting is turned away, or ''."""
 
     fleet: str
-    kept: Kept
+    kept: LogStore
     members: Members
     beat: int
     quiet: int
     flight: int  # entries on the way to one peer
     ahead_ms: int
     admit: Callable[[Hello], str]
-    news: Callable[[Row], None]  # hears of each row that is newer than what was known
+    news: Callable[[Heartbeat], None]  # hears of each row that is newer than what was known
     restored: Callable[[Snapshot | Holes], None]  # hears of each piece of a peer's snapshots that was taken
     most_snapshot: int  # bytes of its JSON
     catch_up: int = 0  # bytes a second of entries and snapshots, over all links; 0: as they come
@@ -95,8 +95,8 @@
 
     def vector(self) -> dict[Stream, int]:
         """How far each stream is held, made once for each state of the log; not to be changed."""
-        if self._vector_at != (self.version, self.log.forgot):
-            self._vector, self._vector_at = self.log.vector(), (self.version, self.log.forgot)
+        if self._vector_at != (self.version, self.log.retirement_count):
+            self._vector, self._vector_at = self.log.vector(), (self.version, self.log.retirement_count)
         return self._vector
 
     def stale(self, now: int) -> set[str]:
--- a/ochrecourse/fleet/site_calendar.py
+++ b/ochrecourse/fleet/site_calendar.py
@@ -83,7 +83,7 @@
             if not isinstance(body, dict):
                 raise InvalidCalendarEventError("an event is an object")
             if body.get("what") == EDITION:
-                self._edition_received(parse_edition(body, entry.place))
+                self._edition_received(parse_edition(body, entry.position))
             elif body.get("what") == EDITION_ACCEPTED:
                 self._acceptance_received(body, entry)
             elif body.get("what") in DISK_EVENTS:
@@ -116,9 +116,9 @@
             return
         state = self.editions.get(edition_id)
         if state is None:
-            self.missing.setdefault(edition_id, []).append((entry.writer, entry.life, entry.at.ms))
+            self.missing.setdefault(edition_id, []).append((entry.writer, entry.incarnation, entry.at.ms))
             return
-        state.accept(entry.writer, entry.life, entry.at.ms)
+        state.accept(entry.writer, entry.incarnation, entry.at.ms)
         self._update_times(state)
         self.revision += 1
 
--- a/ochrecourse/fleet/snapshot_transfer.py
+++ b/ochrecourse/fleet/snapshot_transfer.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Stamp, Stream
+from ochrecourse.fleet.entries import Timestamp, Stream
 from ochrecourse.fleet.link_state import LinkState
-from ochrecourse.fleet.log import BadEntry, Holes, Snapshot
+from ochrecourse.fleet.log import InvalidEntryError, Holes, Snapshot
 from ochrecourse.fleet.messages import BadPeer, Piece
 from ochrecourse.fleet.shared import SLICE
 
@@ -34,7 +34,7 @@
         self._parts: Iterator[bytes] | None = None  # what is still to be sent of the first of them
         self._part = b""
         self._holes_at = -1
-        self._snapshots: dict[str, Stamp] = {}  # sent on this link
+        self._snapshots: dict[str, Timestamp] = {}  # sent on this link
 
     def frame_missing(self) -> None:
         """A piece may be lost: what came of its snapshot is of no use."""
@@ -72,7 +72,7 @@
             self._parts = None
             piece = self._going.popleft()
             for hole in piece.holes if isinstance(piece, Holes) else ():
-                stream = (hole.writer, hole.life)
+                stream = (hole.writer, hole.incarnation)
                 if hole.first <= self.there.get(stream, 0) + 1:
                     self.there[stream] = max(self.there.get(stream, 0), hole.last)
         self.common.sent(len(data))
@@ -93,7 +93,7 @@
             news = self.common.kept.take_snapshot(piece)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as trouble:
             raise BadPeer("bad_body", f"a snapshot that is none: {trouble}") from None
-        except BadEntry as trouble:
+        except InvalidEntryError as trouble:
             raise BadPeer("bad_entry", str(trouble)) from None
         if news:
             self.common.version += 1
--- a/ochrecourse/fleet/subsystem_host.py
+++ b/ochrecourse/fleet/subsystem_host.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ochrecourse.common.runtime import Clock, now_ns
-from ochrecourse.fleet.entries import Entry, Row
+from ochrecourse.fleet.entries import Entry, Heartbeat
 from ochrecourse.fleet.frontier import CHANNEL
 from ochrecourse.fleet.log import Log, Snapshot
 from ochrecourse.fleet.operator_log import OperatorLog
@@ -53,15 +53,15 @@
             for entry in events_for(snapshot, subsystem):
                 subsystem.entry_received(entry, now)
 
-    def deliver_statuses(self, heartbeats: Collection[Row], now: int) -> None:
+    def deliver_statuses(self, heartbeats: Collection[Heartbeat], now: int) -> None:
         """Delivers what other gateways report in their heartbeats."""
         for heartbeat in heartbeats:
             for subsystem in self.subsystems:
-                status = heartbeat.told.get(subsystem.name)
+                status = heartbeat.statuses.get(subsystem.name)
                 if status is not None:
                     self._deliver_status(subsystem, heartbeat, status, now)
 
-    def _deliver_status(self, subsystem: Subsystem, heartbeat: Row, status: bytes, now: int) -> None:
+    def _deliver_status(self, subsystem: Subsystem, heartbeat: Heartbeat, status: bytes, now: int) -> None:
         try:
             subsystem.status_received(heartbeat.name, heartbeat.zone, status, now)
         except Exception as error:
--- a/ochrecourse/fleet/views.py
+++ b/ochrecourse/fleet/views.py
@@ -13,10 +13,10 @@
 import msgspec
 
 from ochrecourse.fleet.channel import LATE, ORDINARY, PENDING
-from ochrecourse.fleet.entries import Entry, Stamp, Stream
-from ochrecourse.fleet.streams import Over, gone
+from ochrecourse.fleet.entries import Entry, Timestamp, Stream
+from ochrecourse.fleet.streams import EndedIncarnations, has_ended
 
-START = Stamp(0, 0)
+START = Timestamp(0, 0)
 ROUNDS = 16  # of finding events that came late and so say nothing; more than two were never seen
 
 
@@ -26,7 +26,7 @@
 
     name: str
     life: int
-    start: Stamp | None
+    start: Timestamp | None
     before: list[tuple[int, int]]
 
 
@@ -91,19 +91,19 @@
     admitted by name, also if it ended. `starts`, `ends`: what is ordinary of a life. `over`: lives of which
     nothing is left but this. `given`: by name the last life that whoever runs the fleet gave up."""
 
-    def __init__(self, upto: Stamp = START) -> None:
+    def __init__(self, upto: Timestamp = START) -> None:
         self.upto = upto
         self.counting: dict[str, int] = {}
-        self.since: dict[str, Stamp] = {}
+        self.since: dict[str, Timestamp] = {}
         self.newest: dict[str, int] = {}
-        self.starts: dict[Stream, Stamp] = {}
+        self.starts: dict[Stream, Timestamp] = {}
         self.ends: dict[Stream, int] = {}
-        self.over: Over = {}
+        self.over: EndedIncarnations = {}
         self.given: dict[str, int] = {}
         self.digest = b""
         self.last = upto  # where the last event stands
 
-    def judge(self, stream: Stream, seq: int, at: Stamp) -> str:
+    def judge(self, stream: Stream, seq: int, at: Timestamp) -> str:
         """Whether that entry is ordinary, late, or of a life that nothing is said of yet."""
         if seq > self.ends.get(stream, seq):
             return LATE
@@ -113,7 +113,7 @@
         return LATE if self.newest.get(stream[0], 0) > stream[1] else PENDING
 
     def _counts(self, entry: Entry) -> bool:
-        return self.counting.get(entry.writer) == entry.life
+        return self.counting.get(entry.writer) == entry.incarnation
 
     def voters(self) -> dict[str, int]:
         """Those that count, less names that were given up in that life or a later one."""
@@ -139,7 +139,7 @@
         elif isinstance(body, Retire):
             for each in body.lives if self._counts(entry) else ():
                 self._retire(*each)
-        elif self._counts(entry) or (body.first and entry.life > self.given.get(entry.writer, -1)):
+        elif self._counts(entry) or (body.first and entry.incarnation > self.given.get(entry.writer, -1)):
             for admitted in body.lives:
                 self._admit(admitted, entry.at)
 
@@ -150,22 +150,22 @@
         if life < self.over.get(name, (0, ()))[0]:
             return
         here = [s for s in {**self.starts, **self.ends} if s[0] == name and s[1] <= life]
-        here = [s for s in here if not gone(self.over, s)]
-        stays = {each for each in stay if each <= life and not gone(self.over, (name, each))}
+        here = [s for s in here if not has_ended(self.over, s)]
+        stays = {each for each in stay if each <= life and not has_ended(self.over, (name, each))}
         stays |= {s[1] for s in here if s not in self.ends}
         wrote = [s[1] for s in here if self.ends.get(s, 0) > 0]
         self.over[name] = (life, tuple(sorted(stays | set(wrote and [max(wrote)]))))
 
     def _end(self, stream: Stream, through: int) -> None:
-        if gone(self.over, stream):
+        if has_ended(self.over, stream):
             return
         self.ends[stream] = min(through, self.ends.get(stream, through))
         if self.counting.get(stream[0]) == stream[1]:
             del self.counting[stream[0]], self.since[stream[0]]
 
-    def _admit(self, admitted: Admitted, at: Stamp) -> None:
+    def _admit(self, admitted: Admitted, at: Timestamp) -> None:
         name, life = admitted.name, admitted.life
-        if gone(self.over, (name, life)):
+        if has_ended(self.over, (name, life)):
             return
         start = at if admitted.start is None else admitted.start
         told = dict(admitted.before)
@@ -176,7 +176,7 @@
         for earlier, through in told.items():
             if earlier < known and (name, earlier) not in self.ends:
                 continue  # passed over when a greater life was admitted, so all of it is late, for good
-            if earlier < life and not gone(self.over, (name, earlier)):
+            if earlier < life and not has_ended(self.over, (name, earlier)):
                 self.starts.setdefault((name, earlier), start)
                 self._end((name, earlier), through)
         self.starts[name, life] = max(start, self.starts.get((name, life), start))
@@ -190,8 +190,8 @@
         value: dict[str, Any] = {
             "counting": [[name, life, *self.since[name]] for name, life in sorted(self.counting.items())],
             "newest": sorted([name, life] for name, life in self.newest.items()),
-            "starts": sorted([*s, *start] for s, start in self.starts.items() if not gone(self.over, s)),
-            "ends": sorted([*s, end] for s, end in self.ends.items() if not gone(self.over, s)),
+            "starts": sorted([*s, *start] for s, start in self.starts.items() if not has_ended(self.over, s)),
+            "ends": sorted([*s, end] for s, end in self.ends.items() if not has_ended(self.over, s)),
         }
         # Left out where there is none: a version that knows of neither has the same digest until then.
         if self.over:
@@ -201,13 +201,13 @@
         return value
 
     @classmethod
-    def of(cls, value: Any, upto: Stamp) -> View:
+    def of(cls, value: Any, upto: Timestamp) -> View:
         """The view that `value` made. Raises KeyError, TypeError, ValueError where it is none."""
         view = cls(upto)
         for name, life, ms, turn in value["counting"]:
-            view.counting[name], view.since[name] = life, Stamp(ms, turn)
+            view.counting[name], view.since[name] = life, Timestamp(ms, turn)
         view.newest = dict(value["newest"])
-        view.starts = {(n, life): Stamp(ms, turn) for n, life, ms, turn in value["starts"]}
+        view.starts = {(n, life): Timestamp(ms, turn) for n, life, ms, turn in value["starts"]}
         view.ends = {(n, life): end for n, life, end in value["ends"]}
         view.over = {name: (life, tuple(stay)) for name, life, stay in value.get("over", ())}
         view.given = dict(value.get("given", ()))
@@ -226,7 +226,7 @@
         if isinstance(body, GiveUp):  # wherever it stands: no beginning by that life counts
             given[body.name] = max(body.life, given.get(body.name, -1))
         elif body is not None:
-            read.append((entry.place, entry, body))
+            read.append((entry.position, entry, body))
     read.sort(key=lambda each: each[0])
     void: set[Any] = set()
     for _ in range(ROUNDS):
--- a/ochrecourse/fleet/zone_state.py
+++ b/ochrecourse/fleet/zone_state.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Entry, Place
+from ochrecourse.fleet.entries import Entry, LogPosition
 
 CHANNEL = "fleet"  # the channel of the fleet's decisions
 MAX_DECISION_NUMBER = 1 << 40  # a faulty writer must not exhaust the numbers
@@ -88,7 +88,7 @@
     by_operator: bool = False
     unprobed: bool = False
     witnesses: int = 0
-    place: Place | None = None
+    place: LogPosition | None = None
 
 
 NO_DECISION = ZoneDecision()
@@ -125,7 +125,7 @@
             body.by_operator,
             body.unprobed,
             body.witnesses.count,
-            entry.place,
+            entry.position,
         )
         if not self.supersedes(decision, self.of(body.zone)):
             return None
--- a/ochrecourse/fleet/zone_subsystem.py
+++ b/ochrecourse/fleet/zone_subsystem.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.common.request_records import AttemptRecord, RequestRecord
 from ochrecourse.common.time_units import MS
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.zone_controller import LOAN_KIND, ZoneController
 from ochrecourse.fleet.zone_decision_entry import operator_decision
 from ochrecourse.fleet.zone_evidence import EndedAttempt
@@ -162,7 +162,7 @@
         self.zones.set_time(now, self.wall_ms())
         return self.zones.node_rates(now)
 
-    def keeps(self, events: Sequence[Entry], upto: Stamp) -> list[Entry]:
+    def keeps(self, events: Sequence[Entry], upto: Timestamp) -> list[Entry]:
         """Of these events those in force: for each zone its decision, and loans that may still be in use.
         Depends on nothing but the events and `upto`.
         """
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ochrecourse.fleet.kept import SLACK
-from ochrecourse.fleet.log import HARD
+from ochrecourse.fleet.log_store import MIN_REWRITE_BYTES
+from ochrecourse.fleet.log import HARD_LIMIT_FACTOR
 from ochrecourse.fleet.zone_state import CHANNEL, ZoneState
 from ochrecourse.lab.fleet_instance import FleetSeat
 from ochrecourse.lab.fleet_notes import NOTES
@@ -159,13 +159,16 @@
                 continue
             log = part.log
             sizes = {channel: log.bytes_of(channel) for channel in log.channels()}
-            most = HARD * log.bounds.channel_bytes
+            most = HARD_LIMIT_FACTOR * log.bounds.channel_bytes
             links = len(self.seats) + 64  # one to each, and those that have not said who they are
             held = {
                 "bytes of a channel": (max(sizes.values(), default=0), most),
                 "links": (len(part.peer_links.links), links),
                 "rows": (len(part.members.rows), len(self.seats)),
-                "bytes of the journal": (seat.disk.size(), SLACK + JOURNAL * max(most, sum(sizes.values()))),
+                "bytes of the journal": (
+                    seat.disk.size(),
+                    MIN_REWRITE_BYTES + JOURNAL * max(most, sum(sizes.values())),
+                ),
                 "lines noted": (len(log.notes), 256),
             }
             if seat.daemon is not None and (purger := seat.daemon.purger) is not None:
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -13,7 +13,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.fleet.forms import FIRST
-from ochrecourse.fleet.log import Refused
+from ochrecourse.fleet.log import AppendRejectedError
 from ochrecourse.lab.fleet_instance import ANEW, FleetSeat
 from ochrecourse.lab.fleet_world import Fault
 from ochrecourse.lab.virtual import Way
@@ -177,7 +177,7 @@
             return
         if all(seat.part().forms.in_force == form for seat in seats):
             return
-        with suppress(Refused):
+        with suppress(AppendRejectedError):
             seats[0].part().raise_form(form)
         self.network.callLater(1.0, self._raise_form, form)
 
--- a/ochrecourse/lab/fleet_notes.py
+++ b/ochrecourse/lab/fleet_notes.py
@@ -13,9 +13,9 @@
 from typing import TYPE_CHECKING, Any
 
 from ochrecourse.fleet.channel import ORDINARY, Snapshot
-from ochrecourse.fleet.entries import Entry, Place, Stamp
-from ochrecourse.fleet.kept import AppendResult
-from ochrecourse.fleet.log import Refused
+from ochrecourse.fleet.entries import Entry, LogPosition, Timestamp
+from ochrecourse.fleet.log_store import AppendResult
+from ochrecourse.fleet.log import AppendRejectedError
 
 if TYPE_CHECKING:
     from ochrecourse.lab.fleet_instance import FleetSeat
@@ -26,7 +26,7 @@
 COMPACTED_MS = 4000  # notes give way to a snapshot up to whole spans, the same stamps at all gateways
 ROAMERS = 2  # readers that go on elsewhere with the cursor that they have
 MOVES = 3  # looks after which such a reader goes to the next gateway
-START = Place(Stamp(0, 0), "", 0, 0)
+START = LogPosition(Timestamp(0, 0), "", 0, 0)
 
 
 @dataclass
@@ -36,9 +36,9 @@
     name: str
     cursor: str = ""
     life: int = 0
-    given: list[Place] = field(default_factory=list)
-    had: set[Place] = field(default_factory=set)
-    late: set[Place] = field(default_factory=set)
+    given: list[LogPosition] = field(default_factory=list)
+    had: set[LogPosition] = field(default_factory=set)
+    late: set[LogPosition] = field(default_factory=set)
     over: bool = False  # it was told wrongly: what follows from that says nothing new
 
     def anew(self, life: int) -> None:
@@ -53,7 +53,7 @@
         self.play = play
         self.world = play.world
         self.noted: list[Entry] = []  # answered
-        self.order: list[Place] = []  # the longest that any reader was given
+        self.order: list[LogPosition] = []  # the longest that any reader was given
         self.readers = [Reader(f"the reader at {seat.name}") for seat in play.seats]
         self.roamers = [Reader(f"roaming reader {i}") for i in range(ROAMERS)]
         self.count = 0
@@ -84,11 +84,11 @@
         self.read_at(seat)
         # Not behind the end: what one compacts then another need not have come to.
         if self.world.compacts and writes:
-            self.compact(seat, Stamp(seat.part().log.frontier().ms // COMPACTED_MS * COMPACTED_MS, 0))
+            self.compact(seat, Timestamp(seat.part().log.frontier().ms // COMPACTED_MS * COMPACTED_MS, 0))
 
     def write(self, seat: FleetSeat) -> None:
         self.count += 1
-        with suppress(Refused, OSError):
+        with suppress(AppendRejectedError, OSError):
             value = [self.count, "." * self.world.note_bytes]
             seat.part().request_append(NOTES, value, self._note_answered)
 
@@ -103,14 +103,14 @@
             reader.anew(seat.lives)
         self._read(reader, seat)
 
-    def compact(self, seat: FleetSeat, upto: Stamp) -> None:
+    def compact(self, seat: FleetSeat, upto: Timestamp) -> None:
         """Puts the list of what its reader was given up to there in place of it."""
         before = seat.part().log.snapshot(NOTES)
         reader = self.readers[seat.index]
         if self.begun_anew or reader.over or (before is not None and before.upto >= upto) or upto.ms <= 0:
             return
         value = [[*place.at, *place[1:]] for place in reader.given if place.at <= upto]
-        with suppress(Refused):
+        with suppress(AppendRejectedError):
             seat.part().compact(NOTES, upto, value)
 
     def _roam(self, i: int, looks: int) -> None:
@@ -150,7 +150,7 @@
         else:
             self._given(reader, place, name)
 
-    def _given(self, reader: Reader, place: Place, name: str) -> None:
+    def _given(self, reader: Reader, place: LogPosition, name: str) -> None:
         at = len(reader.given)
         if at < len(self.order):
             if self.order[at] != place:
@@ -167,7 +167,7 @@
         reader.had.add(place)
 
     def _snapshot(self, reader: Reader, snapshot: Snapshot) -> None:
-        told = [Place(Stamp(a, b), w, li, s) for a, b, w, li, s in json.loads(snapshot.value)]
+        told = [LogPosition(Timestamp(a, b), w, li, s) for a, b, w, li, s in json.loads(snapshot.value)]
         due = [place for place in self.order if place.at <= snapshot.upto]
         if due[: len(told)] != told or len(told) < len(due):
             text = f"{reader.name}: one up to {snapshot.upto} has {len(told)} notes, not the {len(due)} told"
@@ -204,10 +204,10 @@
                 self._whole(reader, seat, told, at)
         there = {entry.place for entry in seats[0].part().log.events(NOTES)}
         for entry in self.noted:
-            if entry.place not in there | told and not self.play.seats[int(entry.writer[1:])].lost:
+            if entry.position not in there | told and not self.play.seats[int(entry.writer[1:])].lost:
                 self.play.seen.breach("note lost", at, f"{entry.writer}'s note {entry.seq} was answered")
 
-    def _whole(self, reader: Reader, seat: FleetSeat, told: set[Place], at: float) -> None:
+    def _whole(self, reader: Reader, seat: FleetSeat, told: set[LogPosition], at: float) -> None:
         log, had = seat.part().log, reader.had | reader.late
         last = reader.given[-1] if reader.given else START
         due = {each.place for each in log.events(NOTES) if each.place <= last}
--- a/ochrecourse/lab/fleet_site.py
+++ b/ochrecourse/lab/fleet_site.py
@@ -13,8 +13,8 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.settings.site_calendars import edition, today
-from ochrecourse.fleet.entries import Place
-from ochrecourse.fleet.log import Refused
+from ochrecourse.fleet.entries import LogPosition
+from ochrecourse.fleet.log import AppendRejectedError
 from ochrecourse.common.time_units import MS
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     """An edition as the log has it: number, place, when it comes into force and its instants by date, ms."""
 
     number: int
-    place: Place
+    place: LogPosition
     force: int
     instants: dict[str, int]
 
@@ -90,7 +90,7 @@
                 try:
                     body = edition(full, 2, today(TIME_ZONE, self.wall(0)), 4)
                     seat.part().request_append(CHANNELS[0], body, lambda result: None)
-                except (Refused, OSError):
+                except (AppendRejectedError, OSError):
                     continue  # a full disk: the person hears of it
         return lambda: None
 
@@ -100,7 +100,7 @@
         log, seen = seats[0].part().log, self.play.seen
         at = self.play.network.seconds() - self.play.began
         taken: dict[tuple[str, int, int], dict[str, int]] = defaultdict(dict)
-        bodies: dict[tuple[str, int, int], tuple[Place, dict[str, Any]]] = {}
+        bodies: dict[tuple[str, int, int], tuple[LogPosition, dict[str, Any]]] = {}
         first: dict[str, int] = {}
         for entry in log.events(CHANNELS[0]):
             body = msgspec.json.decode(entry.body)
@@ -143,7 +143,9 @@
                     text = f"{edge} fired {date} by edition {body['edition']}, not {number}"
                     seen.breach("purge by another edition", at, text)
 
-    def _held(self, key: tuple[str, int, int], taken: Any, place: Place, body: dict[str, Any]) -> Held | None:
+    def _held(
+        self, key: tuple[str, int, int], taken: Any, place: LogPosition, body: dict[str, Any]
+    ) -> Held | None:
         stamps = sorted(taken[key].values())
         most = len(self.edges) // 2 + 1
         if len(stamps) < most:
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -15,7 +15,7 @@
 from ochrecourse.fleet.zone_policy import ZonePolicy
 from ochrecourse.fleet.zone_rates import NodeRates
 from ochrecourse.settings import site_calendars
-from ochrecourse.fleet import kept as kept_module
+from ochrecourse.fleet import log_store as log_store_module
 from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanPlace
 from ochrecourse.fleet import purge_subsystem
 from ochrecourse.fleet.site_calendar import SiteCalendar
@@ -135,7 +135,7 @@
 
     def too_far(self: Frontier) -> None:
         settle(self)
-        self.log.note_floor(self.promise)
+        self.log.advance_frontier(self.promise)
 
     patch(Frontier, "settle", too_far)
 
@@ -153,7 +153,7 @@
 
 def lives_again(patch: Patch) -> None:
     """Lives are counted from the disk alone: a lost one brings an old life back."""
-    patch(kept_module, "_life", lambda wall_ms, chance: 1)
+    patch(log_store_module, "_make_incarnation", lambda wall_ms, chance: 1)
 
 
 def is_not_synced(patch: Patch) -> None:
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -20,9 +20,8 @@
 from ochrecourse.common import requests
 from ochrecourse.common.requests import BadRequestError, ResponseHandler
 from ochrecourse.common.runtime import Clock, Network
-from ochrecourse.fleet.channel import Snapshot, Told
-from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.log import Refused as AppendRefused
+from ochrecourse.fleet.channel import AppendRejectedError, Delivery, Snapshot
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.channel_readers import OnEntries
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import MemberEnvironment, MemberGateway, ZonePlacement
@@ -116,6 +115,13 @@
         setattr(instance, self.new, value)
 
 
+def _add_old_field(owner: type, old: str, new: str, owner_name: str) -> None:
+    """Lets programs read a field by its old name, also of the values that the gateway makes itself."""
+    field = _RenamedField(new)
+    field.old = f"{owner_name}.{old}"
+    setattr(owner, old, field)
+
+
 def _new_keywords(owner: str, old_to_new: Mapping[str, str], named: dict[str, Any]) -> dict[str, Any]:
     """The keywords of a call by their new names. An old name wins, for `dataclasses.replace` gives both."""
     for old, new in old_to_new.items():
@@ -392,6 +398,12 @@
 
 # --- the fleet ---
 
+AppendRefused = AppendRejectedError  # the same class, so that either name catches what `append` raises
+Stamp = Timestamp
+Told = Delivery
+_add_old_field(Timestamp, "turn", "counter", "Stamp")
+_add_old_field(Entry, "life", "incarnation", "Entry")
+
 
 class Tenant(Protocol):
     """Old form of `fleet.subsystem.Subsystem`, by the old names of its methods."""
@@ -477,7 +489,7 @@
         """Old name of `register`."""
         self.register(TenantSubsystem(tenant))
 
-    def read(self, channel: str, cursor: str = "", most: int = 100) -> tuple[list[Told], str]:
+    def read(self, channel: str, cursor: str = "", most: int = 100) -> tuple[list[Delivery], str]:
         """As `FleetMember.read`, with the old names of its parameters."""
         return super().read(channel, cursor, most)
 
--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from ochrecourse.storage.journal import MemoryJournal
-from ochrecourse.fleet.entries import Entry, Place, Stamp
+from ochrecourse.fleet.entries import Entry, LogPosition, Timestamp
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import LATE, ORDINARY, BadEntry, Bounds, Log, Refused
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LATE, ORDINARY, InvalidEntryError, LogLimits, Log, AppendRejectedError
 from ochrecourse.fleet.members import BadRow, Members
 
 SECOND = 1_000_000_000
@@ -44,7 +44,7 @@
 
 
 class Gateway:
-    kept, frontier_of = Kept, Frontier
+    kept, frontier_of = LogStore, Frontier
 
     def __init__(self, world, name, founders):
         self.world, self.name, self.founders = world, name, founders
@@ -59,17 +59,23 @@
 
     def start(self):
         chance = self.world.chance()
-        self.log_kept = self.world.kept(self.journal, self.name, Bounds(), self.wall(), chance)
+        self.log_kept = self.world.kept(self.journal, self.name, LogLimits(), self.wall(), chance)
         self.log = self.log_kept.log
-        self.members = Members(self.name, self.log.life, 0, QUIET, LET_GO, self.founders, self.world.now)
+        self.members = Members(
+            self.name, self.log.incarnation, 0, QUIET, LET_GO, self.founders, self.world.now
+        )
         self.frontier = self.world.frontier(self.log, self.founders)
         self.up = True
 
     def beat(self):
         fields = self.frontier.fields(self.log_kept.promise(self.wall()))
-        self.members.own(self.world.now, told={PART: self.frontier.told()}, **fields)
-        if self.frontier.over or self.members.outlived > self.members.life:
-            self.members.begin(self.log_kept.begin(self.wall(), self.world.chance(), self.members.outlived))
+        self.members.own(self.world.now, statuses={PART: self.frontier.told()}, **fields)
+        if self.frontier.over or self.members.highest_incarnation > self.members.incarnation:
+            self.members.begin_incarnation(
+                self.log_kept.begin_incarnation(
+                    self.wall(), self.world.chance(), self.members.highest_incarnation
+                )
+            )
         for _ in range(5):
             now = self.world.now
             wanted = self.frontier.wants(self.members.reached(now), self.members.away(now))
@@ -79,11 +85,13 @@
 
     def append(self):
         held = [
-            place for channel in self.log.channels() for place in (e.place for e in self.log.events(channel))
+            place
+            for channel in self.log.channels()
+            for place in (e.position for e in self.log.events(channel))
         ]
         entry = self.log_kept.append("x", self.world.count, self.wall())
-        if held and entry.place <= max(held):
-            raise Broken(f"{self.name} appended {entry.place} before {max(held)}, which it had seen")
+        if held and entry.position <= max(held):
+            raise Broken(f"{self.name} appended {entry.position} before {max(held)}, which it had seen")
         earlier = self.world.written.setdefault((entry.stream, entry.seq), entry)
         if earlier != entry:
             raise Broken(f"{earlier} and {entry} are one number")
@@ -98,18 +106,20 @@
         """Rows, then up to so many entries."""
         for row in list(self.members.rows.values()):
             with contextlib.suppress(BadRow):
-                if row.beat and other.members.hear(row, self.world.now):
+                if row.number and other.members.hear(row, self.world.now):
                     other.frontier.hear(row)
         for piece in self.log.snapshots_for(other.log.vector()):
             if other.log_kept.take_snapshot(piece):
                 other.frontier.snapshot_came()
         if most:
-            with contextlib.suppress(BadEntry):  # a clock too far ahead: again when that is over
-                other.log_kept.merge(self.log.missing(other.log.vector(), most, 1 << 20), other.wall())
+            with contextlib.suppress(InvalidEntryError):  # a clock too far ahead: again when that is over
+                other.log_kept.merge(
+                    self.log.missing_entries(other.log.vector(), most, 1 << 20), other.wall()
+                )
 
 
 class World:
-    def __init__(self, size, kept=Kept, frontier=Frontier):
+    def __init__(self, size, kept=LogStore, frontier=Frontier):
         self.kept, self.frontier = kept, frontier
         self.now = 0
         self.count = 0
@@ -200,7 +210,7 @@
             self.lost.add(one.name)  # nothing is promised where all that count lose their disks at once
             copies = self.older[one.name]
             one.journal.stored = list(copies[number % len(copies)]) if number % 4 == 2 and copies else []
-            one.log = Log(one.name, 0, Bounds())
+            one.log = Log(one.name, 0, LogLimits())
             left = {
                 (e.stream, e.seq) for g in self.gateways.values() if g is not one for e in g.log.all_entries()
             }
@@ -236,7 +246,7 @@
                 gateway.frontier.settle()
                 if gateway.log.frontier() < before:
                     raise Broken(f"{gateway.name}: the frontier went back")
-                if gateway.frontier.view.counting.get(gateway.name) == gateway.log.life:
+                if gateway.frontier.view.counting.get(gateway.name) == gateway.log.incarnation:
                     self.lost.discard(gateway.name)
                 gateway.reader.read(gateway.log)
                 self._check_reader(gateway)
@@ -249,22 +259,22 @@
             at = next(i for i, (p, q) in enumerate(zip(given, self.order, strict=False)) if p != q)
             raise Broken(f"{gateway.name} was given {given[at]} where another was given {self.order[at]}")
         self.order = list(longer)
-        mark = given[-1].place if given else Place(Stamp(0, 0), "", 0, 0)
-        had = {e.place for e in given}
+        mark = given[-1].position if given else LogPosition(Timestamp(0, 0), "", 0, 0)
+        had = {e.position for e in given}
         for entry in log.events("x"):
             if (
-                entry.place <= mark
+                entry.position <= mark
                 and entry.at <= log.frontier()
-                and log.judge(entry) == ORDINARY
-                and entry.place not in had
+                and log.classify(entry) == ORDINARY
+                and entry.position not in had
             ):
                 raise Broken(f"{gateway.name} holds {entry}, ordinary, before what its reader had")
-            if entry.place in had and log.judge(entry) == LATE:
+            if entry.position in had and log.classify(entry) == LATE:
                 raise Broken(f"{gateway.name} calls {entry} late, which its reader was given in order")
         if log.forks:
             raise Broken(f"{gateway.name}: {log.forks}")
         for chain in log.chains.values():
-            held = [e.seq for e in chain.after(0)]
+            held = [e.seq for e in chain.entries_after(0)]
             if held and held[-1] > chain.last:
                 raise Broken(f"{gateway.name}: {held} of {chain.last}")
 
@@ -277,7 +287,7 @@
                     break
                 if (
                     entry.seq > vector.get(entry.stream, 0)
-                    and other.log.judge(entry) == log.judge(entry) == ORDINARY
+                    and other.log.classify(entry) == log.classify(entry) == ORDINARY
                 ):
                     raise Broken(f"{gateway.name} is past {entry} of {other.name}, which it never held")
 
@@ -308,15 +318,15 @@
                 raise Broken(
                     f"{other.name} was given {len(other.reader.given)}, {first.name} {len(first.reader.given)}"
                 )
-        told = {e.place for e in first.reader.given} | {e.place for e in first.reader.late}
+        told = {e.position for e in first.reader.given} | {e.position for e in first.reader.late}
         for gateway in self.gateways.values():
-            given, late = ({e.place for e in es} for es in (gateway.reader.given, gateway.reader.late))
-            if lacking := {e.place for e in gateway.log.events("x")} - given - late:
+            given, late = ({e.position for e in es} for es in (gateway.reader.given, gateway.reader.late))
+            if lacking := {e.position for e in gateway.log.events("x")} - given - late:
                 raise Broken(f"{gateway.name} was not told of {lacking}")
             if given & late:
                 raise Broken(f"{gateway.name} was told {given & late} both in order and as late")
         for key, entry in self.answered.items():
-            if entry.place not in told:
+            if entry.position not in told:
                 raise Broken(f"{key} was answered and never told")
 
 
@@ -333,7 +343,7 @@
 )
 
 
-def play(seed, size=3, steps=60, kept=Kept, frontier=Frontier):
+def play(seed, size=3, steps=60, kept=LogStore, frontier=Frontier):
     """A world's life by chance; raises Broken."""
     rng = random.Random(seed)
     world = World(size, kept, frontier)
@@ -352,6 +362,6 @@
             play(seed, **how)
         except Broken as broken:
             return seed, str(broken)
-        except Refused as refused:
+        except AppendRejectedError as refused:
             return seed, f"refused: {refused}"
     return None
--- a/tests/test_calendar_disks.py
+++ b/tests/test_calendar_disks.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.fleet.calendar_edition import NEVER_MS
 from ochrecourse.fleet.site_calendar import SiteCalendar
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 
 EDGES = ("a", "b", "c")
 E = ("a", 1)  # the one edition: its writer and life
@@ -29,7 +29,7 @@
 def calendar(make, held):
     told = make("s", EDGES, 0)
     for writer, life, seq, at, body in sorted(held, key=lambda each: each[3]):
-        told.event(Entry("calendar/s", writer, life, seq, Stamp(at, 0), (), body.encode()))
+        told.event(Entry("calendar/s", writer, life, seq, Timestamp(at, 0), (), body.encode()))
     return told
 
 
@@ -169,7 +169,7 @@
     began = [(name, {"what": "new"}) for name in SIX]
     began += [(name, {"what": "whole", "life": 1, "with": BEGAN}) for name in SIX[:4]]
     for turn, (writer, body) in enumerate([*began, *events]):
-        told.event(Entry("calendar/s", writer, 1, turn, Stamp(1, turn), (), msgspec.json.encode(body)))
+        told.event(Entry("calendar/s", writer, 1, turn, Timestamp(1, turn), (), msgspec.json.encode(body)))
     return told
 
 
--- a/tests/test_control_server.py
+++ b/tests/test_control_server.py
@@ -9,8 +9,8 @@
 
 from ochrecourse.cli.control_server import ControlServer
 from ochrecourse.cli.handover import ListeningSockets
-from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.kept import AppendResult
+from ochrecourse.fleet.entries import Entry, Timestamp
+from ochrecourse.fleet.log_store import AppendResult
 from ochrecourse.gateway.daemon import Daemon
 from ochrecourse.gateway.daemon_parts import HostProgram
 from ochrecourse.lab.virtual import VirtualNetwork
@@ -45,7 +45,7 @@
 
 
 def entry(seq):
-    return Entry("c", "g0", 1, seq, Stamp(1, 0), (), b"1")
+    return Entry("c", "g0", 1, seq, Timestamp(1, 0), (), b"1")
 
 
 def test_answers_come_in_the_order_of_their_lines_though_an_append_waits_for_the_disk(connection):
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -12,14 +12,14 @@
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
 from ochrecourse.fleet import anti_entropy, snapshot_transfer
 from ochrecourse.fleet import channel as channel_module
-from ochrecourse.fleet import kept as kept_module
+from ochrecourse.fleet import log_store as log_store_module
 from ochrecourse.fleet.anti_entropy import LEAST, AntiEntropy
 from ochrecourse.fleet.channel import Channel
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.exchange import Exchange
 from ochrecourse.fleet.frontier import CHANNEL
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds, Holes, Refused
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits, Holes, AppendRejectedError
 from ochrecourse.fleet.messages import BadPeer
 from ochrecourse.fleet.shared import EAGER, SLICE
 from ochrecourse.fleet.streams import Chain
@@ -34,9 +34,9 @@
     def __init__(self, name, life=1000, journal=None, pace=PACE, **more):
         super().__init__(name, life, **more)
         self.journal = journal if journal is not None else MemoryJournal()
-        self.kept = Kept(self.journal, name, Bounds(), WALL, life)
+        self.kept = LogStore(self.journal, name, LogLimits(), WALL, life)
         self.log = self.kept.log
-        self.members.begin(self.log.life)
+        self.members.begin_incarnation(self.log.incarnation)
         self.ahead = []
         common = self.common
         self.common = type(common)(
@@ -78,7 +78,7 @@
         assert sum(entries) <= EAGER + 2 * SLICE  # at one moment
         sent += sum(entries)
         longest = max([longest, *entries])
-        beats += [b.members.rows["a"].beat]
+        beats += [b.members.rows["a"].number]
     assert longest < 2 * SLICE
     assert 0.8 * PACE * 10 < sent < 1.1 * PACE * 10 + EAGER
     assert beats[-1] == 40  # and each came at its own time
@@ -139,13 +139,13 @@
         if step % 10 == 0:
             a.turn(now)
             b.turn(now)
-            sent[a.members.rows["a"].beat] = now
+            sent[a.members.rows["a"].number] = now
         while (data := pair[0].next(now)) is not None:
             free[0] = max(free[0], now) + len(data) * SECOND // 20_000
             way.append((free[0], data))
         while way and way[0][0] <= now:
             hand(pair[1], way.popleft()[1], now)
-            beat = b.members.rows["a"].beat
+            beat = b.members.rows["a"].number
             if beat in sent:
                 delays.append(now - sent.pop(beat))
         while (data := pair[1].next(now)) is not None:
@@ -178,9 +178,9 @@
     """Three gateways that append, compact, lose their disks, are killed and started again, while catch-up goes frame
     by frame; then all meet. Whether all hold the same, all that was answered, and no early event came to nothing."""
     Mixes.parts = {}
-    ends = [end_of(name, 7 + i, None, kind, Stamp(0, 0)) for i, name in enumerate("abc")]
+    ends = [end_of(name, 7 + i, None, kind, Timestamp(0, 0)) for i, name in enumerate("abc")]
     answered, links, now, lives = [], {}, 0, 100
-    settled = Stamp(0, 0)
+    settled = Timestamp(0, 0)
     pairs_of = ((0, 1), (0, 2), (1, 2))
 
     def cut(which):
@@ -204,7 +204,7 @@
 
     def compact(upto):
         for end in ends:
-            end.log.note_floor(upto)
+            end.log.advance_frontier(upto)
             end.kept.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
             end.common.holes += 1
 
@@ -231,13 +231,13 @@
             ends[which] = end_of(
                 ends[which].members.name, lives, journal, kind, max(e.log.clock for e in ends)
             )
-            ends[which].log.note_floor(settled)
+            ends[which].log.advance_frontier(settled)
         elif what == "compact":
             upto = min(end.log.clock for end in ends)
-            held = {tuple(e.place for e in end.log.events("c") if e.at <= upto) for end in ends}
+            held = {tuple(e.position for e in end.log.events("c") if e.at <= upto) for end in ends}
             if len(held) == 1 and upto > settled:
                 settled = upto
-                ends[which].log.note_floor(upto)
+                ends[which].log.advance_frontier(upto)
                 ends[which].kept.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
                 ends[which].common.holes += 1
         else:
@@ -312,9 +312,9 @@
     a, b = Away("a"), Away("b")
     a.fill(20)
     upto = a.log.events("c")[14].at
-    a.log.note_floor(upto)
-    a.log.bounds.channel_bytes = 50_000
-    with pytest.raises(Refused, match=r"channel c: a snapshot of 60002 bytes, more than 50000"):
+    a.log.advance_frontier(upto)
+    a.log.limits.channel_bytes = 50_000
+    with pytest.raises(AppendRejectedError, match=r"channel c: a snapshot of 60002 bytes, more than 50000"):
         a.kept.compact("c", upto, "x" * 60_000)
     assert a.log.snapshot("c") is None and len(a.log.events("c")) == 20
     a.kept.compact("c", upto, "x" * 40_000)
@@ -331,20 +331,22 @@
     a, b = Away("a"), Away("b", journal=MemoryJournal())
     for i in range(6000):
         a.kept.append("cd"[i % 2], i, WALL + i)
-    a.log.note_floor(Stamp(1 << 60, 0))
-    a.kept.compact("c", Stamp(WALL + 9999, 0), "all")
-    assert a.kept.busy and len(a.log.snapshots_for({})[1].holes) < 3000  # a long channel goes by and by
-    while a.kept.busy:
-        a.kept.work(1 << 20)
+    a.log.advance_frontier(Timestamp(1 << 60, 0))
+    a.kept.compact("c", Timestamp(WALL + 9999, 0), "all")
+    assert (
+        a.kept.needs_maintenance and len(a.log.snapshots_for({})[1].holes) < 3000
+    )  # a long channel goes by and by
+    while a.kept.needs_maintenance:
+        a.kept.maintain(1 << 20)
     pieces = a.log.snapshots_for({})
     assert [type(p) for p in pieces[1:]] == [Holes] * 2 and sum(len(p.holes) for p in pieces[1:]) == 3000
     for piece in pieces:
         b.kept.take_snapshot(piece)
-    b.kept.merge(a.log.missing({}, 10_000, 1 << 30), WALL + 6000)
+    b.kept.merge(a.log.missing_entries({}, 10_000, 1 << 30), WALL + 6000)
     assert b.log.vector() == a.log.vector() and b.log.dump("d") == a.log.dump("d")
     for journal in (a.journal, b.journal):
-        journal.rewrite(list(Kept(journal, "z", Bounds(), WALL, 1)._all()))
-        again = Kept(journal, "z", Bounds(), WALL, 1)
+        journal.rewrite(list(LogStore(journal, "z", LogLimits(), WALL, 1)._all()))
+        again = LogStore(journal, "z", LogLimits(), WALL, 1)
         assert again.notes == [] and again.log.vector() == a.log.vector()
     assert again.log.dump("c") == a.log.dump("c")  # b never held what the snapshot stands for
 
@@ -360,33 +362,33 @@
 )
 @given(st.lists(st.tuples(st.integers(0, 60), st.booleans()), max_size=80))
 def test_blocks_keep_the_one_order_and_readers_their_places(monkeypatch, moves):
-    monkeypatch.setattr(channel_module, "BLOCK", 4)
+    monkeypatch.setattr(channel_module, "MAX_BLOCK_ENTRIES", 4)
     held, plain, cursor = Channel(), [], ""
     for seq, (ms, drops) in enumerate(moves, 1):
-        entry = Entry("c", "w", 1, seq, Stamp(ms, seq), (), b"1")
+        entry = Entry("c", "w", 1, seq, Timestamp(ms, seq), (), b"1")
         held.add(entry)
-        plain = sorted([*plain, entry], key=lambda e: e.place)
+        plain = sorted([*plain, entry], key=lambda e: e.position)
         if drops:
-            held.shrink_anew()
+            held.restart_removal()
             done, gone = False, []
             while not done:
-                out, done = held.shrink(Stamp(40, 0), lambda e: e.seq % 3 == 0, 1)
+                out, done = held.remove_compacted(Timestamp(40, 0), lambda e: e.seq % 3 == 0, 1)
                 gone += out
-            assert gone == [e for e in plain if e.seq % 3 == 0 and e.at <= Stamp(40, 0)]
+            assert gone == [e for e in plain if e.seq % 3 == 0 and e.at <= Timestamp(40, 0)]
             plain = [e for e in plain if e not in gone]
         assert held.entries == plain and held.count == len(plain)
         assert max(map(len, held.blocks)) <= 4
-        mark = entry.place
-        assert list(held.behind(mark)) == [e for e in plain if e.place > mark]
-    told, cursor = held.read("", 7, Stamp(99, 0), lambda e: "ordinary", set())
-    rest, _ = held.read(cursor, 99, Stamp(99, 0), lambda e: "ordinary", set())
+        mark = entry.position
+        assert list(held.entries_after(mark)) == [e for e in plain if e.position > mark]
+    told, cursor = held.read("", 7, Timestamp(99, 0), lambda e: "ordinary", set())
+    rest, _ = held.read(cursor, 99, Timestamp(99, 0), lambda e: "ordinary", set())
     assert [t.entry for t in told + rest] == plain
 
 
 # --- the journal written anew ---
 
 
-class Forgetful(kept_module.Renewal):
+class Forgetful(log_store_module.Renewal):
     """A mistake on purpose: what comes while the journal is written anew is in the old one alone."""
 
     def go_on(self, most):
@@ -397,26 +399,26 @@
 def renewed(tmp_path, kind, monkeypatch):
     """A journal that is written anew step by step, with appends, merges and promises between; it is read again at
     each step. Whether all that was answered was there each time."""
-    monkeypatch.setattr(kept_module, "Renewal", kind)
-    monkeypatch.setattr(kept_module, "SLACK", 1000)
+    monkeypatch.setattr(log_store_module, "Renewal", kind)
+    monkeypatch.setattr(log_store_module, "MIN_REWRITE_BYTES", 1000)
     path = tmp_path / "a.log"
-    first = Kept(FileJournal(path, "fleet", 1), "a", Bounds(), WALL, 1)
+    first = LogStore(FileJournal(path, "fleet", 1), "a", LogLimits(), WALL, 1)
     peer = Away("b")
     for i in range(60):
         first.append("c", f"old {i}" * 9, WALL + i)
-    first.log.note_floor(Stamp(1 << 60, 0))
-    first.compact("c", Stamp(WALL + 40, 0), "most")
+    first.log.advance_frontier(Timestamp(1 << 60, 0))
+    first.compact("c", Timestamp(WALL + 40, 0), "most")
     size, steps, whole = path.stat().st_size, 0, True
-    assert first.busy
-    while first.busy and steps < 99:
+    assert first.needs_maintenance
+    while first.needs_maintenance and steps < 99:
         steps += 1
         first.append("c", f"new {steps}", WALL)
         peer.append(steps, "d")
-        first.merge(peer.log.missing(first.log.vector(), 9, 1 << 20), WALL)
+        first.merge(peer.log.missing_entries(first.log.vector(), 9, 1 << 20), WALL)
         first.promise(WALL + 5000 * steps)
-        first.work(200)
+        first.maintain(200)
         (tmp_path / "b.log").write_bytes(path.read_bytes())
-        again = Kept(FileJournal(tmp_path / "b.log", "fleet", 1), "a", Bounds(), WALL, 2)
+        again = LogStore(FileJournal(tmp_path / "b.log", "fleet", 1), "a", LogLimits(), WALL, 2)
         lives = {s: n for s, n in again.log.vector().items() if n}
         whole = whole and lives == first.log.vector() and again.notes == []
         whole = whole and again.append("e", 1, WALL).at > first.log.clock
@@ -425,7 +427,7 @@
 
 
 def test_a_journal_is_written_anew_by_and_by_and_is_whole_at_each_step(tmp_path, monkeypatch):
-    assert renewed(tmp_path, kept_module.Renewal, monkeypatch)
+    assert renewed(tmp_path, log_store_module.Renewal, monkeypatch)
 
 
 def test_a_journal_written_anew_without_what_came_meanwhile_is_caught(tmp_path, monkeypatch):
@@ -433,26 +435,26 @@
 
 
 def test_a_disk_that_fills_while_the_journal_is_written_anew_leaves_the_old_one(tmp_path, monkeypatch):
-    monkeypatch.setattr(kept_module, "SLACK", 1000)
+    monkeypatch.setattr(log_store_module, "MIN_REWRITE_BYTES", 1000)
     journal = FileJournal(tmp_path / "a.log", "fleet", 1)
-    first = Kept(journal, "a", Bounds(), WALL, 1)
+    first = LogStore(journal, "a", LogLimits(), WALL, 1)
     for i in range(60):
         first.append("c", f"old {i}" * 9, WALL + i)
-    first.log.note_floor(Stamp(1 << 60, 0))
-    first.compact("c", Stamp(WALL + 40, 0), "most")
+    first.log.advance_frontier(Timestamp(1 << 60, 0))
+    first.compact("c", Timestamp(WALL + 40, 0), "most")
 
     def full(record):
         raise OSError(28, "No space left on device")
 
     first._renewal.anew.append = full
-    first.work(100)
-    assert not first.busy and first.notes == [
+    first.maintain(100)
+    assert not first.needs_maintenance and first.notes == [
         "journal of the fleet can't be written: [Errno 28] No space left on device"
     ]
     first.append("c", "goes on", WALL)
     assert not (tmp_path / "a.log.new").exists()
     assert (
-        Kept(FileJournal(tmp_path / "a.log", "fleet", 1), "a", Bounds(), WALL, 2).log.vector()
+        LogStore(FileJournal(tmp_path / "a.log", "fleet", 1), "a", LogLimits(), WALL, 2).log.vector()
         == first.log.vector()
     )
 
@@ -465,10 +467,10 @@
             synced.append(len(self.stored))
 
     disk, b = Disk(), Away("b")
-    a = Kept(disk, "a", Bounds(), WALL, 1)
+    a = LogStore(disk, "a", LogLimits(), WALL, 1)
     b.fill(30)
     for _ in range(3):
-        a.merge(b.log.missing(a.log.vector(), 10, 1 << 20), WALL + 99)
+        a.merge(b.log.missing_entries(a.log.vector(), 10, 1 << 20), WALL + 99)
     assert not synced
     a.sync()
     a.sync()
@@ -548,26 +550,26 @@
 def test_holes_of_a_stream_are_what_it_dropped(drops, known):
     chain, held = Chain(), set(range(1, 31))
     for seq in range(1, 31):
-        chain.add(Entry("c", "w", 1, seq, Stamp(seq, 0), (), b"1"))
+        chain.add(Entry("c", "w", 1, seq, Timestamp(seq, 0), (), b"1"))
     for drop in drops:
-        chain.drop(sorted(drop, reverse=True))
+        chain.remove(sorted(drop, reverse=True))
         held -= drop
-    assert {e.seq for e in chain.after(0)} == held
+    assert {e.seq for e in chain.entries_after(0)} == held
     holes = chain.holes("w", 1, known)
     told = [seq for hole in holes for seq in range(hole.first, hole.last + 1)]
     assert {seq for seq in told if seq > known} == {seq for seq in range(known + 1, 31) if seq not in held}
     assert held.isdisjoint(told) and sorted(set(told)) == told
-    assert all(hole.head == chain.head(hole.last) and hole.last > known for hole in holes)
-    assert all(hole.at == Stamp(hole.last, 0) for hole in holes)
+    assert all(hole.head_hash == chain.hash_at(hole.last) and hole.last > known for hole in holes)
+    assert all(hole.at == Timestamp(hole.last, 0) for hole in holes)
 
 
 def test_a_dump_tells_nothing_of_what_a_snapshot_stands_for():
     a = Away("a")
     a.fill(3000)
-    a.log.note_floor(Stamp(1 << 60, 0))
-    a.kept.compact("c", Stamp(WALL + 9999, 0), "all")
-    assert a.log.shrinking and a.log.read("c", "", 9)[0][0].snapshot is not None
-    assert json.loads(a.log.dump("c"))[1] == [] and not a.log.shrinking
+    a.log.advance_frontier(Timestamp(1 << 60, 0))
+    a.kept.compact("c", Timestamp(WALL + 9999, 0), "all")
+    assert a.log.compacting and a.log.read("c", "", 9)[0][0].snapshot is not None
+    assert json.loads(a.log.dump("c"))[1] == [] and not a.log.compacting
 
 
 def test_the_one_timer_comes_before_the_next_beat_while_a_peer_lacks_something():
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -29,7 +29,7 @@
 )
 from ochrecourse.fleet.calendar_edition import InvalidCalendarEventError, parse_edition
 from ochrecourse.fleet.site_calendar import MAX_EDITIONS, SiteCalendar
-from ochrecourse.fleet.entries import Entry, Place, Stamp
+from ochrecourse.fleet.entries import Entry, LogPosition, Timestamp
 from ochrecourse.settings.load import SettingsError, resolve
 from ochrecourse.settings.writer import write
 
@@ -149,7 +149,7 @@
     assert all(isinstance(each, str) for each in told)
 
 
-PLACE = Place(Stamp(1, 0), "a", 1, 1)
+PLACE = LogPosition(Timestamp(1, 0), "a", 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -187,12 +187,12 @@
 @given(json)
 def test_any_event_is_read_or_counted(body):
     calendar = SiteCalendar("s", ["a", "b"], 1000)
-    calendar.event(Entry("calendar/s", "a", 1, 1, Stamp(1, 0), (), msgspec.json.encode(body)))
+    calendar.event(Entry("calendar/s", "a", 1, 1, Timestamp(1, 0), (), msgspec.json.encode(body)))
     assert calendar.invalid_events or calendar.missing
 
 
 def entry(writer, seq, ms, body):
-    return Entry("calendar/s", writer, 1, seq, Stamp(ms, 0), (), msgspec.json.encode(body))
+    return Entry("calendar/s", writer, 1, seq, Timestamp(ms, 0), (), msgspec.json.encode(body))
 
 
 def written(number, ms, instants, writer="a", seq=1):
@@ -205,7 +205,10 @@
 
 def taken(writer, seq, ms, of):
     return entry(
-        writer, seq, ms, {"what": "taken", "site": "s", "number": 1, "of": [of.writer, of.life, of.seq]}
+        writer,
+        seq,
+        ms,
+        {"what": "taken", "site": "s", "number": 1, "of": [of.writer, of.incarnation, of.seq]},
     )
 
 
@@ -393,13 +396,15 @@
         first = today(site["zone"], at)
         body = make(site, count, first, 60)
         seq += 1
-        brought = Entry(f"calendar/{name}", "a", 1, seq, Stamp(at, 0), (), msgspec.json.encode(body))
+        brought = Entry(f"calendar/{name}", "a", 1, seq, Timestamp(at, 0), (), msgspec.json.encode(body))
         calendar.event(brought)
         for edge, delay in (("a", 10), ("b", 700), ("c", 1500)):
             seq += 1
             told = {"what": "taken", "site": name, "number": count, "of": ["a", 1, brought.seq]}
             calendar.event(
-                Entry(f"calendar/{name}", edge, 1, seq, Stamp(at + delay, 0), (), msgspec.json.encode(told))
+                Entry(
+                    f"calendar/{name}", edge, 1, seq, Timestamp(at + delay, 0), (), msgspec.json.encode(told)
+                )
             )
             calendar.advance_watermark(edge, at + 2000)
         when[count] = (at + 700 + notice, reference(site, walks, first, 60))
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from ochrecourse.storage.journal import MemoryJournal
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.exchange import BURST, FRAMES, Exchange
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.mesh import ALL, FIRST_REST, Mesh
 from ochrecourse.fleet.messages import LONGEST_BODY, BadPeer, Entries, Hello, Rows, frame
@@ -20,7 +20,7 @@
 
 WALL = 1_700_000_000_000  # ms since 1970
 BEAT, QUIET = 250 * MS, 2 * SECOND
-AT = Stamp(WALL, 0)
+AT = Timestamp(WALL, 0)
 
 
 class End:
@@ -28,9 +28,9 @@
 
     def __init__(self, name, life=1000, flight=256, fleet="f", kind=Exchange, admit=lambda hello: ""):
         self.kind = kind
-        self.kept = Kept(MemoryJournal(), name, Bounds(ahead_ms=3_600_000), WALL, life)
+        self.kept = LogStore(MemoryJournal(), name, LogLimits(max_clock_ahead_ms=3_600_000), WALL, life)
         self.log = self.kept.log
-        self.members = Members(name, self.log.life, 0, QUIET, 600 * SECOND)
+        self.members = Members(name, self.log.incarnation, 0, QUIET, 600 * SECOND)
         self.heard = []
         self.common = Common(
             fleet, self.kept, self.members, BEAT, QUIET, flight, 3_600_000, admit, self.heard.append,
@@ -47,7 +47,7 @@
 
     def turn(self, now):
         name = self.members.name
-        chain = self.log.chains.get((name, self.log.life))
+        chain = self.log.chains.get((name, self.log.incarnation))
         self.members.own(now, seq=chain.last if chain else 0, promise=self.log.promise(WALL + now // MS))
         for link in self.links:
             link.turn(now, self.common.stale(now))
@@ -145,7 +145,7 @@
         for end in (a, b, c, d):
             end.turn(beat * BEAT)
             talk(pairs, beat * BEAT)
-    assert d.members.rows["a"].beat >= 6
+    assert d.members.rows["a"].number >= 6
     assert {len([x for x in d.links if "a" in x.heartbeats._said_enough])} == {1}
     source = d.common.source["a"]
     lost = bd if bd[1] is source else cd
@@ -157,12 +157,12 @@
             del end.common.source[name]
         for link in end.links:
             link.source_gone(gone)
-    before = d.members.rows["a"].beat
+    before = d.members.rows["a"].number
     for beat in range(8, 11):
         for end in (a, b, c, d):
             end.turn(beat * BEAT)
             talk(pairs, beat * BEAT)
-    assert d.members.rows["a"].beat > before + 1
+    assert d.members.rows["a"].number > before + 1
 
 
 def test_an_entry_reaches_who_said_enough_of_its_writer_when_the_other_way_stays_out():
@@ -215,7 +215,7 @@
     for i in range(20):
         a.append(i)
     upto = a.log.events("c")[14].at
-    a.log.note_floor(upto)
+    a.log.advance_frontier(upto)
     a.kept.compact("c", upto, {"sum": "x" * 200_000})
     a.common.holes += 1
     (pair,) = meet(a, b)
@@ -254,8 +254,8 @@
         rows(step("x", more={**WHOLE, "told": {"p": "A" * 180_000}})), "oversize"
     ),
     "entry in our name": (entries(entry(), entry("a", "OWN")), "name"),
-    "entry ahead": (entries(entry(), entry(seq=2, at=Stamp(WALL + 3_600_001, 0))), "bad_entry"),
-    "entry that goes back": (entries(entry(), entry(seq=2, at=Stamp(5, 0))), "bad_entry"),
+    "entry ahead": (entries(entry(), entry(seq=2, at=Timestamp(WALL + 3_600_001, 0))), "bad_entry"),
+    "entry that goes back": (entries(entry(), entry(seq=2, at=Timestamp(5, 0))), "bad_entry"),
     "entry number 0": (entries(entry(), entry(seq=0)), "bad_entry"),
     "entry too long": (entries(entry(), entry(seq=2, body=b"1" * 70_000)), "bad_entry"),
     "entry without a channel": (entries(entry(), entry(seq=2, channel="")), "bad_entry"),
@@ -272,11 +272,11 @@
 def test_a_mistake_ends_the_link_and_leaves_nothing(what):
     data, code = MISTAKES[what]
     a = End("a")
-    data = data.replace(b'"OWN"', str(a.log.life).encode())
+    data = data.replace(b'"OWN"', str(a.log.incarnation).encode())
     if what.startswith("row in our name"):
-        data = rows(step("x", more=WHOLE), step("a", 9, more={**WHOLE, "life": a.log.life}))
+        data = rows(step("x", more=WHOLE), step("a", 9, more={**WHOLE, "life": a.log.incarnation}))
     if what.startswith("entry in our name"):
-        data = entries(entry(), entry("a", a.log.life))
+        data = entries(entry(), entry("a", a.log.incarnation))
     if what.startswith("holes"):
         body = data.partition(b"\r\n")[2]
         data = b'{"m":"piece","body":%d}\r\n%s' % (len(body), body)
@@ -351,12 +351,12 @@
 def test_a_gateway_that_lost_its_disk_is_told_of_its_life_before():
     a, b = End("a"), End("b")
     hand(link := b.link(), frame(Hello(**{**HELLO, "name": "x"})))
-    hand(link, rows(step("a", more={**WHOLE, "life": a.log.life + 5})))
+    hand(link, rows(step("a", more={**WHOLE, "life": a.log.incarnation + 5})))
     pairs = [(a.link("b"), b.link())]
     talk(pairs)
     b.turn(BEAT)
     talk(pairs, BEAT)
-    assert a.members.outlived == a.log.life + 5
+    assert a.members.highest_incarnation == a.log.incarnation + 5
 
 
 # --- any order of doing ---
@@ -382,7 +382,7 @@
         pass
 
 
-EMPTY = Row("", 0, 0, 0, 0, b"", Stamp(0, 0), Stamp(0, 0))
+EMPTY = Heartbeat("", 0, 0, 0, 0, b"", Timestamp(0, 0), Timestamp(0, 0))
 
 
 def play(moves, kind):
@@ -422,7 +422,7 @@
                     other.members.rows[other.members.name],
                     end.members.rows.get(other.members.name, EMPTY),
                 )
-                if known.beat > own.beat or known.promise > own.promise:
+                if known.number > own.number or known.promise > own.promise:
                     return False
     pairs = list(links.values())
     for a, b in ((0, 1), (0, 2), (1, 2)):
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -14,11 +14,11 @@
 from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
 from ochrecourse.storage.process_lock import ProcessLock
 from ochrecourse.fleet import forms
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.exchange import Exchange
 from ochrecourse.fleet.forms import NEWEST, Forms, Span
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds, Refused
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits, AppendRejectedError
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.messages import BadPeer, Entries, Hello, frame
 from ochrecourse.fleet.frontier import CHANNEL
@@ -31,7 +31,7 @@
 RECORDED = Path(__file__).parent / "forms"
 HELD = json.loads((RECORDED / "held.json").read_text())
 OLD = {"newest_form": 1}
-BIG = Bounds(ahead_ms=3_600_000)
+BIG = LogLimits(max_clock_ahead_ms=3_600_000)
 
 
 # --- what older programs wrote ---
@@ -49,13 +49,15 @@
         (snapshot, entries), (had, kept) = json.loads(part.dump("c")), json.loads(HELD["dumps"]["c"])
         # What the snapshot stands for is held again until the frontier is past it, and is told to nobody.
         assert snapshot == had and [each for each in entries if each[4] > snapshot[2]] == kept
-        assert path.read_bytes().startswith(b"ochrecourse fleet-log 1\n") and part.log_store.form == 1
+        assert (
+            path.read_bytes().startswith(b"ochrecourse fleet-log 1\n") and part.log_store.format_version == 1
+        )
 
 
 def test_frames_of_the_first_form_are_taken_as_they_were_recorded():
     """All that one gateway told another over one link: rows, entries, snapshots, whom it needs no more."""
-    kept = Kept(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
-    members = Members("b", kept.log.life, 0, QUIET, 600 * SECOND, "ac")
+    kept = LogStore(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
+    members = Members("b", kept.log.incarnation, 0, QUIET, 600 * SECOND, "ac")
     common = Common(
         "f",
         kept,
@@ -129,7 +131,7 @@
     assert changed != data
     if form == 1:  # it is merged as a's word, and a's next row makes it a fork
         assert hand(other, changed)
-        b.log.compare("a", a.log.life, 1, a.log.chains["a", a.log.life].head(1))
+        b.log.compare_head_hash("a", a.log.incarnation, 1, a.log.chains["a", a.log.incarnation].hash_at(1))
         assert b.log.forks
         return
     before = b.log.vector()
@@ -184,7 +186,9 @@
     with pytest.raises(BadPeer) as told:
         hand(
             link,
-            frame(Entries(form=2), msgspec.msgpack.encode([Entry("c", "b", 5, 1, Stamp(WALL, 0), (), b"1")])),
+            frame(
+                Entries(form=2), msgspec.msgpack.encode([Entry("c", "b", 5, 1, Timestamp(WALL, 0), (), b"1")])
+            ),
         )
     assert told.value.code == "form" and not end.log.events("c")
 
@@ -221,7 +225,7 @@
     fleet.cut("a", "c")
     fleet.parts["a"].register(Later())
     fleet.run(3)
-    assert fleet.parts["c"].members.rows["a"].told["later"] == Later().status(0)
+    assert fleet.parts["c"].members.rows["a"].statuses["later"] == Later().status(0)
     event = {"what": "moon", "form": 9, "deep": [[{"x": None}]]}
     for name in "ab":
         fleet.parts[name].append(CHANNEL, event)
@@ -255,10 +259,10 @@
 
 
 def test_a_row_and_an_entry_have_no_room_for_more():
-    """What is passed on byte for byte is what stands in `told` and in bodies: more places would be lost by whoever does
+    """What is passed on byte for byte is what stands in `statuses` and in bodies: more places would be lost by whoever does
     not know them, and the chain of hashes would call that a second history."""
-    assert Entry.__struct_fields__ == ("channel", "writer", "life", "seq", "at", "cause", "body")
-    assert Row.__struct_fields__[-1] == "told"
+    assert Entry.__struct_fields__ == ("channel", "writer", "incarnation", "seq", "at", "cause", "body")
+    assert Heartbeat.__struct_fields__[-1] == "statuses"
 
 
 # --- which form is in force ---
@@ -266,7 +270,7 @@
 
 def row(name, life=5, newest=None):
     told = {} if newest is None else {"forms": b"[1,%d]" % newest}
-    return Row(name, life, 1, 0, 0, b"", Stamp(1, 0), Stamp(1, 0), (), told)
+    return Heartbeat(name, life, 1, 0, 0, b"", Timestamp(1, 0), Timestamp(1, 0), (), told)
 
 
 @pytest.mark.parametrize(
@@ -297,7 +301,7 @@
             "a",
             1,
             1,
-            Stamp(1, 0),
+            Timestamp(1, 0),
             (),
             json.dumps({"what": "form", **body}, separators=(",", ":")).encode(),
         ),
@@ -309,14 +313,14 @@
 @given(st.lists(st.integers(2, 6), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_the_form_in_force_is_the_same_in_any_order_and_kept_by_one_event(raised, chance):
     events = [
-        Entry(CHANNEL, f"g{i}", 1, 1, Stamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
+        Entry(CHANNEL, f"g{i}", 1, 1, Timestamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
         for i, f in enumerate(raised)
     ]
     of, also = Forms(), Forms()
     for each in events:
         of.entry_received(each, 0)
-    kept = of.keeps(events, Stamp(9, 0))
-    assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Stamp(9, 0)) == kept
+    kept = of.keeps(events, Timestamp(9, 0))
+    assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Timestamp(9, 0)) == kept
     also.entry_received(kept[0], 0)
     assert of.in_force == also.in_force == max(raised)
 
@@ -367,7 +371,7 @@
     assert all((tmp_path / f"{n}.log").read_bytes().startswith(b"ochrecourse fleet-log 2\n") for n in "abc")
     assert "only rises" in asked(fleet.parts["b"], form=1)["error"]
     assert "is in force" in asked(fleet.parts["b"], form=2)["error"]
-    with pytest.raises(Refused, match="by its own word"):
+    with pytest.raises(AppendRejectedError, match="by its own word"):
         fleet.parts["b"].append(CHANNEL, {"what": "form", "form": 3})
     # The older program finds so at the first line of its journal, and leaves the file as it is.
     fleet.parts["b"].kill()
@@ -423,11 +427,11 @@
             counting = dict(fleet.parts[who].frontier.view.counting)
             try:
                 fleet.parts[who].raise_form(2)
-            except Refused:
+            except AppendRejectedError:
                 pass
             else:
                 raised = True
-                lives = {name: fleet.parts[name].log.life for name in counting}
+                lives = {name: fleet.parts[name].log.incarnation for name in counting}
                 assert all(newest[name] == 2 for name in counting if lives[name] == counting[name])
         elif act == "cut":
             fleet.cut(who, set("abcd") - set(who))
@@ -446,7 +450,7 @@
     held = [json.loads(entry.body) for entry in fleet.parts["a"].log.events("c")]
     assert sorted(held) == sorted(answered)
     assert {part.forms.in_force for part in fleet.parts.values()} == {2 if raised else 1}
-    assert {part.log_store.form for part in fleet.parts.values()} == {2 if raised else 1}
+    assert {part.log_store.format_version for part in fleet.parts.values()} == {2 if raised else 1}
     return raised
 
 
@@ -470,7 +474,7 @@
 def test_seeded_mistakes_are_caught(which, monkeypatch):
     where, name, wrong = MISTAKES[which]
     if which == "the form of the last event that came":
-        low = Entry(CHANNEL, "a", 1, 1, Stamp(1, 0), (), b'{"form":2,"what":"form"}')
+        low = Entry(CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
         high = msgspec.structs.replace(low, body=b'{"form":3,"what":"form"}')
 
         def check():
@@ -521,11 +525,11 @@
     part.append("c", 1)
     part.give()
     before = path.read_bytes()
-    with pytest.raises(Refused, match="has left its fleet"):
+    with pytest.raises(AppendRejectedError, match="has left its fleet"):
         part.append("c", 2)
     with pytest.raises(OSError, match="another process"):
         part.log_store.append("c", 2, EPOCH)
-    part.log_store.merge([Entry("c", "b", 5, 1, Stamp(EPOCH, 0), (), b"1")], EPOCH)
+    part.log_store.merge([Entry("c", "b", 5, 1, Timestamp(EPOCH, 0), (), b"1")], EPOCH)
     part.log_store.promise(EPOCH * 2)
     fleet.run(3)
     assert path.read_bytes() == before
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -13,9 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 from minicheck import Protocol, check_safety
 
-from ochrecourse.fleet import kept as kept_module
+from ochrecourse.fleet import log_store as log_store_module
 from ochrecourse.fleet.frontier import Frontier
-from ochrecourse.fleet.kept import Kept
+from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LATE, ORDINARY, START, Log
 
 
@@ -78,7 +78,7 @@
 
     def _floor_of(self, name, life):
         row = self.rows.get(name)
-        return self.floor if name == self.log.name else row.floor if row is not None else START
+        return self.floor if name == self.log.name else row.watermark if row is not None else START
 
 
 class PromiseUnheld(Frontier):
@@ -101,8 +101,8 @@
     def __init__(self, log, founders):
         super().__init__(log, founders)
         self.tardy = set()
-        log.listeners.append(lambda e: self.tardy.add(e.place) if e.at <= log.stable else None)
-        log.judge = lambda e: LATE if e.place in self.tardy else ORDINARY
+        log.listeners.append(lambda e: self.tardy.add(e.position) if e.at <= log.stable else None)
+        log.classify = lambda e: LATE if e.position in self.tardy else ORDINARY
 
 
 class AloneLetsGo(Frontier):
@@ -142,12 +142,12 @@
         return super()._admitted(name, life, start).__class__(name, life, start, [])
 
 
-class LifeReused(Kept):
+class LifeReused(LogStore):
     """Goes on after a restart where its journal ends."""
 
     def __init__(self, journal, name, bounds, wall_ms, chance):
         super().__init__(journal, name, bounds, wall_ms, chance)
-        self.log.life = self._lived = 1  # as would a life counted on from a journal that was put back
+        self.log.incarnation = self._lived = 1  # as would a life counted on from a journal that was put back
 
 
 MISTAKES = {
@@ -223,11 +223,11 @@
     a.append()
     world.round()
     world.round()
-    stream = ("a", a.log.life)
+    stream = ("a", a.log.incarnation)
     a.append()
     a.beat()
     a.tell(b)
-    other = Log("a", a.log.life, a.log.bounds)
+    other = Log("a", a.log.incarnation, a.log.limits)
     for entry in a.log.all_entries():
         if entry.seq < a.log.chains[stream].last:
             other.restore(entry)
@@ -236,7 +236,7 @@
     for _ in range(12):
         world.round()
     assert "two histories" in b.log.forks[stream] and "another history" in c.log.forks[stream]
-    assert a.log.life > stream[1]
+    assert a.log.incarnation > stream[1]
     assert b.log.frontier() > held and c.log.frontier() > held
     for gateway in (a, b, c):
         gateway.frontier.settle()
@@ -266,7 +266,7 @@
             if entry.writer != self.name:
                 self.clock = clock
 
-    monkeypatch.setattr(kept_module, "Log", Unraised)
+    monkeypatch.setattr(log_store_module, "Log", Unraised)
     assert first_broken(range(100), size=3) is not None
 
 
@@ -331,6 +331,6 @@
     for _ in range(8):
         world.round()
         world.check()
-    lives = {gateway.name: gateway.log.life for gateway in world.gateways.values()}
+    lives = {gateway.name: gateway.log.incarnation for gateway in world.gateways.values()}
     assert all(gateway.frontier.view.counting == lives for gateway in world.gateways.values())
     assert all(gateway.log.frontier() > START for gateway in world.gateways.values())
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -13,7 +13,7 @@
 from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.stall_detector import StallDetector
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.zone_summary import ZoneSummary
 from ochrecourse.fleet.messages import SLOW, BadPeer, Rows, frame
 from ochrecourse.fleet.member import FleetMember
@@ -167,7 +167,7 @@
 
 
 def entry(writer, seq=1, **body):
-    return Entry("fleet", writer, 1, seq, Stamp(seq, 0), (), msgspec.json.encode(body))
+    return Entry("fleet", writer, 1, seq, Timestamp(seq, 0), (), msgspec.json.encode(body))
 
 
 def terms(zones=("a", "b"), size=3, bound=500.0, cold=5.0):
@@ -250,7 +250,7 @@
         watch = ZoneSubsystem(
             ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2, names)), RequestLog(), 0, lambda: 0
         )
-        kept.append(watch.keeps(events, Stamp(9, 0)))
+        kept.append(watch.keeps(events, Timestamp(9, 0)))
     assert kept[0] == kept[1] == [events[1], events[2]]
     held = ZoneDecisions(2, ("north", "south"))
     for each in kept[0]:
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.log import START, Log, Refused
+from ochrecourse.fleet.log import START, Log, AppendRejectedError
 from ochrecourse.fleet.views import View, view_of
 
 
@@ -27,7 +27,7 @@
         super().check()
         for gateway in self.gateways.values():
             if gateway.up:
-                gateway.log_kept.work(1 << 20)
+                gateway.log_kept.maintain(1 << 20)
                 self.notes.update(gateway.log.notes)
                 fresh = Reader()  # one who begins now gets the same, from a snapshot or by entries
                 fresh.read(gateway.log)
@@ -36,7 +36,7 @@
                         f"{gateway.name} gives a new reader {fresh.given}, where another was given {self.order}"
                     )
                 for stream in gateway.log.chains:
-                    if gateway.log.gone(stream):
+                    if gateway.log.has_ended(stream):
                         raise Broken(f"{gateway.name} holds {stream}, which it forgot")
 
     def restart(self, name, disk=None, rounds=4):
@@ -57,7 +57,9 @@
         self.check()
 
     def named(self, entry):
-        return any(note.startswith(f"{entry.writer}: life {entry.life} is over") for note in self.notes)
+        return any(
+            note.startswith(f"{entry.writer}: life {entry.incarnation} is over") for note in self.notes
+        )
 
     def settle(self):
         for key in [k for k, entry in self.answered.items() if self.named(entry)]:
@@ -165,7 +167,7 @@
 class TakenAgain(Log):
     """Forgets lives, but takes what comes of them."""
 
-    def gone(self, stream):
+    def has_ended(self, stream):
         return False
 
 
@@ -195,7 +197,7 @@
 
 def test_lives_that_ended_are_forgotten_by_all_and_after_a_restart_too():
     world = worn(begun())
-    before = world.gateways["b"].log.life
+    before = world.gateways["b"].log.incarnation
     for gateway in world.gateways.values():
         assert len(lives_of(gateway, "b")) <= 2, gateway.name  # the last that wrote, and the one that runs
         assert len(gateway.frontier.view.value()["ends"]) <= 2
@@ -207,7 +209,7 @@
         assert [e.body for e in gateway.reader.given] == [e.body for e in world.order] and len(
             world.order
         ) == 5
-    assert world.gateways["b"].log.life == before
+    assert world.gateways["b"].log.incarnation == before
     world.settle()
 
 
@@ -224,12 +226,12 @@
     world.restart("b")
     worn(world)
     for gateway in world.gateways.values():
-        assert gateway.log.gone(unseen.stream)
+        assert gateway.log.has_ended(unseen.stream)
         gateway.log_kept.merge([unseen], gateway.wall())
         assert unseen not in gateway.log.events("x") and unseen.stream not in gateway.log.chains
     world.restart("b", disk=disk, rounds=8)
     assert world.named(unseen) and unseen.stream not in b.log.chains
-    assert b.frontier.view.counting["b"] == b.log.life
+    assert b.frontier.view.counting["b"] == b.log.incarnation
     assert not any(unseen in g.log.events("x") for g in world.gateways.values())
     world.settle()
 
@@ -237,8 +239,10 @@
 def test_an_append_of_a_life_that_is_over_is_refused():
     world = worn(begun())
     b = world.gateways["b"]
-    b.log.life = b.log.over["b"][0]  # as after a clock that was put back, until the next beat
-    with pytest.raises(Refused, match="is over"):
+    b.log.incarnation = b.log.ended_incarnations["b"][
+        0
+    ]  # as after a clock that was put back, until the next beat
+    with pytest.raises(AppendRejectedError, match="is over"):
         b.log_kept.append("x", 1, b.wall())
 
 
@@ -252,7 +256,7 @@
     for name in ("b", "c", "b", "c"):
         world.restart(name)
     a = world.gateways["a"]
-    events = sorted(a.log.events(CHANNEL), key=lambda e: e.place)
+    events = sorted(a.log.events(CHANNEL), key=lambda e: e.position)
     whole = view_of(a.frontier._base, events)
     assert whole.over
     for at in [START, *(e.at for e in events)]:
@@ -289,7 +293,7 @@
 
 
 def test_a_log_that_takes_again_what_it_forgot_is_caught(monkeypatch):
-    monkeypatch.setattr("ochrecourse.fleet.kept.Log", TakenAgain)
+    monkeypatch.setattr("ochrecourse.fleet.log_store.Log", TakenAgain)
     case = type("Mistaken", (Lives,), {}).TestCase
     case.settings = settings(TestLives.settings, phases=(Phase.generate,), report_multiple_bugs=False)
     with pytest.raises(Broken):
@@ -326,7 +330,7 @@
     for _ in range(8):
         world.round()
     held = settled_ms(world)
-    assert a.frontier.view.counting.get("a") != a.log.life  # nobody counts, so nobody is let go
+    assert a.frontier.view.counting.get("a") != a.log.incarnation  # nobody counts, so nobody is let go
     b = world.gateways["b"]
     b.log_kept.append(CHANNEL, b.frontier.give_up("d", b.members.reached(world.now)), b.wall())
     for _ in range(12):
@@ -334,7 +338,7 @@
         world.check()
     assert settled_ms(world) > held and "d" not in a.frontier.view.counting
     world.settle()  # d returns under a new life, and counts
-    assert a.frontier.view.counting["d"] == world.gateways["d"].log.life
+    assert a.frontier.view.counting["d"] == world.gateways["d"].log.incarnation
 
 
 def test_a_name_that_returns_before_the_beginning_is_waited_for_again():
@@ -347,7 +351,7 @@
         world.gateways[one].tell(a)
     world.cut |= {(x, "d") for x in "abc"} | {("d", x) for x in "abc"}
     a.beat()
-    assert a.frontier.view.counting.get("a") != a.log.life
+    assert a.frontier.view.counting.get("a") != a.log.incarnation
     world.settle()
     assert set(a.frontier.view.counting) == set("abcd")
 
@@ -364,7 +368,7 @@
     world.cut |= {("a", "b"), ("a", "c"), ("b", "a"), ("c", "a")}
     for _ in range(4):
         world.round()
-    assert a.frontier.view.counting.get("a") == a.log.life  # it began, and nobody knows
+    assert a.frontier.view.counting.get("a") == a.log.incarnation  # it began, and nobody knows
     world.now += 601 * 1_000_000_000
     for _ in range(3):
         world.round()
@@ -374,9 +378,9 @@
         world.round()
         world.check()
     assert b.reader.given
-    old = a.log.life
+    old = a.log.incarnation
     world.settle()
-    assert a.log.life > old and a.frontier.view.counting == b.frontier.view.counting
+    assert a.log.incarnation > old and a.frontier.view.counting == b.frontier.view.counting
 
 
 @pytest.mark.parametrize(
@@ -387,7 +391,7 @@
     a = world.gateways["a"]
     if why == "already":
         a.log_kept.append(CHANNEL, a.frontier.give_up("d", a.members.reached(world.now)), a.wall())
-    with pytest.raises(Refused, match=why):
+    with pytest.raises(AppendRejectedError, match=why):
         a.frontier.give_up(name, a.members.reached(world.now))
 
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from ochrecourse.fleet.entries import Row, Stamp
+from ochrecourse.fleet.entries import Heartbeat, Timestamp
 from ochrecourse.fleet.members import MOST, BadRow, Members
 
 QUIET, LET_GO = 2_000, 600_000
@@ -16,7 +16,7 @@
 
 
 def row(name="b", life=5, beat=1, zone=2, seq=0, promise=10):
-    return Row(name, life, beat, zone, seq, b"", Stamp(promise, 0), Stamp(0, 0))
+    return Heartbeat(name, life, beat, zone, seq, b"", Timestamp(promise, 0), Timestamp(0, 0))
 
 
 def test_the_newest_row_by_life_and_beat_stands():
@@ -25,7 +25,7 @@
     assert not members.hear(row(beat=1), 1)
     assert not members.hear(row(beat=2), 1)
     assert members.hear(row(life=6, beat=1, promise=1), 2)  # a new life promises anew
-    assert members.rows["b"].life == 6 and members.zone_of("b") == 2
+    assert members.rows["b"].incarnation == 6 and members.zone_of("b") == 2
     assert members.heard_at["b"] == 2
 
 
@@ -52,11 +52,11 @@
 
 def test_own_rows_count_beats_on_and_keep_what_is_not_told_anew():
     members = table()
-    first = members.own(0, seq=3, head=b"x")
-    second = members.own(1, promise=Stamp(5, 0))
-    assert (first.beat, second.beat, second.seq, second.zone) == (1, 2, 3, 1)
-    members.begin(9)
-    assert (members.rows["a"].life, members.rows["a"].seq) == (9, 0)
+    first = members.own(0, seq=3, head_hash=b"x")
+    second = members.own(1, promise=Timestamp(5, 0))
+    assert (first.number, second.number, second.seq, second.zone) == (1, 2, 3, 1)
+    members.begin_incarnation(9)
+    assert (members.rows["a"].incarnation, members.rows["a"].seq) == (9, 0)
 
 
 @pytest.mark.parametrize("bad, why", [
@@ -86,7 +86,7 @@
     own = members.own(0)
     assert not members.hear(own, 0)
     assert not members.hear(row("a", life=3), 0)
-    assert members.outlived == 0
+    assert members.highest_incarnation == 0
 
 
 def test_a_greater_life_under_the_own_name_is_gone_beyond_once_and_then_named():
@@ -94,8 +94,8 @@
     another one that runs under this name."""
     members = table()
     assert not members.hear(row("a", life=12, beat=40), 0)
-    assert members.outlived == 12
-    members.begin(13)
+    assert members.highest_incarnation == 12
+    members.begin_incarnation(13)
     assert not members.hear(row("a", life=12, beat=41), 0)
     with pytest.raises(BadRow, match="another process runs under this name"):
         members.hear(row("a", life=14), 0)
--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -16,8 +16,8 @@
 from ochrecourse.fleet.zone_context import FleetPlacement
 from ochrecourse.fleet.zone_settings import ZoneSettings
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
-from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.log import Refused
+from ochrecourse.fleet.entries import Entry, Timestamp
+from ochrecourse.fleet.log import AppendRejectedError
 from ochrecourse.fleet.messages import Entries, Hello, Rows, frame
 from ochrecourse.fleet.member import FleetMember
 from ochrecourse.fleet.member_environment import JOURNAL, MemberEnvironment
@@ -187,14 +187,14 @@
     fleet.run(2)
     lives, values = [], []
     for i in range(4):
-        lives.append(fleet.parts["a"].log.life)
+        lives.append(fleet.parts["a"].log.incarnation)
         values.append(i)
         fleet.parts["a"].append("c", i)
         fleet.parts["a"].kill()  # before anybody heard of it
         fleet.run(1)
         fleet.start("a")
         fleet.run(4)
-    assert lives == sorted(set(lives)) and fleet.parts["a"].log.life > lives[-1]
+    assert lives == sorted(set(lives)) and fleet.parts["a"].log.incarnation > lives[-1]
     assert len(fleet.dumps()) == 1
     assert [int(body) for body in bodies(fleet.parts["c"])] == values
 
@@ -206,7 +206,7 @@
     fleet.journals["a"] = FileJournal(path, *JOURNAL)
     fleet.parts["a"].kill()
     part = fleet.start("a")
-    ends, life = [], part.log.life
+    ends, life = [], part.log.incarnation
     for i in range(4):
         part.append("c", i)
         ends.append(path.stat().st_size)
@@ -218,7 +218,7 @@
         part = fleet.start("a")
         held = [json.loads(entry.body) for entry in part.log.events("c")]
         assert held == list(range(sum(end <= size for end in ends)))
-        assert part.log.life > life
+        assert part.log.incarnation > life
         part.kill()
         fleet.run(0.01)
 
@@ -265,11 +265,11 @@
 def test_a_full_channel_refuses_with_its_reason_and_the_others_go_on(make_fleet):
     fleet = make_fleet("ab", log={**SAID["log"], "channel": 4096.0})
     fleet.run(3)
-    with pytest.raises(Refused, match="channel c is full"):
+    with pytest.raises(AppendRejectedError, match="channel c is full"):
         for _ in range(100):
             fleet.parts["a"].append("c", "x" * 100)
     fleet.parts["a"].append("d", 1)
-    with pytest.raises(Refused, match="no text"):
+    with pytest.raises(AppendRejectedError, match="no text"):
         fleet.parts["a"].append("\ud800", 1)
     fleet.run(3)
     # A program that keeps the channel puts a value in place of what is settled, and there is room again.
@@ -559,7 +559,7 @@
         fleet.parts["a"].append("fleet", body)
     fleet.run(130)  # over two whole minutes
     for part in fleet.parts.values():
-        assert part.log.bytes_of("fleet") < 10_000 and part.zones.state_of(0)[1] >= 60
+        assert part.log.channel_bytes("fleet") < 10_000 and part.zones.state_of(0)[1] >= 60
     assert len(fleet.dumps("fleet")) == 1
     number = fleet.parts["a"].zones.state_of(0)[1]
     fleet.parts["c"].kill()
@@ -567,7 +567,7 @@
     fleet.start("c")
     fleet.run(3)
     assert fleet.parts["c"].zones.state_of(0)[1] == number
-    assert fleet.parts["c"].log.frontier() > Stamp(EPOCH, 0)
+    assert fleet.parts["c"].log.frontier() > Timestamp(EPOCH, 0)
 
 
 def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
@@ -611,7 +611,7 @@
     watch = ZoneSubsystem(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
-        return Entry("fleet", "a", 1, seq, Stamp(EPOCH + seq, 0), (), json.dumps(body).encode())
+        return Entry("fleet", "a", 1, seq, Timestamp(EPOCH + seq, 0), (), json.dumps(body).encode())
 
     def said(seq, zone, number):
         return event(seq, what="zone", zone=zone, standing="left", number=number)
@@ -621,9 +621,9 @@
         event(6, what="lend", zone=0, to="b", units=0.1, until=EPOCH - 700_000),
         event(7, what="lend", zone=0, to="b", units=0.1, until=EPOCH + 5000), event(8, what=7),
     ]  # fmt: skip
-    assert [entry.seq for entry in watch.keeps(events, Stamp(EPOCH, 0))] == [2, 4, 7]
-    again = watch.keeps([*watch.keeps(events[:4], Stamp(EPOCH, 0)), *events[4:]], Stamp(EPOCH, 0))
-    assert again == watch.keeps(events, Stamp(EPOCH, 0))  # in one step or in two
+    assert [entry.seq for entry in watch.keeps(events, Timestamp(EPOCH, 0))] == [2, 4, 7]
+    again = watch.keeps([*watch.keeps(events[:4], Timestamp(EPOCH, 0)), *events[4:]], Timestamp(EPOCH, 0))
+    assert again == watch.keeps(events, Timestamp(EPOCH, 0))  # in one step or in two
 
 
 # --- for people and programs ---
@@ -729,7 +729,7 @@
     more = []
     fleet.parts["a"].follow("c", got[-1][1], lambda told, cursor: more.extend(told))  # at another gateway
     assert [int(each.entry.body) for each in more] == [600] and sum(len(told) for told, _ in got) == 600
-    with pytest.raises(Refused):
+    with pytest.raises(AppendRejectedError):
         fleet.parts["a"].follow("c", "nowhere", lambda told, cursor: None)
 
 
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -20,7 +20,7 @@
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.clock_confidence import ClockReport, WallClockMonitor, clock_neighbours
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.cached_objects import ObjectKey
 from ochrecourse.fleet.object_cache import ObjectCacheSettings, PurgeableObjectCache
 from ochrecourse.fleet.object_fetch import WaitingRead
@@ -92,7 +92,7 @@
     def __init__(self, world, name):
         self.world, self.name = world, name
         self.offset, self.skew = 0, 0  # ms that its wall clock is ahead
-        self.entries, self.clock, self.life, self.seq = {}, Stamp(0, 0), 0, 0
+        self.entries, self.clock, self.life, self.seq = {}, Timestamp(0, 0), 0, 0
         self.rows, self.inbox = {}, []
         self.up, self.asleep = False, False
         self.start()
@@ -132,20 +132,20 @@
         )
         self.purger.cache = self.copies
         self.out = {}
-        for entry in sorted(self.entries.values(), key=lambda each: each.place):
+        for entry in sorted(self.entries.values(), key=lambda each: each.position):
             self.purger.entry_received(entry, 0)
 
     def lose_disk(self):
         """Starts anew with nothing; what nobody else holds, and nothing on its way, was never written."""
-        self.entries, self.clock = {}, Stamp(0, 0)
+        self.entries, self.clock = {}, Timestamp(0, 0)
         self.start()
         self.purges.disk_is_new(self.life)
         self.world.lost.add(self.name)
         ways = [entries for _, _, (_, entries, _) in self.world.strays]
         ways += [entries for edge in self.world.edges.values() for _, entries, _ in edge.inbox]
-        known = {(e.writer, e.life, e.seq) for entries in ways for e in entries}
+        known = {(e.writer, e.incarnation, e.seq) for entries in ways for e in entries}
         known.update(key for edge in self.world.edges.values() for key in edge.entries)
-        self.world.written = [e for e in self.world.written if (e.writer, e.life, e.seq) in known]
+        self.world.written = [e for e in self.world.written if (e.writer, e.incarnation, e.seq) in known]
 
     def say(self, event, **more):
         if event == "copies dropped":
@@ -153,7 +153,9 @@
 
     def append(self, channel, body):
         wall = self.wall()
-        self.clock = Stamp(wall, 0) if wall > self.clock.ms else Stamp(self.clock.ms, self.clock.turn + 1)
+        self.clock = (
+            Timestamp(wall, 0) if wall > self.clock.ms else Timestamp(self.clock.ms, self.clock.counter + 1)
+        )
         self.seq += 1
         entry = Entry(channel, self.name, self.life, self.seq, self.clock, (), msgspec.json.encode(body))
         self.world.written.append(entry)
@@ -161,7 +163,7 @@
         return entry
 
     def hold(self, entry):
-        key = (entry.writer, entry.life, entry.seq)
+        key = (entry.writer, entry.incarnation, entry.seq)
         if key not in self.entries:
             self.entries[key] = entry
             self.clock = max(self.clock, entry.at)
@@ -172,9 +174,9 @@
         for row, entries, told in self.inbox:
             for entry in entries:
                 self.hold(entry)
-            if row.name not in self.rows or (row.life, row.beat) > (
-                self.rows[row.name].life,
-                self.rows[row.name].beat,
+            if row.name not in self.rows or (row.incarnation, row.number) > (
+                self.rows[row.name].incarnation,
+                self.rows[row.name].number,
             ):
                 self.rows[row.name] = row
                 self.purger.status_received(row.name, 0, told, 0)
@@ -187,15 +189,15 @@
             self.append(*wanted)
         else:
             raise AssertionError("it wants the same for ever")
-        self.clock = max(self.clock, Stamp(self.wall(), 0))
-        self.rows[self.name] = Row(
-            self.name, self.life, self.world.beats, 0, self.seq, b"", self.clock, Stamp(0, 0), (),
+        self.clock = max(self.clock, Timestamp(self.wall(), 0))
+        self.rows[self.name] = Heartbeat(
+            self.name, self.life, self.world.beats, 0, self.seq, b"", self.clock, Timestamp(0, 0), (),
             {"purges": self.purger.status(self.world.true * MS)},
         )  # fmt: skip
 
     def told(self):
         row = self.rows[self.name]
-        return row, list(self.entries.values()), row.told["purges"]
+        return row, list(self.entries.values()), row.statuses["purges"]
 
     def read(self, volume):
         """A read as the gateway's front hands it on, whatever stood still before."""
@@ -279,7 +281,7 @@
         for entry in self.written:
             body = msgspec.json.decode(entry.body)
             if body["what"] == "edition":
-                editions[entry.writer, entry.life, entry.seq] = (body, entry.place)
+                editions[entry.writer, entry.incarnation, entry.seq] = (body, entry.position)
             elif body["what"] == "taken":
                 by = taken.setdefault(tuple(body["of"]), {})
                 by[entry.writer] = min(entry.at.ms, by.get(entry.writer, 1 << 60))
@@ -457,13 +459,13 @@
     # Edge b accepted an earlier close, a itself cannot append, and c is not heard.
     written_at, instant = world.true, world.true + 500
     edition = Entry(
-        "calendar/s", "b", 9, 1, Stamp(EPOCH + written_at, 0), (),
+        "calendar/s", "b", 9, 1, Timestamp(EPOCH + written_at, 0), (),
         msgspec.json.encode(body_of(2, [["close", day(1), EPOCH + instant]])),
     )  # fmt: skip
     accepted = {"what": "taken", "site": "s", "number": 2, "of": ["b", 9, 1]}
     purges.event(edition)
     purges.event(
-        Entry("calendar/s", "b", 9, 2, Stamp(EPOCH + written_at, 1), (), msgspec.json.encode(accepted))
+        Entry("calendar/s", "b", 9, 2, Timestamp(EPOCH + written_at, 1), (), msgspec.json.encode(accepted))
     )
 
     def may_serve(at):
@@ -703,8 +705,8 @@
     world.run(300)
     assert not one.purges.is_ready()
     row, entries, told = other.told()
-    assert row.life == 3 and row.before == ()
-    one.inbox.append((row, [each for each in entries if each.life == 3], told))
+    assert row.incarnation == 3 and row.earlier_incarnations == ()
+    one.inbox.append((row, [each for each in entries if each.incarnation == 3], told))
     one.beat()
     assert not one.purges.is_ready()
     one.inbox.append((row, entries, told))
@@ -755,9 +757,9 @@
         {"what": "x"},
     ):
         one.append("purges/s", body) if isinstance(body, dict) else None
-        one.purges.event(Entry("purges/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
-        one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), msgspec.json.encode(body)))
-    one.purges.event(Entry("calendar/s", "a", 9, 9, Stamp(1, 0), (), b"\xff"))
+        one.purges.event(Entry("purges/s", "a", 9, 9, Timestamp(1, 0), (), msgspec.json.encode(body)))
+        one.purges.event(Entry("calendar/s", "a", 9, 9, Timestamp(1, 0), (), msgspec.json.encode(body)))
+    one.purges.event(Entry("calendar/s", "a", 9, 9, Timestamp(1, 0), (), b"\xff"))
     assert one.purges.invalid_settlements and one.purges.own_calendar.invalid_events
     assert not one.purges.settlements["s"].by_edge
 
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -19,14 +19,14 @@
 from minicheck import Protocol, check_safety
 
 from ochrecourse.fleet.quota import LENDABLE_FRACTION, GatewayQuota, loans_of
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.common.time_units import MS
 
 ZONE, NODE = 1, 7
 
 
 def entry(body, writer="a", life=1, seq=1):
-    return Entry("fleet", writer, life, seq, Stamp(1, 0), (), msgspec.json.encode(body))
+    return Entry("fleet", writer, life, seq, Timestamp(1, 0), (), msgspec.json.encode(body))
 
 
 def loan(to="b", units=0.25, until=10_000, node=NODE):
--- a/tests/test_fleet_shard_demand.py
+++ b/tests/test_fleet_shard_demand.py
@@ -4,7 +4,7 @@
 import pytest
 from zone_world import World as Small
 
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.shard_demand import HALF_TIME, ShardDemand, choose_borrower, largest_demands
 from ochrecourse.fleet.zone_nodes import ZoneNode
 from ochrecourse.fleet.zone_settings import ZoneSettings
@@ -104,7 +104,7 @@
             "g1",
             1,
             1,
-            Stamp(1, 0),
+            Timestamp(1, 0),
             (),
             msgspec.json.encode(operator_decision(1, ZoneState.EVACUATED) | {"hand": False}),
         ),
@@ -149,7 +149,7 @@
         "g1",
         1,
         1,
-        Stamp(1, 0),
+        Timestamp(1, 0),
         (),
         msgspec.json.encode(operator_decision(1, ZoneState.EVACUATED) | {"hand": False}),
     )
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -10,7 +10,7 @@
 from minicheck import Protocol, check_safety
 from zone_world import BOUND, Broken, World, left
 
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.zone_evidence import EndedAttempt, LocalObservations, ReportScope
 from ochrecourse.fleet.zone_limits import RateLimitedZones
 from ochrecourse.fleet.zone_report import NodeReport, ZoneCounts, ZoneReportError, decode_report
@@ -151,7 +151,7 @@
         "what": "zone", "zone": zone, "standing": STATE_WORDS[standing], "number": number, "evidence": {"witnesses": witnesses},
         **more,
     }  # fmt: skip
-    return Entry("fleet", writer, 1, ms, Stamp(ms, 0), (), msgspec.json.encode(body))
+    return Entry("fleet", writer, 1, ms, Timestamp(ms, 0), (), msgspec.json.encode(body))
 
 
 decisions = st.builds(
@@ -160,7 +160,7 @@
 )  # fmt: skip
 
 
-@given(st.lists(decisions, max_size=8, unique_by=lambda entry: entry.place), st.randoms())
+@given(st.lists(decisions, max_size=8, unique_by=lambda entry: entry.position), st.randoms())
 @settings(max_examples=200, deadline=None)
 def test_standings_are_a_function_of_the_set_of_entries(entries, chance):
     once, again = ZoneDecisions(3), ZoneDecisions(3)
@@ -198,8 +198,8 @@
 )  # fmt: skip
 def test_an_entry_that_is_no_decision_changes_nothing(body):
     zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
-    zones.entry_received(Entry("fleet", "b", 1, 1, Stamp(1, 0), (), body))
-    zones.entry_received(Entry("other", "b", 1, 2, Stamp(1, 0), (), decided().body))
+    zones.entry_received(Entry("fleet", "b", 1, 1, Timestamp(1, 0), (), body))
+    zones.entry_received(Entry("other", "b", 1, 2, Timestamp(1, 0), (), decided().body))
     assert zones.context.decisions.by_zone == {} and zones.node_rates(0) == {}
 
 
