--- a/tests/test_journal_writer.py
+++ b/tests/test_journal_writer.py
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ochrecourse.fleet import journal_writer, kept as kept_module
+from ochrecourse.fleet import journal_writer, log_store as log_store_module
 from ochrecourse.fleet.durable_claim import DurableClaim, LogClaim
-from ochrecourse.fleet.entries import Stamp
+from ochrecourse.fleet.entries import Timestamp
 from ochrecourse.fleet.journal_writer import MAX_WAITING_RECORDS, STALLED_AFTER_S
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds, Log
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits, Log
 from ochrecourse.fleet.wanted_appends import MAX_ENTRIES_PER_BEAT, WantedAppends, WantedEntry
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
 
@@ -67,7 +67,7 @@
     def __init__(self, journal=None, life=1):
         self.now, self.worker, self.results = 0, HeldWorker(), []
         self.disk = journal or Disk()
-        self.store = Kept(self.disk, "a", Bounds(), WALL, life, self.worker, lambda: self.now)
+        self.store = LogStore(self.disk, "a", LogLimits(), WALL, life, self.worker, lambda: self.now)
         self.log = self.store.log
 
     def append(self, value, channel="c"):
@@ -77,16 +77,16 @@
         return [result.entry.seq for result in self.results if result.entry is not None]
 
     def merge(self, *values):
-        peer = Log("b", 1, Bounds())
+        peer = Log("b", 1, LogLimits())
         for value in values:
             peer.append("d", value, WALL)
-        self.store.merge(peer.missing({}, 99, 1 << 20), WALL)
+        self.store.merge(peer.missing_entries({}, 99, 1 << 20), WALL)
 
 
 def recovered(records):
     journal = MemoryJournal()
     journal.stored = list(records)
-    return Kept(journal, "a", Bounds(), WALL + 1, 9).log
+    return LogStore(journal, "a", LogLimits(), WALL + 1, 9).log
 
 
 def test_an_append_is_shown_and_answered_once_it_is_durable():
@@ -95,7 +95,7 @@
     member.append("first")
     assert not member.log.vector() and not member.results and not member.log.events("c")
     member.worker.end()
-    assert member.seqs() == [1] and member.log.vector() == {("a", member.log.life): 1}
+    assert member.seqs() == [1] and member.log.vector() == {("a", member.log.incarnation): 1}
     assert recovered(member.disk.durable).events("c") == member.log.events("c")
 
 
@@ -179,7 +179,7 @@
     told = [
         member.store.promise(WALL + ms) for ms in range(0, 5000, 250)
     ]  # the disk does not answer any more
-    assert told[:5] == [Stamp(WALL + ms, 0) for ms in range(0, 1250, 250)]  # a second of syncs is no wait
+    assert told[:5] == [Timestamp(WALL + ms, 0) for ms in range(0, 1250, 250)]  # a second of syncs is no wait
     again = recovered(member.disk.durable)
     assert all(again.clock >= promise for promise in told) and told == sorted(told)
 
@@ -188,7 +188,7 @@
     """Guards against a claim to hold entries that a power cut takes away."""
     member = Member()
     claim = DurableClaim(member.store)
-    old, middle, new = (LogClaim(1, b"%d" % i, Stamp(i, 0)) for i in range(1, 4))
+    old, middle, new = (LogClaim(1, b"%d" % i, Timestamp(i, 0)) for i in range(1, 4))
     assert claim.update(old) == old  # nothing waits for the disk
     member.merge("one")
     assert claim.update(middle) == old
@@ -254,7 +254,7 @@
     given = []
     member.append("under way")
     member.append("waits")
-    member.store.give(lambda: given.append(True))
+    member.store.release(lambda: given.append(True))
     assert not given and str(member.results[0].error) == "the journal is another process's"
     member.worker.end()
     assert member.seqs() == [1] and not given
@@ -264,20 +264,20 @@
 
 def test_a_rewrite_under_way_puts_no_file_over_the_next_process_s(tmp_path, monkeypatch):
     """Guards against a commit that ends after the journal was given up for it."""
-    monkeypatch.setattr(kept_module, "SLACK", 100)
+    monkeypatch.setattr(log_store_module, "MIN_REWRITE_BYTES", 100)
     path = tmp_path / "a.log"
     member = Member(FileJournal(path, "fleet", 1))
     for value in range(40):
         member.append(f"{value}" * 9)
     member.worker.wait(0)
-    member.log.note_floor(Stamp(1 << 60, 0))
-    member.store.compact("c", Stamp(WALL + 1, 0), "all")
+    member.log.advance_frontier(Timestamp(1 << 60, 0))
+    member.store.compact("c", Timestamp(WALL + 1, 0), "all")
     member.worker.wait(0)
-    member.store.work(1 << 20)  # its last step is under way
+    member.store.maintain(1 << 20)  # its last step is under way
     given = []
-    member.store.give(lambda: given.append(True))
+    member.store.release(lambda: given.append(True))
     member.store.abandon()
-    Kept(FileJournal(path, "fleet", 1), "a", Bounds(), WALL, 2).append("c", "the successor's", WALL)
+    LogStore(FileJournal(path, "fleet", 1), "a", LogLimits(), WALL, 2).append("c", "the successor's", WALL)
     content = path.read_bytes()
     member.worker.wait(0)
     assert path.read_bytes() == content and given
@@ -286,7 +286,7 @@
 # --- any order of appends, merges, rewrites and ends of operations, with a power cut at the end ---
 
 
-class Swaps(kept_module.JournalWriter):
+class Swaps(log_store_module.JournalWriter):
     """A mistake on purpose: two batches change places."""
 
     def _append_operation(self):
@@ -294,7 +294,7 @@
         return super()._append_operation()
 
 
-class Hasty(kept_module.JournalWriter):
+class Hasty(log_store_module.JournalWriter):
     """A mistake on purpose: an append is answered before it is durable."""
 
     def write(self, records, in_content, on_durable=None):
@@ -303,7 +303,7 @@
             on_durable(None)
 
 
-class Drops(kept_module.Renewal):
+class Drops(log_store_module.Renewal):
     """A mistake on purpose: what comes while the journal is rewritten is in the old one alone."""
 
     def go_on(self, most):
@@ -319,7 +319,7 @@
 
 def holds(steps):
     """Whether all that was answered, claimed or promised is found again after a power cut at the end."""
-    member, values, claimed, promised = Member(), 0, {}, Stamp(0, 0)
+    member, values, claimed, promised = Member(), 0, {}, Timestamp(0, 0)
     for step in steps:
         if step == "append":
             member.append(values := values + 1)
@@ -331,7 +331,7 @@
         elif step == "end" and member.worker.operations:
             member.worker.end()
         elif step == "step":
-            member.store.work(100)
+            member.store.maintain(100)
         elif step == "rewrite":
             member.store.writer.begin_rewrite()
         elif step == "fail":
@@ -364,7 +364,7 @@
 @pytest.mark.parametrize("mistake", [Swaps, Hasty, Drops])
 def test_a_mistake_made_on_purpose_is_found(mistake, monkeypatch):
     assert all(map(holds, drawn(60)))
-    monkeypatch.setattr(kept_module, "Renewal" if mistake is Drops else "JournalWriter", mistake)
+    monkeypatch.setattr(log_store_module, "Renewal" if mistake is Drops else "JournalWriter", mistake)
     assert not all(map(holds, drawn(60)))
 
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,6 +12,8 @@
 from ochrecourse.common.request_records import AttemptRecord, RequestOutcome, RequestRecord
 from ochrecourse.common import requests
 from ochrecourse.common.time_units import MS, SECOND
+from ochrecourse.fleet.channel import AppendRejectedError, Delivery
+from ochrecourse.fleet.entries import Timestamp
 from ochrecourse.gateway.request_body import RequestBody
 from ochrecourse.interface import Outcome, Reply
 from ochrecourse.lab.days import quiet
@@ -403,6 +405,24 @@
     assert (news.kind, news.entries, news.addresses) == (library.ListKind.FULL, [NODE], {7: ("h", 1)})
 
 
+def test_names_of_the_fleet_are_aliases():
+    assert library.AppendRefused is AppendRejectedError and issubclass(library.AppendRefused, Exception)
+    assert library.Stamp is Timestamp and library.Told is Delivery
+    assert {"AppendRefused", "Entry", "Snapshot", "Stamp", "Told"} <= set(library.__all__)
+
+
+def test_fields_of_a_stamp_and_an_entry_by_their_old_names():
+    entry = library.Entry("c", "a", 5, 1, library.Stamp(1000, 7), (), b"{}")
+    with pytest.warns(DeprecationWarning, match=r"Stamp\.turn is deprecated, use counter"):
+        assert entry.at.turn == entry.at.counter == 7
+    with pytest.warns(DeprecationWarning, match=r"Entry\.life is deprecated, use incarnation"):
+        assert entry.life == entry.incarnation == 5
+
+
+def test_a_stamp_is_shown_as_before():
+    assert f"{library.Stamp(1000, 7)}" == "Stamp(ms=1000, turn=7)"
+
+
 def test_names_that_did_not_change_are_there():
     for name in ("start", "append", "read", "follow", "compact", "dump", "report", "lodge", "stop"):
         assert callable(getattr(library.Part, name))
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -15,7 +15,7 @@
     "cli", "common", "gateway", "membership", "nodes", "relay", "resp", "scheduler", "service", "settings", "simulator", "storage", "wire",
 ]  # fmt: skip
 FLEET_TO_COME = {  # modules of fleet/ that are not done: the log, its exchange between gateways
-    "anti_entropy", "channel", "entries", "exchange", "forms", "frontier", "heartbeats", "kept", "link", "link_state", "log",
+    "anti_entropy", "channel", "entries", "exchange", "forms", "frontier", "heartbeats", "link", "link_state", "log", "log_store",
     "members", "mesh", "messages", "shared", "snapshot_transfer", "streams", "views",
 }  # fmt: skip
 FLEET = [path for path in sorted((ROOT / "fleet").glob("*.py")) if path.stem not in FLEET_TO_COME]
@@ -42,33 +42,24 @@
     "cli/bgp.py": ["held", "jobs"],  # bgp/
     "cli/day.py": ["cut", "held", "plans"],  # lab/
     "cli/day_run.py": ["jobs", "legs", "people", "verdict"],  # lab/, audit/, and fields of its output
-    "cli/fleet_answers.py": ["life"],  # fleet/entries.py
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "cli/load.py": ["PEOPLE", "People", "came", "doors", "jobs", "people"],  # lab/, webdav/
     "cli/members.py": ["went"],  # a word of its output
     "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # of the help, which is for users
     "cli/serve.py": ["held"],  # in the command's help
     "cli/together.py": ["came", "legs"],  # audit/, and fields of its output
-    "fleet/calendar_edition.py": ["life"],  # fleet/entries.py
-    "fleet/channel_readers.py": ["Told", "life"],  # fleet/channel.py, entries.py
-    "fleet/disk_recovery.py": ["life"],  # fleet/entries.py
     "fleet/event_compaction.py": ["PART"],  # fleet/shared.py
-    "fleet/log_state.py": ["came", "life"],  # fleet/kept.py, entries.py
+    "fleet/log_state.py": ["life"],  # a field of log lines
     "fleet/member.py": [
         "Door",
         "PART",
-        "Told",
         "came",
         "cut",
         "life",
         "told",
     ],  # fleet/link.py, log.py, channel.py
-    "fleet/member_report.py": ["life"],  # fleet/entries.py
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
     "fleet/peer_links.py": ["came", "cut", "life"],  # fleet/link.py, exchange.py
-    "fleet/purge_subsystem.py": ["life", "told"],  # fleet/entries.py, a field of a status
-    "fleet/site_calendar.py": ["life"],  # fleet/entries.py
-    "fleet/subsystem_host.py": ["told"],  # fleet/heartbeats.py
 }
 
 
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.zone_context import FleetPlacement
 from ochrecourse.fleet.zone_evidence import EndedAttempt
 from ochrecourse.fleet.zone_nodes import ZoneNode
@@ -68,14 +68,14 @@
         return {**known, self.name: self.zone}
 
     def take(self, entry):
-        if entry.place not in self.held:
-            self.held[entry.place] = entry
+        if entry.position not in self.held:
+            self.held[entry.position] = entry
             self.zones.entry_received(entry)
 
     def say(self, body):
         self.seq += 1
-        latest = max((each.at for each in self.held.values()), default=Stamp(0, 0))
-        at = max(Stamp(self.wall(), 0), Stamp(latest.ms, latest.turn + 1))
+        latest = max((each.at for each in self.held.values()), default=Timestamp(0, 0))
+        at = max(Timestamp(self.wall(), 0), Timestamp(latest.ms, latest.counter + 1))
         entry = Entry("fleet", self.name, self.life, self.seq, at, (), msgspec.json.encode(body))
         self.take(entry)
         self.world.said.append((self.world.now, self.name, body, dict(self.reached())))
