--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -19,12 +19,12 @@
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.exchange import Exchange
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
 from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LogLimits
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.exchange_context import ExchangeContext
-from ochrecourse.fleet.views import Admit, Admitted
+from ochrecourse.fleet.membership_view import Admit, Admitted
 from ochrecourse.common.time_units import MS, SECOND
 
 NAMES = ("a", "b", "c")
@@ -48,33 +48,33 @@
     def beat(self, wall_ms: int) -> None:
         now = wall_ms * MS
         self.kept.maintain(1 << 20)
-        fields = self.frontier.fields(self.kept.promise(wall_ms))
-        self.members.next_heartbeat(now, statuses={PART: self.frontier.told()}, **fields)
-        if self.frontier.over:
+        fields = self.frontier.heartbeat_fields(self.kept.promise(wall_ms))
+        self.members.next_heartbeat(now, statuses={STATUS_KEY: self.frontier.status()}, **fields)
+        if self.frontier.has_ended:
             self.members.begin_incarnation(
                 self.kept.begin_incarnation(wall_ms, 1, self.members.highest_incarnation)
             )
         for _ in range(5):
-            wanted = self.frontier.wants(self.members.reachable(now), self.members.departed(now))
+            wanted = self.frontier.next_event(self.members.reachable(now), self.members.departed(now))
             if wanted is None:
                 return
-            self.kept.append(CHANNEL, wanted, wall_ms, must=True)
+            self.kept.append(FLEET_CHANNEL, wanted, wall_ms, must=True)
 
     def tell(self, other: Seat, wall_ms: int) -> None:
         for row in list(self.members.heartbeats.values()):
             if row.number and other.members.receive(row, wall_ms * MS):
-                other.frontier.hear(row)
+                other.frontier.receive(row)
         for piece in self.log.snapshots_for(other.log.vector()):
             if other.kept.take_snapshot(piece):
-                other.frontier.snapshot_came()
+                other.frontier.snapshot_received()
         other.kept.merge(self.log.missing_entries(other.log.vector(), 4096, 1 << 22), wall_ms)
 
     def compact(self) -> None:
         """As `event_compaction` does for channel `fleet`."""
         upto = Timestamp(self.log.frontier().ms // MINUTE * MINUTE, 0)
-        before = self.log.snapshot(CHANNEL)
-        if (before is None or before.upto < upto) and self.frontier.crowded(upto):
-            self.kept.compact(CHANNEL, upto, {PART: self.frontier.settled(upto)})
+        before = self.log.snapshot(FLEET_CHANNEL)
+        if (before is None or before.upto < upto) and self.frontier.needs_retirement(upto):
+            self.kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: self.frontier.snapshot_value(upto)})
 
 
 class Fleet:
@@ -104,8 +104,10 @@
             body = b'{"what":"note"}'
             chain = a.log.chains.get(("b", last))
             before = [(last, chain.last)] if chain else []
-            a.kept.append(CHANNEL, Admit([Admitted("b", life, None, before)]).value(), self.wall)
-            a.kept.merge([Entry(CHANNEL, "b", life, 1, Timestamp(at.ms + 1, 0), (), body)], self.wall + 1)
+            a.kept.append(FLEET_CHANNEL, Admit([Admitted("b", life, None, before)]).value(), self.wall)
+            a.kept.merge(
+                [Entry(FLEET_CHANNEL, "b", life, 1, Timestamp(at.ms + 1, 0), (), body)], self.wall + 1
+            )
             self.wall += 1
             last = life
         self.wall += 2
@@ -136,7 +138,7 @@
     def _end(self, seat: Seat) -> Exchange:
         common = ExchangeContext(
             "f", seat.kept, seat.members, SECOND // 4, QUIET, 4096, 3_600_000, lambda hello: "",
-            seat.frontier.hear, lambda piece: None, 1 << 25,
+            seat.frontier.receive, lambda piece: None, 1 << 25,
         )  # fmt: skip
         return Exchange(common, "", self.now)
 
@@ -188,7 +190,7 @@
     return (
         f"{len(a.log.chains):6} lives held; append and its merge at one peer {first:8.3f} ms; "
         f"beat {median_ms(beat, more):8.3f} ms; journal {sum(map(len, a.journal.stored)) / 1024:8.0f} KB; "
-        f"row {len(a.frontier.told())} bytes"
+        f"row {len(a.frontier.status())} bytes"
     )
 
 
@@ -214,7 +216,7 @@
     began, most = time.process_time(), 0
     for count in range(1, restarts + 1):
         b = fleet.seats["b"]
-        b.kept.append(CHANNEL, {"what": "note"}, fleet.wall)
+        b.kept.append(FLEET_CHANNEL, {"what": "note"}, fleet.wall)
         fleet.wall += 1
         fleet.seats["b"] = Seat("b", fleet.wall, b.journal)
         for _ in range(10):  # up for some seconds, as long as it takes to be admitted and to read
--- a/ochrecourse/fleet/anti_entropy.py
+++ b/ochrecourse/fleet/anti_entropy.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ochrecourse.fleet.entries import Entry, Stream
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.link_state import LinkState
 from ochrecourse.fleet.log import InvalidEntryError
 from ochrecourse.fleet.messages import (
@@ -52,7 +52,7 @@
             Stream, int
         ] = {}  # how far the other side holds, or is about to hold, each stream
         self.snapshots = SnapshotTransfer(state, self.peer_positions)
-        self._out: dict[Stream, int] = {}  # sent and not acknowledged
+        self._in_flight: dict[Stream, int] = {}  # sent and not acknowledged
         self._acked: dict[Stream, int] = {}
         self._flying: deque[tuple[Stream, int, int, int]] = deque()  # last entry, bytes, when it went
         self._aloft = 0  # bytes of these
@@ -80,13 +80,13 @@
         if self._lag_at != self.context.log_version or self._lag:
             self._lag_at = self.context.log_version
             self._look_at_lag()
-        if self._out or self._still:
+        if self._in_flight or self._still:
             self._look_at_still()
 
     def _forget(self) -> None:
         """Guards against a link that lasts for many restarts and counts all their lives."""
         known: tuple[dict[Stream, Any], ...]
-        known = (self.peer_positions, self._out, self._acked, self._told, self._lag, self._still)
+        known = (self.peer_positions, self._in_flight, self._acked, self._told, self._lag, self._still)
         for each in known:
             for stream in [s for s in each if self.context.log.has_ended(s)]:
                 del each[stream]
@@ -109,24 +109,24 @@
         """Guards against entries that the other side could not take when they came: they would count as on
         their way for ever."""
         still: dict[Stream, tuple[int, int, int]] = {}
-        for stream in list(self._out):
+        for stream in list(self._in_flight):
             acked = self._acked.get(stream, 0)
             at, beats, wait = self._still.get(stream, (acked, 0, AGAIN))
             if at != acked:
                 beats, wait = -1, AGAIN
             elif beats >= wait:
                 self.peer_positions[stream] = acked
-                del self._out[stream]
+                del self._in_flight[stream]
                 self._none_flies()
                 self._done_at, beats, wait = -1, -1, min(2 * wait, 64 * AGAIN)
             still[stream] = (acked, beats + 1, wait)
-        self._still = still if self._out or any(each[2] > AGAIN for each in still.values()) else {}
+        self._still = still if self._in_flight or any(each[2] > AGAIN for each in still.values()) else {}
 
     def restart(self) -> None:
         """The other side misses a frame: all is told as on a new link."""
         self.peer_positions.clear()
         self.peer_positions.update(self._acked)
-        self._out.clear()
+        self._in_flight.clear()
         self._none_flies()
         self._first = None
         self.snapshots.restart()
@@ -148,8 +148,8 @@
                 self._acked[stream] = seq
             if seq > self.peer_positions.get(stream, 0):
                 self.peer_positions[stream] = seq
-            if self._out.get(stream, seq + 1) <= seq:
-                del self._out[stream]
+            if self._in_flight.get(stream, seq + 1) <= seq:
+                del self._in_flight[stream]
         if len(self._acked) > MOST_STREAMS:
             raise PeerProtocolError("oversize", f"names more than {MOST_STREAMS} streams")
         self._whole = self._whole or not more
@@ -193,7 +193,7 @@
             elif chain is not None and entry.seq <= chain.last:
                 if entry.seq > self.peer_positions.get(entry.stream, 0):
                     self.peer_positions[entry.stream] = entry.seq
-            elif entry.channel == CHANNEL and entry.stream not in common.log.forks:
+            elif entry.channel == FLEET_CHANNEL and entry.stream not in common.log.forks:
                 # Its sender may not hold what stands before it either.
                 common.add_early_entry(entry)
         self.needs_acknowledgement = True
@@ -241,7 +241,7 @@
         piece = self.snapshots.next_frame()
         if piece is not None:
             return piece
-        flying = sum(seq - self._acked.get(stream, 0) for stream, seq in self._out.items())
+        flying = sum(seq - self._acked.get(stream, 0) for stream, seq in self._in_flight.items())
         most = self.context.max_entries_in_flight - flying
         if most <= 0:
             return None
@@ -262,7 +262,7 @@
         while len(body := self.state.encode_body(entries)) > MAX_BODY_BYTES and len(entries) > 1:
             entries = entries[: len(entries) // 2]
         for entry in entries:
-            self.peer_positions[entry.stream] = self._out[entry.stream] = entry.seq
+            self.peer_positions[entry.stream] = self._in_flight[entry.stream] = entry.seq
         self.context.spend(len(body))
         self._flying.append((entries[-1].stream, entries[-1].seq, len(body), now))
         self._aloft += len(body)
--- a/ochrecourse/fleet/event_compaction.py
+++ b/ochrecourse/fleet/event_compaction.py
@@ -13,7 +13,7 @@
 
 from ochrecourse.fleet.channel import ORDINARY
 from ochrecourse.fleet.entries import Entry, Timestamp
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
 from ochrecourse.fleet.log import AppendRejectedError, Snapshot
 from ochrecourse.fleet.exchange_context import ExchangeContext
 from ochrecourse.fleet.subsystem import UNKNOWN_EVENTS, Subsystem, retained_events
@@ -42,23 +42,26 @@
         """Compacts up to the last step, if the channel is full enough."""
         log = self.common.log
         upto = Timestamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
-        previous = log.snapshot(CHANNEL)
+        previous = log.snapshot(FLEET_CHANNEL)
         if previous is not None and previous.upto >= upto:
             return
-        is_full = log.channel_bytes(CHANNEL) >= COMPACTION_THRESHOLD * log.limits.channel_bytes
-        if not is_full and not self.frontier.crowded(upto):
+        is_full = log.channel_bytes(FLEET_CHANNEL) >= COMPACTION_THRESHOLD * log.limits.channel_bytes
+        if not is_full and not self.frontier.needs_retirement(upto):
             return
         value = self._snapshot_value(previous, upto, subsystems)
         try:
-            compact(self.common, CHANNEL, upto, value)
+            compact(self.common, FLEET_CHANNEL, upto, value)
         except AppendRejectedError as error:
             if str(error) != self._last_refusal:
                 self._last_refusal = str(error)
-                self.write_log("fleet log not compacted", channel=CHANNEL, why=str(error))
+                self.write_log("fleet log not compacted", channel=FLEET_CHANNEL, why=str(error))
             return
         self._last_refusal = ""
         self.write_log(
-            "fleet log compacted", channel=CHANNEL, upto_ms=upto.ms, bytes=log.channel_bytes(CHANNEL)
+            "fleet log compacted",
+            channel=FLEET_CHANNEL,
+            upto_ms=upto.ms,
+            bytes=log.channel_bytes(FLEET_CHANNEL),
         )
 
     def _snapshot_value(
@@ -67,7 +70,7 @@
         """What replaces the events, by the name of who needs it."""
         events = self._events_since(previous, upto)
         not_understood = retained_events(previous, UNKNOWN_EVENTS)
-        value: dict[str, Any] = {PART: self.frontier.settled(upto)}
+        value: dict[str, Any] = {STATUS_KEY: self.frontier.snapshot_value(upto)}
         for subsystem in subsystems:
             keeps = getattr(subsystem, "keeps", None)
             if keeps is None:
@@ -83,7 +86,7 @@
         if unknown:
             # Guards against the loss of events of a newer program, which this one does not understand.
             value[UNKNOWN_EVENTS] = _as_json(unknown)
-        known_names = {PART, UNKNOWN_EVENTS, *(subsystem.name for subsystem in subsystems)}
+        known_names = {STATUS_KEY, UNKNOWN_EVENTS, *(subsystem.name for subsystem in subsystems)}
         for name, section in unknown_sections(previous, known_names):
             value.setdefault(name, section)
         return value
@@ -96,7 +99,7 @@
         since = previous.upto if previous is not None else Timestamp(0, 0)
         return [
             entry
-            for entry in log.events(CHANNEL)
+            for entry in log.events(FLEET_CHANNEL)
             if since < entry.at <= upto and log.classify(entry) == ORDINARY
         ]
 
--- a/ochrecourse/fleet/exchange.py
+++ b/ochrecourse/fleet/exchange.py
@@ -21,7 +21,7 @@
 
 from ochrecourse.fleet.anti_entropy import AntiEntropy
 from ochrecourse.fleet.entries import Entry
-from ochrecourse.fleet.forms import FIRST, PACKED, Span, whole
+from ochrecourse.fleet.format_versions import FIRST_VERSION, PACKED_VERSION, VersionRange, checked_range
 from ochrecourse.fleet.heartbeats import Heartbeats
 from ochrecourse.fleet.link_state import LinkState
 from ochrecourse.fleet.messages import (
@@ -89,7 +89,7 @@
         return self.state.hello
 
     @property
-    def peer_versions(self) -> Span:
+    def peer_versions(self) -> VersionRange:
         """The forms that the other side speaks."""
         return self.state.peer_versions
 
@@ -185,12 +185,12 @@
     def _check(self, header: Header, body: bytes) -> None:
         """Guards against a body in a form that is not spoken here, and against one that was changed on its
         way, which else would be merged as its writer's word."""
-        form = header.format_version or FIRST
-        if not FIRST <= form <= self.context.format_versions.speaks.newest:
+        form = header.format_version or FIRST_VERSION
+        if not FIRST_VERSION <= form <= self.context.format_versions.supported.newest:
             raise PeerProtocolError(
                 FORMAT_VERSION, f"{tag_of(header)} in form {form}, which this program does not speak"
             )
-        if form >= PACKED and header.checksum != zlib.crc32(body):
+        if form >= PACKED_VERSION and header.checksum != zlib.crc32(body):
             raise PeerProtocolError(DAMAGED, f"{tag_of(header)} whose body was changed on its way")
 
     def _number(self, header: Header) -> None:
@@ -223,15 +223,15 @@
         if self.hello is not None:
             raise PeerProtocolError("second_hello", "hello came twice")
         try:
-            speaks = whole(
-                Span(
+            speaks = checked_range(
+                VersionRange(
                     hello.oldest_version or hello.version_in_force,
                     hello.newest_version or hello.version_in_force,
                 )
             )
         except ValueError as trouble:
             raise PeerProtocolError("bad_hello", str(trouble)) from None
-        apart = common.format_versions.apart(speaks, hello.version_in_force)
+        apart = common.format_versions.mismatch(speaks, hello.version_in_force)
         if apart:
             raise PeerProtocolError(FORMAT_VERSION, apart)
         if hello.fleet != common.fleet:
@@ -288,9 +288,11 @@
     def _greeting(self) -> bytes:
         members = self.context.members
         forms = self.context.format_versions
-        told = forms.speaks if forms.speaks.newest > FIRST else Span(0, 0)  # as older programs are
+        told = (
+            forms.supported if forms.supported.newest > FIRST_VERSION else VersionRange(0, 0)
+        )  # as older programs are
         hello = Hello(
-            version_in_force=min(forms.in_force, forms.speaks.newest),
+            version_in_force=min(forms.in_force, forms.supported.newest),
             fleet=self.context.fleet,
             name=members.name,
             incarnation=members.incarnation,
--- a/ochrecourse/fleet/exchange_context.py
+++ b/ochrecourse/fleet/exchange_context.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from ochrecourse.fleet.entries import Entry, Heartbeat, Stream
-from ochrecourse.fleet.forms import Forms
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.format_versions import FormatVersions
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import Holes, Log, Snapshot
 from ochrecourse.fleet.members import Members
@@ -48,7 +48,7 @@
     max_snapshot_bytes: int  # bytes of its JSON
     catch_up_rate: int = 0  # bytes a second of entries and snapshots, over all links; 0: as they come
     on_early_entry: Callable[[Entry], None] = lambda entry: None  # hears of each early event
-    format_versions: Forms = field(default_factory=Forms)
+    format_versions: FormatVersions = field(default_factory=FormatVersions)
     compaction_version: int = 0  # counts up when entries gave way to a snapshot here
     log_version: int = 0  # counts up with every change of the log
     sources: dict[str, object] = field(default_factory=dict)  # the link that brings news of each gateway
@@ -65,7 +65,7 @@
 
     def __post_init__(self) -> None:
         self.log.listeners.append(self._changed)
-        for entry in self.log.events(CHANNEL)[-MAX_EARLY_ENTRIES:]:
+        for entry in self.log.events(FLEET_CHANNEL)[-MAX_EARLY_ENTRIES:]:
             self._note(entry)
 
     def has_budget(self, now: int) -> bool:
@@ -116,5 +116,5 @@
 
     def _changed(self, entry: Entry) -> None:
         self.log_version += 1
-        if entry.channel == CHANNEL and (entry.stream, entry.seq) not in self._early:
+        if entry.channel == FLEET_CHANNEL and (entry.stream, entry.seq) not in self._early:
             self._note(entry)
--- a/ochrecourse/fleet/forms.py
+++ b/ochrecourse/fleet/format_versions.py
@@ -30,81 +30,83 @@
 
 from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 
-FIRST = 1  # in force where nothing was said; the oldest that is spoken
-PACKED = 2  # from this form on: MessagePack and checksums
-NEWEST = PACKED  # that this program speaks
-MOST = 1024  # an event that names a greater one is no order of ours
-CHANNEL = "fleet"
-PART = "forms"  # the key in Heartbeat.statuses
+FIRST_VERSION = 1  # in force where nothing was said; the oldest that is spoken
+PACKED_VERSION = 2  # from this form on: MessagePack and checksums
+NEWEST_VERSION = PACKED_VERSION  # that this program speaks
+MAX_VERSION = 1024  # an event that names a greater one is no order of ours
+FLEET_CHANNEL = "fleet"
+STATUS_KEY = "forms"  # the key in Heartbeat.statuses
 NAMED = 8  # gateways that a refusal names; the report has them all
 
 
-class Span(NamedTuple):
+class VersionRange(NamedTuple):
     """Forms that a program speaks, both ends included."""
 
     oldest: int
     newest: int
 
 
-class Raise(msgspec.Struct, tag="form", tag_field="what", frozen=True):
+class RaiseFormatVersion(
+    msgspec.Struct, tag="form", tag_field="what", frozen=True, rename={"format_version": "form"}
+):
     """The event: from where it is held on, this form is in force."""
 
-    form: int
+    format_version: int
 
 
-_raise = msgspec.json.Decoder(Raise).decode
-_span = msgspec.json.Decoder(Span).decode
-OLD = Span(FIRST, FIRST)  # of a program that says nothing of forms
+_raise = msgspec.json.Decoder(RaiseFormatVersion).decode
+_span = msgspec.json.Decoder(VersionRange).decode
+UNSTATED_RANGE = VersionRange(FIRST_VERSION, FIRST_VERSION)  # of a program that says nothing of forms
 
 
-def form_of(entry: Entry) -> int:
+def raised_version(entry: Entry) -> int:
     """The form that an entry raises to, 0 if it is another's event."""
-    if entry.channel != CHANNEL or b'"what":"form"' not in entry.body:
+    if entry.channel != FLEET_CHANNEL or b'"what":"form"' not in entry.body:
         return 0
     try:
-        form = _raise(entry.body).form
+        form = _raise(entry.body).format_version
     except (msgspec.DecodeError, UnicodeError):
         return 0
-    return form if FIRST < form <= MOST else 0
+    return form if FIRST_VERSION < form <= MAX_VERSION else 0
 
 
-def spoken(row: Heartbeat) -> Span:
+def version_range_of(row: Heartbeat) -> VersionRange:
     """What a gateway says of itself in its row. Raises ValueError (msgspec.DecodeError) where it is none."""
-    told = row.statuses.get(PART)
-    return OLD if told is None else whole(_span(told))
+    told = row.statuses.get(STATUS_KEY)
+    return UNSTATED_RANGE if told is None else checked_range(_span(told))
 
 
-def whole(span: Span) -> Span:
+def checked_range(span: VersionRange) -> VersionRange:
     """The span, if it is one. Raises ValueError."""
-    if not FIRST <= span.oldest <= span.newest <= MOST:
+    if not FIRST_VERSION <= span.oldest <= span.newest <= MAX_VERSION:
         raise ValueError(f"speaks forms {span.oldest} to {span.newest}")
     return span
 
 
-class Forms:
+class FormatVersions:
     """One gateway's forms, a subsystem of the member. `newest`: that this program speaks, less than
     `NEWEST` where it is held to what older ones speak; `kept`: the form in which its journal stood."""
 
-    name = PART
+    name = STATUS_KEY
 
-    def __init__(self, newest: int = NEWEST, kept: int = FIRST) -> None:
-        self.speaks = Span(FIRST, min(newest, NEWEST))
-        self.in_force = max(FIRST, kept)
-        self.by = ""  # who raised it, as far as that is known
+    def __init__(self, newest: int = NEWEST_VERSION, kept: int = FIRST_VERSION) -> None:
+        self.supported = VersionRange(FIRST_VERSION, min(newest, NEWEST_VERSION))
+        self.in_force = max(FIRST_VERSION, kept)
+        self.raised_by = ""  # who raised it, as far as that is known
 
     # --- the member's calls (subsystem.Subsystem) ---
 
     def status(self, now: int) -> bytes | None:
-        return msgspec.json.encode(self.speaks)
+        return msgspec.json.encode(self.supported)
 
     def status_received(self, name: str, zone: int, told: bytes, now: int) -> None:
         """Raises ValueError."""
-        whole(_span(told))
+        checked_range(_span(told))
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        form = form_of(entry)
+        form = raised_version(entry)
         if form > self.in_force:
-            self.in_force, self.by = form, entry.writer
+            self.in_force, self.raised_by = form, entry.writer
 
     def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
         return None
@@ -117,19 +119,19 @@
 
     def keeps(self, events: Sequence[Entry], upto: Timestamp) -> list[Entry]:
         """The event by which the form in force stands; of equal ones the first."""
-        raised = [entry for entry in events if form_of(entry)]
-        return [min(raised, key=lambda entry: (-form_of(entry), entry.position))] if raised else []
+        raised = [entry for entry in events if raised_version(entry)]
+        return [min(raised, key=lambda entry: (-raised_version(entry), entry.position))] if raised else []
 
     def report(self) -> dict[str, Any]:
-        return {"in_force": self.in_force, "speaks": list(self.speaks), "by": self.by}
+        return {"in_force": self.in_force, "speaks": list(self.supported), "by": self.raised_by}
 
     # --- what is asked ---
 
-    def sends(self, theirs: Span) -> int:
+    def version_for(self, theirs: VersionRange) -> int:
         """The form in which a peer that speaks `theirs` is told things."""
-        return min(self.in_force, theirs.newest, self.speaks.newest)
+        return min(self.in_force, theirs.newest, self.supported.newest)
 
-    def apart(self, theirs: Span, in_force: int = FIRST) -> str:
+    def mismatch(self, theirs: VersionRange, in_force: int = FIRST_VERSION) -> str:
         """Why there is no speaking with a peer that speaks `theirs` and holds `in_force` for the form in
         force; empty if there is."""
         least = max(self.in_force, in_force)
@@ -138,14 +140,14 @@
                 f"speaks forms {theirs.oldest} to {theirs.newest}, and form {least} is in force in this "
                 f"fleet: a program that speaks it must be started there"
             )
-        if self.speaks.newest < least or theirs.oldest > self.speaks.newest:
+        if self.supported.newest < least or theirs.oldest > self.supported.newest:
             return (
                 f"form {max(least, theirs.oldest)} is in force in this fleet, and this program speaks forms "
-                f"{self.speaks.oldest} to {self.speaks.newest}: a newer one must be started here"
+                f"{self.supported.oldest} to {self.supported.newest}: a newer one must be started here"
             )
         return ""
 
-    def why_not(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]) -> str:
+    def raise_obstacle(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]) -> str:
         """Why a form may not be raised to; empty if it may. `counting`: lives that count, by name; `rows`:
         what gateways say of themselves now."""
         if form < self.in_force:
@@ -156,17 +158,19 @@
             )
         if form == self.in_force:
             return f"form {form} is in force"
-        if form > self.speaks.newest:
-            return f"this program speaks forms {self.speaks.oldest} to {self.speaks.newest}"
+        if form > self.supported.newest:
+            return f"this program speaks forms {self.supported.oldest} to {self.supported.newest}"
         if not counting:
             return "the fleet has not begun: nobody counts yet"
-        lacking = list(self.lacking(form, counting, rows))
+        lacking = list(self.unsupporting_members(form, counting, rows))
         if lacking:
             named = ", ".join(lacking[:NAMED]) + (" and others" if len(lacking) > NAMED else "")
             return f"{len(lacking)} of {len(counting)} that count do not speak form {form}: {named}"
         return ""
 
-    def lacking(self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]) -> Iterable[str]:
+    def unsupporting_members(
+        self, form: int, counting: Mapping[str, int], rows: Mapping[str, Heartbeat]
+    ) -> Iterable[str]:
         """Who counts and does not speak a form, or was not heard in the life that counts."""
         for name, life in sorted(counting.items()):
             row = rows.get(name)
@@ -174,7 +178,7 @@
                 yield name
                 continue
             try:
-                newest = spoken(row).newest
+                newest = version_range_of(row).newest
             except ValueError:
                 newest = 0
             if newest < form:
--- a/ochrecourse/fleet/frontier.py
+++ b/ochrecourse/fleet/frontier.py
@@ -20,16 +20,29 @@
 from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp, Stream
 from ochrecourse.fleet.log import LATE, START, Log, AppendRejectedError, encode_value
 from ochrecourse.fleet.streams import has_ended
-from ochrecourse.fleet.views import Admit, Admitted, Close, GiveUp, Retire, View, body_of, view_of
-
-CHANNEL = "fleet"
-PART = "log"  # the key of `told` in Heartbeat.statuses
-LIVES = 64  # that have ended beyond one a name, from which they are retired: what a beat looks at stays small
-STAY = 16  # lives of a name that may stay when others are retired: those of which entries are still held
-TOLD = 2000  # names and lives that a row, or an event, tells of those at once: some 40 KB
-
-
-class Told(msgspec.Struct, array_like=True):
+from ochrecourse.fleet.membership_view import (
+    Admit,
+    Admitted,
+    Close,
+    DeclareDeparted,
+    Retire,
+    MembershipView,
+    decode_event,
+    membership_view,
+)
+
+FLEET_CHANNEL = "fleet"
+STATUS_KEY = "log"  # the key of `told` in Heartbeat.statuses
+MAX_ENDED_INCARNATIONS = (
+    64  # that have ended beyond one a name, from which they are retired: what a beat looks at stays small
+)
+MAX_RETAINED = (
+    16  # lives of a name that may stay when others are retired: those of which entries are still held
+)
+MAX_LISTED = 2000  # names and lives that a row, or an event, tells of those at once: some 40 KB
+
+
+class LogStatus(msgspec.Struct, array_like=True):
     """What a row says for this module: the digest of its view, and lives that its sender holds for gone. As
     long as it does not count: a digest of what it holds of dead lives, and its clock when it began. Lives of
     which it met two histories, and up to where they are one. `idle`: name, life, lives that stay: in a
@@ -37,11 +50,11 @@
     of those that stay."""
 
     view: bytes
-    away: list[tuple[str, int]]
-    dead: bytes
-    born: Timestamp
+    departed: list[tuple[str, int]]
+    ended_digest: bytes
+    started_at: Timestamp
     forks: list[tuple[str, int, int]] = []
-    idle: list[tuple[str, int, list[int]]] = []
+    retirable: list[tuple[str, int, list[int]]] = []
 
 
 class Frontier:
@@ -57,11 +70,11 @@
     def __init__(self, log: Log, founders: Iterable[str]) -> None:
         self.log = log
         self.founders = frozenset(founders) | {log.name}
-        self.view = View()
-        self._base = View()  # of the snapshot that stands for older events
-        self.rows: dict[str, Heartbeat] = {}
-        self.said: dict[str, Told] = {}
-        self.floor = START
+        self.membership = MembershipView()
+        self._base = MembershipView()  # of the snapshot that stands for older events
+        self.heartbeats: dict[str, Heartbeat] = {}
+        self.statuses: dict[str, LogStatus] = {}
+        self.watermark = START
         self.promise = START
         self._born, self._life = (
             log.clock,
@@ -69,15 +82,15 @@
         )  # past all promises of earlier lives, if they are kept
         self._waiting: dict[str, Heartbeat] = {}  # rows whose entries are awaited while newer come
         self._reached: dict[Stream, Timestamp] = {}  # promises that are kept here so far
-        self._doubted: set[Stream] = set()  # held for gone, which is never taken back
+        self._departed: set[Stream] = set()  # held for gone, which is never taken back
         self._events: list[Entry] = []
         self._changed = False
         self._came = True  # snapshots that were not made here
         self._spent = 0  # lives that ended, and of which a retirement, or a snapshot after it, would free us
         self._idle: list[tuple[str, int, list[int]]] = []
         self._idle_at: tuple[Timestamp, int] | None = None
-        log.classify = self._judge
-        for entry in log.events(CHANNEL):
+        log.classify = self._classify
+        for entry in log.events(FLEET_CHANNEL):
             self._note(entry)
         self._changed = True
         log.listeners.append(self._note)
@@ -85,27 +98,27 @@
     # inputs
 
     def _note(self, entry: Entry) -> None:
-        if entry.channel == CHANNEL and body_of(entry) is not None:
+        if entry.channel == FLEET_CHANNEL and decode_event(entry) is not None:
             self._events.append(entry)
             self._changed = True
-        if entry.incarnation < self.view.newest.get(entry.writer, 0):
+        if entry.incarnation < self.membership.newest_incarnations.get(entry.writer, 0):
             self._idle_at = None
 
-    def snapshot_came(self) -> None:
+    def snapshot_received(self) -> None:
         """The log took snapshots of a peer."""
         self._changed = self._came = True
         self._idle_at = None
 
-    def hear(self, row: Heartbeat) -> None:
+    def receive(self, row: Heartbeat) -> None:
         """A row that `members` found new."""
         if row.name == self.log.name:
             return
         self.log.compare_head_hash(row.name, row.incarnation, row.seq, row.head_hash)
         try:
-            said = msgspec.json.decode(row.statuses[PART], type=Told)
+            said = msgspec.json.decode(row.statuses[STATUS_KEY], type=LogStatus)
         except (KeyError, msgspec.DecodeError, UnicodeError):
-            said = Told(b"", [], b"", START)
-        self.rows[row.name], self.said[row.name] = row, said
+            said = LogStatus(b"", [], b"", START)
+        self.heartbeats[row.name], self.statuses[row.name] = row, said
         for name, life, same in said.forks:
             stream = (name, life)
             if stream in self.log.chains and same < self.log.fork_points.get(stream, same + 1):
@@ -118,115 +131,124 @@
 
     # decisions
 
-    def _judge(self, entry: Entry) -> str:
-        return self.view.judge(entry.stream, entry.seq, entry.at)
+    def _classify(self, entry: Entry) -> str:
+        return self.membership.classify(entry.stream, entry.seq, entry.at)
 
     def settle(self) -> None:
         """Draws the conclusions from all that was noted; cheap when nothing was."""
         if self._life != self.log.incarnation:
             self._born, self._life = self.log.clock, self.log.incarnation
-        snapshot = self.log.snapshot(CHANNEL)
+        snapshot = self.log.snapshot(FLEET_CHANNEL)
         if self._changed or (snapshot is not None and snapshot.upto > self._base.upto):
             self._changed = False
             self._renew_view()
         self._achieve()
-        self.floor = self._floor()
-        told = [self._floor_of(name, life) for name, life in self.view.counting.items()]
-        self.log.advance_frontier(min([self.floor, *told]))
-        self.log.late_streams = self._lates() if self.view.last <= self.log.stable else set()
+        self.watermark = self._own_watermark()
+        told = [self._watermark_of(name, life) for name, life in self.membership.active.items()]
+        self.log.advance_frontier(min([self.watermark, *told]))
+        self.log.late_streams = self._lates() if self.membership.last <= self.log.stable else set()
 
     def _lates(self) -> set[Stream]:
         """Streams that hold late entries; others are spared the look at each entry."""
         found = set()
         for stream, chain in self.log.chains.items():
             first = next(chain.entries_after(0), None)
-            last = self.view.judge(stream, chain.last, chain.at)
-            if first is not None and LATE in (self._judge(first), last):
+            last = self.membership.classify(stream, chain.last, chain.at)
+            if first is not None and LATE in (self._classify(first), last):
                 found.add(stream)
         return found
 
     def _renew_view(self) -> None:
-        snapshot = self.log.snapshot(CHANNEL)
+        snapshot = self.log.snapshot(FLEET_CHANNEL)
         if snapshot is not None and snapshot.upto > self._base.upto:
-            self._base = View.of(json.loads(snapshot.value)[PART], snapshot.upto)
-            self._events = [e for e in self._events if e.at > snapshot.upto or isinstance(body_of(e), GiveUp)]
+            self._base = MembershipView.of(json.loads(snapshot.value)[STATUS_KEY], snapshot.upto)
+            self._events = [
+                e
+                for e in self._events
+                if e.at > snapshot.upto or isinstance(decode_event(e), DeclareDeparted)
+            ]
             self._came = True
-            self.log.retire(self._base.over)  # by the view before: it may know what was settled
-        self.view = view_of(self._base, self._events)
+            self.log.retire(self._base.ended_incarnations)  # by the view before: it may know what was settled
+        self.membership = membership_view(self._base, self._events)
         self.log.view_version += 1
         if self._came and snapshot is not None:
             self._came = False
             self.log.apply_snapshots(self._base.upto)
-        view = self.view
+        view = self.membership
         self._spent = sum(
-            life < view.newest.get(name, 0) and life not in view.over.get(name, (0, ()))[1]
+            life < view.newest_incarnations.get(name, 0)
+            and life not in view.ended_incarnations.get(name, (0, ()))[1]
             for name, life in {**view.starts, **view.ends}
         )
         # Guards against a disk lost while the clock was put back: what is appended would be late for a while.
         self.log.clock = max(
-            self.log.clock, self.view.starts.get((self.log.name, self.log.incarnation), START)
+            self.log.clock, self.membership.starts.get((self.log.name, self.log.incarnation), START)
         )
         self.log.highest_incarnation = max(
-            self.log.highest_incarnation, self.view.newest.get(self.log.name, 0)
+            self.log.highest_incarnation, self.membership.newest_incarnations.get(self.log.name, 0)
         )
         self._reached = {
-            (name, life): self._reached.get((name, life), self.view.starts[name, life])
-            for name, life in self.view.counting.items()
+            (name, life): self._reached.get((name, life), self.membership.starts[name, life])
+            for name, life in self.membership.active.items()
         }
-        self._doubted &= set(self.view.counting.items())
+        self._departed &= set(self.membership.active.items())
 
     def _achieve(self) -> None:
         """Promises whose entries are all here. None more while an own event is not durable yet: what it says
         of other lives' promises was true as it was drafted, and no floor may pass that before it is here."""
-        if any(draft.channel == CHANNEL for draft in self.log.drafts):
+        if any(draft.channel == FLEET_CHANNEL for draft in self.log.drafts):
             return
-        for stream in self.view.counting.items():
+        for stream in self.membership.active.items():
             if stream == (self.log.name, self.log.incarnation):
                 self._reached[stream] = max(self._reached[stream], self.promise)
                 continue
-            if stream in self._doubted:
+            if stream in self._departed:
                 continue
             name = stream[0]
-            for row in (self._waiting.get(name), self.rows.get(name)):
+            for row in (self._waiting.get(name), self.heartbeats.get(name)):
                 if row is None or (row.name, row.incarnation) != stream:
                     continue
                 self.log.compare_head_hash(name, row.incarnation, row.seq, row.head_hash)
                 if self._holds(stream, row.seq):
                     self._reached[stream] = max(self._reached[stream], row.promise)
-                    self._waiting[name] = self.rows[name]
+                    self._waiting[name] = self.heartbeats[name]
 
     def _holds(self, stream: Stream, seq: int) -> bool:
         chain = self.log.chains.get(stream)
         same = self.log.fork_points.get(stream, seq)
         return seq == 0 or (chain is not None and chain.last >= seq and same >= seq)
 
-    def _floor(self) -> Timestamp:
+    def _own_watermark(self) -> Timestamp:
         """START while an ended life is not held up to its end."""
-        if not self._reached or not all(self._holds(s, end) for s, end in self.view.ends.items()):
+        if not self._reached or not all(self._holds(s, end) for s, end in self.membership.ends.items()):
             return START
         return min(self._reached.values())
 
-    def _floor_of(self, name: str, life: int) -> Timestamp:
+    def _watermark_of(self, name: str, life: int) -> Timestamp:
         """A counting member's floor as told from the view that is ours; START where it told of another."""
         if (name, life) == (self.log.name, self.log.incarnation):
-            return self.floor
-        row = self.rows.get(name)
-        if row is None or row.incarnation != life or self.said[name].view != self.view.digest:
+            return self.watermark
+        row = self.heartbeats.get(name)
+        if row is None or row.incarnation != life or self.statuses[name].view != self.membership.digest:
             return START
         return row.watermark
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether this life has ended for the fleet, a peer holds it for gone, it has two histories, or there
         was a greater one."""
         own = (self.log.name, self.log.incarnation)
-        if self.log.highest_incarnation > own[1] or own in self.view.ends or own in self.log.fork_points:
+        if (
+            self.log.highest_incarnation > own[1]
+            or own in self.membership.ends
+            or own in self.log.fork_points
+        ):
             return True
-        if self.view.given.get(own[0], -1) >= own[1]:
+        if self.membership.departed.get(own[0], -1) >= own[1]:
             return True
-        return any(own in said.away for said in self.said.values())
+        return any(own in said.departed for said in self.statuses.values())
 
-    def wants(self, reached: Collection[str], away: Collection[str]) -> object | None:
+    def next_event(self, reached: Collection[str], away: Collection[str]) -> object | None:
         """The body of one event that this gateway should append to channel `fleet`, or None. `reached` and
         `away`: names as `members` has them. Asked again after each append until None."""
         self.settle()
@@ -237,45 +259,51 @@
 
     def _wanted(self, reached: Collection[str], away: Collection[str]) -> object | None:
         own = (self.log.name, self.log.incarnation)
-        if self.view.counting.get(own[0]) != own[1]:
-            return self._begin(reached)
-        voters = self.view.voters()
+        if self.membership.active.get(own[0]) != own[1]:
+            return self._first_event(reached)
+        voters = self.membership.voters()
         if 2 * len(set(reached) & set(voters)) > len(voters):
-            self._doubted |= {s for s in self.view.counting.items() if s[0] in away or s[0] not in voters}
+            self._departed |= {
+                s for s in self.membership.active.items() if s[0] in away or s[0] not in voters
+            }
         return self._admit(reached) or self._close(reached) or self._cut_short() or self._retire(reached)
 
-    def _begin(self, reached: Collection[str]) -> object | None:
+    def _first_event(self, reached: Collection[str]) -> object | None:
         """The first event of a fleet, or of one whose members have all begun new lives, so that nobody counts
         who could admit another. It takes all of its names but those given up, all of one view, and holding
         the same of the lives before, so that what was ordinary stays so. A majority would not do: it need not
         know of a beginning that another majority made."""
-        here = {n for n in self.view.counting or self.founders if not self._given_up(n)}
+        here = {n for n in self.membership.active or self.founders if not self._is_departed(n)}
         if self.log.name != min(here, default="") or here - set(reached):
             return None
-        own = Told(self.view.digest, [], self._dead(), self._born)
-        said = {n: self.said.get(n, Told(b"", [], b"", START)) for n in here if n != self.log.name}
-        if any((other.view, other.dead) != (own.view, own.dead) for other in said.values()):
+        own = LogStatus(self.membership.digest, [], self._ended_digest(), self._born)
+        said = {n: self.statuses.get(n, LogStatus(b"", [], b"", START)) for n in here if n != self.log.name}
+        if any((other.view, other.ended_digest) != (own.view, own.ended_digest) for other in said.values()):
             return None
-        start = max(told.born for told in [own, *said.values()]) if self.view.newest else START
+        start = (
+            max(told.started_at for told in [own, *said.values()])
+            if self.membership.newest_incarnations
+            else START
+        )
         # Guards against a beginning that stands before its own start, which is another's promise: it would be
         # late by what it says itself, and never count.
         self.log.clock = max(self.log.clock, start)
         lives = [
-            (n, self.log.incarnation if n == self.log.name else self.rows[n].incarnation)
+            (n, self.log.incarnation if n == self.log.name else self.heartbeats[n].incarnation)
             for n in sorted(here)
         ]
-        if any(life <= self.view.newest.get(n, 0) for n, life in lives):
+        if any(life <= self.membership.newest_incarnations.get(n, 0) for n, life in lives):
             return None  # lost its disk while its clock went back, and must first begin beyond
         return Admit([self._admitted(n, life, start) for n, life in lives], first=True).value()
 
-    def _dead(self) -> bytes:
+    def _ended_digest(self) -> bytes:
         """A digest of what is held of lives that nobody lives any more; nothing once this life counts."""
-        if self.view.counting.get(self.log.name) == self.log.incarnation:
+        if self.membership.active.get(self.log.name) == self.log.incarnation:
             return b""
-        now = {name: row.incarnation for name, row in self.rows.items()} | {
+        now = {name: row.incarnation for name, row in self.heartbeats.items()} | {
             self.log.name: self.log.incarnation
         }
-        over = self.view.over  # some have forgotten those already
+        over = self.membership.ended_incarnations  # some have forgotten those already
         held = [
             (*s, chain.last)
             for s, chain in sorted(self.log.chains.items())
@@ -283,36 +311,38 @@
         ]
         return blake2b(msgspec.json.encode(held), digest_size=8).digest()
 
-    def _given_up(self, name: str) -> bool:
+    def _is_departed(self, name: str) -> bool:
         """Whether a name was given up and no life beyond that has been heard of."""
-        row = self.rows.get(name)
+        row = self.heartbeats.get(name)
         life = self.log.incarnation if name == self.log.name else row.incarnation if row is not None else 0
-        return life <= self.view.given.get(name, -1)
+        return life <= self.membership.departed.get(name, -1)
 
-    def give_up(self, name: str, reached: Collection[str]) -> object:
+    def declare_departed(self, name: str, reached: Collection[str]) -> object:
         """The body of the event by which a person gives up a name. Raises AppendRejectedError, in words for
         them."""
         self.settle()
         lives = [life for writer, life in self.log.chains if writer == name]
-        lives += [row.incarnation] if (row := self.rows.get(name)) is not None else []
-        lives += [self.view.newest[name]] if name in self.view.newest else []
+        lives += [row.incarnation] if (row := self.heartbeats.get(name)) is not None else []
+        lives += (
+            [self.membership.newest_incarnations[name]] if name in self.membership.newest_incarnations else []
+        )
         if name == self.log.name:
             raise AppendRejectedError(f"{name} is this gateway itself")
         if name not in self.founders and not lives:
             raise AppendRejectedError(f"no gateway of this fleet is named {name[:64]!r}")
         if name in reached:
             raise AppendRejectedError(f"{name} is reached; only a name that does not come back is given up")
-        if self._given_up(name):
+        if self._is_departed(name):
             raise AppendRejectedError(f"{name} is given up already")
-        return GiveUp(name, max(lives, default=0)).value()
+        return DeclareDeparted(name, max(lives, default=0)).value()
 
-    def _knows_before(self, name: str) -> bool:
+    def _holds_earlier_incarnations(self, name: str) -> bool:
         """Whether all that a gateway says it wrote in earlier lives is held here."""
         return all(
             self._holds((name, life), seq)
-            or (name, life) in self.view.ends
-            or has_ended(self.view.over, (name, life))
-            for life, seq in self.rows[name].earlier_incarnations
+            or (name, life) in self.membership.ends
+            or has_ended(self.membership.ended_incarnations, (name, life))
+            for life, seq in self.heartbeats[name].earlier_incarnations
         )
 
     def _admitted(self, name: str, life: int, start: Timestamp | None) -> Admitted:
@@ -325,17 +355,17 @@
 
     def _admit(self, reached: Collection[str]) -> object | None:
         """New lives of names that are heard, by the least name that counts."""
-        lives_now = {n: row.incarnation for n, row in self.rows.items()} | {
+        lives_now = {n: row.incarnation for n, row in self.heartbeats.items()} | {
             self.log.name: self.log.incarnation
         }
-        here = sorted(n for n in reached if n in lives_now and self.view.counting.get(n) == lives_now[n])
+        here = sorted(n for n in reached if n in lives_now and self.membership.active.get(n) == lives_now[n])
         lives = []
         for name in sorted(reached):
-            row = self.rows.get(name)
+            row = self.heartbeats.get(name)
             if (
                 row is None
-                or row.incarnation <= self.view.newest.get(name, 0)
-                or not self._knows_before(name)
+                or row.incarnation <= self.membership.newest_incarnations.get(name, 0)
+                or not self._holds_earlier_incarnations(name)
             ):
                 continue
             if next((n for n in here if n != name), "") == self.log.name:
@@ -345,22 +375,26 @@
     def _start_of(self, name: str) -> Timestamp | None:
         """From where a new life's entries may be ordinary: past every frontier. No frontier is past a promise
         that holds it back here; before this gateway counted, none was past its own admission."""
-        life = self.view.counting.get(name)
-        if life is None or self._reached[name, life] < self.view.since[self.log.name]:
+        life = self.membership.active.get(name)
+        if life is None or self._reached[name, life] < self.membership.active_since[self.log.name]:
             return None  # where the event itself will stand
         return self._reached[name, life]
 
     def _close(self, reached: Collection[str]) -> object | None:
         """A life that more than half of the members hold for gone, by the least of their names. Who holds us
         for gone has no vote here: of two that would end each other, one at most finds a majority."""
-        counting, own = self.view.voters(), (self.log.name, self.log.incarnation)
-        for stream in sorted(self._doubted):
+        counting, own = self.membership.voters(), (self.log.name, self.log.incarnation)
+        for stream in sorted(self._departed):
             votes = [own[0]]
             for name in set(reached) & set(counting):
-                said = self.said.get(name)
-                if said is None or self.rows[name].incarnation != counting[name] or own in said.away:
+                said = self.statuses.get(name)
+                if (
+                    said is None
+                    or self.heartbeats[name].incarnation != counting[name]
+                    or own in said.departed
+                ):
                     continue
-                if stream in said.away and said.view == self.view.digest:
+                if stream in said.departed and said.view == self.membership.digest:
                     votes.append(name)
             if 2 * len(votes) > len(counting) and min(votes) == own[0]:
                 chain = self.log.chains.get(stream)
@@ -371,7 +405,7 @@
     def _cut_short(self) -> object | None:
         """An ended life of which two histories are known ends where they part."""
         for stream, same in self.log.fork_points.items():
-            if self.view.ends.get(stream, 0) > same:
+            if self.membership.ends.get(stream, 0) > same:
                 return Close(*stream, same).value()
         return None
 
@@ -379,12 +413,14 @@
 
     def _open(self, stream: Stream) -> bool:
         """Whether nothing says yet where a life ended."""
-        return stream not in self.view.ends and not has_ended(self.view.over, stream)
+        return stream not in self.membership.ends and not has_ended(
+            self.membership.ended_incarnations, stream
+        )
 
-    def crowded(self, upto: Timestamp) -> bool:
+    def needs_retirement(self, upto: Timestamp) -> bool:
         """Whether a snapshot up to there would help to retire lives, of which there are many."""
         news = any(self._base.upto < e.at <= upto for e in self._events)
-        return news and self._spent >= LIVES + len(self.view.newest)
+        return news and self._spent >= MAX_ENDED_INCARNATIONS + len(self.membership.newest_incarnations)
 
     def _look_idle(self) -> None:
         """Finds anew what this gateway acknowledges as over, where snapshots have moved."""
@@ -392,13 +428,13 @@
             return
         self._idle_at = (self._base.upto, self.log.compaction_count)
         self._idle = []
-        newest = self._base.newest
+        newest = self._base.newest_incarnations
         busy: dict[str, list[int]] = {}
         for (name, life), chain in sorted(self.log.chains.items()):
             whole = chain.last >= self._base.ends.get((name, life), 0)
             if life < newest.get(name, 0) and (chain.entries or not whole or (name, life) in self.log.forks):
                 busy.setdefault(name, []).append(life)
-        for name, lives in self._base.spent().items():
+        for name, lives in self._base.retirable().items():
             upto, stay = _bounded(newest[name] - 1, busy.get(name, []))
             if sum(life <= upto for life in lives if life not in stay) > 1:
                 self._idle.append((name, upto, stay))
@@ -406,20 +442,20 @@
 
     def _retire(self, reached: Collection[str]) -> object | None:
         """Lives of which everybody that counts says that it holds nothing any more, by the least name."""
-        counting = self.view.counting
+        counting = self.membership.active
         self._look_idle()
         if self.log.name != min(set(reached) & set(counting), default="") or not self._idle:
             return None
         told = [self._idle]
         for name, life in sorted(counting.items()):
             if name != self.log.name:
-                row = self.rows.get(name)
+                row = self.heartbeats.get(name)
                 if row is None or row.incarnation != life:
                     return None
-                told.append(self.said[name].idle)
+                told.append(self.statuses[name].retirable)
         by_name = [{name: (upto, stay) for name, upto, stay in each} for each in told]
         lives: list[tuple[str, int, list[int]]] = []
-        for name, spent in self.view.spent().items():
+        for name, spent in self.membership.retirable().items():
             if not all(name in each for each in by_name):
                 continue
             upto = min(each[name][0] for each in by_name)
@@ -430,7 +466,7 @@
 
     # what this gateway says of itself
 
-    def fields(self, promise: Timestamp) -> dict[str, Any]:
+    def heartbeat_fields(self, promise: Timestamp) -> dict[str, Any]:
         """The log's part of this gateway's next row (`members.own`); `told` is the part under PART.
         `promise`: as `log_store.LogStore.promise` gave it just now."""
         self.promise = promise
@@ -441,7 +477,7 @@
             "seq": chain.last if chain else 0,
             "head_hash": chain.hash_at(chain.last) if chain else b"",
             "promise": promise,
-            "watermark": self.floor,
+            "watermark": self.watermark,
             "earlier_incarnations": self.earlier_incarnations(),
         }
 
@@ -453,11 +489,11 @@
             if writer == self.log.name and life < self.log.incarnation and self._open((writer, life))
         )
 
-    def told(self) -> bytes:
+    def status(self) -> bytes:
         """What stands under PART in this gateway's row."""
         return self._told(True)
 
-    def told_nothing(self) -> bytes:
+    def empty_status(self) -> bytes:
         """The same where nothing may be claimed of the log: no row counts with it."""
         return self._told(False)
 
@@ -465,25 +501,32 @@
         self.settle()  # guards against the digest of one view beside a floor that rests on the next
         forks = [(*stream, same) for stream, same in sorted(self.log.fork_points.items())]
         if not claims:
-            return msgspec.json.encode(Told(b"", [], b"", self._born, forks))
+            return msgspec.json.encode(LogStatus(b"", [], b"", self._born, forks))
         self._look_idle()
         return msgspec.json.encode(
-            Told(self.view.digest, sorted(self._doubted), self._dead(), self._born, forks, self._idle)
+            LogStatus(
+                self.membership.digest,
+                sorted(self._departed),
+                self._ended_digest(),
+                self._born,
+                forks,
+                self._idle,
+            )
         )
 
-    def settled(self, upto: Timestamp) -> object:
+    def snapshot_value(self, upto: Timestamp) -> object:
         """The part of a snapshot of channel `fleet` that stands for this module's events at or before `upto`;
         it belongs under PART in the snapshot's value."""
-        return view_of(self._base, [e for e in self._events if e.at <= upto]).value()
+        return membership_view(self._base, [e for e in self._events if e.at <= upto]).value()
 
-    def late(self) -> list[Entry]:
+    def late_entries(self) -> list[Entry]:
         """All late entries that are held."""
-        return [e for e in self.log.all_entries() if self._judge(e) == LATE]
+        return [e for e in self.log.all_entries() if self._classify(e) == LATE]
 
 
 def _bounded(upto: int, stay: list[int]) -> tuple[int, list[int]]:
     """Up to which life a name may be retired where so many of its lives stay, and those up to there."""
-    upto = min(upto, stay[STAY] - 1) if len(stay) > STAY else upto
+    upto = min(upto, stay[MAX_RETAINED] - 1) if len(stay) > MAX_RETAINED else upto
     return upto, [life for life in stay if life <= upto]
 
 
@@ -492,6 +535,6 @@
     size, found = 0, []
     for each in lives:
         size += 2 + len(each[2])
-        if size <= TOLD:
+        if size <= MAX_LISTED:
             found.append(each)
     return found
--- a/ochrecourse/fleet/log_state.py
+++ b/ochrecourse/fleet/log_state.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from ochrecourse.common.runtime import now_ns
-from ochrecourse.fleet.forms import Forms
+from ochrecourse.fleet.format_versions import FormatVersions
 from ochrecourse.fleet.frontier import Frontier
 from ochrecourse.fleet.log_store import BeginResult, LogStore
 from ochrecourse.fleet.member_environment import MemberEnvironment
@@ -55,7 +55,7 @@
         self.frontier = Frontier(self.log, peers)
         self.log.journal_recovered()
         self.frontier.settle()
-        self.forms = Forms(settings.newest_form, self.log_store.format_version)
+        self.forms = FormatVersions(settings.newest_form, self.log_store.format_version)
 
     def wall_ms(self) -> int:
         """ms since 1970 by this gateway's clock."""
@@ -63,7 +63,7 @@
 
     def begin_incarnation_if_due(self) -> None:
         """Begins one if the fleet has released the present one, or has received a greater one."""
-        is_due = self.frontier.over or self.members.highest_incarnation > self.log.incarnation
+        is_due = self.frontier.has_ended or self.members.highest_incarnation > self.log.incarnation
         if is_due and not self.log_store.is_beginning_incarnation:
             self.log_store.request_incarnation(
                 self.wall_ms(), self._random_bits(), self.members.highest_incarnation, self._incarnation_begun
@@ -81,11 +81,13 @@
         """Puts the journal in the form in force, as far as this program writes it: a program that does not
         speak it notices at the first line, and not after half of the records.
         """
-        form = min(self.forms.in_force, self.forms.speaks.newest)
+        form = min(self.forms.in_force, self.forms.supported.newest)
         if form > self.log_store.format_version:
             self.log_store.set_format_version(form)
-            speaks = list(self.forms.speaks)
-            self.operator_log.write("fleet form", form=self.forms.in_force, speaks=speaks, by=self.forms.by)
+            speaks = list(self.forms.supported)
+            self.operator_log.write(
+                "fleet form", form=self.forms.in_force, speaks=speaks, by=self.forms.raised_by
+            )
 
     def continue_rewrite(self) -> bool:
         """Rewrites the next piece of the journal; True if that ended a compaction of the log."""
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -20,8 +20,8 @@
 from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.event_appender import EventAppender
 from ochrecourse.fleet.event_compaction import EventCompaction, compact
-from ochrecourse.fleet.forms import FIRST, Raise
-from ochrecourse.fleet.frontier import CHANNEL, PART
+from ochrecourse.fleet.format_versions import FIRST_VERSION, RaiseFormatVersion
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY
 from ochrecourse.fleet.log_store import AppendResult, OnAppended
 from ochrecourse.fleet.link import PeerLinkListener, Link
 from ochrecourse.fleet.log_state import LogState
@@ -149,7 +149,7 @@
 
     def _register_subsystems(self) -> None:
         self.log.listeners.append(self.subsystem_host.entry_received)
-        if self.forms.speaks.newest > FIRST:  # else it behaves as programs that know of no forms
+        if self.forms.supported.newest > FIRST_VERSION:  # else it behaves as programs that know of no forms
             self.register(self.forms)
         self.log_state.update_journal_form()
         self.member_zones = MemberZones(self.settings, self.environment, self.placement, self.wall_ms)
@@ -291,19 +291,21 @@
 
     def give_up(self, name: str, on_result: OnAppended) -> None:
         """An operator says that a gateway does not return. Raises AppendRejectedError, OSError."""
-        value = self.frontier.give_up(name, self.members.reachable(now_ns(self.network)))
-        self.request_append(CHANNEL, value, on_result)
+        value = self.frontier.declare_departed(name, self.members.reachable(now_ns(self.network)))
+        self.request_append(FLEET_CHANNEL, value, on_result)
 
     def raise_form(self, form: int, on_result: OnAppended = _ignore_result) -> None:
         """Puts a form in force from here on. Raises AppendRejectedError with what is in the way, OSError."""
         obstacle = self.form_waits(form)
         if obstacle:
             raise AppendRejectedError(obstacle)
-        self.appender.request_append(CHANNEL, msgspec.to_builtins(Raise(form)), True, on_result)
+        self.appender.request_append(
+            FLEET_CHANNEL, msgspec.to_builtins(RaiseFormatVersion(form)), True, on_result
+        )
 
     def form_waits(self, form: int) -> str:
         """Why a form may not be put in force now; empty if it may."""
-        return self.forms.why_not(form, self.frontier.view.counting, self.members.heartbeats)
+        return self.forms.raise_obstacle(form, self.frontier.membership.active, self.members.heartbeats)
 
     def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Delivery], str]:
         """What a reader at `cursor` has not had, in order, and the next cursor. Raises
@@ -320,8 +322,8 @@
         """Replaces all entries of a channel at or before `upto`, which is at the stability frontier or before
         it, by a value (JSON). Raises AppendRejectedError.
         """
-        if channel == CHANNEL:
-            raise AppendRejectedError(f"channel {CHANNEL} compacts itself")
+        if channel == FLEET_CHANNEL:
+            raise AppendRejectedError(f"channel {FLEET_CHANNEL} compacts itself")
         compact(self.common, channel, upto, value)
 
     def dump(self, channel: str) -> bytes:
@@ -334,12 +336,12 @@
         return self.peer_addresses.rejection_of(hello.name)
 
     def _heartbeat_received(self, heartbeat: Heartbeat) -> None:
-        self.frontier.hear(heartbeat)
+        self.frontier.receive(heartbeat)
         self._new_heartbeats[heartbeat.name] = heartbeat
 
     def _snapshot_received(self, piece: Snapshot | Holes) -> None:
         """A piece of a peer's snapshots was applied."""
-        self.frontier.snapshot_came()
+        self.frontier.snapshot_received()
         if isinstance(piece, Snapshot):
             self.operator_log.write("fleet snapshot taken", channel=piece.channel, upto_ms=piece.upto.ms)
             self.subsystem_host.snapshot_received(piece)
@@ -381,17 +383,17 @@
 
     def _next_frontier_entry(self) -> WantedEntry | None:
         now = now_ns(self.network)
-        value = self.frontier.wants(self.members.reachable(now), self.members.departed(now))
-        return WantedEntry(CHANNEL, value, True) if value is not None else None
+        value = self.frontier.next_event(self.members.reachable(now), self.members.departed(now))
+        return WantedEntry(FLEET_CHANNEL, value, True) if value is not None else None
 
     def _send_heartbeat(self, now: int) -> None:
-        status, statuses = self.frontier.told(), self.subsystem_host.statuses(now)
-        fields = self.frontier.fields(self.log_store.promise(self.wall_ms()))
+        status, statuses = self.frontier.status(), self.subsystem_host.statuses(now)
+        fields = self.frontier.heartbeat_fields(self.log_store.promise(self.wall_ms()))
         claim = self._durable_claim.update(LogClaim(self.log.incarnation, status, fields["watermark"]))
         if claim is None:
-            claim = LogClaim(self.log.incarnation, self.frontier.told_nothing())
+            claim = LogClaim(self.log.incarnation, self.frontier.empty_status())
         fields["watermark"] = claim.floor
-        self.members.next_heartbeat(now, statuses={PART: claim.status, **statuses}, **fields)
+        self.members.next_heartbeat(now, statuses={STATUS_KEY: claim.status, **statuses}, **fields)
 
     def _update_rate_limits(self, now: int) -> None:
         limits = self.subsystem_host.rate_limits(now)
@@ -408,7 +410,7 @@
 
 def _check_kind(channel: str, value: object) -> None:
     """Raises AppendRejectedError."""
-    if channel == CHANNEL and isinstance(value, dict) and value.get("what") == "form":
+    if channel == FLEET_CHANNEL and isinstance(value, dict) and value.get("what") == "form":
         raise AppendRejectedError("a form is raised by its own word, which asks whether all speak it")
 
 
--- a/ochrecourse/fleet/member_environment.py
+++ b/ochrecourse/fleet/member_environment.py
@@ -8,7 +8,7 @@
 
 from ochrecourse.common.request_records import AttemptRecord, RequestRecord
 from ochrecourse.common.runtime import Network
-from ochrecourse.fleet.forms import FIRST, NEWEST
+from ochrecourse.fleet.format_versions import FIRST_VERSION, NEWEST_VERSION
 from ochrecourse.fleet.zone_subsystem import InFlightRequests
 from ochrecourse.storage.disk_worker import DiskWorker, InlineWorker
 from ochrecourse.storage.journal import Journal
@@ -22,7 +22,7 @@
     newest: int
 
 
-JOURNAL = JournalFormat("fleet-log", FIRST, NEWEST)
+JOURNAL = JournalFormat("fleet-log", FIRST_VERSION, NEWEST_VERSION)
 
 
 class MemberGateway(Protocol):
--- a/ochrecourse/fleet/member_settings.py
+++ b/ochrecourse/fleet/member_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ochrecourse.common.time_units import MS
-from ochrecourse.fleet.forms import NEWEST
+from ochrecourse.fleet.format_versions import NEWEST_VERSION
 from ochrecourse.fleet.log import LogLimits
 
 
@@ -52,7 +52,7 @@
             ),
             max_entries_in_flight=log["flight"],
             catch_up_bytes_per_s=round(log["catch_up"]),
-            newest_form=settings.get("newest_form", NEWEST),
+            newest_form=settings.get("newest_form", NEWEST_VERSION),
             clock_bound_ms=settings["clock_bound"],
             zones={**zones, "clock_bound": settings["clock_bound"]} if zones is not None else None,
         )
--- a/ochrecourse/fleet/mesh.py
+++ b/ochrecourse/fleet/mesh.py
@@ -37,7 +37,7 @@
     is_dialling: bool = False
     is_outgoing: bool = False  # the link that is up was dialled from here
     since: int = 0  # when `up` last changed
-    next: int = 0  # no dial before this
+    next_dial_at: int = 0  # no dial before this
     backoff: int = INITIAL_BACKOFF
     penalty: int = INITIAL_PENALTY
     violations: int = 0  # mistakes since they were last forgiven
@@ -100,10 +100,10 @@
         elif not mistake:
             at.backoff = min(2 * at.backoff, MAX_BACKOFF)
         at.is_up = at.is_dialling = False
-        at.next = max(at.next, now + round(at.backoff * (0.5 + 0.5 * self.chance())))
+        at.next_dial_at = max(at.next_dial_at, now + round(at.backoff * (0.5 + 0.5 * self.chance())))
         if mistake:
             at.violations += 1
-            at.next = now + round(at.penalty * (0.75 + 0.25 * self.chance()))
+            at.next_dial_at = now + round(at.penalty * (0.75 + 0.25 * self.chance()))
             at.penalty = min(2 * at.penalty, MAX_PENALTY)
 
     # --- what is asked ---
@@ -111,7 +111,7 @@
     def is_penalized(self, name: str, now: int) -> bool:
         """Whether a mistake is too recent to speak with this gateway again, whoever dials."""
         at = self.peers.get(name)
-        return at is not None and at.violations > 0 and now < at.next
+        return at is not None and at.violations > 0 and now < at.next_dial_at
 
     def next_to_dial(self, now: int) -> str | None:
         """Whom to dial now; asked until None."""
@@ -130,7 +130,7 @@
         if at.is_up:
             if at.violations and now - at.since > FORGIVEN:
                 at.violations, at.penalty = 0, INITIAL_PENALTY
-        elif not at.is_dialling and now >= at.next and (self.own < name or name not in self.paired):
+        elif not at.is_dialling and now >= at.next_dial_at and (self.own < name or name not in self.paired):
             at.is_dialling = True
             return True
         return False
--- a/ochrecourse/fleet/messages.py
+++ b/ochrecourse/fleet/messages.py
@@ -1,7 +1,7 @@
 """The messages of a link between two gateways: headers, bodies, limits, and how each is encoded and decoded.
 
 A frame is a header line of JSON and, where the header says so, a body behind it. In which form bodies go is
-said in forms.py; a decoder takes any form that is spoken here. What is no message raises
+said in format_versions.py; a decoder takes any form that is spoken here. What is no message raises
 `PeerProtocolError`, the exception for every mistake of the other side.
 """
 
@@ -13,7 +13,7 @@
 import msgspec
 
 from ochrecourse.fleet.entries import Entry
-from ochrecourse.fleet.forms import FIRST, PACKED
+from ochrecourse.fleet.format_versions import FIRST_VERSION, PACKED_VERSION
 
 MAX_HEADER_BYTES = 4096  # bytes of a header line; the largest, a fault, stays far below
 MAX_BODY_BYTES = 262_144  # bytes behind one header; one entry of the largest body that settings allow fits
@@ -149,11 +149,14 @@
     ResumeRelaying: list[str],
 }
 _bodies: Mapping[int, Mapping[type[Header], Any]] = {
-    FIRST: {kind: msgspec.json.Decoder(of) for kind, of in _types.items()},
-    PACKED: {kind: msgspec.msgpack.Decoder(of) for kind, of in _types.items()},
+    FIRST_VERSION: {kind: msgspec.json.Decoder(of) for kind, of in _types.items()},
+    PACKED_VERSION: {kind: msgspec.msgpack.Decoder(of) for kind, of in _types.items()},
 }
 _WITH_BODY = frozenset((*_types, SnapshotChunk))
-_encoders: Mapping[int, Callable[[Any], bytes]] = {FIRST: msgspec.json.encode, PACKED: msgspec.msgpack.encode}
+_encoders: Mapping[int, Callable[[Any], bytes]] = {
+    FIRST_VERSION: msgspec.json.encode,
+    PACKED_VERSION: msgspec.msgpack.encode,
+}
 
 
 def encode_frame(header: Header, body: bytes = b"") -> bytes:
@@ -189,7 +192,7 @@
 def decode_body(header: Header, body: bytes) -> Any:
     """What the body of a message says; None where it has none, or brings a piece. Raises
     PeerProtocolError."""
-    decoder = _bodies[header.format_version or FIRST].get(type(header))
+    decoder = _bodies[header.format_version or FIRST_VERSION].get(type(header))
     if decoder is None:
         return None
     try:
--- a/ochrecourse/fleet/peer_links.py
+++ b/ochrecourse/fleet/peer_links.py
@@ -219,7 +219,7 @@
         if exchange.hello is None and now - exchange.started_at > self.common.silence_timeout:
             link.abort("no hello came in time")
         elif exchange.hello is not None and (
-            mismatch := self.common.format_versions.apart(exchange.peer_versions)
+            mismatch := self.common.format_versions.mismatch(exchange.peer_versions)
         ):
             link.fail(PeerProtocolError(FORMAT_VERSION, mismatch))  # a form was raised while the link stood
         elif exchange.is_silent(now) and link.has_partial_frame():
--- a/ochrecourse/fleet/subsystem_host.py
+++ b/ochrecourse/fleet/subsystem_host.py
@@ -8,7 +8,7 @@
 
 from ochrecourse.common.runtime import Clock, now_ns
 from ochrecourse.fleet.entries import Entry, Heartbeat
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log import Log, Snapshot
 from ochrecourse.fleet.operator_log import OperatorLog
 from ochrecourse.fleet.subsystem import Subsystem, events_for
@@ -33,7 +33,7 @@
         """Adds a subsystem; it receives all entries that are in the log."""
         now = now_ns(self.clock)
         self.subsystems.append(subsystem)
-        for entry in events_for(self.log.snapshot(CHANNEL), subsystem):
+        for entry in events_for(self.log.snapshot(FLEET_CHANNEL), subsystem):
             subsystem.entry_received(entry, now)
         for entry in self.log.all_entries():
             subsystem.entry_received(entry, now)
@@ -46,7 +46,7 @@
 
     def snapshot_received(self, snapshot: Snapshot) -> None:
         """A peer's snapshot was applied: subsystems receive the events that it retains for them."""
-        if snapshot.channel != CHANNEL:
+        if snapshot.channel != FLEET_CHANNEL:
             return
         now = now_ns(self.clock)
         for subsystem in self.subsystems:
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from ochrecourse.audit import records as r
-from ochrecourse.fleet.forms import FIRST
+from ochrecourse.fleet.format_versions import FIRST_VERSION
 from ochrecourse.fleet.log import AppendRejectedError
 from ochrecourse.lab.fleet_instance import ANEW, FleetSeat
 from ochrecourse.lab.fleet_world import Fault
@@ -173,7 +173,7 @@
     def _raise_form(self, form: int) -> None:
         """The last ones may not be admitted yet, or a fault may keep one away: asked again for a while."""
         seats = [seat for seat in self.seats if seat.runs()]
-        if form <= FIRST or not self.world.sharing or any(seat.newest < form for seat in self.seats):
+        if form <= FIRST_VERSION or not self.world.sharing or any(seat.newest < form for seat in self.seats):
             return
         if all(seat.part().forms.in_force == form for seat in seats):
             return
--- a/ochrecourse/lab/fleet_world.py
+++ b/ochrecourse/lab/fleet_world.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ochrecourse.fleet.forms import NEWEST
+from ochrecourse.fleet.format_versions import NEWEST_VERSION
 from ochrecourse.lab.day import Day, Habits, Plan, Product, RuleFigures, Trouble
 from ochrecourse.standins.machine import NodeKind
 
@@ -76,7 +76,7 @@
     quiet_ms: float = 2000.0
     figures: dict[str, float] = {}  # of the part `zones`, where not the usual ones
     notes: bool = True  # each gateway appends a note a second and reads all of them
-    newest: int = NEWEST  # forms up to which programs speak at first
+    newest: int = NEWEST_VERSION  # forms up to which programs speak at first
     shifts: dict[str, float] = {}  # ms by which a gateway's wall clock is wrong, by its name
     close_s: float = 0.0  # when the site closes, a whole second; 0: there is no site, and no copies
     let_go_ms: float = 0.0  # away for so long, a gateway is let go; 0: as usual
--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -13,7 +13,7 @@
 
 from ochrecourse.storage.journal import MemoryJournal
 from ochrecourse.fleet.entries import Entry, LogPosition, Timestamp
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
 from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LATE, ORDINARY, InvalidEntryError, LogLimits, Log, AppendRejectedError
 from ochrecourse.fleet.members import InvalidHeartbeatError, Members
@@ -68,9 +68,9 @@
         self.up = True
 
     def beat(self):
-        fields = self.frontier.fields(self.log_kept.promise(self.wall()))
-        self.members.next_heartbeat(self.world.now, statuses={PART: self.frontier.told()}, **fields)
-        if self.frontier.over or self.members.highest_incarnation > self.members.incarnation:
+        fields = self.frontier.heartbeat_fields(self.log_kept.promise(self.wall()))
+        self.members.next_heartbeat(self.world.now, statuses={STATUS_KEY: self.frontier.status()}, **fields)
+        if self.frontier.has_ended or self.members.highest_incarnation > self.members.incarnation:
             self.members.begin_incarnation(
                 self.log_kept.begin_incarnation(
                     self.wall(), self.world.chance(), self.members.highest_incarnation
@@ -78,10 +78,10 @@
             )
         for _ in range(5):
             now = self.world.now
-            wanted = self.frontier.wants(self.members.reachable(now), self.members.departed(now))
+            wanted = self.frontier.next_event(self.members.reachable(now), self.members.departed(now))
             if wanted is None:
                 return
-            self.log_kept.append(CHANNEL, wanted, self.wall(), must=True)
+            self.log_kept.append(FLEET_CHANNEL, wanted, self.wall(), must=True)
 
     def append(self):
         held = [
@@ -100,17 +100,17 @@
     def compact(self, upto):
         given = [msgspec.json.encode(e).decode() for e in self.reader.given if e.at <= upto]
         self.log_kept.compact("x", upto, given)
-        self.log_kept.compact(CHANNEL, upto, {PART: self.frontier.settled(upto)})
+        self.log_kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: self.frontier.snapshot_value(upto)})
 
     def tell(self, other, most=1000):
         """Rows, then up to so many entries."""
         for row in list(self.members.heartbeats.values()):
             with contextlib.suppress(InvalidHeartbeatError):
                 if row.number and other.members.receive(row, self.world.now):
-                    other.frontier.hear(row)
+                    other.frontier.receive(row)
         for piece in self.log.snapshots_for(other.log.vector()):
             if other.log_kept.take_snapshot(piece):
-                other.frontier.snapshot_came()
+                other.frontier.snapshot_received()
         if most:
             with contextlib.suppress(InvalidEntryError):  # a clock too far ahead: again when that is over
                 other.log_kept.merge(
@@ -219,8 +219,8 @@
 
     def _kept_by(self, one):
         """Who counts, keeps its disk and is not `one`."""
-        newest = max(self.gateways.values(), key=lambda g: g.frontier.view.last)
-        return set(newest.frontier.view.counting) - self.lost - {one.name}
+        newest = max(self.gateways.values(), key=lambda g: g.frontier.membership.last)
+        return set(newest.frontier.membership.active) - self.lost - {one.name}
 
     def _start(self, one, two, number):
         if not one.up:
@@ -246,7 +246,7 @@
                 gateway.frontier.settle()
                 if gateway.log.frontier() < before:
                     raise Broken(f"{gateway.name}: the frontier went back")
-                if gateway.frontier.view.counting.get(gateway.name) == gateway.log.incarnation:
+                if gateway.frontier.membership.active.get(gateway.name) == gateway.log.incarnation:
                     self.lost.discard(gateway.name)
                 gateway.reader.read(gateway.log)
                 self._check_reader(gateway)
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -17,7 +17,7 @@
 from ochrecourse.fleet.channel import Channel
 from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.exchange import Exchange
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LogLimits, Holes, AppendRejectedError
 from ochrecourse.fleet.messages import PeerProtocolError
@@ -107,12 +107,12 @@
     a.fill(3000)
     pairs = [(a.link("b"), b.link()), (b.link("c"), c.link())]
     live(pairs, [a, b, c], 0, SECOND)
-    a.kept.append(CHANNEL, {"what": "zone"}, WALL + 5000)
-    decision = a.log.events(CHANNEL)[-1]
+    a.kept.append(FLEET_CHANNEL, {"what": "zone"}, WALL + 5000)
+    decision = a.log.events(FLEET_CHANNEL)[-1]
     live(pairs, [a, b, c], SECOND, 2 * SECOND)
     assert b.ahead == c.ahead == [decision]  # once each
     stream = decision.stream
-    assert 0 < c.log.vector().get(stream, 0) < 1000 and not c.log.events(CHANNEL)  # not of the log yet
+    assert 0 < c.log.vector().get(stream, 0) < 1000 and not c.log.events(FLEET_CHANNEL)  # not of the log yet
     live(pairs, [a, b, c], 2 * SECOND, 40 * SECOND)
     assert c.log.vector() == a.log.vector() and c.log.dump("c") == a.log.dump("c")
     assert c.ahead == [decision]
@@ -122,7 +122,7 @@
     a, b = Away("a"), Away("b")
     (pair,) = meet(a, b)
     for i in range(20):
-        a.kept.append(CHANNEL, i, WALL)
+        a.kept.append(FLEET_CHANNEL, i, WALL)
     live([pair], [a, b], 0, SECOND)
     assert pair[1].entries_in == 20 and not b.ahead
 
@@ -212,7 +212,7 @@
         now += 10 * MS
         if what == "append":
             for i in range(count):
-                answered.append(ends[which].append(f"{now} {i}", CHANNEL if i % 5 == 4 else "c"))
+                answered.append(ends[which].append(f"{now} {i}", FLEET_CHANNEL if i % 5 == 4 else "c"))
         elif what == "cut":
             cut(which)
         elif what == "turn":
@@ -262,7 +262,7 @@
         compact(settled)
     left = {(e.stream, e.seq) for e in ends[0].log.events("c")}
     lacks = [e for e in answered if e.channel == "c" and e.at > settled and (e.stream, e.seq) not in left]
-    early = all(entry in end.log.events(CHANNEL) for end in ends for entry in end.ahead)
+    early = all(entry in end.log.events(FLEET_CHANNEL) for end in ends for entry in end.ahead)
     vectors = {tuple(sorted(end.log.vector().items())) for end in ends}
     return not lacks and early and len(vectors) == 1 and len({end.log.dump("c") for end in ends}) == 1
 
@@ -499,7 +499,7 @@
     fleet.network.meter = lambda here, there, size: told.append(
         (here, round(fleet.network.seconds() * 1000), size)
     )
-    decision = fleet.parts["a"].append(CHANNEL, {"what": "told"})
+    decision = fleet.parts["a"].append(FLEET_CHANNEL, {"what": "told"})
     heard = []
     fleet.parts["d"].common.on_early_entry = lambda entry: heard.append((entry, fleet.network.seconds()))
     while len(fleet.dumps("c7")) > 1 or len({len(p.log.vector()) for p in fleet.parts.values()}) > 1:
@@ -522,7 +522,7 @@
     fleet.cut("e", "abcd")
     fleet.parts["a"].append("c", "before")
     fleet.run(8)
-    assert set(fleet.parts["a"].frontier.view.counting) == set("abc")
+    assert set(fleet.parts["a"].frontier.membership.active) == set("abc")
     for i in range(25):
         fleet.parts["abcde"[i % 5]].append("c", f"{'abcde'[i % 5]}{i}")
     fleet.run(3)
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -203,7 +203,7 @@
     talk([(link, b.link())], most=3)
     while link.next_frame(0) is not None:  # nothing is acknowledged any more
         pass
-    assert sum(link.anti_entropy._out.values()) <= 10
+    assert sum(link.anti_entropy._in_flight.values()) <= 10
 
 
 def test_an_entry_that_could_not_be_taken_is_sent_again_later():
@@ -569,11 +569,11 @@
         mesh.link_up("b", True, now)
         mesh.link_lost("b", now, mistake=True)
         assert mesh.is_penalized("b", now) and mesh.next_to_dial(now) is None
-        rests.append(mesh.peers["b"].next - now)
-        now = mesh.peers["b"].next
+        rests.append(mesh.peers["b"].next_dial_at - now)
+        now = mesh.peers["b"].next_dial_at
     assert rests[0] == INITIAL_PENALTY and rests == sorted(rests) and rests[-1] == 300 * SECOND
     mesh.next_to_dial(now)
     mesh.link_up("b", True, now)
     mesh.next_to_dial(now + 61 * SECOND)
     mesh.link_lost("b", now + 61 * SECOND, mistake=True)
-    assert mesh.peers["b"].next == now + 62 * SECOND
+    assert mesh.peers["b"].next_dial_at == now + 62 * SECOND
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -13,15 +13,15 @@
 from ochrecourse.cli.control_answers import answer
 from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
 from ochrecourse.storage.process_lock import ProcessLock
-from ochrecourse.fleet import forms
+from ochrecourse.fleet import format_versions
 from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.exchange import Exchange
-from ochrecourse.fleet.forms import NEWEST, Forms, Span
+from ochrecourse.fleet.format_versions import NEWEST_VERSION, FormatVersions, VersionRange
 from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LogLimits, AppendRejectedError
 from ochrecourse.fleet.members import Members
 from ochrecourse.fleet.messages import PeerProtocolError, Entries, Hello, encode_frame
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log_state import LogState
 from ochrecourse.fleet.member_environment import JOURNAL
 from ochrecourse.fleet.exchange_context import ExchangeContext
@@ -79,7 +79,11 @@
         link.body_received(body, 0, HELD["wall_ms"])
         seen.add(json.loads(line)["m"])
     assert seen >= {"hello", "have", "rows", "entries", "piece"}
-    assert link.peer_versions == Span(1, 1) and link.format_version == 1 and link.hello.name == HELD["from"]
+    assert (
+        link.peer_versions == VersionRange(1, 1)
+        and link.format_version == 1
+        and link.hello.name == HELD["from"]
+    )
     (snapshot, entries), (also, held) = (
         json.loads(text) for text in (kept.log.dump("c"), HELD["dumps"]["c"])
     )
@@ -92,7 +96,7 @@
 
 def test_what_is_sent_is_in_the_form_in_force_and_what_the_other_speaks():
     a, b, c = End("a"), End("b"), End("c")
-    c.common.format_versions = Forms(newest=1)
+    c.common.format_versions = FormatVersions(newest=1)
     for end in (a, b):
         end.append("x")
     pairs = meet(a, b) + meet(b, c)
@@ -153,7 +157,7 @@
 )  # fmt: skip
 def test_who_can_not_read_what_is_in_force_is_told_what_to_do(hello, own, in_force, why):
     end = End("a")
-    end.common.format_versions = Forms(own, in_force)
+    end.common.format_versions = FormatVersions(own, in_force)
     greets = encode_frame(Hello(**{**HELLO, **hello}))
     if not why:
         hand(end.link(), greets)
@@ -180,7 +184,7 @@
 
 def test_a_frame_in_a_form_that_is_not_spoken_here_merges_nothing():
     end = End("a")
-    end.common.format_versions = Forms(newest=1)
+    end.common.format_versions = FormatVersions(newest=1)
     link = end.link()
     hand(link, encode_frame(Hello(**HELLO)))
     with pytest.raises(PeerProtocolError) as told:
@@ -229,9 +233,12 @@
     assert fleet.parts["c"].members.heartbeats["a"].statuses["later"] == Later().status(0)
     event = {"what": "moon", "form": 9, "deep": [[{"x": None}]]}
     for name in "ab":
-        fleet.parts[name].append(CHANNEL, event)
+        fleet.parts[name].append(FLEET_CHANNEL, event)
     fleet.run(3)
-    assert len(fleet.dumps(CHANNEL)) == 1 and b"moon" in fleet.parts["c"].log.events(CHANNEL)[-1].body
+    assert (
+        len(fleet.dumps(FLEET_CHANNEL)) == 1
+        and b"moon" in fleet.parts["c"].log.events(FLEET_CHANNEL)[-1].body
+    )
     assert not any(part.peer_errors for part in fleet.parts.values())
 
 
@@ -239,14 +246,14 @@
     small = {"log": {**SAID["log"], "channel": 6000.0}}
     fleet = Fleet("abc", **small)
     fleet.run(3)
-    entry = fleet.parts["a"].appender.append(CHANNEL, {"what": "moon", "full": True}, False)
+    entry = fleet.parts["a"].appender.append(FLEET_CHANNEL, {"what": "moon", "full": True}, False)
     for number in range(12):  # what nobody needs any more gives way
         fleet.parts["b"].appender.append(
-            CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
+            FLEET_CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
         )
     fleet.run(150)
-    snapshots = {part.log.snapshot(CHANNEL).value for part in fleet.parts.values()}
-    assert len(snapshots) == 1 and len(fleet.dumps(CHANNEL)) == 1
+    snapshots = {part.log.snapshot(FLEET_CHANNEL).value for part in fleet.parts.values()}
+    assert len(snapshots) == 1 and len(fleet.dumps(FLEET_CHANNEL)) == 1
     fleet.parts["c"].kill()
     fleet.journals["c"] = MemoryJournal()  # it has it from others, by the snapshot
     fleet.run(1)
@@ -289,16 +296,16 @@
     ],
 )  # fmt: skip
 def test_a_form_is_raised_only_where_all_that_count_speak_it(form, counting, rows, why):
-    told = Forms().why_not(form, counting, {each.name: each for each in rows})
+    told = FormatVersions().raise_obstacle(form, counting, {each.name: each for each in rows})
     assert (why in told) if why else told == ""
 
 
 @pytest.mark.parametrize("body", [{"form": 1}, {"form": 0}, {"form": -2}, {"form": 5000}, {"form": "2"}, {}])
 def test_what_raises_no_form(body):
-    of = Forms()
+    of = FormatVersions()
     of.entry_received(
         Entry(
-            CHANNEL,
+            FLEET_CHANNEL,
             "a",
             1,
             1,
@@ -314,10 +321,10 @@
 @given(st.lists(st.integers(2, 6), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_the_form_in_force_is_the_same_in_any_order_and_kept_by_one_event(raised, chance):
     events = [
-        Entry(CHANNEL, f"g{i}", 1, 1, Timestamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
+        Entry(FLEET_CHANNEL, f"g{i}", 1, 1, Timestamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
         for i, f in enumerate(raised)
     ]
-    of, also = Forms(), Forms()
+    of, also = FormatVersions(), FormatVersions()
     for each in events:
         of.entry_received(each, 0)
     kept = of.keeps(events, Timestamp(9, 0))
@@ -328,7 +335,7 @@
 
 def test_the_settings_know_the_newest_form():
     record = resolve(GOOD, "g.cue")
-    assert record["fleet"]["newest_form"] == NEWEST
+    assert record["fleet"]["newest_form"] == NEWEST_VERSION
 
 
 # --- the whole fleet ---
@@ -364,7 +371,7 @@
         told = asked(fleet.parts["a"], form=2)
         assert ("error" in told) == (i < 3) and (i == 3 or "do not speak form 2" in told["error"])
     fleet.run(2)
-    assert len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
     assert [asked(part)["in_force"] for part in fleet.parts.values()] == [2, 2, 2]
     assert not any(part.peer_errors for part in fleet.parts.values()) and not fleet.said_of(
         "fleet link refused"
@@ -373,7 +380,7 @@
     assert "only rises" in asked(fleet.parts["b"], form=1)["error"]
     assert "is in force" in asked(fleet.parts["b"], form=2)["error"]
     with pytest.raises(AppendRejectedError, match="by its own word"):
-        fleet.parts["b"].append(CHANNEL, {"what": "form", "form": 3})
+        fleet.parts["b"].append(FLEET_CHANNEL, {"what": "form", "form": 3})
     # The older program finds so at the first line of its journal, and leaves the file as it is.
     fleet.parts["b"].kill()
     before = (tmp_path / "b.log").read_bytes()
@@ -394,7 +401,7 @@
     fleet.journals["b"] = FileJournal(tmp_path / "b.log", *JOURNAL)
     fleet.start("b", newest_form=2)
     fleet.run(6)
-    assert fleet.reached("a") == "abc" and len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert fleet.reached("a") == "abc" and len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
 
 
 ACT = st.one_of(
@@ -425,7 +432,7 @@
         elif act == "append":
             answered.append(json.loads(fleet.parts[who].append("c", len(answered)).body))
         elif act == "raise":
-            counting = dict(fleet.parts[who].frontier.view.counting)
+            counting = dict(fleet.parts[who].frontier.membership.active)
             try:
                 fleet.parts[who].raise_form(2)
             except AppendRejectedError:
@@ -447,7 +454,7 @@
         if newest[name] == 1:
             start(name, 2)
     fleet.run(12)
-    assert len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
     held = [json.loads(entry.body) for entry in fleet.parts["a"].log.events("c")]
     assert sorted(held) == sorted(answered)
     assert {part.forms.in_force for part in fleet.parts.values()} == {2 if raised else 1}
@@ -462,10 +469,10 @@
 
 
 MISTAKES = {
-    "raised without asking who counts": (Forms, "why_not", lambda of, form, counting, rows: ""),
-    "sent in the form in force to whoever": (Forms, "sends", lambda of, theirs: of.in_force),
+    "raised without asking who counts": (FormatVersions, "raise_obstacle", lambda of, form, counting, rows: ""),
+    "sent in the form in force to whoever": (FormatVersions, "version_for", lambda of, theirs: of.in_force),
     "the form of the last event that came": (
-        Forms, "entry_received", lambda of, entry, now: setattr(of, "in_force", forms.form_of(entry) or of.in_force)
+        FormatVersions, "entry_received", lambda of, entry, now: setattr(of, "in_force", format_versions.raised_version(entry) or of.in_force)
     ),
     "a journal that stays as it was": (LogState, "update_journal_form", lambda state: None),
 }  # fmt: skip
@@ -475,11 +482,11 @@
 def test_seeded_mistakes_are_caught(which, monkeypatch):
     where, name, wrong = MISTAKES[which]
     if which == "the form of the last event that came":
-        low = Entry(CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
+        low = Entry(FLEET_CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
         high = msgspec.structs.replace(low, body=b'{"form":3,"what":"form"}')
 
         def check():
-            of = Forms()
+            of = FormatVersions()
             for each in (high, low):
                 of.entry_received(each, 0)
             assert of.in_force == 3
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -69,16 +69,16 @@
 class PastTheSilent(Frontier):
     """Leaves out of the frontier whoever has not told of this view."""
 
-    def _floor_of(self, name, life):
-        return max(super()._floor_of(name, life), self.floor)
+    def _watermark_of(self, name, life):
+        return max(super()._watermark_of(name, life), self.watermark)
 
 
 class AnyView(Frontier):
     """Takes floors that rest on another view of who counts."""
 
-    def _floor_of(self, name, life):
-        row = self.rows.get(name)
-        return self.floor if name == self.log.name else row.watermark if row is not None else START
+    def _watermark_of(self, name, life):
+        row = self.heartbeats.get(name)
+        return self.watermark if name == self.log.name else row.watermark if row is not None else START
 
 
 class PromiseUnheld(Frontier):
@@ -91,7 +91,7 @@
 class Furthest(Frontier):
     """Takes the greatest promise for the floor."""
 
-    def _floor(self):
+    def _own_watermark(self):
         return max(self._reached.values(), default=START)
 
 
@@ -109,7 +109,7 @@
     """Lets a member go without asking the others."""
 
     def _close(self, reached):
-        for stream in sorted(self._doubted):
+        for stream in sorted(self._departed):
             return {
                 "what": "close",
                 "name": stream[0],
@@ -120,9 +120,9 @@
 
 
 class AloneLetsGoAtOnce(AloneLetsGo):
-    def wants(self, reached, away):
-        self._doubted |= {s for s in self.view.counting.items() if s[0] not in reached}
-        return super().wants(reached, away)
+    def next_event(self, reached, away):
+        self._departed |= {s for s in self.membership.active.items() if s[0] not in reached}
+        return super().next_event(reached, away)
 
 
 class NewLifeFromTheStart(Frontier):
@@ -135,7 +135,7 @@
 class NewLifeUnasked(Frontier):
     """Admits a new life without the entries that its earlier ones wrote."""
 
-    def _knows_before(self, name):
+    def _holds_earlier_incarnations(self, name):
         return True
 
     def _admitted(self, name, life, start):
@@ -251,11 +251,13 @@
     a.beat()
     b.beat()
     b.tell(a, 0)
-    wanted = a.frontier.wants(["a", "b"], [])
-    assert wanted is not None and a.frontier.wants(["a", "b"], []) == wanted  # as long as it was not appended
+    wanted = a.frontier.next_event(["a", "b"], [])
+    assert (
+        wanted is not None and a.frontier.next_event(["a", "b"], []) == wanted
+    )  # as long as it was not appended
     a.frontier._renew_view = lambda: None
     a.log_kept.append("fleet", wanted, a.wall(), must=True)
-    assert a.frontier.wants(["a", "b"], []) is None
+    assert a.frontier.next_event(["a", "b"], []) is None
 
 
 def test_a_clock_that_merges_do_not_raise_is_caught(monkeypatch):
@@ -332,5 +334,5 @@
         world.round()
         world.check()
     lives = {gateway.name: gateway.log.incarnation for gateway in world.gateways.values()}
-    assert all(gateway.frontier.view.counting == lives for gateway in world.gateways.values())
+    assert all(gateway.frontier.membership.active == lives for gateway in world.gateways.values())
     assert all(gateway.log.frontier() > START for gateway in world.gateways.values())
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
 from ochrecourse.fleet.log import START, Log, AppendRejectedError
-from ochrecourse.fleet.views import View, view_of
+from ochrecourse.fleet.membership_view import MembershipView, membership_view
 
 
 class Restarting(World):
@@ -71,7 +71,7 @@
                 self.check()
             self.compact_all()
         overs = {
-            g.name: (g.frontier.view.value().get("over"), sorted(g.log.vector().items()))
+            g.name: (g.frontier.membership.value().get("over"), sorted(g.log.vector().items()))
             for g in self.gateways.values()
         }
         first = next(iter(overs.values()))
@@ -106,7 +106,7 @@
         gateway = self.world.gateways[self.names[g % self.size]]
         if gateway.up:
             upto = gateway.log.frontier()
-            gateway.log_kept.compact(CHANNEL, upto, {PART: gateway.frontier.settled(upto)})
+            gateway.log_kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: gateway.frontier.snapshot_value(upto)})
             self.world.check()
 
     @rule()
@@ -159,8 +159,8 @@
     """Retires lives that it holds nothing of itself, whatever the others say."""
 
     def _retire(self, reached):
-        for row in self.rows.values():
-            self.said[row.name].idle = list(self._idle)
+        for row in self.heartbeats.values():
+            self.statuses[row.name].retirable = list(self._idle)
         return super()._retire(reached)
 
 
@@ -200,7 +200,7 @@
     before = world.gateways["b"].log.incarnation
     for gateway in world.gateways.values():
         assert len(lives_of(gateway, "b")) <= 2, gateway.name  # the last that wrote, and the one that runs
-        assert len(gateway.frontier.view.value()["ends"]) <= 2
+        assert len(gateway.frontier.membership.value()["ends"]) <= 2
         assert not gateway.log.notes
     world.restart("c")
     world.restart("a", disk=[])  # an empty disk gets the snapshots through the one life that stays
@@ -231,7 +231,7 @@
         assert unseen not in gateway.log.events("x") and unseen.stream not in gateway.log.chains
     world.restart("b", disk=disk, rounds=8)
     assert world.named(unseen) and unseen.stream not in b.log.chains
-    assert b.frontier.view.counting["b"] == b.log.incarnation
+    assert b.frontier.membership.active["b"] == b.log.incarnation
     assert not any(unseen in g.log.events("x") for g in world.gateways.values())
     world.settle()
 
@@ -256,12 +256,12 @@
     for name in ("b", "c", "b", "c"):
         world.restart(name)
     a = world.gateways["a"]
-    events = sorted(a.log.events(CHANNEL), key=lambda e: e.position)
-    whole = view_of(a.frontier._base, events)
-    assert whole.over
+    events = sorted(a.log.events(FLEET_CHANNEL), key=lambda e: e.position)
+    whole = membership_view(a.frontier._base, events)
+    assert whole.ended_incarnations
     for at in [START, *(e.at for e in events)]:
-        base = view_of(a.frontier._base, [e for e in events if e.at <= at])
-        split = view_of(View.of(base.value(), at), [e for e in events if e.at > at])
+        base = membership_view(a.frontier._base, [e for e in events if e.at <= at])
+        split = membership_view(MembershipView.of(base.value(), at), [e for e in events if e.at > at])
         assert split.digest == whole.digest and split.value() == whole.value()
 
 
@@ -275,7 +275,7 @@
     for _ in range(3):
         for gateway in world.gateways.values():
             upto = gateway.log.frontier()
-            gateway.log_kept.compact(CHANNEL, upto, {PART: gateway.frontier.settled(upto)})
+            gateway.log_kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: gateway.frontier.snapshot_value(upto)})
         for _ in range(4):
             world.round()
             world.check()
@@ -330,30 +330,34 @@
     for _ in range(8):
         world.round()
     held = settled_ms(world)
-    assert a.frontier.view.counting.get("a") != a.log.incarnation  # nobody counts, so nobody is let go
+    assert a.frontier.membership.active.get("a") != a.log.incarnation  # nobody counts, so nobody is let go
     b = world.gateways["b"]
-    b.log_kept.append(CHANNEL, b.frontier.give_up("d", b.members.reachable(world.now)), b.wall())
+    b.log_kept.append(
+        FLEET_CHANNEL, b.frontier.declare_departed("d", b.members.reachable(world.now)), b.wall()
+    )
     for _ in range(12):
         world.round()
         world.check()
-    assert settled_ms(world) > held and "d" not in a.frontier.view.counting
+    assert settled_ms(world) > held and "d" not in a.frontier.membership.active
     world.settle()  # d returns under a new life, and counts
-    assert a.frontier.view.counting["d"] == world.gateways["d"].log.incarnation
+    assert a.frontier.membership.active["d"] == world.gateways["d"].log.incarnation
 
 
 def test_a_name_that_returns_before_the_beginning_is_waited_for_again():
     world = all_begun_anew()
     a = world.gateways["a"]
-    a.log_kept.append(CHANNEL, a.frontier.give_up("d", a.members.reachable(world.now)), a.wall())
+    a.log_kept.append(
+        FLEET_CHANNEL, a.frontier.declare_departed("d", a.members.reachable(world.now)), a.wall()
+    )
     world.gateways["d"].start()
     for one in ("d",):
         world.gateways[one].beat()
         world.gateways[one].tell(a)
     world.cut |= {(x, "d") for x in "abc"} | {("d", x) for x in "abc"}
     a.beat()
-    assert a.frontier.view.counting.get("a") != a.log.incarnation
+    assert a.frontier.membership.active.get("a") != a.log.incarnation
     world.settle()
-    assert set(a.frontier.view.counting) == set("abcd")
+    assert set(a.frontier.membership.active) == set("abcd")
 
 
 def test_the_beginning_of_a_life_that_was_given_up_says_nothing():
@@ -368,11 +372,13 @@
     world.cut |= {("a", "b"), ("a", "c"), ("b", "a"), ("c", "a")}
     for _ in range(4):
         world.round()
-    assert a.frontier.view.counting.get("a") == a.log.incarnation  # it began, and nobody knows
+    assert a.frontier.membership.active.get("a") == a.log.incarnation  # it began, and nobody knows
     world.now += 601 * 1_000_000_000
     for _ in range(3):
         world.round()
-    b.log_kept.append(CHANNEL, b.frontier.give_up("a", b.members.reachable(world.now)), b.wall())
+    b.log_kept.append(
+        FLEET_CHANNEL, b.frontier.declare_departed("a", b.members.reachable(world.now)), b.wall()
+    )
     for _ in range(12):
         b.append()
         world.round()
@@ -380,7 +386,7 @@
     assert b.reader.given
     old = a.log.incarnation
     world.settle()
-    assert a.log.incarnation > old and a.frontier.view.counting == b.frontier.view.counting
+    assert a.log.incarnation > old and a.frontier.membership.active == b.frontier.membership.active
 
 
 @pytest.mark.parametrize(
@@ -390,9 +396,11 @@
     world = all_begun_anew()
     a = world.gateways["a"]
     if why == "already":
-        a.log_kept.append(CHANNEL, a.frontier.give_up("d", a.members.reachable(world.now)), a.wall())
+        a.log_kept.append(
+            FLEET_CHANNEL, a.frontier.declare_departed("d", a.members.reachable(world.now)), a.wall()
+        )
     with pytest.raises(AppendRejectedError, match=why):
-        a.frontier.give_up(name, a.members.reachable(world.now))
+        a.frontier.declare_departed(name, a.members.reachable(world.now))
 
 
 def test_entries_that_a_snapshot_stands_for_do_not_come_back_with_a_start():
@@ -416,13 +424,13 @@
 class BeginsByMajority(Frontier):
     """Begins anew with whom it reaches, if they are more than half."""
 
-    def _given_up(self, name):
-        here = self.view.counting or self.founders
+    def _is_departed(self, name):
+        here = self.membership.active or self.founders
         return name not in self.heard and 2 * len(self.heard) > len(here)
 
-    def _begin(self, reached):
+    def _first_event(self, reached):
         self.heard = set(reached)
-        return super()._begin(reached)
+        return super()._first_event(reached)
 
 
 def all_but_one_disk(frontier=Frontier):
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -286,9 +286,9 @@
     frontier = Frontier(b, ["a", "b"])
     send(one, b)
     row = log_row(other)
-    frontier.hear(row)
+    frontier.receive(row)
     assert "another history up to entry 2" in b.notes[0]
-    frontier.hear(log_row(one))
+    frontier.receive(log_row(one))
     assert len(b.notes) == 1
 
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -15,8 +15,8 @@
     "cli", "common", "gateway", "membership", "nodes", "relay", "resp", "scheduler", "service", "settings", "simulator", "storage", "wire",
 ]  # fmt: skip
 FLEET_TO_COME = {  # modules of fleet/ that are not done: the log, its exchange between gateways
-    "anti_entropy", "channel", "entries", "exchange", "exchange_context", "forms", "frontier", "heartbeats", "link", "link_state", "log", "log_store",
-    "members", "mesh", "messages", "snapshot_transfer", "streams", "views",
+    "anti_entropy", "channel", "entries", "exchange", "exchange_context", "format_versions", "frontier", "heartbeats", "link", "link_state", "log", "log_store",
+    "members", "membership_view", "mesh", "messages", "snapshot_transfer", "streams",
 }  # fmt: skip
 FLEET = [path for path in sorted((ROOT / "fleet").glob("*.py")) if path.stem not in FLEET_TO_COME]
 FILES = [
@@ -48,14 +48,8 @@
     "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # of the help, which is for users
     "cli/serve.py": ["held"],  # in the command's help
     "cli/together.py": ["came", "legs"],  # audit/, and fields of its output
-    "fleet/event_compaction.py": ["PART"],  # fleet/shared.py
     "fleet/log_state.py": ["life"],  # a field of log lines
-    "fleet/member.py": [
-        "PART",
-        "came",
-        "life",
-        "told",
-    ],  # fleet/link.py, log.py, channel.py
+    "fleet/member.py": ["life"],  # a field of a log line
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
     "fleet/peer_links.py": ["came", "life"],  # a field of a log line
 }
