--- a/ochrecourse/fleet/exchange.py
+++ b/ochrecourse/fleet/exchange.py
@@ -73,7 +73,7 @@
         self._pace_at = now
         self._header: Header | None = None
         self._greeted = False
-        self._n_in = 0
+        self._last_frame_number = 0
         self._skip = False  # the frame that comes is not listened to
         self._deaf = False  # a frame is missing, and the other side has not begun anew
         self._say_lost = False
@@ -197,16 +197,16 @@
         """Guards against what stands between two hosts and loses or repeats whole frames."""
         if not header.frame_number:
             return
-        if header.frame_number <= self._n_in:
+        if header.frame_number <= self._last_frame_number:
             self._skip = True
             return
-        if header.frame_number > self._n_in + 1:
+        if header.frame_number > self._last_frame_number + 1:
             if self.hello is None:
                 self._skip, self.end_reason = True, "its hello was lost on the way"
             self._deaf = self._say_lost = True
             self.anti_entropy.snapshots.frame_missing()
             self.heartbeats.frame_missing()
-        self._n_in = header.frame_number
+        self._last_frame_number = header.frame_number
         if header.starts_over:
             self._deaf = self._say_lost = False
         if self._deaf and type(header) in (HeartbeatBatch, SnapshotChunk):
--- a/ochrecourse/fleet/frontier.py
+++ b/ochrecourse/fleet/frontier.py
@@ -80,15 +80,15 @@
             log.clock,
             log.incarnation,
         )  # past all promises of earlier lives, if they are kept
-        self._waiting: dict[str, Heartbeat] = {}  # rows whose entries are awaited while newer come
-        self._reached: dict[Stream, Timestamp] = {}  # promises that are kept here so far
+        self._awaiting_entries: dict[str, Heartbeat] = {}  # rows whose entries are awaited while newer come
+        self._watermarks: dict[Stream, Timestamp] = {}  # promises that are kept here so far
         self._departed: set[Stream] = set()  # held for gone, which is never taken back
         self._events: list[Entry] = []
         self._changed = False
         self._came = True  # snapshots that were not made here
         self._spent = 0  # lives that ended, and of which a retirement, or a snapshot after it, would free us
-        self._idle: list[tuple[str, int, list[int]]] = []
-        self._idle_at: tuple[Timestamp, int] | None = None
+        self._retirable: list[tuple[str, int, list[int]]] = []
+        self._retirable_at: tuple[Timestamp, int] | None = None
         log.classify = self._classify
         for entry in log.events(FLEET_CHANNEL):
             self._note(entry)
@@ -102,12 +102,12 @@
             self._events.append(entry)
             self._changed = True
         if entry.incarnation < self.membership.newest_incarnations.get(entry.writer, 0):
-            self._idle_at = None
+            self._retirable_at = None
 
     def snapshot_received(self) -> None:
         """The log took snapshots of a peer."""
         self._changed = self._came = True
-        self._idle_at = None
+        self._retirable_at = None
 
     def receive(self, row: Heartbeat) -> None:
         """A row that `members` found new."""
@@ -125,9 +125,9 @@
                 self.log.report_fork(
                     stream, same, f"two histories from entry {same + 1}, as {row.name} has them,"
                 )
-        waiting = self._waiting.get(row.name)
+        waiting = self._awaiting_entries.get(row.name)
         if waiting is None or waiting.incarnation != row.incarnation:
-            self._waiting[row.name] = row
+            self._awaiting_entries[row.name] = row
 
     # decisions
 
@@ -141,7 +141,7 @@
         snapshot = self.log.snapshot(FLEET_CHANNEL)
         if self._changed or (snapshot is not None and snapshot.upto > self._base.upto):
             self._changed = False
-            self._renew_view()
+            self._update_membership()
         self._achieve()
         self.watermark = self._own_watermark()
         told = [self._watermark_of(name, life) for name, life in self.membership.active.items()]
@@ -158,7 +158,7 @@
                 found.add(stream)
         return found
 
-    def _renew_view(self) -> None:
+    def _update_membership(self) -> None:
         snapshot = self.log.snapshot(FLEET_CHANNEL)
         if snapshot is not None and snapshot.upto > self._base.upto:
             self._base = MembershipView.of(json.loads(snapshot.value)[STATUS_KEY], snapshot.upto)
@@ -187,8 +187,8 @@
         self.log.highest_incarnation = max(
             self.log.highest_incarnation, self.membership.newest_incarnations.get(self.log.name, 0)
         )
-        self._reached = {
-            (name, life): self._reached.get((name, life), self.membership.starts[name, life])
+        self._watermarks = {
+            (name, life): self._watermarks.get((name, life), self.membership.starts[name, life])
             for name, life in self.membership.active.items()
         }
         self._departed &= set(self.membership.active.items())
@@ -200,18 +200,18 @@
             return
         for stream in self.membership.active.items():
             if stream == (self.log.name, self.log.incarnation):
-                self._reached[stream] = max(self._reached[stream], self.promise)
+                self._watermarks[stream] = max(self._watermarks[stream], self.promise)
                 continue
             if stream in self._departed:
                 continue
             name = stream[0]
-            for row in (self._waiting.get(name), self.heartbeats.get(name)):
+            for row in (self._awaiting_entries.get(name), self.heartbeats.get(name)):
                 if row is None or (row.name, row.incarnation) != stream:
                     continue
                 self.log.compare_head_hash(name, row.incarnation, row.seq, row.head_hash)
                 if self._holds(stream, row.seq):
-                    self._reached[stream] = max(self._reached[stream], row.promise)
-                    self._waiting[name] = self.heartbeats[name]
+                    self._watermarks[stream] = max(self._watermarks[stream], row.promise)
+                    self._awaiting_entries[name] = self.heartbeats[name]
 
     def _holds(self, stream: Stream, seq: int) -> bool:
         chain = self.log.chains.get(stream)
@@ -220,9 +220,9 @@
 
     def _own_watermark(self) -> Timestamp:
         """START while an ended life is not held up to its end."""
-        if not self._reached or not all(self._holds(s, end) for s, end in self.membership.ends.items()):
+        if not self._watermarks or not all(self._holds(s, end) for s, end in self.membership.ends.items()):
             return START
-        return min(self._reached.values())
+        return min(self._watermarks.values())
 
     def _watermark_of(self, name: str, life: int) -> Timestamp:
         """A counting member's floor as told from the view that is ours; START where it told of another."""
@@ -376,9 +376,9 @@
         """From where a new life's entries may be ordinary: past every frontier. No frontier is past a promise
         that holds it back here; before this gateway counted, none was past its own admission."""
         life = self.membership.active.get(name)
-        if life is None or self._reached[name, life] < self.membership.active_since[self.log.name]:
+        if life is None or self._watermarks[name, life] < self.membership.active_since[self.log.name]:
             return None  # where the event itself will stand
-        return self._reached[name, life]
+        return self._watermarks[name, life]
 
     def _close(self, reached: Collection[str]) -> object | None:
         """A life that more than half of the members hold for gone, by the least of their names. Who holds us
@@ -424,10 +424,10 @@
 
     def _look_idle(self) -> None:
         """Finds anew what this gateway acknowledges as over, where snapshots have moved."""
-        if self._idle_at == (self._base.upto, self.log.compaction_count):
+        if self._retirable_at == (self._base.upto, self.log.compaction_count):
             return
-        self._idle_at = (self._base.upto, self.log.compaction_count)
-        self._idle = []
+        self._retirable_at = (self._base.upto, self.log.compaction_count)
+        self._retirable = []
         newest = self._base.newest_incarnations
         busy: dict[str, list[int]] = {}
         for (name, life), chain in sorted(self.log.chains.items()):
@@ -437,16 +437,16 @@
         for name, lives in self._base.retirable().items():
             upto, stay = _bounded(newest[name] - 1, busy.get(name, []))
             if sum(life <= upto for life in lives if life not in stay) > 1:
-                self._idle.append((name, upto, stay))
-        self._idle = _fitting(self._idle)
+                self._retirable.append((name, upto, stay))
+        self._retirable = _fitting(self._retirable)
 
     def _retire(self, reached: Collection[str]) -> object | None:
         """Lives of which everybody that counts says that it holds nothing any more, by the least name."""
         counting = self.membership.active
         self._look_idle()
-        if self.log.name != min(set(reached) & set(counting), default="") or not self._idle:
+        if self.log.name != min(set(reached) & set(counting), default="") or not self._retirable:
             return None
-        told = [self._idle]
+        told = [self._retirable]
         for name, life in sorted(counting.items()):
             if name != self.log.name:
                 row = self.heartbeats.get(name)
@@ -510,7 +510,7 @@
                 self._ended_digest(),
                 self._born,
                 forks,
-                self._idle,
+                self._retirable,
             )
         )
 
--- a/ochrecourse/fleet/heartbeats.py
+++ b/ochrecourse/fleet/heartbeats.py
@@ -46,7 +46,7 @@
         self._theirs: dict[str, tuple[int, int]] = {}  # newest life and beat of each row the other side has
         self._sent: dict[str, Heartbeat] = {}  # the row before, by name, each way
         self._came: dict[str, Heartbeat] = {}
-        self._said_enough: set[str] = set()
+        self._stopped_relaying: set[str] = set()
         self._enough: set[str] = set()  # to be said
         self._again: set[str] = set()
 
@@ -56,11 +56,11 @@
         """A beat has passed. `stale`: gateways whose news stay out."""
         self.is_due = True
         if stale:
-            for name in self._said_enough & stale:
+            for name in self._stopped_relaying & stale:
                 self._ask_again(name)
 
     def _ask_again(self, name: str) -> None:
-        self._said_enough.discard(name)
+        self._stopped_relaying.discard(name)
         self._enough.discard(name)
         self._again.add(name)
         self.context.sources.pop(name, None)
@@ -68,12 +68,12 @@
     def source_lost(self, names: Iterable[str]) -> None:
         """The link that brought news of these gateways is gone."""
         for name in names:
-            if name in self._said_enough:
+            if name in self._stopped_relaying:
                 self._ask_again(name)
 
     def frame_missing(self) -> None:
         """What the other side was told may not have come."""
-        self._said_enough.clear()
+        self._stopped_relaying.clear()
 
     def restart(self) -> None:
         """The other side misses a frame: all is told as on a new link."""
@@ -120,7 +120,7 @@
             if name == self.state.peer or (new and name not in source):
                 source[name] = self.link
                 self._enough.discard(name)
-            elif source.get(name) is not self.link and name not in self._said_enough:
+            elif source.get(name) is not self.link and name not in self._stopped_relaying:
                 self._enough.add(name)
 
     def _whole_row(self, step: HeartbeatDelta, wall_ms: int) -> Heartbeat:
@@ -190,7 +190,7 @@
             return self.state.next_frame(ResumeRelaying(), self.state.encode_body(sorted(names)))
         if self._enough:
             names, self._enough = self._enough, set()
-            self._said_enough |= names
+            self._stopped_relaying |= names
             return self.state.next_frame(StopRelaying(), self.state.encode_body(sorted(names)))
         if self._asked:
             names, self._asked = self._asked, set()
--- a/ochrecourse/fleet/log_store.py
+++ b/ochrecourse/fleet/log_store.py
@@ -122,7 +122,7 @@
         self.journal = journal
         self.notes: list[str] = []
         self.log = Log(name, 0, bounds)
-        self._lived = 0
+        self._last_incarnation = 0
         self._promised = Timestamp(0, 0)
         self._promised_durably = Timestamp(0, 0)
         self._told_promise = Timestamp(0, 0)
@@ -131,12 +131,12 @@
         self._spent = 0  # bytes of records that a new journal would not have
         self._forgot = 0  # of the log, when the journal was last begun anew
         self._recover()
-        self.log.incarnation = self._lived = max(
-            _make_incarnation(wall_ms, chance), max(self._lived, self.log.highest_incarnation) + 1
+        self.log.incarnation = self._last_incarnation = max(
+            _make_incarnation(wall_ms, chance), max(self._last_incarnation, self.log.highest_incarnation) + 1
         )
         self._promised_durably = self._promised
         content = JournalContent(
-            self._all,
+            self._all_records,
             self._make_renewal,
             self._failed,
             self._note,
@@ -159,7 +159,7 @@
 
     def _take(self, kept: _Record) -> bool:
         if isinstance(kept, IncarnationRecord):
-            self._lived = max(self._lived, kept.incarnation)
+            self._last_incarnation = max(self._last_incarnation, kept.incarnation)
             return True
         if isinstance(kept, PromiseRecord):
             self._promised = self.log.clock = max(self.log.clock, kept.upto)
@@ -172,10 +172,10 @@
             return False
         return True
 
-    def _all(self) -> Iterator[bytes]:
+    def _all_records(self) -> Iterator[bytes]:
         """All records that stand now, whatever comes while they are taken."""
         first: list[_Record] = [
-            IncarnationRecord(self._lived),
+            IncarnationRecord(self._last_incarnation),
             PromiseRecord(self._promised),
             *self.log.snapshots(),
         ]
@@ -268,7 +268,8 @@
             on_begun(BeginResult(error=error))
             return
         life = max(
-            _make_incarnation(wall_ms, chance), max(self._lived, outlived, self.log.highest_incarnation) + 1
+            _make_incarnation(wall_ms, chance),
+            max(self._last_incarnation, outlived, self.log.highest_incarnation) + 1,
         )
         self.is_beginning_incarnation = True
 
@@ -276,7 +277,7 @@
             self.is_beginning_incarnation = False
             previous = self.log.incarnation
             if error is None:
-                self._lived = life
+                self._last_incarnation = life
                 self.log.begin_incarnation(life)
             on_begun(BeginResult(life, previous, error))
 
--- a/ochrecourse/fleet/snapshot_transfer.py
+++ b/ochrecourse/fleet/snapshot_transfer.py
@@ -28,7 +28,7 @@
         self.state = state
         self.context = state.context
         self.peer_positions = there
-        self._coming: list[bytes] = []
+        self._received_chunks: list[bytes] = []
         self._coming_size = 0
         self._going: deque[Snapshot | Holes] = deque()
         self._parts: Iterator[bytes] | None = None  # what is still to be sent of the first of them
@@ -38,7 +38,7 @@
 
     def frame_missing(self) -> None:
         """A piece may be lost: what came of its snapshot is of no use."""
-        self._coming, self._coming_size = [], 0
+        self._received_chunks, self._coming_size = [], 0
 
     def restart(self) -> None:
         """The other side misses a frame: all is sent as on a new link."""
@@ -79,15 +79,15 @@
         return self.state.next_frame(SnapshotChunk(is_last=not self._part), data)
 
     def chunk_received(self, body: bytes, last: bool) -> None:
-        self._coming.append(body)
+        self._received_chunks.append(body)
         self._coming_size += len(body)
         if self._coming_size > self.context.max_snapshot_bytes:
-            begins = self._coming[0][:60].decode("ascii", "replace")
+            begins = self._received_chunks[0][:60].decode("ascii", "replace")
             text = f"a snapshot of more than {self.context.max_snapshot_bytes} bytes, which begins {begins!r}"
             raise PeerProtocolError("oversize", f"{text}; fleet.log.channel here may be less than there")
         if not last:
             return
-        data, self._coming, self._coming_size = b"".join(self._coming), [], 0
+        data, self._received_chunks, self._coming_size = b"".join(self._received_chunks), [], 0
         try:
             piece = _pieces.decode(data)
             news = self.context.log_store.take_snapshot(piece)
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -163,7 +163,7 @@
 
     def __init__(self, common, peer, now, **more):
         super().__init__(common, peer, now, **more)
-        self.anti_entropy.snapshots._coming = Mixes.parts.setdefault(common.members.name, [])
+        self.anti_entropy.snapshots._received_chunks = Mixes.parts.setdefault(common.members.name, [])
 
     parts: dict
 
@@ -345,7 +345,7 @@
     b.kept.merge(a.log.missing_entries({}, 10_000, 1 << 30), WALL + 6000)
     assert b.log.vector() == a.log.vector() and b.log.dump("d") == a.log.dump("d")
     for journal in (a.journal, b.journal):
-        journal.rewrite(list(LogStore(journal, "z", LogLimits(), WALL, 1)._all()))
+        journal.rewrite(list(LogStore(journal, "z", LogLimits(), WALL, 1)._all_records()))
         again = LogStore(journal, "z", LogLimits(), WALL, 1)
         assert again.notes == [] and again.log.vector() == a.log.vector()
     assert again.log.dump("c") == a.log.dump("c")  # b never held what the snapshot stands for
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -155,7 +155,7 @@
             end.turn(beat * BEAT)
             talk(pairs, beat * BEAT)
     assert d.members.heartbeats["a"].number >= 6
-    assert {len([x for x in d.links if "a" in x.heartbeats._said_enough])} == {1}
+    assert {len([x for x in d.links if "a" in x.heartbeats._stopped_relaying])} == {1}
     source = d.common.sources["a"]
     lost = bd if bd[1] is source else cd
     pairs.remove(lost)
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -92,7 +92,7 @@
     """Takes the greatest promise for the floor."""
 
     def _own_watermark(self):
-        return max(self._reached.values(), default=START)
+        return max(self._watermarks.values(), default=START)
 
 
 class LateByArrival(Frontier):
@@ -147,7 +147,9 @@
 
     def __init__(self, journal, name, bounds, wall_ms, chance):
         super().__init__(journal, name, bounds, wall_ms, chance)
-        self.log.incarnation = self._lived = 1  # as would a life counted on from a journal that was put back
+        self.log.incarnation = self._last_incarnation = (
+            1  # as would a life counted on from a journal that was put back
+        )
 
 
 MISTAKES = {
@@ -255,7 +257,7 @@
     assert (
         wanted is not None and a.frontier.next_event(["a", "b"], []) == wanted
     )  # as long as it was not appended
-    a.frontier._renew_view = lambda: None
+    a.frontier._update_membership = lambda: None
     a.log_kept.append("fleet", wanted, a.wall(), must=True)
     assert a.frontier.next_event(["a", "b"], []) is None
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -396,7 +396,7 @@
 def test_what_lay_unread_over_a_standstill_is_no_news():
     network, made, _ = parts(dict.fromkeys("abc", ("x", "y")))
     exchange = made["a"].peer_links.by_peer["b"].exchange
-    line = encode_frame(HeartbeatBatch(frame_number=exchange._n_in + 1), b"[]").split(b"\r\n")[0]
+    line = encode_frame(HeartbeatBatch(frame_number=exchange._last_frame_number + 1), b"[]").split(b"\r\n")[0]
     heard, now = exchange.received_at, now_ns(network) + 3 * SECOND
     with pytest.raises(PeerProtocolError, match="silence") as told:
         exchange.header_received(line, now)
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -160,7 +160,7 @@
 
     def _retire(self, reached):
         for row in self.heartbeats.values():
-            self.statuses[row.name].retirable = list(self._idle)
+            self.statuses[row.name].retirable = list(self._retirable)
         return super()._retire(reached)
 
 
