--- a/benchmarks/lives.py
+++ b/benchmarks/lives.py
@@ -17,14 +17,14 @@
 import click
 
 from ochrecourse.storage.journal import MemoryJournal
-from ochrecourse.fleet.entries import Entry, Stamp
+from ochrecourse.fleet.entries import Entry, Timestamp
 from ochrecourse.fleet.exchange import Exchange
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits
 from ochrecourse.fleet.members import Members
-from ochrecourse.fleet.shared import Common
-from ochrecourse.fleet.views import Admit, Admitted
+from ochrecourse.fleet.exchange_context import ExchangeContext
+from ochrecourse.fleet.membership_view import Admit, Admitted
 from ochrecourse.common.time_units import MS, SECOND
 
 NAMES = ("a", "b", "c")
@@ -40,39 +40,41 @@
     def __init__(self, name: str, wall_ms: int, journal: MemoryJournal | None = None) -> None:
         self.name = name
         self.journal = journal or MemoryJournal()
-        self.kept = Kept(self.journal, name, Bounds(), wall_ms, 1)
+        self.kept = LogStore(self.journal, name, LogLimits(), wall_ms, 1)
         self.log = self.kept.log
-        self.members = Members(name, self.log.life, 0, QUIET, LET_GO, NAMES, wall_ms * MS)
+        self.members = Members(name, self.log.incarnation, 0, QUIET, LET_GO, NAMES, wall_ms * MS)
         self.frontier = Frontier(self.log, NAMES)
 
     def beat(self, wall_ms: int) -> None:
         now = wall_ms * MS
-        self.kept.work(1 << 20)
-        fields = self.frontier.fields(self.kept.promise(wall_ms))
-        self.members.own(now, told={PART: self.frontier.told()}, **fields)
-        if self.frontier.over:
-            self.members.begin(self.kept.begin(wall_ms, 1, self.members.outlived))
+        self.kept.maintain(1 << 20)
+        fields = self.frontier.heartbeat_fields(self.kept.promise(wall_ms))
+        self.members.next_heartbeat(now, statuses={STATUS_KEY: self.frontier.status()}, **fields)
+        if self.frontier.has_ended:
+            self.members.begin_incarnation(
+                self.kept.begin_incarnation(wall_ms, 1, self.members.highest_incarnation)
+            )
         for _ in range(5):
-            wanted = self.frontier.wants(self.members.reached(now), self.members.away(now))
+            wanted = self.frontier.next_event(self.members.reachable(now), self.members.departed(now))
             if wanted is None:
                 return
-            self.kept.append(CHANNEL, wanted, wall_ms, must=True)
+            self.kept.append(FLEET_CHANNEL, wanted, wall_ms, must=True)
 
     def tell(self, other: Seat, wall_ms: int) -> None:
-        for row in list(self.members.rows.values()):
-            if row.beat and other.members.hear(row, wall_ms * MS):
-                other.frontier.hear(row)
+        for row in list(self.members.heartbeats.values()):
+            if row.number and other.members.receive(row, wall_ms * MS):
+                other.frontier.receive(row)
         for piece in self.log.snapshots_for(other.log.vector()):
             if other.kept.take_snapshot(piece):
-                other.frontier.snapshot_came()
-        other.kept.merge(self.log.missing(other.log.vector(), 4096, 1 << 22), wall_ms)
+                other.frontier.snapshot_received()
+        other.kept.merge(self.log.missing_entries(other.log.vector(), 4096, 1 << 22), wall_ms)
 
     def compact(self) -> None:
         """As `event_compaction` does for channel `fleet`."""
-        upto = Stamp(self.log.frontier().ms // MINUTE * MINUTE, 0)
-        before = self.log.snapshot(CHANNEL)
-        if (before is None or before.upto < upto) and self.frontier.crowded(upto):
-            self.kept.compact(CHANNEL, upto, {PART: self.frontier.settled(upto)})
+        upto = Timestamp(self.log.frontier().ms // MINUTE * MINUTE, 0)
+        before = self.log.snapshot(FLEET_CHANNEL)
+        if (before is None or before.upto < upto) and self.frontier.needs_retirement(upto):
+            self.kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: self.frontier.snapshot_value(upto)})
 
 
 class Fleet:
@@ -94,16 +96,18 @@
         for _ in range(4):
             self.round()
         a, b = self.seats["a"], self.seats["b"]
-        last = b.log.life
+        last = b.log.incarnation
         for _ in range(lives):
             self.wall += 1
-            at = Stamp(self.wall, 0)
+            at = Timestamp(self.wall, 0)
             life = max(last + 1, self.wall << 16)
             body = b'{"what":"note"}'
             chain = a.log.chains.get(("b", last))
             before = [(last, chain.last)] if chain else []
-            a.kept.append(CHANNEL, Admit([Admitted("b", life, None, before)]).value(), self.wall)
-            a.kept.merge([Entry(CHANNEL, "b", life, 1, Stamp(at.ms + 1, 0), (), body)], self.wall + 1)
+            a.kept.append(FLEET_CHANNEL, Admit([Admitted("b", life, None, before)]).value(), self.wall)
+            a.kept.merge(
+                [Entry(FLEET_CHANNEL, "b", life, 1, Timestamp(at.ms + 1, 0), (), body)], self.wall + 1
+            )
             self.wall += 1
             last = life
         self.wall += 2
@@ -132,9 +136,9 @@
         self.pump()
 
     def _end(self, seat: Seat) -> Exchange:
-        common = Common(
+        common = ExchangeContext(
             "f", seat.kept, seat.members, SECOND // 4, QUIET, 4096, 3_600_000, lambda hello: "",
-            seat.frontier.hear, lambda piece: None, 1 << 25,
+            seat.frontier.receive, lambda piece: None, 1 << 25,
         )  # fmt: skip
         return Exchange(common, "", self.now)
 
@@ -143,17 +147,17 @@
         while going:
             going = False
             for end, other in (self.ends, self.ends[::-1]):
-                while (data := end.next(self.now)) is not None:
+                while (data := end.next_frame(self.now)) is not None:
                     going = True
                     line, _, body = data.partition(b"\r\n")
-                    other.begun(line, self.now)
-                    other.took(body, self.now, self.fleet.wall)
+                    other.header_received(line, self.now)
+                    other.body_received(body, self.now, self.fleet.wall)
 
     def beat(self) -> None:
         self.now += SECOND // 4
         self.fleet.wall += 250
         for end in self.ends:
-            end.turn(self.now)
+            end.beat_passed(self.now)
         self.pump()
 
 
@@ -186,7 +190,7 @@
     return (
         f"{len(a.log.chains):6} lives held; append and its merge at one peer {first:8.3f} ms; "
         f"beat {median_ms(beat, more):8.3f} ms; journal {sum(map(len, a.journal.stored)) / 1024:8.0f} KB; "
-        f"row {len(a.frontier.told())} bytes"
+        f"row {len(a.frontier.status())} bytes"
     )
 
 
@@ -212,7 +216,7 @@
     began, most = time.process_time(), 0
     for count in range(1, restarts + 1):
         b = fleet.seats["b"]
-        b.kept.append(CHANNEL, {"what": "note"}, fleet.wall)
+        b.kept.append(FLEET_CHANNEL, {"what": "note"}, fleet.wall)
         fleet.wall += 1
         fleet.seats["b"] = Seat("b", fleet.wall, b.journal)
         for _ in range(10):  # up for some seconds, as long as it takes to be admitted and to read
--- a/ochrecourse/fleet/event_compaction.py
+++ b/ochrecourse/fleet/event_compaction.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from ochrecourse.fleet.channel import ORDINARY
-from ochrecourse.fleet.entries import Entry, Stamp
-from ochrecourse.fleet.frontier import CHANNEL, PART, Frontier
-from ochrecourse.fleet.log import Refused, Snapshot
-from ochrecourse.fleet.shared import Common
+from ochrecourse.fleet.entries import Entry, Timestamp
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY, Frontier
+from ochrecourse.fleet.log import AppendRejectedError, Snapshot
+from ochrecourse.fleet.exchange_context import ExchangeContext
 from ochrecourse.fleet.subsystem import UNKNOWN_EVENTS, Subsystem, retained_events
 
 COMPACTION_THRESHOLD = 0.25  # of a channel's bytes, above which channel `fleet` is compacted
@@ -32,7 +32,7 @@
 class EventCompaction:
     """Compacts channel `fleet` of one member. `write_log` takes a line of the log."""
 
-    def __init__(self, common: Common, frontier: Frontier, write_log: Callable[..., None]) -> None:
+    def __init__(self, common: ExchangeContext, frontier: Frontier, write_log: Callable[..., None]) -> None:
         self.common = common
         self.frontier = frontier
         self.write_log = write_log
@@ -41,31 +41,36 @@
     def compact_if_due(self, subsystems: Sequence[Subsystem]) -> None:
         """Compacts up to the last step, if the channel is full enough."""
         log = self.common.log
-        upto = Stamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
-        previous = log.snapshot(CHANNEL)
+        upto = Timestamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
+        previous = log.snapshot(FLEET_CHANNEL)
         if previous is not None and previous.upto >= upto:
             return
-        is_full = log.bytes_of(CHANNEL) >= COMPACTION_THRESHOLD * log.bounds.channel_bytes
-        if not is_full and not self.frontier.crowded(upto):
+        is_full = log.channel_bytes(FLEET_CHANNEL) >= COMPACTION_THRESHOLD * log.limits.channel_bytes
+        if not is_full and not self.frontier.needs_retirement(upto):
             return
         value = self._snapshot_value(previous, upto, subsystems)
         try:
-            compact(self.common, CHANNEL, upto, value)
-        except Refused as error:
+            compact(self.common, FLEET_CHANNEL, upto, value)
+        except AppendRejectedError as error:
             if str(error) != self._last_refusal:
                 self._last_refusal = str(error)
-                self.write_log("fleet log not compacted", channel=CHANNEL, why=str(error))
+                self.write_log("fleet log not compacted", channel=FLEET_CHANNEL, why=str(error))
             return
         self._last_refusal = ""
-        self.write_log("fleet log compacted", channel=CHANNEL, upto_ms=upto.ms, bytes=log.bytes_of(CHANNEL))
+        self.write_log(
+            "fleet log compacted",
+            channel=FLEET_CHANNEL,
+            upto_ms=upto.ms,
+            bytes=log.channel_bytes(FLEET_CHANNEL),
+        )
 
     def _snapshot_value(
-        self, previous: Snapshot | None, upto: Stamp, subsystems: Sequence[Subsystem]
+        self, previous: Snapshot | None, upto: Timestamp, subsystems: Sequence[Subsystem]
     ) -> dict[str, Any]:
         """What replaces the events, by the name of who needs it."""
         events = self._events_since(previous, upto)
         not_understood = retained_events(previous, UNKNOWN_EVENTS)
-        value: dict[str, Any] = {PART: self.frontier.settled(upto)}
+        value: dict[str, Any] = {STATUS_KEY: self.frontier.snapshot_value(upto)}
         for subsystem in subsystems:
             keeps = getattr(subsystem, "keeps", None)
             if keeps is None:
@@ -73,7 +78,7 @@
             candidates = [*retained_events(previous, subsystem.name), *not_understood, *events]
             retained = _as_json(keeps(candidates, upto))
             # Programs that know of no forms write the same.
-            if retained or subsystem is not self.common.forms:
+            if retained or subsystem is not self.common.format_versions:
                 value[subsystem.name] = retained
         unknown = [
             entry for entry in (*not_understood, *events) if event_kind(entry) not in KNOWN_EVENT_KINDS
@@ -81,28 +86,28 @@
         if unknown:
             # Guards against the loss of events of a newer program, which this one does not understand.
             value[UNKNOWN_EVENTS] = _as_json(unknown)
-        known_names = {PART, UNKNOWN_EVENTS, *(subsystem.name for subsystem in subsystems)}
+        known_names = {STATUS_KEY, UNKNOWN_EVENTS, *(subsystem.name for subsystem in subsystems)}
         for name, section in unknown_sections(previous, known_names):
             value.setdefault(name, section)
         return value
 
-    def _events_since(self, previous: Snapshot | None, upto: Stamp) -> list[Entry]:
+    def _events_since(self, previous: Snapshot | None, upto: Timestamp) -> list[Entry]:
         """The events that the snapshot replaces. What the last one replaced may be here still, after a
         restart.
         """
         log = self.common.log
-        since = previous.upto if previous is not None else Stamp(0, 0)
+        since = previous.upto if previous is not None else Timestamp(0, 0)
         return [
             entry
-            for entry in log.events(CHANNEL)
-            if since < entry.at <= upto and log.judge(entry) == ORDINARY
+            for entry in log.events(FLEET_CHANNEL)
+            if since < entry.at <= upto and log.classify(entry) == ORDINARY
         ]
 
 
-def compact(common: Common, channel: str, upto: Stamp, value: object) -> None:
-    """Replaces the entries of a channel up to a timestamp by a value. Raises log.Refused."""
-    common.kept.compact(channel, upto, value)
-    common.holes += 1
+def compact(common: ExchangeContext, channel: str, upto: Timestamp, value: object) -> None:
+    """Replaces the entries of a channel up to a timestamp by a value. Raises AppendRejectedError."""
+    common.log_store.compact(channel, upto, value)
+    common.compaction_version += 1
 
 
 def event_kind(entry: Entry) -> str:
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -14,18 +14,18 @@
 import msgspec
 
 from ochrecourse.common.runtime import now_ns
-from ochrecourse.fleet.channel import Told
+from ochrecourse.fleet.channel import Delivery
 from ochrecourse.fleet.channel_readers import ChannelReaders, OnEntries
 from ochrecourse.fleet.durable_claim import DurableClaim, LogClaim
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.event_appender import EventAppender
 from ochrecourse.fleet.event_compaction import EventCompaction, compact
-from ochrecourse.fleet.forms import FIRST, Raise
-from ochrecourse.fleet.frontier import CHANNEL, PART
-from ochrecourse.fleet.kept import AppendResult, OnAppended
-from ochrecourse.fleet.link import Door, Link
+from ochrecourse.fleet.format_versions import FIRST_VERSION, RaiseFormatVersion
+from ochrecourse.fleet.frontier import FLEET_CHANNEL, STATUS_KEY
+from ochrecourse.fleet.log_store import AppendResult, OnAppended
+from ochrecourse.fleet.link import PeerLinkListener, Link
 from ochrecourse.fleet.log_state import LogState
-from ochrecourse.fleet.log import Holes, Refused, Snapshot
+from ochrecourse.fleet.log import Holes, AppendRejectedError, Snapshot
 from ochrecourse.fleet.member_environment import MemberEnvironment, ZonePlacement
 from ochrecourse.fleet.member_report import MemberReport
 from ochrecourse.fleet.member_settings import MemberSettings
@@ -36,7 +36,7 @@
 from ochrecourse.fleet.operator_log import OperatorLog
 from ochrecourse.fleet.peer_addresses import PeerAddresses
 from ochrecourse.fleet.peer_links import LinkContext, LinkTraffic, PeerLinks
-from ochrecourse.fleet.shared import Common
+from ochrecourse.fleet.exchange_context import ExchangeContext
 from ochrecourse.fleet.subsystem import Subsystem
 from ochrecourse.fleet.subsystem_host import SubsystemHost
 from ochrecourse.fleet.wanted_appends import WantedAppends, WantedEntry
@@ -75,7 +75,7 @@
         self.peer_errors: Counter[str] = Counter()
         self.listening_port: Any = None
         self.stopped = False
-        self._new_heartbeats: dict[str, Row] = {}  # since the last beat
+        self._new_heartbeats: dict[str, Heartbeat] = {}  # since the last beat
         self._rate_limits: dict[int, float] = {}  # units a second by node
         self.log_state = LogState(
             self.settings, environment, placement.zone, self.peer_addresses.by_name, self.operator_log
@@ -91,7 +91,11 @@
         self.timer = MemberTimer(
             self.network,
             self.settings.beat_interval,
-            TimerCallbacks(self._beat, self._pull, lambda: self.common.waits or self.log_store.busy),
+            TimerCallbacks(
+                self._beat,
+                self._pull,
+                lambda: self.common.is_waiting_for_budget or self.log_store.needs_maintenance,
+            ),
         )
         self.appender = EventAppender(
             self.log_store, self.wall_ms, self.operator_log, lambda: self.peer_links.pump_all()
@@ -110,29 +114,29 @@
         )
         self._register_subsystems()
 
-    def _make_common(self) -> Common:
+    def _make_common(self) -> ExchangeContext:
         settings, bounds = self.settings, self.settings.log_bounds
         max_names_bytes = MAX_CHANNEL_NAME_BYTES * bounds.channels
-        return Common(
+        return ExchangeContext(
             fleet=settings.fleet,
-            kept=self.log_store,
+            log_store=self.log_store,
             members=self.members,
-            beat=settings.beat_interval,
-            quiet=settings.quiet,
-            flight=settings.max_entries_in_flight,
-            ahead_ms=bounds.ahead_ms,
+            heartbeat_interval=settings.beat_interval,
+            silence_timeout=settings.quiet,
+            max_entries_in_flight=settings.max_entries_in_flight,
+            max_clock_ahead_ms=bounds.max_clock_ahead_ms,
             admit=self._rejection_of,
-            news=self._heartbeat_received,
-            restored=self._snapshot_received,
-            most_snapshot=2 * bounds.channel_bytes + MAX_HOLES_BYTES + max_names_bytes,
-            catch_up=settings.catch_up_bytes_per_s,
-            ahead=self.subsystem_host.entry_received,
-            forms=self.forms,
+            on_heartbeat=self._heartbeat_received,
+            on_snapshot=self._snapshot_received,
+            max_snapshot_bytes=2 * bounds.channel_bytes + MAX_HOLES_BYTES + max_names_bytes,
+            catch_up_rate=settings.catch_up_bytes_per_s,
+            on_early_entry=self.subsystem_host.entry_received,
+            format_versions=self.forms,
         )
 
     def _make_links(self, now: int) -> PeerLinks:
         mesh = Mesh(self.gateway.name, self.settings.quiet, self.random_source.random)
-        mesh.peers_are(self.peer_addresses.by_name, now)
+        mesh.set_peers(self.peer_addresses.by_name, now)
         context = LinkContext(
             self.network,
             self.common,
@@ -145,7 +149,7 @@
 
     def _register_subsystems(self) -> None:
         self.log.listeners.append(self.subsystem_host.entry_received)
-        if self.forms.speaks.newest > FIRST:  # else it behaves as programs that know of no forms
+        if self.forms.supported.newest > FIRST_VERSION:  # else it behaves as programs that know of no forms
             self.register(self.forms)
         self.log_state.update_journal_form()
         self.member_zones = MemberZones(self.settings, self.environment, self.placement, self.wall_ms)
@@ -161,12 +165,12 @@
         """Listens and connects from now on; returns where it listens. Raises CannotListenError."""
         host, port = parse_address(where) or ("127.0.0.1", 0)
         listen = listen or self._listen
-        self.listening_port = listen("fleet", port, Door(self.peer_links.accept), host)
+        self.listening_port = listen("fleet", port, PeerLinkListener(self.peer_links.accept), host)
         bound_to = self.listening_port.getHost()
         self.operator_log.write(
             "fleet joined",
             fleet=self.common.fleet,
-            life=self.log.life,
+            life=self.log.incarnation,
             peers=len(self.peer_addresses.by_name),
             listen=f"{bound_to.host}:{bound_to.port}",
             entries=sum(self.log.vector().values()),
@@ -189,12 +193,12 @@
     def stop(self) -> None:
         """Leaves gracefully: links are closed with a reason, and no new ones are opened."""
         self._stop_timer_and_listening()
-        self.peer_links.close_all(lambda link: link.leave("this gateway leaves"))
+        self.peer_links.close_all(lambda link: link.close("this gateway leaves"))
 
     def kill(self) -> None:
         """Ends everything at once without a word to the peers, as the end of a process does."""
         self._stop_timer_and_listening()
-        self.peer_links.close_all(Link.cut)
+        self.peer_links.close_all(Link.abort)
 
     def give(self, on_given: Callable[[], None] = lambda: None) -> None:
         """Leaves, and gives up the journal: another process goes on under this name, once `on_given` is
@@ -202,7 +206,7 @@
         """
         self.stop()
         release = _Once(on_given)
-        self.log_store.give(release)
+        self.log_store.release(release)
         self.member_zones.detach()
         if not release.is_called:
             self.network.callLater(HANDOVER_WAIT_S, self._release_slow_journal, release)
@@ -214,7 +218,7 @@
 
     def close_journal(self, timeout_s: float) -> bool:
         """Blocks until all that was written is on disk, before the process ends; whether it is in time."""
-        return self.log_store.wait(timeout_s)
+        return self.log_store.wait_durable(timeout_s)
 
     def share(self, share: float) -> None:
         """Leaves that share of the rate limits to this process; the rest is for the next one."""
@@ -272,51 +276,54 @@
 
     def append(self, channel: str, value: object) -> Entry:
         """Appends an entry, which is on disk here before it goes to the others, and blocks until it is.
-        Raises log.Refused, OSError; then nothing was appended.
+        Raises AppendRejectedError, OSError; then nothing was appended.
         """
         _check_kind(channel, value)
         return self.appender.append(channel, value, False)
 
     def request_append(self, channel: str, value: object, on_result: OnAppended) -> None:
         """Appends an entry without blocking: `on_result` is called once it is on disk here and goes to the
-        others, or could not be written; possibly before this returns. Raises log.Refused, OSError; then
-        nothing is under way.
+        others, or could not be written; possibly before this returns. Raises AppendRejectedError, OSError;
+        then nothing is under way.
         """
         _check_kind(channel, value)
         self.appender.request_append(channel, value, False, on_result)
 
     def give_up(self, name: str, on_result: OnAppended) -> None:
-        """An operator says that a gateway does not return. Raises log.Refused, OSError."""
-        value = self.frontier.give_up(name, self.members.reached(now_ns(self.network)))
-        self.request_append(CHANNEL, value, on_result)
+        """An operator says that a gateway does not return. Raises AppendRejectedError, OSError."""
+        value = self.frontier.declare_departed(name, self.members.reachable(now_ns(self.network)))
+        self.request_append(FLEET_CHANNEL, value, on_result)
 
     def raise_form(self, form: int, on_result: OnAppended = _ignore_result) -> None:
-        """Puts a form in force from here on. Raises log.Refused with what is in the way, OSError."""
+        """Puts a form in force from here on. Raises AppendRejectedError with what is in the way, OSError."""
         obstacle = self.form_waits(form)
         if obstacle:
-            raise Refused(obstacle)
-        self.appender.request_append(CHANNEL, msgspec.to_builtins(Raise(form)), True, on_result)
+            raise AppendRejectedError(obstacle)
+        self.appender.request_append(
+            FLEET_CHANNEL, msgspec.to_builtins(RaiseFormatVersion(form)), True, on_result
+        )
 
     def form_waits(self, form: int) -> str:
         """Why a form may not be put in force now; empty if it may."""
-        return self.forms.why_not(form, self.frontier.view.counting, self.members.rows)
+        return self.forms.raise_obstacle(form, self.frontier.membership.active, self.members.heartbeats)
 
-    def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Told], str]:
-        """What a reader at `cursor` has not had, in order, and the next cursor. Raises log.Refused."""
+    def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Delivery], str]:
+        """What a reader at `cursor` has not had, in order, and the next cursor. Raises
+        AppendRejectedError."""
         return self.log.read(channel, cursor, max_entries)
 
     def follow(self, channel: str, cursor: str, on_entries: OnEntries) -> Callable[[], None]:
         """Calls `on_entries` with what a reader at `cursor` has not had, and the next cursor, now and
-        whenever there is more; returns what ends it. Raises log.Refused for a bad cursor.
+        whenever there is more; returns what ends it. Raises AppendRejectedError for a bad cursor.
         """
         return self.readers.follow(channel, cursor, on_entries)
 
-    def compact(self, channel: str, upto: Stamp, value: object) -> None:
+    def compact(self, channel: str, upto: Timestamp, value: object) -> None:
         """Replaces all entries of a channel at or before `upto`, which is at the stability frontier or before
-        it, by a value (JSON). Raises log.Refused.
+        it, by a value (JSON). Raises AppendRejectedError.
         """
-        if channel == CHANNEL:
-            raise Refused(f"channel {CHANNEL} compacts itself")
+        if channel == FLEET_CHANNEL:
+            raise AppendRejectedError(f"channel {FLEET_CHANNEL} compacts itself")
         compact(self.common, channel, upto, value)
 
     def dump(self, channel: str) -> bytes:
@@ -328,13 +335,13 @@
     def _rejection_of(self, hello: Hello) -> str:
         return self.peer_addresses.rejection_of(hello.name)
 
-    def _heartbeat_received(self, heartbeat: Row) -> None:
-        self.frontier.hear(heartbeat)
+    def _heartbeat_received(self, heartbeat: Heartbeat) -> None:
+        self.frontier.receive(heartbeat)
         self._new_heartbeats[heartbeat.name] = heartbeat
 
     def _snapshot_received(self, piece: Snapshot | Holes) -> None:
         """A piece of a peer's snapshots was applied."""
-        self.frontier.snapshot_came()
+        self.frontier.snapshot_received()
         if isinstance(piece, Snapshot):
             self.operator_log.write("fleet snapshot taken", channel=piece.channel, upto_ms=piece.upto.ms)
             self.subsystem_host.snapshot_received(piece)
@@ -355,7 +362,7 @@
         self.log_state.update_journal_form()
         self._compaction.compact_if_due(self.subsystem_host.subsystems)
         self.peer_links.check(now)
-        self.peer_links.beat(now, self.common.stale(now))
+        self.peer_links.beat(now, self.common.stale_members(now))
         self.peer_links.pump_all()
         self.readers.deliver()
         self._write_changes(now)
@@ -363,30 +370,30 @@
     def _pull(self, now: int) -> None:
         """Sends the next slice to peers that lack entries, and rewrites the next piece of the journal."""
         self.peer_links.rotate()
-        self.common.waits = False
+        self.common.is_waiting_for_budget = False
         if self.log_state.continue_rewrite():
-            self.common.holes += 1
+            self.common.compaction_version += 1
         self.peer_links.pump_all()
 
     def _append_wanted(self, now: int) -> None:
         if self.timer.beat_count % 2:  # every other beat: the frontier looks at all heartbeats again
             self._frontier_appends.beat()
-        zones = {name: self.members.zone_of(name) for name in self.members.reached(now)}
+        zones = {name: self.members.zone_of(name) for name in self.members.reachable(now)}
         self.subsystem_host.append_wanted(zones, self.appender.append_wanted)
 
     def _next_frontier_entry(self) -> WantedEntry | None:
         now = now_ns(self.network)
-        value = self.frontier.wants(self.members.reached(now), self.members.away(now))
-        return WantedEntry(CHANNEL, value, True) if value is not None else None
+        value = self.frontier.next_event(self.members.reachable(now), self.members.departed(now))
+        return WantedEntry(FLEET_CHANNEL, value, True) if value is not None else None
 
     def _send_heartbeat(self, now: int) -> None:
-        status, statuses = self.frontier.told(), self.subsystem_host.statuses(now)
-        fields = self.frontier.fields(self.log_store.promise(self.wall_ms()))
-        claim = self._durable_claim.update(LogClaim(self.log.life, status, fields["floor"]))
+        status, statuses = self.frontier.status(), self.subsystem_host.statuses(now)
+        fields = self.frontier.heartbeat_fields(self.log_store.promise(self.wall_ms()))
+        claim = self._durable_claim.update(LogClaim(self.log.incarnation, status, fields["watermark"]))
         if claim is None:
-            claim = LogClaim(self.log.life, self.frontier.told_nothing())
-        fields["floor"] = claim.floor
-        self.members.own(now, told={PART: claim.status, **statuses}, **fields)
+            claim = LogClaim(self.log.incarnation, self.frontier.empty_status())
+        fields["watermark"] = claim.floor
+        self.members.next_heartbeat(now, statuses={STATUS_KEY: claim.status, **statuses}, **fields)
 
     def _update_rate_limits(self, now: int) -> None:
         limits = self.subsystem_host.rate_limits(now)
@@ -395,16 +402,16 @@
             self.gateway.node_rates_received(limits)
 
     def _write_changes(self, now: int) -> None:
-        self.operator_log.write_reached(self.members.reached(now))
+        self.operator_log.write_reached(self.members.reachable(now))
         if self.zone_subsystem is not None:
             self.operator_log.write_zone_changes(self.zone_subsystem.changes())
         self.operator_log.write_notes([*self.log.notes, *self.log_store.notes])
 
 
 def _check_kind(channel: str, value: object) -> None:
-    """Raises log.Refused."""
-    if channel == CHANNEL and isinstance(value, dict) and value.get("what") == "form":
-        raise Refused("a form is raised by its own word, which asks whether all speak it")
+    """Raises AppendRejectedError."""
+    if channel == FLEET_CHANNEL and isinstance(value, dict) and value.get("what") == "form":
+        raise AppendRejectedError("a form is raised by its own word, which asks whether all speak it")
 
 
 class _Once:
--- a/ochrecourse/fleet/member_settings.py
+++ b/ochrecourse/fleet/member_settings.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ochrecourse.common.time_units import MS
-from ochrecourse.fleet.forms import NEWEST
-from ochrecourse.fleet.log import Bounds
+from ochrecourse.fleet.format_versions import NEWEST_VERSION
+from ochrecourse.fleet.log import LogLimits
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     quiet: int
     let_go: int
     clock_shift_ms: int
-    log_bounds: Bounds
+    log_bounds: LogLimits
     max_entries_in_flight: int
     catch_up_bytes_per_s: int
     newest_form: int
@@ -47,12 +47,12 @@
             quiet=round(settings["quiet"] * MS),
             let_go=round(settings["let_go"] * MS),
             clock_shift_ms=round(settings["shift"]),
-            log_bounds=Bounds(
+            log_bounds=LogLimits(
                 round(log["entry"]), round(log["channel"]), log["channels"], round(settings["ahead"])
             ),
             max_entries_in_flight=log["flight"],
             catch_up_bytes_per_s=round(log["catch_up"]),
-            newest_form=settings.get("newest_form", NEWEST),
+            newest_form=settings.get("newest_form", NEWEST_VERSION),
             clock_bound_ms=settings["clock_bound"],
             zones={**zones, "clock_bound": settings["clock_bound"]} if zones is not None else None,
         )
--- a/ochrecourse/fleet/subsystem_host.py
+++ b/ochrecourse/fleet/subsystem_host.py
@@ -7,8 +7,8 @@
 from functools import partial
 
 from ochrecourse.common.runtime import Clock, now_ns
-from ochrecourse.fleet.entries import Entry, Row
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.entries import Entry, Heartbeat
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log import Log, Snapshot
 from ochrecourse.fleet.operator_log import OperatorLog
 from ochrecourse.fleet.subsystem import Subsystem, events_for
@@ -33,7 +33,7 @@
         """Adds a subsystem; it receives all entries that are in the log."""
         now = now_ns(self.clock)
         self.subsystems.append(subsystem)
-        for entry in events_for(self.log.snapshot(CHANNEL), subsystem):
+        for entry in events_for(self.log.snapshot(FLEET_CHANNEL), subsystem):
             subsystem.entry_received(entry, now)
         for entry in self.log.all_entries():
             subsystem.entry_received(entry, now)
@@ -46,22 +46,22 @@
 
     def snapshot_received(self, snapshot: Snapshot) -> None:
         """A peer's snapshot was applied: subsystems receive the events that it retains for them."""
-        if snapshot.channel != CHANNEL:
+        if snapshot.channel != FLEET_CHANNEL:
             return
         now = now_ns(self.clock)
         for subsystem in self.subsystems:
             for entry in events_for(snapshot, subsystem):
                 subsystem.entry_received(entry, now)
 
-    def deliver_statuses(self, heartbeats: Collection[Row], now: int) -> None:
+    def deliver_statuses(self, heartbeats: Collection[Heartbeat], now: int) -> None:
         """Delivers what other gateways report in their heartbeats."""
         for heartbeat in heartbeats:
             for subsystem in self.subsystems:
-                status = heartbeat.told.get(subsystem.name)
+                status = heartbeat.statuses.get(subsystem.name)
                 if status is not None:
                     self._deliver_status(subsystem, heartbeat, status, now)
 
-    def _deliver_status(self, subsystem: Subsystem, heartbeat: Row, status: bytes, now: int) -> None:
+    def _deliver_status(self, subsystem: Subsystem, heartbeat: Heartbeat, status: bytes, now: int) -> None:
         try:
             subsystem.status_received(heartbeat.name, heartbeat.zone, status, now)
         except Exception as error:
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -13,25 +13,25 @@
 from ochrecourse.cli.control_answers import answer
 from ochrecourse.storage.journal import JournalError, FileJournal, MemoryJournal
 from ochrecourse.storage.process_lock import ProcessLock
-from ochrecourse.fleet import forms
-from ochrecourse.fleet.entries import Entry, Row, Stamp
+from ochrecourse.fleet import format_versions
+from ochrecourse.fleet.entries import Entry, Heartbeat, Timestamp
 from ochrecourse.fleet.exchange import Exchange
-from ochrecourse.fleet.forms import NEWEST, Forms, Span
-from ochrecourse.fleet.kept import Kept
-from ochrecourse.fleet.log import Bounds, Refused
+from ochrecourse.fleet.format_versions import NEWEST_VERSION, FormatVersions, VersionRange
+from ochrecourse.fleet.log_store import LogStore
+from ochrecourse.fleet.log import LogLimits, AppendRejectedError
 from ochrecourse.fleet.members import Members
-from ochrecourse.fleet.messages import BadPeer, Entries, Hello, frame
-from ochrecourse.fleet.frontier import CHANNEL
+from ochrecourse.fleet.messages import PeerProtocolError, Entries, Hello, encode_frame
+from ochrecourse.fleet.frontier import FLEET_CHANNEL
 from ochrecourse.fleet.log_state import LogState
 from ochrecourse.fleet.member_environment import JOURNAL
-from ochrecourse.fleet.shared import Common
+from ochrecourse.fleet.exchange_context import ExchangeContext
 from ochrecourse.common.time_units import SECOND
 from ochrecourse.settings.load import resolve
 
 RECORDED = Path(__file__).parent / "forms"
 HELD = json.loads((RECORDED / "held.json").read_text())
 OLD = {"newest_form": 1}
-BIG = Bounds(ahead_ms=3_600_000)
+BIG = LogLimits(max_clock_ahead_ms=3_600_000)
 
 
 # --- what older programs wrote ---
@@ -49,14 +49,16 @@
         (snapshot, entries), (had, kept) = json.loads(part.dump("c")), json.loads(HELD["dumps"]["c"])
         # What the snapshot stands for is held again until the frontier is past it, and is told to nobody.
         assert snapshot == had and [each for each in entries if each[4] > snapshot[2]] == kept
-        assert path.read_bytes().startswith(b"ochrecourse fleet-log 1\n") and part.log_store.form == 1
+        assert (
+            path.read_bytes().startswith(b"ochrecourse fleet-log 1\n") and part.log_store.format_version == 1
+        )
 
 
 def test_frames_of_the_first_form_are_taken_as_they_were_recorded():
     """All that one gateway told another over one link: rows, entries, snapshots, whom it needs no more."""
-    kept = Kept(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
-    members = Members("b", kept.log.life, 0, QUIET, 600 * SECOND, "ac")
-    common = Common(
+    kept = LogStore(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
+    members = Members("b", kept.log.incarnation, 0, QUIET, 600 * SECOND, "ac")
+    common = ExchangeContext(
         "f",
         kept,
         members,
@@ -72,12 +74,16 @@
     link, data, seen = Exchange(common, HELD["from"], 0), (RECORDED / "frames-1").read_bytes(), set()
     while data:
         line, _, data = data.partition(b"\r\n")
-        size = link.begun(line, 0)
+        size = link.header_received(line, 0)
         body, data = data[:size], data[size:]
-        link.took(body, 0, HELD["wall_ms"])
+        link.body_received(body, 0, HELD["wall_ms"])
         seen.add(json.loads(line)["m"])
     assert seen >= {"hello", "have", "rows", "entries", "piece"}
-    assert link.speaks == Span(1, 1) and link.form == 1 and link.hello.name == HELD["from"]
+    assert (
+        link.peer_versions == VersionRange(1, 1)
+        and link.format_version == 1
+        and link.hello.name == HELD["from"]
+    )
     (snapshot, entries), (also, held) = (
         json.loads(text) for text in (kept.log.dump("c"), HELD["dumps"]["c"])
     )
@@ -90,14 +96,14 @@
 
 def test_what_is_sent_is_in_the_form_in_force_and_what_the_other_speaks():
     a, b, c = End("a"), End("b"), End("c")
-    c.common.forms = Forms(newest=1)
+    c.common.format_versions = FormatVersions(newest=1)
     for end in (a, b):
         end.append("x")
     pairs = meet(a, b) + meet(b, c)
     for one, other in pairs:
-        assert one.form == other.form == 1
+        assert one.format_version == other.format_version == 1
     for end in (a, b):
-        end.common.forms.in_force = 2  # the event comes to one after the other
+        end.common.format_versions.in_force = 2  # the event comes to one after the other
         end.append("y")
         sent = talk(pairs)
         assert {
@@ -110,30 +116,30 @@
         for now in range(0, 5 * SECOND, SECOND):
             end.turn(now)
             talk(pairs[:1], now)
-    assert b.members.rows["a"] == a.members.rows["a"]  # rows too are the same in either form
+    assert b.members.heartbeats["a"] == a.members.heartbeats["a"]  # rows too are the same in either form
 
 
 @pytest.mark.parametrize("form", [1, 2])
 def test_a_body_that_was_changed_on_its_way_is_no_second_history_in_the_newer_form(form):
     a, b = End("a"), End("b")
     for end in (a, b):
-        end.common.forms.in_force = form
+        end.common.format_versions.in_force = form
     ((one, other),) = meet(a, b)
     body = "x" * 50
     a.append(body)
-    data = one.next(0)
+    data = one.next_frame(0)
     while b'"entries"' not in data:
         hand(other, data)
-        data = one.next(0)
+        data = one.next_frame(0)
     changed = data.replace(b"xxxx", b"xyxx", 1) if form == 2 else data.replace(b"eHh4", b"eHl4", 1)
     assert changed != data
     if form == 1:  # it is merged as a's word, and a's next row makes it a fork
         assert hand(other, changed)
-        b.log.compare("a", a.log.life, 1, a.log.chains["a", a.log.life].head(1))
+        b.log.compare_head_hash("a", a.log.incarnation, 1, a.log.chains["a", a.log.incarnation].hash_at(1))
         assert b.log.forks
         return
     before = b.log.vector()
-    with pytest.raises(BadPeer, match="changed on its way") as told:
+    with pytest.raises(PeerProtocolError, match="changed on its way") as told:
         hand(other, changed)
     assert told.value.code == "damaged" and b.log.vector() == before and not b.log.forks
 
@@ -141,22 +147,22 @@
 @pytest.mark.parametrize(
     ("hello", "own", "in_force", "why"),
     [
-        ({"version": 1}, 2, 1, ""), ({"version": 1, "oldest": 1, "newest": 2}, 1, 1, ""),
-        ({"version": 1, "oldest": 1, "newest": 9}, 2, 1, ""),
-        ({"version": 1}, 2, 2, "form 2 is in force in this fleet: a program that speaks it must be started there"),
-        ({"version": 2, "oldest": 1, "newest": 2}, 1, 1, "form 2 is in force in this fleet, and this program speaks forms 1 to 1: a newer one must be started here"),
-        ({"version": 9, "oldest": 9, "newest": 9}, 2, 1, "form 9 is in force"),
-        ({"version": 9}, 2, 1, "a newer one must be started here"),
+        ({"version_in_force": 1}, 2, 1, ""), ({"version_in_force": 1, "oldest_version": 1, "newest_version": 2}, 1, 1, ""),
+        ({"version_in_force": 1, "oldest_version": 1, "newest_version": 9}, 2, 1, ""),
+        ({"version_in_force": 1}, 2, 2, "form 2 is in force in this fleet: a program that speaks it must be started there"),
+        ({"version_in_force": 2, "oldest_version": 1, "newest_version": 2}, 1, 1, "form 2 is in force in this fleet, and this program speaks forms 1 to 1: a newer one must be started here"),
+        ({"version_in_force": 9, "oldest_version": 9, "newest_version": 9}, 2, 1, "form 9 is in force"),
+        ({"version_in_force": 9}, 2, 1, "a newer one must be started here"),
     ],
 )  # fmt: skip
 def test_who_can_not_read_what_is_in_force_is_told_what_to_do(hello, own, in_force, why):
     end = End("a")
-    end.common.forms = Forms(own, in_force)
-    greets = frame(Hello(**{**HELLO, **hello}))
+    end.common.format_versions = FormatVersions(own, in_force)
+    greets = encode_frame(Hello(**{**HELLO, **hello}))
     if not why:
         hand(end.link(), greets)
         return
-    with pytest.raises(BadPeer, match=why) as told:
+    with pytest.raises(PeerProtocolError, match=why) as told:
         hand(end.link(), greets)
     assert told.value.code == "form"
 
@@ -164,27 +170,30 @@
 @pytest.mark.parametrize(
     "span",
     [
-        {"version": 0},
-        {"version": -1},
-        {"version": 1, "oldest": 5, "newest": 2},
-        {"version": 1, "newest": 1 << 40},
+        {"version_in_force": 0},
+        {"version_in_force": -1},
+        {"version_in_force": 1, "oldest_version": 5, "newest_version": 2},
+        {"version_in_force": 1, "newest_version": 1 << 40},
     ],
 )
 def test_a_span_that_is_none_is_a_mistake(span):
-    with pytest.raises(BadPeer) as told:
-        hand(End("a").link(), frame(Hello(**{**HELLO, **span})))
+    with pytest.raises(PeerProtocolError) as told:
+        hand(End("a").link(), encode_frame(Hello(**{**HELLO, **span})))
     assert told.value.code == "bad_hello"
 
 
 def test_a_frame_in_a_form_that_is_not_spoken_here_merges_nothing():
     end = End("a")
-    end.common.forms = Forms(newest=1)
+    end.common.format_versions = FormatVersions(newest=1)
     link = end.link()
-    hand(link, frame(Hello(**HELLO)))
-    with pytest.raises(BadPeer) as told:
+    hand(link, encode_frame(Hello(**HELLO)))
+    with pytest.raises(PeerProtocolError) as told:
         hand(
             link,
-            frame(Entries(form=2), msgspec.msgpack.encode([Entry("c", "b", 5, 1, Stamp(WALL, 0), (), b"1")])),
+            encode_frame(
+                Entries(format_version=2),
+                msgspec.msgpack.encode([Entry("c", "b", 5, 1, Timestamp(WALL, 0), (), b"1")]),
+            ),
         )
     assert told.value.code == "form" and not end.log.events("c")
 
@@ -221,12 +230,15 @@
     fleet.cut("a", "c")
     fleet.parts["a"].register(Later())
     fleet.run(3)
-    assert fleet.parts["c"].members.rows["a"].told["later"] == Later().status(0)
+    assert fleet.parts["c"].members.heartbeats["a"].statuses["later"] == Later().status(0)
     event = {"what": "moon", "form": 9, "deep": [[{"x": None}]]}
     for name in "ab":
-        fleet.parts[name].append(CHANNEL, event)
+        fleet.parts[name].append(FLEET_CHANNEL, event)
     fleet.run(3)
-    assert len(fleet.dumps(CHANNEL)) == 1 and b"moon" in fleet.parts["c"].log.events(CHANNEL)[-1].body
+    assert (
+        len(fleet.dumps(FLEET_CHANNEL)) == 1
+        and b"moon" in fleet.parts["c"].log.events(FLEET_CHANNEL)[-1].body
+    )
     assert not any(part.peer_errors for part in fleet.parts.values())
 
 
@@ -234,14 +246,14 @@
     small = {"log": {**SAID["log"], "channel": 6000.0}}
     fleet = Fleet("abc", **small)
     fleet.run(3)
-    entry = fleet.parts["a"].appender.append(CHANNEL, {"what": "moon", "full": True}, False)
+    entry = fleet.parts["a"].appender.append(FLEET_CHANNEL, {"what": "moon", "full": True}, False)
     for number in range(12):  # what nobody needs any more gives way
         fleet.parts["b"].appender.append(
-            CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
+            FLEET_CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
         )
     fleet.run(150)
-    snapshots = {part.log.snapshot(CHANNEL).value for part in fleet.parts.values()}
-    assert len(snapshots) == 1 and len(fleet.dumps(CHANNEL)) == 1
+    snapshots = {part.log.snapshot(FLEET_CHANNEL).value for part in fleet.parts.values()}
+    assert len(snapshots) == 1 and len(fleet.dumps(FLEET_CHANNEL)) == 1
     fleet.parts["c"].kill()
     fleet.journals["c"] = MemoryJournal()  # it has it from others, by the snapshot
     fleet.run(1)
@@ -255,10 +267,10 @@
 
 
 def test_a_row_and_an_entry_have_no_room_for_more():
-    """What is passed on byte for byte is what stands in `told` and in bodies: more places would be lost by whoever does
+    """What is passed on byte for byte is what stands in `statuses` and in bodies: more places would be lost by whoever does
     not know them, and the chain of hashes would call that a second history."""
-    assert Entry.__struct_fields__ == ("channel", "writer", "life", "seq", "at", "cause", "body")
-    assert Row.__struct_fields__[-1] == "told"
+    assert Entry.__struct_fields__ == ("channel", "writer", "incarnation", "seq", "at", "cause", "body")
+    assert Heartbeat.__struct_fields__[-1] == "statuses"
 
 
 # --- which form is in force ---
@@ -266,7 +278,7 @@
 
 def row(name, life=5, newest=None):
     told = {} if newest is None else {"forms": b"[1,%d]" % newest}
-    return Row(name, life, 1, 0, 0, b"", Stamp(1, 0), Stamp(1, 0), (), told)
+    return Heartbeat(name, life, 1, 0, 0, b"", Timestamp(1, 0), Timestamp(1, 0), (), told)
 
 
 @pytest.mark.parametrize(
@@ -284,20 +296,20 @@
     ],
 )  # fmt: skip
 def test_a_form_is_raised_only_where_all_that_count_speak_it(form, counting, rows, why):
-    told = Forms().why_not(form, counting, {each.name: each for each in rows})
+    told = FormatVersions().raise_obstacle(form, counting, {each.name: each for each in rows})
     assert (why in told) if why else told == ""
 
 
 @pytest.mark.parametrize("body", [{"form": 1}, {"form": 0}, {"form": -2}, {"form": 5000}, {"form": "2"}, {}])
 def test_what_raises_no_form(body):
-    of = Forms()
+    of = FormatVersions()
     of.entry_received(
         Entry(
-            CHANNEL,
+            FLEET_CHANNEL,
             "a",
             1,
             1,
-            Stamp(1, 0),
+            Timestamp(1, 0),
             (),
             json.dumps({"what": "form", **body}, separators=(",", ":")).encode(),
         ),
@@ -309,21 +321,21 @@
 @given(st.lists(st.integers(2, 6), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_the_form_in_force_is_the_same_in_any_order_and_kept_by_one_event(raised, chance):
     events = [
-        Entry(CHANNEL, f"g{i}", 1, 1, Stamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
+        Entry(FLEET_CHANNEL, f"g{i}", 1, 1, Timestamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
         for i, f in enumerate(raised)
     ]
-    of, also = Forms(), Forms()
+    of, also = FormatVersions(), FormatVersions()
     for each in events:
         of.entry_received(each, 0)
-    kept = of.keeps(events, Stamp(9, 0))
-    assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Stamp(9, 0)) == kept
+    kept = of.keeps(events, Timestamp(9, 0))
+    assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Timestamp(9, 0)) == kept
     also.entry_received(kept[0], 0)
     assert of.in_force == also.in_force == max(raised)
 
 
 def test_the_settings_know_the_newest_form():
     record = resolve(GOOD, "g.cue")
-    assert record["fleet"]["newest_form"] == NEWEST
+    assert record["fleet"]["newest_form"] == NEWEST_VERSION
 
 
 # --- the whole fleet ---
@@ -359,7 +371,7 @@
         told = asked(fleet.parts["a"], form=2)
         assert ("error" in told) == (i < 3) and (i == 3 or "do not speak form 2" in told["error"])
     fleet.run(2)
-    assert len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
     assert [asked(part)["in_force"] for part in fleet.parts.values()] == [2, 2, 2]
     assert not any(part.peer_errors for part in fleet.parts.values()) and not fleet.said_of(
         "fleet link refused"
@@ -367,8 +379,8 @@
     assert all((tmp_path / f"{n}.log").read_bytes().startswith(b"ochrecourse fleet-log 2\n") for n in "abc")
     assert "only rises" in asked(fleet.parts["b"], form=1)["error"]
     assert "is in force" in asked(fleet.parts["b"], form=2)["error"]
-    with pytest.raises(Refused, match="by its own word"):
-        fleet.parts["b"].append(CHANNEL, {"what": "form", "form": 3})
+    with pytest.raises(AppendRejectedError, match="by its own word"):
+        fleet.parts["b"].append(FLEET_CHANNEL, {"what": "form", "form": 3})
     # The older program finds so at the first line of its journal, and leaves the file as it is.
     fleet.parts["b"].kill()
     before = (tmp_path / "b.log").read_bytes()
@@ -389,7 +401,7 @@
     fleet.journals["b"] = FileJournal(tmp_path / "b.log", *JOURNAL)
     fleet.start("b", newest_form=2)
     fleet.run(6)
-    assert fleet.reached("a") == "abc" and len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert fleet.reached("a") == "abc" and len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
 
 
 ACT = st.one_of(
@@ -420,14 +432,14 @@
         elif act == "append":
             answered.append(json.loads(fleet.parts[who].append("c", len(answered)).body))
         elif act == "raise":
-            counting = dict(fleet.parts[who].frontier.view.counting)
+            counting = dict(fleet.parts[who].frontier.membership.active)
             try:
                 fleet.parts[who].raise_form(2)
-            except Refused:
+            except AppendRejectedError:
                 pass
             else:
                 raised = True
-                lives = {name: fleet.parts[name].log.life for name in counting}
+                lives = {name: fleet.parts[name].log.incarnation for name in counting}
                 assert all(newest[name] == 2 for name in counting if lives[name] == counting[name])
         elif act == "cut":
             fleet.cut(who, set("abcd") - set(who))
@@ -442,11 +454,11 @@
         if newest[name] == 1:
             start(name, 2)
     fleet.run(12)
-    assert len(fleet.dumps("c")) == len(fleet.dumps(CHANNEL)) == 1
+    assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
     held = [json.loads(entry.body) for entry in fleet.parts["a"].log.events("c")]
     assert sorted(held) == sorted(answered)
     assert {part.forms.in_force for part in fleet.parts.values()} == {2 if raised else 1}
-    assert {part.log_store.form for part in fleet.parts.values()} == {2 if raised else 1}
+    assert {part.log_store.format_version for part in fleet.parts.values()} == {2 if raised else 1}
     return raised
 
 
@@ -457,10 +469,10 @@
 
 
 MISTAKES = {
-    "raised without asking who counts": (Forms, "why_not", lambda of, form, counting, rows: ""),
-    "sent in the form in force to whoever": (Forms, "sends", lambda of, theirs: of.in_force),
+    "raised without asking who counts": (FormatVersions, "raise_obstacle", lambda of, form, counting, rows: ""),
+    "sent in the form in force to whoever": (FormatVersions, "version_for", lambda of, theirs: of.in_force),
     "the form of the last event that came": (
-        Forms, "entry_received", lambda of, entry, now: setattr(of, "in_force", forms.form_of(entry) or of.in_force)
+        FormatVersions, "entry_received", lambda of, entry, now: setattr(of, "in_force", format_versions.raised_version(entry) or of.in_force)
     ),
     "a journal that stays as it was": (LogState, "update_journal_form", lambda state: None),
 }  # fmt: skip
@@ -470,11 +482,11 @@
 def test_seeded_mistakes_are_caught(which, monkeypatch):
     where, name, wrong = MISTAKES[which]
     if which == "the form of the last event that came":
-        low = Entry(CHANNEL, "a", 1, 1, Stamp(1, 0), (), b'{"form":2,"what":"form"}')
+        low = Entry(FLEET_CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
         high = msgspec.structs.replace(low, body=b'{"form":3,"what":"form"}')
 
         def check():
-            of = Forms()
+            of = FormatVersions()
             for each in (high, low):
                 of.entry_received(each, 0)
             assert of.in_force == 3
@@ -482,8 +494,8 @@
 
         def check():
             end = End("a")
-            end.common.forms.in_force = 2
-            assert end.link().form == 1  # nothing is known of the other side yet
+            end.common.format_versions.in_force = 2
+            assert end.link().format_version == 1  # nothing is known of the other side yet
     else:
 
         def check():
@@ -521,11 +533,11 @@
     part.append("c", 1)
     part.give()
     before = path.read_bytes()
-    with pytest.raises(Refused, match="has left its fleet"):
+    with pytest.raises(AppendRejectedError, match="has left its fleet"):
         part.append("c", 2)
     with pytest.raises(OSError, match="another process"):
         part.log_store.append("c", 2, EPOCH)
-    part.log_store.merge([Entry("c", "b", 5, 1, Stamp(EPOCH, 0), (), b"1")], EPOCH)
+    part.log_store.merge([Entry("c", "b", 5, 1, Timestamp(EPOCH, 0), (), b"1")], EPOCH)
     part.log_store.promise(EPOCH * 2)
     fleet.run(3)
     assert path.read_bytes() == before
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -13,9 +13,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 from minicheck import Protocol, check_safety
 
-from ochrecourse.fleet import kept as kept_module
+from ochrecourse.fleet import log_store as log_store_module
 from ochrecourse.fleet.frontier import Frontier
-from ochrecourse.fleet.kept import Kept
+from ochrecourse.fleet.log_store import LogStore
 from ochrecourse.fleet.log import LATE, ORDINARY, START, Log
 
 
@@ -69,16 +69,16 @@
 class PastTheSilent(Frontier):
     """Leaves out of the frontier whoever has not told of this view."""
 
-    def _floor_of(self, name, life):
-        return max(super()._floor_of(name, life), self.floor)
+    def _watermark_of(self, name, life):
+        return max(super()._watermark_of(name, life), self.watermark)
 
 
 class AnyView(Frontier):
     """Takes floors that rest on another view of who counts."""
 
-    def _floor_of(self, name, life):
-        row = self.rows.get(name)
-        return self.floor if name == self.log.name else row.floor if row is not None else START
+    def _watermark_of(self, name, life):
+        row = self.heartbeats.get(name)
+        return self.watermark if name == self.log.name else row.watermark if row is not None else START
 
 
 class PromiseUnheld(Frontier):
@@ -91,8 +91,8 @@
 class Furthest(Frontier):
     """Takes the greatest promise for the floor."""
 
-    def _floor(self):
-        return max(self._reached.values(), default=START)
+    def _own_watermark(self):
+        return max(self._watermarks.values(), default=START)
 
 
 class LateByArrival(Frontier):
@@ -101,15 +101,15 @@
     def __init__(self, log, founders):
         super().__init__(log, founders)
         self.tardy = set()
-        log.listeners.append(lambda e: self.tardy.add(e.place) if e.at <= log.stable else None)
-        log.judge = lambda e: LATE if e.place in self.tardy else ORDINARY
+        log.listeners.append(lambda e: self.tardy.add(e.position) if e.at <= log.stable else None)
+        log.classify = lambda e: LATE if e.position in self.tardy else ORDINARY
 
 
 class AloneLetsGo(Frontier):
     """Lets a member go without asking the others."""
 
     def _close(self, reached):
-        for stream in sorted(self._doubted):
+        for stream in sorted(self._departed):
             return {
                 "what": "close",
                 "name": stream[0],
@@ -120,9 +120,9 @@
 
 
 class AloneLetsGoAtOnce(AloneLetsGo):
-    def wants(self, reached, away):
-        self._doubted |= {s for s in self.view.counting.items() if s[0] not in reached}
-        return super().wants(reached, away)
+    def next_event(self, reached, away):
+        self._departed |= {s for s in self.membership.active.items() if s[0] not in reached}
+        return super().next_event(reached, away)
 
 
 class NewLifeFromTheStart(Frontier):
@@ -135,19 +135,21 @@
 class NewLifeUnasked(Frontier):
     """Admits a new life without the entries that its earlier ones wrote."""
 
-    def _knows_before(self, name):
+    def _holds_earlier_incarnations(self, name):
         return True
 
     def _admitted(self, name, life, start):
         return super()._admitted(name, life, start).__class__(name, life, start, [])
 
 
-class LifeReused(Kept):
+class LifeReused(LogStore):
     """Goes on after a restart where its journal ends."""
 
     def __init__(self, journal, name, bounds, wall_ms, chance):
         super().__init__(journal, name, bounds, wall_ms, chance)
-        self.log.life = self._lived = 1  # as would a life counted on from a journal that was put back
+        self.log.incarnation = self._last_incarnation = (
+            1  # as would a life counted on from a journal that was put back
+        )
 
 
 MISTAKES = {
@@ -223,11 +225,11 @@
     a.append()
     world.round()
     world.round()
-    stream = ("a", a.log.life)
+    stream = ("a", a.log.incarnation)
     a.append()
     a.beat()
     a.tell(b)
-    other = Log("a", a.log.life, a.log.bounds)
+    other = Log("a", a.log.incarnation, a.log.limits)
     for entry in a.log.all_entries():
         if entry.seq < a.log.chains[stream].last:
             other.restore(entry)
@@ -236,7 +238,7 @@
     for _ in range(12):
         world.round()
     assert "two histories" in b.log.forks[stream] and "another history" in c.log.forks[stream]
-    assert a.log.life > stream[1]
+    assert a.log.incarnation > stream[1]
     assert b.log.frontier() > held and c.log.frontier() > held
     for gateway in (a, b, c):
         gateway.frontier.settle()
@@ -251,11 +253,13 @@
     a.beat()
     b.beat()
     b.tell(a, 0)
-    wanted = a.frontier.wants(["a", "b"], [])
-    assert wanted is not None and a.frontier.wants(["a", "b"], []) == wanted  # as long as it was not appended
-    a.frontier._renew_view = lambda: None
+    wanted = a.frontier.next_event(["a", "b"], [])
+    assert (
+        wanted is not None and a.frontier.next_event(["a", "b"], []) == wanted
+    )  # as long as it was not appended
+    a.frontier._update_membership = lambda: None
     a.log_kept.append("fleet", wanted, a.wall(), must=True)
-    assert a.frontier.wants(["a", "b"], []) is None
+    assert a.frontier.next_event(["a", "b"], []) is None
 
 
 def test_a_clock_that_merges_do_not_raise_is_caught(monkeypatch):
@@ -266,7 +270,7 @@
             if entry.writer != self.name:
                 self.clock = clock
 
-    monkeypatch.setattr(kept_module, "Log", Unraised)
+    monkeypatch.setattr(log_store_module, "Log", Unraised)
     assert first_broken(range(100), size=3) is not None
 
 
@@ -331,6 +335,6 @@
     for _ in range(8):
         world.round()
         world.check()
-    lives = {gateway.name: gateway.log.life for gateway in world.gateways.values()}
-    assert all(gateway.frontier.view.counting == lives for gateway in world.gateways.values())
+    lives = {gateway.name: gateway.log.incarnation for gateway in world.gateways.values()}
+    assert all(gateway.frontier.membership.active == lives for gateway in world.gateways.values())
     assert all(gateway.log.frontier() > START for gateway in world.gateways.values())
