--- a/ochrecourse/fleet/cached_objects.py
+++ b/ochrecourse/fleet/cached_objects.py
@@ -1,8 +1,7 @@
-"""The objects in a gateway's cache: least recently used ones are evicted, purges are lazy. Free of I/O and
-clocks.
+"""Storage of a gateway's object cache: LRU eviction within a size limit, lazy purges. Free of I/O and clocks.
 
-A purge advances the epoch of its scope, so what was fetched under an older one is no answer any more. The
-objects themselves are discarded in bounded steps afterwards.
+A purge advances the epoch of its scope, which invalidates at once all objects fetched under an older epoch.
+Their memory is freed afterwards in bounded steps.
 """
 
 from __future__ import annotations
@@ -14,12 +13,12 @@
 
 from ochrecourse.fleet.calendar_edition import Scope
 
-OBJECT_OVERHEAD_BYTES = 512  # beside its chunks, as measured on 64-bit CPython
-MAX_DISCARDED_PER_STEP = 256  # objects: some 0.2 ms of the event loop
+OBJECT_OVERHEAD_BYTES = 512  # per object in addition to its chunks, on 64-bit CPython
+MAX_DISCARDED_PER_STEP = 256  # objects; takes about 0.2 ms of the event loop
 
 
 class ObjectKey(NamedTuple):
-    """What makes two reads the same."""
+    """The fields of a read that identify its answer: reads with equal keys share one."""
 
     request_class: str
     tenant: str
@@ -30,7 +29,7 @@
 
 
 class PurgeEpochs(NamedTuple):
-    """The epochs of an object's scopes when its fetch began: of all, of its tenant, of its volume."""
+    """The epochs at the start of an object's fetch: of all objects, of its tenant and of its volume."""
 
     all: int
     tenant: int
@@ -38,8 +37,8 @@
 
 
 class CachedObject:
-    """An object as a node sent it: the chunks as they arrived, none longer than one frame. `size`: bytes of
-    the complete object; `received`: bytes so far.
+    """An object as received from a node, in chunks of one frame at most. `size`: bytes of the complete
+    object; `received`: bytes received so far.
     """
 
     __slots__ = ("chunks", "epochs", "received", "shard", "size")
@@ -66,7 +65,7 @@
 
 
 class CachedObjects:
-    """The complete objects, within `max_bytes`, with what purges and writes need to find them."""
+    """The complete objects, within `max_bytes`, with indexes by which purges and writes find them."""
 
     def __init__(self, max_bytes: int) -> None:
         self.objects: LRUCache[ObjectKey, CachedObject] = LRUCache(
@@ -79,7 +78,7 @@
         self._epochs: dict[Scope, int] = {}
 
     def current_epochs(self, volume: int, tenant: str) -> PurgeEpochs:
-        """The epochs under which a fetch begins now."""
+        """The epochs of a fetch that begins now."""
         return PurgeEpochs(
             self._epoch_of_all,
             self._epochs.get(Scope("plan", tenant), 0),
@@ -87,7 +86,7 @@
         )
 
     def insert(self, key: ObjectKey, cached: CachedObject) -> None:
-        """Adds a complete object; the least recently used ones are evicted for it."""
+        """Adds a complete object; evicts the least recently used ones as needed."""
         self.remove(key)
         objects = self.objects
         while objects.currsize + cached.size + OBJECT_OVERHEAD_BYTES > objects.maxsize:
@@ -98,30 +97,30 @@
         self.by_volume_object.setdefault((key.volume, key.key), {})[key] = None
 
     def remove(self, key: ObjectKey) -> None:
-        """Removes one object, if it is there."""
+        """Removes one object if it is cached."""
         if self.objects.pop(key, None) is not None:
             self._remove_from_indexes(key)
 
     def remove_object(self, target: tuple[int, int]) -> None:
-        """Removes all that was read of an object, by volume and key."""
+        """Removes all cached answers of an object, given by volume and key."""
         for key in list(self.by_volume_object.get(target, ())):
             self.remove(key)
 
     def clear(self) -> None:
-        """Removes everything at once."""
+        """Removes all objects at once."""
         self.objects.clear()
         self.by_tenant_volume.clear()
         self.by_volume_object.clear()
 
     def advance_epoch(self, scope: Scope) -> None:
-        """From now on no object of the scope is an answer that was fetched before."""
+        """Invalidates all objects of the scope that were fetched before."""
         if scope.kind == "all":
             self._epoch_of_all += 1
         else:
             self._epochs[scope] = self._epochs.get(scope, 0) + 1
 
     def discard(self, scope: Scope) -> int:
-        """Leaves the objects of a scope to `discard_step`; returns their count."""
+        """Queues the objects of a scope for removal by `discard_step`; returns their count."""
         count = 0
         for index_key in [each for each in self.by_tenant_volume if scope.covers(each[1], each[0])]:
             keys = self.by_tenant_volume.pop(index_key)
@@ -130,7 +129,7 @@
         return count
 
     def discard_step(self, max_objects: int) -> bool:
-        """Removes some of what purges left to it; True if more is left."""
+        """Removes up to `max_objects` of the objects queued by purges; returns True if more are left."""
         while self.discarded and max_objects > 0:
             keys = self.discarded[0]
             while keys and max_objects > 0:
--- a/ochrecourse/fleet/calendar_edition.py
+++ b/ochrecourse/fleet/calendar_edition.py
@@ -1,7 +1,7 @@
 """One edition of a site's calendar: its rules and the instants at which they apply. Free of I/O, clocks and
 time zones.
 
-An edition carries its instants, so nobody has to know a time zone to act on it.
+An edition contains its instants as UTC times, so that edges need no time zone data to act on it.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from ochrecourse.common.errors import OchrecourseError
 from ochrecourse.fleet.entries import LogPosition
 
-MAX_INSTANTS = 20_000  # of one edition; what a body of 1 MiB would hold
+MAX_INSTANTS = 20_000  # of one edition; about as many as fit into a body of 1 MiB
 MAX_RULES = 64  # of one edition
-MAX_NAME_CHARS = 64  # of a rule's, a site's or an edge's name
+MAX_NAME_CHARS = 64  # of the name of a rule, a site or an edge
 NEVER_MS = 1 << 62  # later than any timestamp
 BEFORE_ALL_MS = -1  # before any timestamp
 
-EditionId = tuple[str, int, int]  # writer, its incarnation, sequence: the entry that brought it
+EditionId = tuple[str, int, int]  # the entry of the edition: its writer, incarnation and sequence number
 ScopeKind = Literal["all", "plan", "volume"]
 SCOPE_KINDS = ("all", "plan", "volume")
 
 
 class Scope(NamedTuple):
-    """What a rule purges. `name`: that of the tenant, or the number of the volume as text."""
+    """The objects that a rule purges. `name`: the tenant's name, or the volume's number as text."""
 
     kind: ScopeKind
     name: str
 
     def covers(self, volume: int, tenant: str) -> bool:
-        """Whether objects of this volume and tenant are purged."""
+        """Whether the scope includes objects of this volume and tenant."""
         return self.kind == "all" or self.name == (tenant if self.kind == "plan" else str(volume))
 
 
@@ -52,19 +52,19 @@
 
     @property
     def occurrence(self) -> Occurrence:
-        """What is scheduled for this instant."""
+        """The occurrence that is scheduled at this instant."""
         return Occurrence(self.rule, self.date)
 
 
 class InvalidCalendarEventError(OchrecourseError):
-    """An event of a calendar that can't be read; the text says why."""
+    """An event of a calendar is invalid; the text gives the reason."""
 
 
 @dataclass(slots=True, eq=False)
 class Edition:
-    """One edition. `settings_version`: the settings' own count of the site; `first_date`, `last_date`: local
-    dates that it covers; `scopes`: by rule; `complete_until_ms`: up to when it has all instants, ms since
-    1970.
+    """One edition. `settings_version`: the edition number of the site in the settings; `first_date`,
+    `last_date`: range of local dates covered; `scopes`: by rule; `complete_until_ms`: time in ms since 1970
+    up to which all instants are included.
     """
 
     place: LogPosition
@@ -82,28 +82,28 @@
 
     @property
     def id(self) -> EditionId:
-        """The entry that brought it."""
+        """The edition's id: writer, incarnation and sequence number of its entry."""
         return (self.place.writer, self.place.incarnation, self.place.seq)
 
     @property
     def rank(self) -> tuple[int, LogPosition]:
-        """Of the editions in force, the one of the highest rank applies."""
+        """The order of editions: of those in force, the one with the highest rank applies."""
         return (self.number, self.place)
 
     def instants_between(self, after_ms: int, until_ms: int) -> list[Instant]:
-        """The instants later than `after_ms` and not later than `until_ms`."""
+        """The instants after `after_ms` and up to `until_ms`, in order."""
         first = bisect.bisect_right(self.instants, after_ms, key=lambda each: each.at_ms)
         last = bisect.bisect_right(self.instants, until_ms, key=lambda each: each.at_ms)
         return self.instants[first:last]
 
     def next_instant_ms(self, after_ms: int) -> int:
-        """The first instant later than `after_ms`; NEVER_MS if there is none."""
+        """The first instant after `after_ms`; NEVER_MS if there is none."""
         index = bisect.bisect_right(self.instants, after_ms, key=lambda each: each.at_ms)
         return self.instants[index].at_ms if index < len(self.instants) else NEVER_MS
 
 
 def parse_edition(body: Mapping[str, Any], place: LogPosition) -> Edition:
-    """The edition in the body of an event. Raises InvalidCalendarEventError."""
+    """Parses the edition in an event's body. Raises InvalidCalendarEventError."""
     site = parse_name(body, "site")
     number = parse_whole_number(body.get("number"), "number")
     settings_version = parse_whole_number(body.get("wording", number), "wording")
@@ -131,7 +131,7 @@
 
 
 def parse_name(body: Mapping[str, Any], field: str) -> str:
-    """A name under a key of an event's body. Raises InvalidCalendarEventError."""
+    """Parses the name under a key of an event's body. Raises InvalidCalendarEventError."""
     value = body.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_CHARS:
         raise InvalidCalendarEventError(f"{field} is a text of 1 to {MAX_NAME_CHARS} characters")
@@ -139,7 +139,7 @@
 
 
 def parse_whole_number(value: object, description: str) -> int:
-    """A number or time of an event's body. Raises InvalidCalendarEventError."""
+    """Parses a number or time of an event's body. Raises InvalidCalendarEventError."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < NEVER_MS:
         raise InvalidCalendarEventError(f"{description} is a whole number, 0 or above")
     return value
--- a/ochrecourse/fleet/calendar_events.py
+++ b/ochrecourse/fleet/calendar_events.py
@@ -1,7 +1,7 @@
-"""Events of channel `calendar/SITE` beside editions: which edge accepted which edition, and the recovery of
-an edge whose disk is new. Free of I/O and clocks.
+"""The events of channel `calendar/SITE` other than editions: the acceptance of editions, and the recovery of
+edges with a new disk. Free of I/O and clocks.
 
-Their JSON names are those of the log; this module maps them.
+The JSON names in the log differ from the names of the fields; this module maps them.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class EditionAccepted(msgspec.Struct, tag_field="what", tag=EDITION_ACCEPTED, rename={"edition": "of"}):
-    """An edge holds an edition on its disk."""
+    """An edge accepts an edition, which is stored on its disk."""
 
     site: str
     edge: str
@@ -38,14 +38,14 @@
 
 
 class DiskNew(msgspec.Struct, tag_field="what", tag=DISK_NEW):
-    """An edge began an incarnation with a disk that may lack what it accepted earlier."""
+    """An edge began an incarnation with a disk that may lack editions it accepted earlier."""
 
     site: str
     edge: str
 
 
 class DiskAcknowledged(msgspec.Struct, tag_field="what", tag=DISK_ACKNOWLEDGED, rename={"disk": "of"}):
-    """An edge knows that another one's disk is new."""
+    """An edge acknowledges that another edge's disk is new."""
 
     site: str
     edge: str
@@ -58,8 +58,8 @@
     tag=DISK_RECOVERED,
     rename={"incarnation": "life", "bootstrapped_with": "with"},
 ):
-    """An edge with a new disk knows again what it accepted. `bootstrapped_with`: all edges that were new when
-    the site began; empty if it recovered from others.
+    """An edge with a new disk is recovered: it knows all editions that it accepted. `bootstrapped_with`: all
+    edges that were new when the site bootstrapped; empty if this edge recovered from others.
     """
 
     site: str
@@ -72,13 +72,13 @@
 
 
 def encode_event(event: CalendarEvent) -> dict[str, Any]:
-    """The body of an entry: plain values for JSON, under the names of the log."""
+    """Encodes an event as the body of an entry: plain JSON values under the names used in the log."""
     body: dict[str, Any] = msgspec.to_builtins(event)
     return body
 
 
 def accepted_edition_fields(body: Mapping[str, Any]) -> list[Any]:
-    """What names the edition that an event says was accepted. Raises InvalidCalendarEventError."""
+    """The fields of the id of the edition that an event accepts. Raises InvalidCalendarEventError."""
     fields = body.get("of")
     if not isinstance(fields, list) or len(fields) != 3 or not isinstance(fields[0], str):
         raise InvalidCalendarEventError("`taken` names an edition's entry")
@@ -86,18 +86,18 @@
 
 
 def parse_edition_id(fields: list[Any]) -> EditionId:
-    """The edition that these fields name. Raises InvalidCalendarEventError."""
+    """Parses the id of an edition from its fields. Raises InvalidCalendarEventError."""
     writer, incarnation, sequence = fields
     return (writer, parse_whole_number(incarnation, "a life"), parse_whole_number(sequence, "a sequence"))
 
 
 def parse_acknowledged_disk(body: Mapping[str, Any]) -> EdgeIncarnation:
-    """The new disk that an event acknowledges. Raises InvalidCalendarEventError."""
+    """Parses the new disk that an event acknowledges. Raises InvalidCalendarEventError."""
     return _parse_edge_incarnation(body.get("of"))
 
 
 def parse_recovery(body: Mapping[str, Any], max_edges: int) -> tuple[int, list[EdgeIncarnation]]:
-    """The incarnation that recovered and what it bootstrapped with. Raises InvalidCalendarEventError."""
+    """Parses a recovery: its incarnation, and those of the bootstrap. Raises InvalidCalendarEventError."""
     bootstrapped_with = body.get("with")
     if not isinstance(bootstrapped_with, list) or len(bootstrapped_with) > max_edges:
         raise InvalidCalendarEventError("`whole` names the lives that began with it")
--- a/ochrecourse/fleet/clock_confidence.py
+++ b/ochrecourse/fleet/clock_confidence.py
@@ -1,12 +1,13 @@
-"""Whether this gateway's wall clock may be trusted, judged by its own monotonic clock and by the clocks of
-other gateways. Free of I/O and clocks: readings are passed in.
-
-Wall clocks of a fleet differ from the true time by at most a bound, so any two differ by at most twice that.
-Two gateways that exchange clock reports bound the offset between their clocks, however long their messages
-took: what one reads on arrival is at least the other's reading at sending. A clock is trusted once another
-gateway answered with little enough uncertainty and is not certainly farther away than that, until it jumps,
-or until more clocks certainly are. So an error is found that exceeds twice the bound by the uncertainty of
-such an answer; a smaller one is not.
+"""Decides whether this gateway's wall clock is trusted, by comparison with its monotonic clock and with the
+wall clocks of other gateways. Free of I/O and clocks: readings are passed in.
+
+Each wall clock of a fleet is required to be within a bound of the true time, so any two differ by at most
+twice that bound. Two gateways that exchange clock reports obtain limits of the offset between their clocks
+whatever the delay of their messages, as a message arrives no earlier than it is sent. A clock becomes trusted
+when another gateway has answered with a small enough uncertainty and its clock is not certainly out of range.
+It loses this trust when it jumps, or when more clocks are certainly out of range than agree with it.
+Errors are thus detected if they exceed twice the bound by more than the uncertainty of such an answer;
+smaller ones are not.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 
 from ochrecourse.common.time_units import MS
 
-MAX_COMPARED_CLOCKS = 16  # each costs some 50 bytes of a status that goes to all gateways
-MAX_UNCERTAINTY_BOUNDS = 4  # offsets with a wider range, in clock bounds, prove nothing of a clock
-UNKNOWN_MS = 1 << 62  # of an offset's limit
+MAX_COMPARED_CLOCKS = 16  # each adds about 50 bytes to a status that is sent to all gateways
+MAX_UNCERTAINTY_BOUNDS = 4  # in clock bounds: offsets with a wider range are too uncertain to use
+UNKNOWN_MS = 1 << 62  # stands for an unknown limit of an offset
 
 
 class ClockOffset(NamedTuple):
-    """By how much another clock is ahead of this one, in ms: the least and the most that is possible."""
+    """Limits in ms of the time by which another clock is ahead of this one."""
 
     min_ms: int
     max_ms: int
 
 
 class ReceivedReading(NamedTuple):
-    """Of a peer's last clock report: epoch, wall clock, and this gateway's wall clock on arrival, in ms."""
+    """A peer's last clock report: its epoch and wall clock, and this gateway's wall clock on arrival (ms)."""
 
     epoch: int
     wall_ms: int
@@ -39,8 +40,8 @@
 
 
 class ClockReport(msgspec.Struct, rename={"wall_ms": "wall", "epoch": "turn", "received": "heard"}):
-    """What a gateway reports of its clock. `wall_ms`: ms since 1970; `epoch`: changes with each jump of the
-    clock; `received`: the last reading received of each peer, by name.
+    """A gateway's clock as reported in its status. `wall_ms`: ms since 1970; `epoch`: changes with each jump
+    of the clock; `received`: by peer name, the last reading received.
     """
 
     wall_ms: int
@@ -49,8 +50,8 @@
 
 
 def clock_neighbours(name: str, names: Collection[str], distance: int) -> frozenset[str]:
-    """The names at most `distance` places before and behind `name` in the sorted circle of all names. The
-    relation is symmetric: each is a neighbour of its own neighbours.
+    """The names within `distance` positions of `name` in the sorted ring of all names. The relation is
+    symmetric: each gateway is a neighbour of its neighbours.
     """
     circle = sorted({name, *names})
     position = circle.index(name)
@@ -59,9 +60,9 @@
 
 
 class WallClockMonitor:
-    """One gateway's wall clock. `bound_ms`: error that a clock may have; `neighbours`: the gateways whose
-    clocks it compares with its own. It also answers others that ask, up to MAX_COMPARED_CLOCKS. Without
-    neighbours the clock is always trusted.
+    """Monitors one gateway's wall clock. `bound_ms`: largest permitted error of a clock; `neighbours`: the
+    gateways whose clocks are compared with this one. Reports of other gateways that compare their clocks with
+    this one are answered too, up to MAX_COMPARED_CLOCKS. Without neighbours the clock is always trusted.
     """
 
     def __init__(self, name: str, bound_ms: int, neighbours: Collection[str], now: int, wall_ms: int) -> None:
@@ -69,7 +70,7 @@
         self.name = name
         self.bound_ms = bound_ms
         self.neighbours = frozenset(neighbours)
-        self.epoch = wall_ms  # differs in each incarnation, so that no earlier epoch is taken for this one
+        self.epoch = wall_ms  # unique to the incarnation: an earlier one's epochs do not match it
         self.jumps = 0
         self.offsets: dict[str, ClockOffset] = {}  # by peer, since the last jump
         self.received: dict[str, ReceivedReading] = {}
@@ -77,7 +78,7 @@
         self._last_reading = (now, wall_ms)
 
     def record_reading(self, now: int, wall_ms: int) -> bool:
-        """Records a reading of both clocks, in ns and ms; False if the wall clock jumped since the last."""
+        """Records readings of both clocks, in ns and ms; returns False if the wall clock jumped."""
         before, self._last_reading = self._last_reading, (now, wall_ms)
         elapsed_ms = (now - before[0]) // MS
         if abs(wall_ms - before[1] - elapsed_ms) <= self.bound_ms:
@@ -85,16 +86,16 @@
         self.jumps += 1
         self.epoch += 1
         self.offsets.clear()
-        self.received.clear()  # arrival times by the clock before the jump
+        self.received.clear()  # their arrival times were read from the clock before the jump
         self.trusted = not self.neighbours
         return False
 
     def report(self) -> ClockReport:
-        """What the other gateways are to know, as of the last reading."""
+        """The clock report for the other gateways, as of the last reading."""
         return ClockReport(self._last_reading[1], self.epoch, dict(self.received))
 
     def report_received(self, peer: str, report: ClockReport) -> None:
-        """Another gateway's report arrived at the last reading. What it says of older epochs is ignored."""
+        """Records a peer's report, which arrived at the last reading. Echoes of older epochs are ignored."""
         wall_ms = self._last_reading[1]
         compared = peer in self.neighbours or self.name in report.received
         if not compared or (peer not in self.received and len(self.received) >= MAX_COMPARED_CLOCKS):
@@ -105,14 +106,14 @@
         if echo is not None and echo.epoch == self.epoch:
             max_ms = echo.received_at_ms - echo.wall_ms
         known = self.offsets.get(peer, ClockOffset(-UNKNOWN_MS, UNKNOWN_MS))
-        # Clocks that are set in small steps drift apart: then what was known before no longer holds.
+        # Contradictory limits mean that a clock was adjusted in small steps: the new ones replace the old.
         if max(min_ms, known.min_ms) <= min(max_ms, known.max_ms):
             min_ms, max_ms = max(min_ms, known.min_ms), min(max_ms, known.max_ms)
         self.offsets[peer] = ClockOffset(min_ms, max_ms)
         self._update_trust()
 
     def forget_peer(self, peer: str) -> None:
-        """Another gateway restarted or is lost: nothing is known of its clock."""
+        """Discards what is known of the clock of a gateway that restarted or departed."""
         self.offsets.pop(peer, None)
         self.received.pop(peer, None)
 
@@ -123,13 +124,13 @@
             peer for peer, offset in self.offsets.items() if offset.max_ms - offset.min_ms <= max_range_ms
         ]
         agreeing = sum(peer not in out_of_bound for peer in precise)
-        if len(out_of_bound) > agreeing:  # counting this clock, no more clocks agree than disagree
+        if len(out_of_bound) > agreeing:  # including this clock, no more clocks agree than disagree
             self.trusted = False
         elif agreeing:
             self.trusted = True
 
     def peers_out_of_bound(self) -> Mapping[str, ClockOffset]:
-        """The peers whose clocks are certainly farther away than two clocks may be, by name."""
+        """The peers whose clocks certainly differ from this one by more than twice the bound, by name."""
         limit_ms = 2 * self.bound_ms
         return {
             peer: offset
--- a/ochrecourse/fleet/disk_recovery.py
+++ b/ochrecourse/fleet/disk_recovery.py
@@ -1,9 +1,10 @@
-"""Which edges of a site began with a new disk, and which of them know again what they had accepted. Free of
-I/O and clocks.
+"""Tracks which edges of a site began with a new disk, and which of those are recovered. Free of I/O and
+clocks.
 
-An edge whose disk is new may have accepted editions that it no longer knows. It says so, and is not counted
-until it is recovered: enough others acknowledged its new disk, and it accepted all that they had accepted. Or
-more than half of the edges are new: then the site bootstraps.
+An edge whose disk is new may have accepted editions that it no longer knows. It reports the new disk by an
+event and is not counted until it is recovered: enough other edges have acknowledged the new disk, and it has
+accepted all editions that they had accepted. If more than half of the edges have new disks, the site
+bootstraps instead.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 
 
 class NewDisk(NamedTuple):
-    """The incarnation that began with a new disk, and the timestamp of its event in ms."""
+    """An incarnation that began with a new disk, and the timestamp of its event in ms."""
 
     incarnation: int
     at_ms: int
 
 
 class Acknowledgement(NamedTuple):
-    """The incarnation with a new disk that another edge acknowledged last, and when."""
+    """An acknowledgement of a new disk: the incarnation that began with it, and the timestamp."""
 
     incarnation: int
     at: Timestamp
 
 
 class Recovery(NamedTuple):
-    """The last incarnation of an edge that recovered; whether it did as the site bootstrapped."""
+    """The last incarnation of an edge that recovered, and whether it did so by the bootstrap of the site."""
 
     incarnation: int
     bootstrapped: bool
@@ -51,19 +52,19 @@
 
 
 class DiskRecovery:
-    """The events of a site about new disks, whatever their order of arrival."""
+    """The state of a site's new disks, independent of the order of arrival of their events."""
 
     def __init__(self) -> None:
-        self.new_disks: dict[str, NewDisk] = {}  # by edge, the last one
-        self.recoveries: dict[str, Recovery] = {}  # by edge, the last one
-        self.recovered_at: dict[EdgeIncarnation, Timestamp] = {}  # when each incarnation first said so
-        # By the edge that acknowledges and the edge that is acknowledged.
+        self.new_disks: dict[str, NewDisk] = {}  # by edge, the newest
+        self.recoveries: dict[str, Recovery] = {}  # by edge, of the newest incarnation
+        self.recovered_at: dict[EdgeIncarnation, Timestamp] = {}  # by incarnation, its first such event
+        # By the edge that acknowledges and the edge whose disk is acknowledged.
         self.acknowledgements: dict[tuple[str, str], Acknowledgement] = {}
-        # By each incarnation that was new as the site bootstrapped: all of them.
+        # By each incarnation that the site bootstrapped with: all of these incarnations.
         self.bootstraps: dict[EdgeIncarnation, list[EdgeIncarnation]] = {}
 
     def event(self, body: Mapping[str, Any], entry: Entry, edge_count: int) -> None:
-        """An event of DISK_EVENTS by an edge of the site. Raises InvalidCalendarEventError."""
+        """Records an event of DISK_EVENTS by an edge of the site. Raises InvalidCalendarEventError."""
         edge = entry.writer
         if body["what"] == DISK_NEW:
             before = self.new_disks.get(edge, NewDisk(0, 0))
@@ -84,12 +85,12 @@
             self.bootstraps.setdefault(each, others)
 
     def is_recovered(self, edge: str) -> bool:
-        """Whether an edge knows what it once accepted, as far as its events are here."""
+        """Whether an edge knows all editions that it accepted, according to its events stored here."""
         new_disk = self.new_disks.get(edge, NO_NEW_DISK)
         return self.recoveries.get(edge, NO_RECOVERY).incarnation >= new_disk.incarnation
 
     def replaced_disk(self, edge: str) -> NewDisk | None:
-        """The new disk of an edge that may have had another one before; None if it had none."""
+        """The new disk of an edge if it may have replaced another one; None if there was none before."""
         new_disk = self.new_disks.get(edge)
         if new_disk is None:
             return None
--- a/ochrecourse/fleet/edge_connectivity.py
+++ b/ochrecourse/fleet/edge_connectivity.py
@@ -1,4 +1,6 @@
-"""Which edges of a site this gateway is connected to, and which of those count. Free of I/O and clocks."""
+"""Tracks which edges of a site this gateway is connected to and which of them are recovered. Free of I/O and
+clocks.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +8,12 @@
 from collections.abc import Sequence
 
 DIGEST_BYTES = 6
-MAX_DIGEST_CHARS = 64  # of another edge's digest, as it is reported
+MAX_DIGEST_CHARS = 64  # of another edge's digest in the report
 
 
 class EdgeConnectivity:
-    """Statuses of a site's edges. `edges`: in order, empty for a gateway of no site; `max_age_ns`: of a
-    status that still counts.
+    """The last statuses of a site's edges. `edges`: ordered, empty for a gateway without a site;
+    `max_age_ns`: age up to which a status counts as a connection.
     """
 
     def __init__(self, site: str, edges: Sequence[str], max_age_ns: int) -> None:
@@ -19,16 +21,16 @@
         self.max_age_ns = max_age_ns
         text = "\n".join((site, *self.edges))
         self.digest = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
-        self.received_at_ns: dict[str, int] = {}  # by edge, of its last status
-        self.not_recovered: dict[str, None] = {}  # edges that say that their disk is new
-        self.mismatches: dict[str, str] = {}  # digests of edges that know other edges than this one does
+        self.received_at_ns: dict[str, int] = {}  # by edge, arrival of its last status
+        self.not_recovered: dict[str, None] = {}  # edges that report a new disk (an ordered set)
+        self.mismatches: dict[str, str] = {}  # by edge, its digest if it differs from this one's
 
     def status_received(self, edge: str, digest: str, recovered: bool, now: int) -> None:
-        """A status of another gateway: the digest of the edges it knows, and whether it is recovered."""
+        """Records another gateway's status: the digest of its list of edges, and whether it is recovered."""
         if edge not in self.edges:
             return
         if digest != self.digest:
-            # Guards against majorities of two different lists, which need not share an edge.
+            # Majorities of two different lists of edges need not have an edge in common.
             self.received_at_ns.pop(edge, None)
             self.mismatches[edge] = digest[:MAX_DIGEST_CHARS]
             return
@@ -40,11 +42,11 @@
             self.not_recovered[edge] = None
 
     def connected(self, now: int) -> list[str]:
-        """The edges with a recent status that are recovered, in order."""
+        """The recovered edges with a recent status, in order of name."""
         return [edge for edge in self._recent(now) if edge not in self.not_recovered]
 
     def connected_not_recovered(self, now: int) -> list[str]:
-        """The edges with a recent status whose disk is new, in order."""
+        """The edges with a recent status whose new disk is not recovered, in order of name."""
         return [edge for edge in self._recent(now) if edge in self.not_recovered]
 
     def _recent(self, now: int) -> list[str]:
--- a/ochrecourse/fleet/edition_timeline.py
+++ b/ochrecourse/fleet/edition_timeline.py
@@ -1,10 +1,10 @@
-"""Which edition of a site's calendar applies when, and which purges follow from that. Free of I/O and clocks.
+"""Computes which edition of a site's calendar applies when, and when purges are due. Free of I/O and clocks.
 
-An occurrence is due once: when the edition in force then says so, or when an edition comes into force that
-says it was earlier. A later edition does not bring it again. The timestamps of edges that are not connected
-are bounded, not known. So an edition may for a while be neither certainly in force nor certainly not; then
-`due_occurrences` leaves out what depends on it, and `possible_purges` names the instants of both editions.
-What an edition schedules for a time before it comes into force is due at the latter (`possible_late_purges`).
+An occurrence is due once: at the instant that the edition in force schedules, or, if that instant has passed
+when the edition comes into force, at the latter time (`possible_late_purges`). A later edition does not make
+it due again. Of edges that are not connected, only bounds of their timestamps are known. So for some time it
+may be unknown whether an edition is in force. Then `due_occurrences` omits the occurrences that depend on it,
+and `possible_purges` returns the instants of all editions that may apply.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 @dataclass(slots=True)
 class EditionState:
-    """An edition with what is known of its acceptance. `accepted_ms`: by edge, its first acceptance;
+    """An edition and its known acceptances. `accepted_ms`: by edge, time of its first acceptance;
     `accepted_in`: by edge, the first and last incarnation that accepted it; `in_force_min_ms`,
-    `in_force_max_ms`: when it comes into force, at the earliest and at the latest.
+    `in_force_max_ms`: earliest and latest time at which it comes into force.
     """
 
     edition: Edition
@@ -38,15 +38,15 @@
     in_force_max_ms: int = NEVER_MS
 
     def accept(self, edge: str, incarnation: int, at_ms: int) -> None:
-        """An edge accepted the edition; events may arrive in any order, and more than once."""
+        """Records that an edge accepted the edition; the order and repetition of calls do not matter."""
         self.accepted_ms[edge] = min(at_ms, self.accepted_ms.get(edge, NEVER_MS))
         first, last = self.accepted_in.get(edge, (incarnation, incarnation))
         self.accepted_in[edge] = (min(first, incarnation), max(last, incarnation))
 
 
 class DueOccurrence(NamedTuple):
-    """An occurrence that is due: by which edition and at which of its instants. `due_ms`: the instant, or
-    when its edition began to be in force if that was later.
+    """An occurrence that is due, with the number, id and instant of the edition that makes it due. `due_ms`:
+    the instant, or the time at which the edition comes into force if that is later.
     """
 
     occurrence: Occurrence
@@ -57,8 +57,8 @@
 
 
 class LatePurge(NamedTuple):
-    """An occurrence whose instant is over when its edition comes into force: it is due at a time from
-    `earliest_ms` to `latest_ms`, NEVER_MS if no end is known.
+    """An occurrence whose instant has passed when its edition comes into force: it is due between
+    `earliest_ms` and `latest_ms` (NEVER_MS if no upper bound is known).
     """
 
     occurrence: Occurrence
@@ -68,8 +68,8 @@
 
 
 class Period(NamedTuple):
-    """A time in which the same editions may apply. `editions`: the candidates, highest rank first;
-    `last_in_force`: the last of them is certainly in force, so one of them applies.
+    """A period during which the same editions may apply. `editions`: the candidates, highest rank first;
+    `last_in_force`: whether the last of them is certainly in force, so that one of them applies.
     """
 
     start_ms: int
@@ -79,12 +79,12 @@
 
     @property
     def certain(self) -> bool:
-        """Whether it is known which edition applies."""
+        """Whether the edition that applies is known."""
         return self.last_in_force and len(self.editions) == 1
 
 
 class EditionTimeline:
-    """What follows from the editions and their times up to `until_ms`."""
+    """The occurrences of a set of editions that are or may be due up to `until_ms`."""
 
     def __init__(self, states: Iterable[EditionState], until_ms: int) -> None:
         self.states = list(states)
@@ -99,14 +99,13 @@
         return [_period(ranked, start, end) for start, end in zip(starts, ends, strict=False)]
 
     def due_occurrences(self, after_ms: int) -> list[DueOccurrence]:
-        """The occurrences whose time is known, due later than `after_ms` and not later than the end, in
-        order.
+        """The occurrences that are due after `after_ms` and up to `until_ms`, sorted by time.
 
-        What an edge that is not connected may change is left out until it is known.
+        Occurrences that the unknown acceptance of an edge that is not connected may still change are omitted.
         """
         occurrences: dict[Occurrence, None] = {}
         for state in self.states:
-            # An edition that comes into force in this time may bring any occurrence of its past.
+            # An edition that comes into force in this interval may make any of its past occurrences due.
             becomes = after_ms < state.in_force_max_ms and state.in_force_min_ms <= self.until_ms
             instants = state.edition.instants_between(BEFORE_ALL_MS if becomes else after_ms, self.until_ms)
             occurrences.update((instant.occurrence, None) for instant in instants)
@@ -115,7 +114,7 @@
         return sorted(known, key=lambda each: (each.due_ms, each.occurrence))
 
     def _due(self, occurrence: Occurrence) -> DueOccurrence | None:
-        """When an occurrence is due; None if it is not up to the end, or that is not known."""
+        """When an occurrence is due; None if it is not due up to `until_ms`, or if that is not known."""
         for period in self.periods:
             for edition in period.editions:
                 instant_ms = edition.instant_ms.get(occurrence)
@@ -128,7 +127,7 @@
         return None
 
     def possible_purges(self, after_ms: int) -> list[tuple[Instant, Scope]]:
-        """The instants later than `after_ms` of any edition that may apply then, with what they purge."""
+        """The instants after `after_ms` of each edition that may apply at that time, with their scopes."""
         purges: dict[tuple[Instant, Scope], None] = {}
         for state in self.states:
             edition = state.edition
@@ -142,8 +141,8 @@
         return sorted(purges)
 
     def possible_late_purges(self, after_ms: int) -> list[LatePurge]:
-        """The occurrences that any edition may bring by coming into force later than their instant, where
-        that may be later than `after_ms`.
+        """The occurrences that an edition may make due by coming into force after their instant, where that
+        time may be later than `after_ms`.
         """
         purges: dict[LatePurge, None] = {}
         for state in self.states:
@@ -155,14 +154,14 @@
                 earliest_ms = max(instant.at_ms, state.in_force_min_ms)
                 due_by_ms = self._due_by_ms(instant.occurrence)
                 if due_by_ms < earliest_ms or due_by_ms == instant.at_ms:
-                    continue  # it was due before this edition could bring it, or in time
+                    continue  # due before this edition may be in force, or due at its instant
                 latest_ms = min(state.in_force_max_ms, due_by_ms)
                 scope = edition.scopes[instant.rule]
                 purges[LatePurge(instant.occurrence, scope, earliest_ms, latest_ms)] = None
         return sorted(purges)
 
     def _due_by_ms(self, occurrence: Occurrence) -> int:
-        """By when an occurrence is due whichever editions apply; NEVER_MS if that is not known."""
+        """The time by which an occurrence is due whichever editions apply; NEVER_MS if it is not known."""
         for period in self.periods:
             instants_ms = [edition.instant_ms.get(occurrence, NEVER_MS) for edition in period.editions]
             if period.last_in_force and max(instants_ms) < period.end_ms:
@@ -186,7 +185,7 @@
 
 
 def next_change_ms(states: Iterable[EditionState], after_ms: int) -> int:
-    """When purges may next follow, later than `after_ms`; NEVER_MS if not by time alone."""
+    """The next time after `after_ms` at which purges may become due by time alone; NEVER_MS if none."""
     next_ms = NEVER_MS
     for state in states:
         next_ms = min(next_ms, state.edition.next_instant_ms(after_ms))
--- a/ochrecourse/fleet/object_cache.py
+++ b/ochrecourse/fleet/object_cache.py
@@ -1,16 +1,17 @@
-"""A gateway's cache of objects that it read, which purges can empty. Free of I/O, clocks and chance.
+"""The object cache of one gateway, which purges empty by scope. Free of I/O, clocks and randomness.
 
-A read of a request class that the settings name is answered from the cache, or waits for the fetch of the
-same object that is in progress, or is fetched itself and then cached. Whether cached objects may be used at
-all is checked anew each time (`may_use`). If they may not, nothing is cached, and a read joins no fetch that
-began before it was received: what was fetched by then may be from before a purge that nobody can date yet.
-Such reads of one object wait together for one next fetch, which begins when the answer of the one in progress
-does. It is as new as an attempt of each own.
+A read of a request class named in the settings is answered from the cache, joins the fetch of the same object
+that is in progress, or is fetched itself and then cached. `may_use` is evaluated for each read. While it
+returns False, nothing is cached, and a read does not join a fetch that began before the read was received:
+that data may predate a purge whose time is not known yet. Such reads of one object share the next fetch,
+which begins when the answer of the current one begins. Its data is as recent as that of a separate attempt
+per read.
 
-A purge bars its scope at once, by an epoch number (cached_objects.py).
+A purge invalidates its scope at once by advancing an epoch number (cached_objects.py).
 
-A write through this gateway removes its object and bars fetches in progress. A write through another gateway
-does not: naming a request class accepts that a cached object may be older than that, until the next purge.
+A write through this gateway removes the object; fetches of it in progress are then neither cached nor joined.
+A write through another gateway does not: a request class that is configured for caching may be served data
+older than such a write until the next purge.
 """
 
 from __future__ import annotations
@@ -32,12 +33,14 @@
 from ochrecourse.fleet.object_readers import ObjectReaders
 from ochrecourse.fleet.object_writes import ObjectId, ObjectWrites
 
-MAX_WAITING = 4096  # requests that wait for the begin of another's answer; each then holds one chunk at most
+MAX_WAITING = 4096  # requests that wait for another's answer to begin; each then buffers one chunk at most
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectCacheSettings:
-    """`request_classes`: whose reads are cached; `max_bytes`: of all objects; `max_object_bytes`: of one."""
+    """`request_classes`: classes whose reads are cached; `max_bytes`: size limit of the cache;
+    `max_object_bytes`: size limit of one object.
+    """
 
     request_classes: Collection[str]
     max_bytes: int
@@ -46,16 +49,16 @@
 
 @dataclass(slots=True)
 class CacheCounts:
-    """What became of reads of the request classes that are cached."""
+    """Counters of reads of the cached request classes, and of purged objects."""
 
     hits: int = 0
     joined: int = 0
     misses: int = 0
-    bypassed: int = 0  # fetched from a node because cached objects might not be used
+    bypassed: int = 0  # fetched from a node because cached objects were not allowed to be used
     purged: int = 0
 
     def report(self) -> dict[str, int]:
-        """By the names of the operators' pages."""
+        """The counters under the names that reports and metrics use."""
         return {
             "from_copy": self.hits,
             "joined": self.joined,
@@ -67,7 +70,7 @@
 
 class PurgeableObjectCache:
     """The cache of one gateway (common.object_cache.ObjectCache). `may_use(volume, tenant)`: whether cached
-    objects of these may be used now; `now`: the monotonic time in ns.
+    objects of this volume and tenant may be used now; `now`: returns the monotonic time in ns.
     """
 
     def __init__(
@@ -86,17 +89,17 @@
         self.readers = ObjectReaders(gateway)
         self.writes = ObjectWrites(now)
         self.reads_received = 0
-        self.shared_fetches: dict[ObjectKey, ObjectFetch] = {}  # that others may join
-        self.barred_fetches: dict[ObjectKey, ObjectFetch] = {}  # begun while no cached object may be used
-        self.fetches: dict[int, ObjectFetch] = {}  # all that are recorded, by request
-        self.waiting: dict[int, ObjectFetch] = {}  # requests that wait for the begin of another's answer
+        self.shared_fetches: dict[ObjectKey, ObjectFetch] = {}  # fetches that other reads may join
+        self.barred_fetches: dict[ObjectKey, ObjectFetch] = {}  # begun while cached objects may not be used
+        self.fetches: dict[int, ObjectFetch] = {}  # all fetches whose answer is recorded, by request
+        self.waiting: dict[int, ObjectFetch] = {}  # requests that wait for another's answer to begin
 
-    # --- for the gateway (common.object_cache.ObjectCache) ---
+    # --- called by the gateway (common.object_cache.ObjectCache) ---
 
     def request_received(
         self, request_id: int, request: Request, write: bool, deadline: int, handler: ResponseHandler
     ) -> ResponseHandler | None:
-        """Who handles a request's answer from the nodes; None if no attempt is to be sent for it now."""
+        """Returns the handler for the answer from the nodes; None if no attempt is to be sent now."""
         if write:
             target = (request.volume, request.key)
             self.writes.begin(request_id, target)
@@ -108,7 +111,7 @@
         return self._read(WaitingRead(request_id, request, deadline, handler, self.reads_received))
 
     def request_cancelled(self, request_id: int) -> bool:
-        """The client of a request no longer waits; True if no attempt of it was ever sent."""
+        """The client cancelled the request; returns True if no attempt was sent for it."""
         fetch = self.waiting.pop(request_id, None)
         if fetch is not None:
             fetch.waiting.pop(request_id, None)
@@ -122,19 +125,21 @@
         return False
 
     def wants_response(self, request_id: int) -> bool:
-        """Whether an answer that has begun is wanted although its client left: it is being recorded."""
+        """Whether an answer that has begun is still needed after its client left: it is being recorded."""
         fetch = self.fetches.get(request_id)
         return fetch is not None and fetch.recorded and fetch.cached is not None
 
     def response_consumed(self, request_id: int, size: int) -> bool:
-        """A client received `size` more bytes; True if the node need not be credited."""
+        """A client received `size` more bytes; returns True if no credit is to be granted to the node."""
         if self.readers.consumed(request_id, size):
             return True
         fetch = self.fetches.get(request_id)
         return fetch is not None and fetch.recorded
 
     def request_finished(self, request_id: int, certain: bool) -> None:
-        """A request is over and no attempt of it is out; `certain`: it took effect, or surely did not."""
+        """A request finished and none of its attempts is in flight. `certain`: whether it is known that the
+        request took effect or did not.
+        """
         fetch = self.fetches.get(request_id)
         if fetch is not None:
             self.fetch_ended(fetch)
@@ -144,7 +149,7 @@
             if not certain and not self.writes.add_uncertain(target):
                 self.store.clear()
 
-    # --- a read ---
+    # --- reads ---
 
     def _read(self, read: WaitingRead) -> ResponseHandler | None:
         request = read.request
@@ -172,7 +177,7 @@
         return own
 
     def _read_barred(self, key: ObjectKey, read: WaitingRead) -> ResponseHandler | None:
-        """A read while no cached object may be used: it joins a fetch only if that began after it."""
+        """A read while cached objects may not be used: it joins only a fetch that begins after it."""
         fetch = self.barred_fetches.get(key)
         if fetch is None:
             self.counts.bypassed += 1
@@ -192,7 +197,9 @@
         return None if joins else read.handler
 
     def _join(self, fetch: ObjectFetch, read: WaitingRead) -> bool:
-        """Has a request share the answer of a fetch in progress; False if that may be too late for it."""
+        """Makes a read share the answer of a fetch in progress. Returns False if that is not possible: too
+        many requests wait or read already, or the answer may begin after the read's deadline.
+        """
         if fetch.cached is not None:
             if self.readers.is_full():
                 return False
@@ -201,16 +208,16 @@
             return True
         if fetch.deadline > read.deadline or len(self.waiting) >= MAX_WAITING:
             return False
-        # Its answer begins by a time at which this request may still be answered: no timer is needed.
+        # The fetch's deadline is not later than the read's, so the read needs no timer of its own.
         self.counts.joined += 1
         fetch.waiting[read.request_id] = read
         self.waiting[read.request_id] = fetch
         return True
 
-    # --- a fetch, as its answer arrives (object_fetch.FetchObserver) ---
+    # --- progress of a fetch (object_fetch.FetchObserver) ---
 
     def fetch_served(self, fetch: ObjectFetch, size: int, shard: int) -> None:
-        """The answer began: requests that wait for it read with it."""
+        """The answer began: the requests that wait for it read it too, unless it is too large to record."""
         fetch.cached = CachedObject(size, shard, fetch.epochs)
         waiting, waiting_for_next = self._take_waiting(fetch)
         if size > self.max_object_bytes:
@@ -227,14 +234,14 @@
             self._read_again(waiting_for_next)
 
     def fetch_chunk_received(self, fetch: ObjectFetch, data: bytes) -> None:
-        """A chunk of a recorded answer arrived."""
-        assert fetch.cached is not None  # a chunk arrives after its answer began
+        """Records a chunk of the answer and grants the node credit for it."""
+        assert fetch.cached is not None  # chunks follow the start of the answer
         fetch.cached.chunks.append(data)
         fetch.cached.received += len(data)
         self.gateway.grant_credit(fetch.request_id, len(data))
 
     def fetch_progressed(self, fetch: ObjectFetch) -> None:
-        """More of an answer is there for its readers; once it is complete it may be cached."""
+        """Sends newly recorded data to the readers; caches the answer if it is complete."""
         cached = fetch.cached
         if not fetch.recorded or cached is None:
             return
@@ -245,14 +252,14 @@
                 self._store_fetched(fetch)
 
     def fetch_ended(self, fetch: ObjectFetch) -> None:
-        """A fetch ended before it was complete, or its client left before its answer began."""
+        """The fetch ended incomplete, or its client left before the answer began."""
         self._remove_fetch(fetch)
         self.readers.abort_fetch(fetch)
         waiting, waiting_for_next = self._take_waiting(fetch)
         self._read_again([*waiting, *waiting_for_next])
 
     def _take_waiting(self, fetch: ObjectFetch) -> tuple[list[WaitingRead], list[WaitingRead]]:
-        """Reads that waited for a fetch's answer, and those that wait for the next one."""
+        """Removes and returns the reads that wait for this fetch and those that wait for the next one."""
         waiting, waiting_for_next = list(fetch.waiting.values()), list(fetch.waiting_for_next.values())
         fetch.waiting, fetch.waiting_for_next = {}, {}
         for read in (*waiting, *waiting_for_next):
@@ -260,7 +267,7 @@
         return waiting, waiting_for_next
 
     def _read_again(self, reads: list[WaitingRead]) -> None:
-        """Reads whose fetch gave no answer: one of them fetches, the others wait for it."""
+        """Handles again reads whose fetch gave no answer: one of them fetches, the others wait for it."""
         for read in _by_deadline(reads):
             handler = self._read(read)
             if handler is not None:
@@ -274,8 +281,8 @@
 
     def _store_fetched(self, fetch: ObjectFetch) -> None:
         key, cached = fetch.key, fetch.cached
-        assert cached is not None  # it is complete
-        # Checked again at the end: a purge may be due that nobody has looked for since.
+        assert cached is not None  # the answer is complete
+        # Checked again on completion: a purge may have become due since the last check.
         may_use = self.may_use(key.volume, key.tenant) and not fetch.barred
         if may_use and fetch.epochs == self.store.current_epochs(key.volume, key.tenant):
             self.store.insert(key, cached)
@@ -283,10 +290,10 @@
     # --- purges and writes ---
 
     def drop(self, scope: Scope) -> int:
-        """Bars all cached objects of a scope at once; returns how many the next steps will remove.
+        """Invalidates all cached objects of a scope at once; returns how many `step` will remove.
 
-        An answer that is being sent from a cached object is aborted; one that a node sends for its own
-        client, or for those who requested it before, continues.
+        Answers that are being sent from a cached object are aborted. An answer that arrives from a node
+        continues for the client that caused the fetch and for those that joined before the purge.
         """
         self.store.advance_epoch(scope)
         self.readers.abort_cached(scope)
@@ -295,7 +302,7 @@
         return count
 
     def step(self, max_objects: int = MAX_DISCARDED_PER_STEP) -> bool:
-        """Removes some of what purges barred; True if more is left."""
+        """Removes up to `max_objects` purged objects; returns True if more are left."""
         return self.store.discard_step(max_objects)
 
     def _invalidate_object(self, target: ObjectId) -> None:
--- a/ochrecourse/fleet/object_fetch.py
+++ b/ochrecourse/fleet/object_fetch.py
@@ -12,8 +12,8 @@
 
 
 class WaitingRead(NamedTuple):
-    """A read that waits for the begin of a fetch's answer. `deadline`: its deadline in ns; `order`: its
-    number among all reads received.
+    """A read that waits for a fetch's answer to begin. `deadline`: in ns; `order`: its sequence number among
+    all reads received.
     """
 
     request_id: int
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True, eq=False)
 class ObjectReader:
-    """A request that is answered from a cached object, or from a fetch in progress, chunk by chunk as its
-    client receives them. `fetch`: None for a complete object; `unconsumed`: bytes handed on that the client
-    did not receive yet.
+    """A request that is answered from a cached object or from a fetch in progress, one chunk at a time at the
+    pace of its client. `fetch`: None for a complete object; `unconsumed`: bytes sent that the client has not
+    received yet.
     """
 
     request_id: int
@@ -40,12 +40,12 @@
     sending: bool = False
 
     def is_complete(self) -> bool:
-        """Whether all of the object was handed on."""
+        """Whether the whole object was sent."""
         return self.next_chunk >= len(self.source.chunks) and self.source.received >= self.source.size
 
 
 class FetchObserver(Protocol):
-    """Who follows a fetch (object_cache.PurgeableObjectCache)."""
+    """Receives the events of a fetch (object_cache.PurgeableObjectCache)."""
 
     def fetch_served(self, fetch: ObjectFetch, size: int, shard: int) -> None:
         """The answer began."""
@@ -54,15 +54,15 @@
         """A chunk of a recorded answer arrived."""
 
     def fetch_progressed(self, fetch: ObjectFetch) -> None:
-        """The fetch's own client was called with what arrived."""
+        """The fetch's own handler was called with the data that arrived."""
 
     def fetch_ended(self, fetch: ObjectFetch) -> None:
         """The fetch ended without a complete answer."""
 
 
 class ObjectFetch:
-    """One fetch from the nodes whose answer may be cached: the response handler between its own client and
-    the gateway.
+    """One fetch from the nodes whose answer may be cached. It is the gateway's response handler and passes
+    the answer on to the handler of the read that caused it.
     """
 
     def __init__(
@@ -74,13 +74,14 @@
         self.handler = read.handler
         self.key = key
         self.epochs = epochs
-        self.order = order  # it began after the read of this number was received, and before the next
+        self.order = order  # number of the last read received before it began
         self.waiting: dict[int, WaitingRead] = {}
-        self.waiting_for_next: dict[int, WaitingRead] = {}  # received after it began, where that matters
+        # Reads received after it began, while cached objects may not be used.
+        self.waiting_for_next: dict[int, WaitingRead] = {}
         self.readers: dict[int, ObjectReader] = {}
-        self.cached: CachedObject | None = None  # once its answer began
-        self.barred = False  # nobody joins, and it is not cached
-        self.recorded = True  # its chunks are recorded: its size is within the bound
+        self.cached: CachedObject | None = None  # set when the answer begins
+        self.barred = False  # no read joins it, and its answer is not cached
+        self.recorded = True  # whether its chunks are recorded: False if the object is too large
 
     def served(self, request_id: int, size: int, shard: int) -> None:
         """The answer began (ResponseHandler)."""
@@ -98,7 +99,7 @@
         self.observer.fetch_progressed(self)
 
     def aborted(self, request_id: int) -> None:
-        """The rest will not follow (ResponseHandler)."""
+        """The answer was aborted and will not be completed (ResponseHandler)."""
         self.handler.aborted(request_id)
         self.observer.fetch_ended(self)
 
--- a/ochrecourse/fleet/object_readers.py
+++ b/ochrecourse/fleet/object_readers.py
@@ -6,22 +6,22 @@
 from ochrecourse.fleet.calendar_edition import Scope
 from ochrecourse.fleet.object_fetch import ObjectFetch, ObjectReader
 
-MAX_READERS = 256  # answers to clients that receive them slowly; one more read goes to the nodes
+MAX_READERS = 256  # limits answers to slow clients; reads beyond it are sent to the nodes
 
 
 class ObjectReaders:
-    """The readers of a gateway's cache."""
+    """The requests that a gateway is answering from its cache, by request id."""
 
     def __init__(self, gateway: CachingGateway) -> None:
         self.gateway = gateway
         self.by_request: dict[int, ObjectReader] = {}
 
     def is_full(self) -> bool:
-        """Whether no further reader may start."""
+        """Whether the limit of concurrent readers is reached."""
         return len(self.by_request) >= MAX_READERS
 
     def start(self, reader: ObjectReader) -> None:
-        """Answers a request with what is there, and with more as it follows."""
+        """Begins to answer a request with the data recorded so far; more follows as it arrives."""
         request_id, source = reader.request_id, reader.source
         if not self.gateway.answer_from_cache(request_id):
             self.gateway.finish_cached(request_id, True)
@@ -33,7 +33,7 @@
         self._send(reader)
 
     def consumed(self, request_id: int, size: int) -> bool:
-        """A client received `size` more bytes; False if it has no reader here."""
+        """A client received `size` more bytes; returns False if the request has no reader."""
         reader = self.by_request.get(request_id)
         if reader is None:
             return False
@@ -42,7 +42,7 @@
         return True
 
     def cancel(self, request_id: int) -> bool:
-        """The client no longer waits; False if it has no reader here."""
+        """Removes the reader of a request; returns False if it has none."""
         reader = self.by_request.pop(request_id, None)
         if reader is None:
             return False
@@ -50,25 +50,26 @@
         return True
 
     def send_progress(self, fetch: ObjectFetch) -> None:
-        """More of a fetch's answer is there for its readers."""
+        """Sends newly recorded data of a fetch to its readers."""
         for reader in list(fetch.readers.values()):
             self._send(reader)
 
     def abort_fetch(self, fetch: ObjectFetch) -> None:
-        """The rest of a fetch's answer will not follow."""
+        """Aborts the readers of a fetch whose answer will not be completed."""
         for reader in list(fetch.readers.values()):
             self._abort(reader)
 
     def abort_cached(self, scope: Scope) -> None:
-        """A purge: answers from complete objects of its scope are aborted."""
+        """Aborts the answers from complete objects of a scope that is purged."""
         for reader in [each for each in self.by_request.values() if each.fetch is None]:
             if scope.covers(reader.key.volume, reader.key.tenant):
                 self._abort(reader)
 
     def _send(self, reader: ObjectReader) -> None:
-        """Hands on one chunk at a time, and no further one before the client received it.
+        """Sends one chunk at a time, and the next one only when the client has received it.
 
-        Guards against clients that request much and read nothing: what waits for them is one chunk each.
+        This bounds the memory used by clients that send many requests and do not read the answers: one chunk
+        per request.
         """
         if reader.sending:
             return  # `consumed` was called from within `body_chunk`: the loop below continues
--- a/ochrecourse/fleet/purge_report.py
+++ b/ochrecourse/fleet/purge_report.py
@@ -1,5 +1,5 @@
-"""What operators see of purges: by site, which edges executed them, when, how late, and which are
-outstanding. Free of I/O and clocks. The names of the report are those of the operators' pages.
+"""The report of purges for operators: by site, which edges executed each purge, when and how late, and which
+edges are outstanding. Free of I/O and clocks. The keys are part of the operators' interface.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from ochrecourse.fleet.edition_timeline import DueOccurrence
 from ochrecourse.fleet.purge_schedule import MAX_CATCH_UP_MS, PurgeSchedule
 
-MAX_REPORTED_PURGES = 64  # of a site, the newest ones
+MAX_REPORTED_PURGES = 64  # per site, the newest ones
 
 
 def purge_report(schedule: PurgeSchedule) -> dict[str, Any]:
-    """The report of a gateway's purges and of its site."""
+    """The report of a gateway's purges, its readiness and its site."""
     offsets = schedule.clock.peers_out_of_bound()
     return {
         "site": schedule.site,
--- a/ochrecourse/fleet/purge_schedule.py
+++ b/ochrecourse/fleet/purge_schedule.py
@@ -1,20 +1,21 @@
-"""Which purge is due at one gateway, which was executed and settled, and which is outstanding. Free of I/O
-and clocks.
+"""The purges of one gateway: which are due, which were executed and settled, and which are outstanding. Free
+of I/O and clocks.
 
-The gateway is an edge of one site at most. By its own wall clock, whose error is within the bound, it drops
-what a rule names a bound before the instant, and serves and caches nothing of it until a bound after. It does
-so again around the time at which an edition comes into force whose instant is then over. It uses
-cached objects at all only while it is ready:
+The gateway is an edge of at most one site. Times are those of its own wall clock, whose error is within a
+bound. It purges the scope of a rule one bound before the instant, and neither serves nor caches objects of
+that scope until one bound after it. It does the same around the time at which an edition comes into force
+whose instant has passed by then. It uses cached objects only while it is ready:
 
 - its clock is trusted (clock_confidence.py);
-- it is recovered: its disk is not new, or it knows again what it had accepted (disk_recovery.py);
-- it has recent statuses of more than half of the site's edges, each of them recovered, itself counted, and
-  has all that they appended up to `notice_ms` ago: so it knows every edition in force (site_calendar.py);
-- an edition is in force, and its instants reach beyond now.
-
-Otherwise a read goes to a node. Dropping is safe at any time, so it is done at each instant of any edition
-that may apply. The settlement, one event `fired` for each rule and date, waits until it is known by which
-edition the purge was due. Every edge then says the same, whatever it had dropped before.
+- it is recovered: its disk is not new, or it has received again what it had accepted (disk_recovery.py);
+- it has recent statuses of more than half of the site's edges, itself included, each of them recovered, and
+  all that these appended up to `notice_ms` ago: so it knows every edition in force (site_calendar.py);
+- an edition is in force, and its instants reach beyond the present.
+
+While it is not ready, reads are sent to a node. A purge is safe at any time, so it is executed at each
+instant of each edition that may apply. The settlement, one event `fired` per rule and date, is written only
+when it is known which edition made the purge due. So the settlements of all edges agree, whatever they purged
+before.
 """
 
 from __future__ import annotations
@@ -48,14 +49,14 @@
 from ochrecourse.fleet.site_calendar import SiteCalendar
 
 DAY_MS = 86_400_000
-MAX_CATCH_UP_MS = 40 * DAY_MS  # after that purges are not settled: beyond any holiday, within the log
-MAX_EXECUTED = 512  # purges of this incarnation that are remembered until they are settled
+MAX_CATCH_UP_MS = 40 * DAY_MS  # age limit of settlements: longer than any holiday, within the log's range
+MAX_EXECUTED = 512  # purges of this incarnation that are retained until they are settled
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeSettings:
-    """`site`: of which the gateway `name` is an edge, empty if of none; `edges`: by site, the names of its
-    gateways; `notice_ms`: from the acceptance of an edition until it is in force.
+    """`name`: the gateway; `site`: the site of which it is an edge, empty if none; `edges`: by site, the
+    names of its gateways; `notice_ms`: time from the acceptance of an edition until it is in force.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class ExecutedPurge:
-    """A purge of this incarnation: when, by the wall clock in ms, and the count of objects it dropped."""
+    """A purge by this incarnation. `at_ms`: by the wall clock; `dropped`: count of purged objects."""
 
     occurrence: Occurrence
     scope: Scope
@@ -75,14 +76,16 @@
 
 
 class PendingPurge(NamedTuple):
-    """What is to be dropped now, and for which occurrences: none where the clock is in doubt."""
+    """A scope to purge now, and the occurrences that require it: none if the wall clock is the reason."""
 
     scope: Scope
     occurrences: tuple[Occurrence, ...]
 
 
 class PurgeSchedule:
-    """The purges of one gateway. `now`, `wall_ms`: the time in ns and ms since 1970, at the last update."""
+    """The purges of one gateway. `now`, `wall_ms`: monotonic time in ns and wall clock in ms since 1970, both
+    as of the last update.
+    """
 
     def __init__(self, settings: PurgeSettings, clock: WallClockMonitor, now: int, wall_ms: int) -> None:
         self.name = settings.name
@@ -99,24 +102,24 @@
         edges = self.own_calendar.edges if self.own_calendar is not None else ()
         self.connectivity = EdgeConnectivity(self.site, edges, self.notice_ms * MS)
         self.started_ms = wall_ms
-        self.first_edge_since: int | None = None  # ns, since when this edge is the one that writes editions
-        self.new_disk_incarnation = 0  # until its event of a new disk is written; 0 with an earlier disk
-        self.cached_since_ms: dict[Scope, int] = {}  # whatever is cached was fetched after this
+        self.first_edge_since: int | None = None  # in ns, when this edge became the one that writes editions
+        self.new_disk_incarnation = 0  # until its event DiskNew is written; 0 if the disk is not new
+        self.cached_since_ms: dict[Scope, int] = {}  # cached objects of the scope were fetched after this
         self.all_cached_since_ms = wall_ms
-        self.barred_until_ms: dict[Scope, int] = {}  # until then nothing of it is served or cached
+        self.barred_until_ms: dict[Scope, int] = {}  # until then nothing of the scope is served or cached
         self.executed: deque[ExecutedPurge] = deque(maxlen=MAX_EXECUTED)
         self.pending: deque[tuple[Scope, list[ExecutedPurge]]] = deque()
         self.now, self.wall_ms = now, wall_ms
         self._clock_trusted = clock.trusted
         self._next_change_ms = BEFORE_ALL_MS
-        self._applied_revision = -1  # of the calendar
+        self._applied_revision = -1  # revision of the calendar as of the last _apply_calendar
         self._purge_count = 0
-        self._settled_state: tuple[int, ...] = ()  # at which nothing was left to settle
+        self._settled_state: tuple[int, ...] = ()  # state at which nothing was left to settle
 
-    # --- what is known ---
+    # --- inputs: events, statuses and time ---
 
     def event(self, entry: Entry) -> None:
-        """An event of a channel `calendar/SITE` or `purges/SITE`, in any order; others are ignored."""
+        """Records an event of channel `calendar/SITE` or `purges/SITE`, in any order; others are ignored."""
         kind, _, site = entry.channel.partition("/")
         if site not in self.calendars:
             return
@@ -133,16 +136,16 @@
                 self.invalid_settlements[reason] = self.invalid_settlements.get(reason, 0) + 1
 
     def advance_watermark(self, edge: str, at_ms: int) -> None:
-        """All that this gateway appends with a timestamp at or before `at_ms` is here."""
+        """Records that all entries of an edge with timestamps up to `at_ms` are stored here."""
         for calendar in self.calendars.values():
             calendar.advance_watermark(edge, at_ms)
 
     def disk_is_new(self, incarnation: int) -> None:
-        """This incarnation began with nothing that an earlier one wrote of the calendar."""
+        """Records that this incarnation began without the calendar entries of the earlier ones."""
         self.new_disk_incarnation = incarnation
 
     def is_recovered(self) -> bool:
-        """Whether this gateway knows what it once accepted, so that others may count on it."""
+        """Whether this gateway knows all editions that it accepted, so that other edges may count it."""
         if self.own_calendar is None:
             return True
         return not self.new_disk_incarnation and self.own_calendar.is_recovered(self.name)
@@ -150,22 +153,22 @@
     def status_received(
         self, edge: str, clock: ClockReport | None, edges_digest: str, recovered: bool = True
     ) -> None:
-        """A gateway's status was received just now: its clock report if that is new, the digest of the edges
-        it knows of its site, and whether it is recovered.
+        """Records a gateway's status, received at the last update: its clock report if that is new, the
+        digest of the edges of its site, and whether it is recovered.
         """
         if clock is not None:
             self.clock.report_received(edge, clock)
         self.connectivity.status_received(edge, edges_digest, recovered, self.now)
 
     def update_time(self, now: int, wall_ms: int) -> None:
-        """The time now, ns by the monotonic clock and ms by the wall clock; called before each answer too."""
+        """Sets the time: ns of the monotonic clock, ms of the wall clock. Also called before each answer."""
         jumped = not self.clock.record_reading(now, wall_ms)
         self.now, self.wall_ms = now, wall_ms
         if self.own_calendar is None:
             return
         self.connectivity.received_at_ns[self.name] = now
         if jumped or self.clock.trusted is not self._clock_trusted:
-            # Whatever is cached may be older than the clock said at that time.
+            # The times at which objects were cached were read from a clock that may have been wrong.
             self._clock_trusted = self.clock.trusted
             self._purge_everything()
         if wall_ms + self.bound_ms >= self._next_change_ms or (
@@ -196,8 +199,8 @@
         self._next_change_ms = calendar.next_change_ms(wall_ms + bound_ms)
 
     def _purge_around(self, occurrence: Occurrence, scope: Scope, earliest_ms: int, latest_ms: int) -> None:
-        """Purges a scope for an occurrence that is due from `earliest_ms` to `latest_ms`, and bars it until
-        then. While no end is known (NEVER_MS) the scope stays barred.
+        """Purges a scope for an occurrence that is due between `earliest_ms` and `latest_ms`, and bars it
+        from use until one bound later. While no upper bound is known (NEVER_MS) the scope stays barred.
         """
         barred_until_ms = latest_ms + self.bound_ms
         if barred_until_ms >= self.wall_ms:
@@ -217,30 +220,30 @@
             self.cached_since_ms[scope] = cached_since_ms
         for pending_scope, purges in self.pending:
             if pending_scope == scope:
-                purges.append(purge)  # one drop, however many days it catches up
+                purges.append(purge)  # one purge per scope, however many days it makes up for
                 return
         self.pending.append((scope, [purge]))
 
     def _cached_since(self, scope: Scope) -> int:
         return max(self.all_cached_since_ms, self.cached_since_ms.get(scope, BEFORE_ALL_MS))
 
-    # --- what is pulled ---
+    # --- outputs: purges to execute, readiness and events ---
 
     def next_purge(self) -> PendingPurge | None:
-        """What is to be dropped at once, one by one; `purge_executed` answers for each."""
+        """The next purge to execute at once, None if there is none; `purge_executed` must follow each."""
         if not self.pending:
             return None
         scope, purges = self.pending[0]
         return PendingPurge(scope, tuple(each.occurrence for each in purges))
 
     def purge_executed(self, dropped: int) -> None:
-        """The scope of `next_purge` is barred; `dropped`: count of cached objects in it."""
+        """Records that the scope of `next_purge` was purged; `dropped`: count of cached objects in it."""
         _, purges = self.pending.popleft()
         for number, purge in enumerate(purges):
             purge.dropped = dropped if number == len(purges) - 1 else 0
 
     def may_serve(self, volume: int, tenant: str) -> bool:
-        """Whether a cached answer may be used now, as of the last update; without a site there is no rule."""
+        """Whether cached objects may be used, as of the last update; always True without a site."""
         if self.own_calendar is None:
             return True
         if any(
@@ -251,11 +254,11 @@
         return not self.pending and self.is_ready()
 
     def is_ready(self) -> bool:
-        """Whether cached objects may be used now."""
+        """Whether the gateway is ready to use cached objects."""
         return self.not_ready_reason() == ""
 
     def not_ready_reason(self) -> str:
-        """Why no cached object may be used now; empty if they may."""
+        """Why cached objects may not be used now; empty if they may."""
         calendar = self.own_calendar
         if calendar is None:
             return ""
@@ -275,11 +278,13 @@
         return ""
 
     def connected_edges(self) -> list[str]:
-        """The recovered edges of the own site with a status within `notice_ms`; this one is among them."""
+        """The recovered edges of the own site with a status within `notice_ms`, this edge included."""
         return self.connectivity.connected(self.now)
 
     def next_event(self) -> tuple[str, dict[str, Any]] | None:
-        """Channel and body of one event to append, pulled until None; it comes back through `event`."""
+        """Channel and body of the next event to append, None if there is none. The caller appends it and
+        passes the entry to `event` before it calls again.
+        """
         calendar = self.own_calendar
         if calendar is None:
             return None
@@ -296,7 +301,7 @@
         if not self.is_recovered():
             recovered = self._recovery_event(calendar)
             return None if recovered is None else (channel, encode_event(recovered))
-        # After all that is to be accepted: whoever reads this knows of that too.
+        # Written after all acceptances, so an edge that receives it has received those too.
         disk = calendar.next_to_acknowledge(self.name)
         if disk is not None:
             return channel, encode_event(DiskAcknowledged(self.site, self.name, disk))
@@ -314,7 +319,7 @@
         return DiskRecovered(self.site, self.name, incarnation, bootstrapped_with)
 
     def unsettled_occurrences(self) -> list[DueOccurrence]:
-        """The known occurrences of one rule that this edge purged and did not settle yet."""
+        """The due occurrences of one rule, with known times, that this edge has not settled yet."""
         calendar = self.own_calendar
         if calendar is None or not self.is_ready() or self.pending:
             return []
@@ -347,8 +352,8 @@
         return encode_settlement(event)
 
     def _execution_of(self, due: DueOccurrence) -> tuple[int, int]:
-        """When this incarnation purged for an occurrence, in ms, and the count of objects; an incarnation
-        that began after it had cached nothing from before.
+        """When this incarnation executed the purge of an occurrence, in ms, and the count of purged objects.
+        If it began after the occurrence was due, it had cached nothing before: the count is 0.
         """
         executed = [each for each in self.executed if each.occurrence == due.occurrence]
         if executed:
@@ -358,8 +363,8 @@
     # --- new editions ---
 
     def _is_first_edge(self) -> bool:
-        """Whether this edge is recovered, knows all that is in force, and is the first by name of those that
-        it is connected to.
+        """Whether this edge is recovered, knows all editions in force, and has the lowest name of the
+        recovered edges that it is connected to.
         """
         if self.own_calendar is None or not self.clock.trusted or not self.is_recovered():
             return False
@@ -369,19 +374,20 @@
         return up_to_date and min(connected) == self.name
 
     def next_edition_number(self, settings_version: int, ahead_ms: int) -> int | None:
-        """The number of an edition that this edge should write now, if any: the settings' own version is
-        newer than what is known, or the instants known end within `ahead_ms`. Called at each beat.
+        """The number of the edition that this edge is to write now, None if none. An edition is written if
+        the version of the settings is newer than the known one, or if the known instants end within
+        `ahead_ms`. Called at each heartbeat interval.
 
-        One edge writes it: the first by name of the recovered ones that are connected, once it has been that
-        for `notice_ms` without a break.
+        Only one edge writes it: the first by name of the connected recovered edges, when it has been that for
+        `notice_ms` without interruption.
         """
         if self.own_calendar is None or not self._is_first_edge():
             self.first_edge_since = None
             return None
         if self.first_edge_since is None:
             self.first_edge_since = self.now
-        # Guards against two writers: who does not know yet that a lower name is recovered learns of it
-        # meanwhile, or has written before, and then that arrives there.
+        # The wait prevents two writers. An edge that does not know yet of a recovered one with a lower name
+        # learns it during the wait; if it wrote before that, its edition reaches the other one meanwhile.
         if self.now - self.first_edge_since < self.notice_ms * MS:
             return None
         highest = self.own_calendar.highest_edition()
--- a/ochrecourse/fleet/purge_settlement.py
+++ b/ochrecourse/fleet/purge_settlement.py
@@ -1,7 +1,7 @@
-"""Which edge of a site confirmed which purge: events `fired` of channel `purges/SITE`. Free of I/O and
-clocks.
+"""Settlements: the events `fired` of channel `purges/SITE`, by which the edges of a site confirm purges. Free
+of I/O and clocks.
 
-The JSON names of the events are those of the log; this module maps them.
+The JSON names in the log differ from the names of the fields; this module maps them.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from ochrecourse.fleet.calendar_edition import Occurrence
 from ochrecourse.fleet.entries import Entry, LogPosition
 
-MAX_TEXT_CHARS = 64  # of an edge, a rule or a date
-MAX_RECORDS = 64  # of one edge and rule, the newest: more than purge_schedule.MAX_CATCH_UP_MS has days
-MAX_EDGES_AND_RULES = 4096  # of a site that have records; what is more is of no edge or no rule
+MAX_TEXT_CHARS = 64  # of the text of an edge, a rule or a date
+MAX_RECORDS = 64  # newest per edge and rule; exceeds the days in purge_schedule.MAX_CATCH_UP_MS
+MAX_EDGES_AND_RULES = 4096  # per site; a site has fewer, so further ones are invalid
 
 
 class Settlement(NamedTuple):
-    """An edge purged by one rule, for all dates from the first to the last. `at_ms`: by its own clock;
-    `late_ms`: after the purge was due; `edition`: its number; `dropped`: count of cached objects.
+    """An edge executed the purges of one rule for all dates from the first to the last. `at_ms`: time by its
+    own clock; `late_ms`: delay after the purge was due; `edition`: number of the edition; `dropped`: count of
+    purged objects.
     """
 
     edge: str
@@ -35,18 +36,18 @@
     place: LogPosition
 
     def covers(self, occurrence: Occurrence) -> bool:
-        """Whether this occurrence is settled by it."""
+        """Whether it settles this occurrence."""
         return self.rule == occurrence.rule and self.first_date <= occurrence.date <= self.last_date
 
 
 class InvalidSettlementError(OchrecourseError):
-    """An event of a channel `purges/SITE` that can't be read; the text says why."""
+    """An event of a channel `purges/SITE` is invalid; the text gives the reason."""
 
 
 class PurgeFired(
     msgspec.Struct, tag_field="what", tag="fired", rename={"last_date": "date", "first_date": "since"}
 ):
-    """The event of a settlement. `first_date`: only where it covers several dates."""
+    """The event of a settlement. `first_date`: set only if it covers several dates."""
 
     site: str
     rule: str
@@ -60,13 +61,13 @@
 
 
 def encode_settlement(event: PurgeFired) -> dict[str, Any]:
-    """The body of an entry: plain values for JSON, under the names of the log."""
+    """Encodes an event as the body of an entry: plain JSON values under the names used in the log."""
     body: dict[str, Any] = msgspec.to_builtins(event)
     return body
 
 
 def parse_settlement(entry: Entry) -> Settlement:
-    """The settlement in an entry. Raises InvalidSettlementError."""
+    """Parses the settlement in an entry. Raises InvalidSettlementError."""
     try:
         body = msgspec.json.decode(entry.body)
     except msgspec.DecodeError:
@@ -97,16 +98,16 @@
 
 
 class SettlementRecords:
-    """The settlements of one site. Of several for one rule, date and edge the first in the log's order
-    counts.
+    """The settlements of one site. Among several for the same rule, date and edge, the first in the log's
+    order applies.
     """
 
     def __init__(self) -> None:
         self.by_edge: dict[tuple[str, str], list[Settlement]] = {}  # by edge and rule, in order of dates
-        self.count = 0  # of all that were added
+        self.count = 0  # of all settlements that were added
 
     def add(self, settlement: Settlement) -> None:
-        """Records a settlement, once. Raises InvalidSettlementError."""
+        """Records a settlement; repetitions are ignored. Raises InvalidSettlementError."""
         key = (settlement.edge, settlement.rule)
         if key not in self.by_edge and len(self.by_edge) >= MAX_EDGES_AND_RULES:
             raise InvalidSettlementError("more edges and rules than a site has")
@@ -119,7 +120,7 @@
         self.count += 1
 
     def find(self, edge: str, occurrence: Occurrence) -> Settlement | None:
-        """The settlement of an edge for an occurrence."""
+        """The settlement of an occurrence by an edge; None if there is none."""
         records = self.by_edge.get((edge, occurrence.rule), ())
         covering = [each for each in records if each.covers(occurrence)]
         return min(covering, key=lambda each: each.place, default=None)
--- a/ochrecourse/fleet/purge_subsystem.py
+++ b/ochrecourse/fleet/purge_subsystem.py
@@ -1,8 +1,7 @@
-"""The subsystem of a member that purges its object cache: statuses, entries of the log, and what operators
-see.
+"""The subsystem of a fleet member that purges its object cache: its statuses, log entries and report.
 
-A read asks `may_use_cache` before each answer from the cache. So a process that was stalled over a purge,
-or was disconnected, notices it before it answers, whether or not a beat ran first.
+`may_use_cache` is called before each answer from the cache. So a process that was stalled or disconnected
+while a purge became due executes it before it answers, even if no heartbeat interval has passed since.
 """
 
 from __future__ import annotations
@@ -25,25 +24,25 @@
 from ochrecourse.fleet.purge_schedule import DAY_MS, PurgeSchedule, PurgeSettings
 from ochrecourse.settings.site_calendars import CalendarValueError, differences, edition, today
 
-CLOCK_NEIGHBOURS = 3  # gateways before and behind it whose clocks are compared, of its site if it has more
-DISCARD_INTERVAL_S = 0.001  # between two steps of a purge, in which the event loop serves others
-CLOCK_INTERVAL_NS = 5_000_000_000  # between reports of a clock that is trusted and that nobody new compares
-MAX_INCARNATIONS = 16  # in a status; what older ones accepted was replaced long ago
-MAX_LOGGED_DIFFERENCES = 5  # of one edition
+CLOCK_NEIGHBOURS = 3  # on each side: gateways whose clocks are compared, of the own site if it has more edges
+DISCARD_INTERVAL_S = 0.001  # between two steps of a purge, so that the event loop can serve requests
+CLOCK_INTERVAL_NS = 5_000_000_000  # between reports of a trusted clock, if no peer's epoch changes
+MAX_INCARNATIONS = 16  # per status; editions accepted by older incarnations have been replaced
+MAX_LOGGED_DIFFERENCES = 5  # per edition
 
 
 class Purgeable(Protocol):
-    """What a purge needs of a cache."""
+    """The interface of a cache that purges use."""
 
     def drop(self, scope: Scope) -> int:
-        """Bars all cached objects of a scope; returns their count."""
+        """Invalidates all cached objects of a scope; returns their count."""
 
     def step(self, max_objects: int = MAX_DISCARDED_PER_STEP) -> bool:
-        """Removes some of them; True if more is left."""
+        """Removes up to `max_objects` invalidated objects; returns True if more are left."""
 
 
 class IncarnationEnd(NamedTuple):
-    """An incarnation of an edge, and the sequence of its last entry about the calendar."""
+    """An incarnation of an edge, and the sequence number of its last entry in the calendar's channel."""
 
     incarnation: int
     sequence: int
@@ -52,8 +51,9 @@
 class PurgeStatus(
     msgspec.Struct, rename={"edges_digest": "edges", "incarnations": "lives", "recovered": "whole"}
 ):
-    """An edge's status in its heartbeat. `edges_digest`: of its site's name and edges; `incarnations`: its
-    own; `recovered`: it knows what it once accepted (disk_recovery.py); older versions do not say.
+    """An edge's status in its heartbeat. `edges_digest`: digest of its site's name and edges; `incarnations`:
+    its own ones; `recovered`: whether it knows all editions it accepted (disk_recovery.py), not sent by older
+    versions.
     """
 
     clock: ClockReport
@@ -63,7 +63,7 @@
 
 
 class ReceivedStatus(NamedTuple):
-    """The last status of another gateway, as it was received and decoded."""
+    """The last status of another gateway, as received and decoded."""
 
     encoded: bytes
     status: PurgeStatus
@@ -71,8 +71,9 @@
 
 @dataclass(slots=True)
 class PurgeEnvironment:
-    """What the subsystem needs of its host. `heartbeats`: the newest by name; `has_entries`: whether the log
-    has the entries of a writer's incarnation up to a sequence.
+    """The functions of the host that the subsystem uses. `wall_ms`: the wall clock in ms since 1970;
+    `heartbeats`: the newest by gateway name; `has_entries`: whether the log has all entries of a writer's
+    incarnation up to a sequence number.
     """
 
     clock: Clock
@@ -83,8 +84,8 @@
 
 
 class PurgeSubsystem:
-    """A subsystem of the member (subsystem.Subsystem). `site`: the settings' own site, None if the gateway is
-    of none; `edition_days`: that an edition covers.
+    """Purges as a subsystem of the member (subsystem.Subsystem). `site`: the settings of the gateway's own
+    site, None if it has none; `edition_days`: number of days that an edition covers.
     """
 
     name = "purges"
@@ -101,17 +102,17 @@
         self.edition_days = edition_days
         self.environment = environment
         self.cache: Purgeable | None = None
-        self._awaited: dict[
-            str, Heartbeat
-        ] = {}  # heartbeats whose entries are awaited while newer ones arrive
+        # By edge, a heartbeat whose entries are still missing here. It is retained while newer ones arrive.
+        self._pending_heartbeats: dict[str, Heartbeat] = {}
         self._statuses: dict[str, ReceivedStatus] = {}
-        self._incarnations: dict[int, int] = {}  # own ones that wrote of the calendar, with the last sequence
+        # Own incarnations that wrote calendar entries, with the sequence number of the last one.
+        self._incarnations: dict[int, int] = {}
         self._encoded_at, self._encoded_status = -CLOCK_INTERVAL_NS, b""
         self._encoded_recovered = True
         self._discarding = False
         self._logged_reason = "begin"
 
-    # --- before each answer ---
+    # --- called before each answer ---
 
     def may_use_cache(self, volume: int, tenant: str) -> bool:
         """Whether a cached object of this volume and tenant may be used now."""
@@ -132,7 +133,7 @@
             self._discard()
 
     def _discard(self) -> None:
-        """Guards against a large purge that blocks the event loop: objects are removed in bounded steps."""
+        """Removes purged objects in bounded steps, so that a large purge does not block the event loop."""
         if self.cache is not None and not self._discarding and self.cache.step():
             self._discarding = True
             self.environment.clock.callLater(DISCARD_INTERVAL_S, self._continue_discarding)
@@ -141,11 +142,11 @@
         self._discarding = False
         self._discard()
 
-    # --- the member's calls (subsystem.Subsystem) ---
+    # --- called by the member (subsystem.Subsystem) ---
 
     def status(self, now: int) -> bytes | None:
-        """Its status for the next heartbeat."""
-        # A status that does not change costs nothing on links. A clock to be confirmed is in each heartbeat.
+        """The encoded status for the next heartbeat."""
+        # An unchanged status is not sent again. A clock that is not yet trusted is in each heartbeat.
         recovered = self.schedule.is_recovered()
         due = now - self._encoded_at >= CLOCK_INTERVAL_NS or recovered is not self._encoded_recovered
         if due or not self.schedule.clock.trusted:
@@ -157,7 +158,7 @@
         return self._encoded_status
 
     def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
-        """Another gateway's status was received. Raises ValueError (msgspec.DecodeError)."""
+        """Records another gateway's status. Raises msgspec.DecodeError, a ValueError, if it is invalid."""
         before = self._statuses.get(name)
         if before is not None and before.encoded == status:
             decoded, clock_report = before.status, None
@@ -165,13 +166,13 @@
             decoded = msgspec.json.decode(status, type=PurgeStatus)
             clock_report = decoded.clock
         if before is None or before.status.clock.epoch != decoded.clock.epoch:
-            self._encoded_at = now - CLOCK_INTERVAL_NS  # it waits for other clocks: an answer is due at once
+            self._encoded_at = now - CLOCK_INTERVAL_NS  # it awaits other clocks' reports: send one at once
         self._statuses[name] = ReceivedStatus(status, decoded)
         self._execute_purges()
         self.schedule.status_received(name, clock_report, decoded.edges_digest, decoded.recovered)
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        """An entry is new in the log."""
+        """Records a new entry of the log."""
         self.schedule.event(entry)
         if entry.channel != f"calendar/{self.schedule.site}":
             return
@@ -182,11 +183,11 @@
             )
 
     def has_written(self) -> bool:
-        """Whether the log has an entry of this gateway about its calendar."""
+        """Whether the log has an entry of this gateway in its site's calendar channel."""
         return bool(self._incarnations)
 
     def _compare_edition(self, entry: Entry) -> None:
-        """Logs an edition that is invalid, or that this gateway would have written otherwise."""
+        """Logs an edition that is invalid, or whose instants differ from those computed here by its rules."""
         try:
             body = msgspec.json.decode(entry.body)
         except msgspec.DecodeError:
@@ -209,7 +210,7 @@
             )  # fmt: skip
 
     def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
-        """Channel and value of an entry to append."""
+        """Channel and value of the next entry to append, None if there is none."""
         self._execute_purges()
         event: tuple[str, object] | None = self.schedule.next_event()
         if event is not None or self.site is None:
@@ -221,29 +222,29 @@
         try:
             first_date = today(self.site["zone"], self.environment.wall_ms())
             body = edition(self.site, number, first_date, self.edition_days)
-        except CalendarValueError as error:  # a region whose holidays end, say
+        except CalendarValueError as error:  # for example, holidays that are not known so far ahead
             self.environment.log_event("calendar not written", site=self.schedule.site, why=str(error))
             return None
         return f"calendar/{self.schedule.site}", body
 
     def node_rates(self, now: int) -> Mapping[int, float]:
-        """No rate limits."""
+        """Returns no rate limits: purges do not limit nodes."""
         return {}
 
     def beat_passed(self, now: int) -> None:
-        """A beat has passed."""
+        """Advances watermarks and executes due purges; called at each heartbeat interval."""
         heartbeats = self.environment.heartbeats()
         calendar = self.schedule.own_calendar
         edges = calendar.edges if calendar is not None else ()
         for name, heartbeat in ((name, heartbeats[name]) for name in edges if name in heartbeats):
-            awaited = self._awaited.get(name)
-            if awaited is None or awaited.incarnation != heartbeat.incarnation:
-                awaited = self._awaited[name] = heartbeat
-            for each in (awaited, heartbeat):
+            pending = self._pending_heartbeats.get(name)
+            if pending is None or pending.incarnation != heartbeat.incarnation:
+                pending = self._pending_heartbeats[name] = heartbeat
+            for each in (pending, heartbeat):
                 if self._is_complete(each):
-                    # After a promise may follow an entry of the same ms, with a higher counter.
+                    # An entry with the same ms and a higher counter may follow the promise.
                     self.schedule.advance_watermark(name, each.promise.ms - 1)
-                    self._awaited[name] = heartbeat
+                    self._pending_heartbeats[name] = heartbeat
         self._execute_purges()
         reason = self.schedule.not_ready_reason()
         if reason != self._logged_reason:
@@ -252,7 +253,7 @@
             self.environment.log_event(text, site=self.schedule.site, why=reason)
 
     def _is_complete(self, heartbeat: Heartbeat) -> bool:
-        """Whether the log has all that a heartbeat reports; what earlier incarnations accepted counts too."""
+        """Whether the log has all entries that a heartbeat reports, also those of earlier incarnations."""
         ends: list[tuple[int, int]] = [
             *heartbeat.earlier_incarnations,
             (heartbeat.incarnation, heartbeat.seq),
@@ -260,7 +261,7 @@
         if heartbeat.name != self.schedule.name:
             received = self._statuses.get(heartbeat.name)
             if received is None or heartbeat.statuses.get(self.name) != received.encoded:
-                return False  # it has no status, or its status was refused
+                return False  # no status, or one that could not be decoded
             ends += received.status.incarnations
         has_entries = self.environment.has_entries
         return all(has_entries(heartbeat.name, incarnation, sequence) for incarnation, sequence in ends)
@@ -268,7 +269,7 @@
     # --- for operators ---
 
     def figures(self) -> dict[str, float]:
-        """Values by metric name."""
+        """The metrics' values by name."""
         figures: dict[str, float] = {"copies_sure": float(self.schedule.is_ready())}
         if isinstance(self.cache, PurgeableObjectCache):
             counts = self.cache.counts.report()
@@ -280,7 +281,7 @@
         return figures
 
     def report(self) -> dict[str, Any]:
-        """The record of purges, and what became of reads."""
+        """The report of purges and of cached reads for operators."""
         self._execute_purges()
         report = purge_report(self.schedule)
         if isinstance(self.cache, PurgeableObjectCache):
@@ -299,7 +300,9 @@
     clock: Clock,
     log_event: Callable[..., None],
 ) -> PurgeSubsystem | None:
-    """Registers what the settings' `fleet.copies`, `fleet.purges` and `sites` ask for; None if nothing."""
+    """Registers the object cache and the purges that the settings `fleet.copies`, `fleet.purges` and `sites`
+    configure. Returns None if neither is configured.
+    """
     settings, name = record["fleet"], record["gateway"]["name"]
     if "copies" not in settings and "purges" not in settings:
         return None
@@ -327,7 +330,7 @@
     member.register(subsystem)
     damaged = [*member.log_store.notes, *getattr(member.log_store.journal, "damage_reports", ())]
     if site is not None and (damaged or not subsystem.has_written()):
-        # Guards against an edge that no longer knows what it accepted: a disk that is lost or damaged.
+        # The disk is new, lost or damaged: this edge may lack editions that it accepted.
         schedule.disk_is_new(member.log.incarnation)
     return subsystem
 
@@ -346,6 +349,6 @@
     neighbours = clock_neighbours(name, compared, CLOCK_NEIGHBOURS)
     wall_clock = WallClockMonitor(name, round(settings["clock_bound"]), neighbours, now, wall_ms)
     notice_ms = round(settings.get("purges", {"notice": 0})["notice"])
-    # Of other sites nothing is retained beside the log: each site's record is with its own edges.
+    # Calendars and settlements are kept only for the own site; those of other sites are only in the log.
     site_name, edges = (site["name"], {site["name"]: site["edges"]}) if site is not None else ("", {})
     return PurgeSchedule(PurgeSettings(name, site_name, edges, notice_ms), wall_clock, now, wall_ms)
--- a/ochrecourse/fleet/site_calendar.py
+++ b/ochrecourse/fleet/site_calendar.py
@@ -1,18 +1,19 @@
-"""Editions of a site's calendar: which are in force, from when, and the purges that follow. Free of I/O,
-clocks and time zones.
-
-Everything here is a function of the set of events in the log, whatever their order of arrival, and of how far
-each edge's own events are complete here (its watermark):
-
-- Each edge that has an edition says so by one event, `taken`: it accepts the edition. An edition comes into
-  force `notice_ms` after the timestamp by which more than half of the site's edges had accepted it. Of those
-  in force the highest number applies, and of equal numbers the later one in the log's order.
-- An edge that has the events of more than half of the edges up to `notice_ms` ago therefore knows every
-  edition that is in force: any two such majorities share an edge.
-- An edge whose disk is new is not counted until it is recovered (disk_recovery.py). What arrives later
-  although it was written before that, those who acknowledged the disk accept only once that edge has: so
-  nothing is in force by its earlier acceptance that it does not know again.
-- What is due when follows from the editions' times (edition_timeline.py).
+"""The calendar of a site: which editions are in force, from when, and which purges they schedule. Free of
+I/O, clocks and time zones.
+
+The result depends only on the set of events in the log, not on their order of arrival, and on each edge's
+watermark: the time up to which all of its events are stored here.
+
+- Each edge that has stored an edition accepts it by one event, `taken`. An edition comes into force
+  `notice_ms` after the timestamp by which more than half of the site's edges had accepted it. Of the editions
+  in force the one with the highest number applies, and among equal numbers the last one in the log's order.
+- An edge that has all events of more than half of the edges up to `notice_ms` ago therefore knows every
+  edition in force, because any two majorities have an edge in common.
+- An edge whose disk is new is not counted until it is recovered (disk_recovery.py). Editions that arrive
+  later although they were written before the recovery are accepted by the edges that acknowledged the new
+  disk only after the recovered edge has accepted them. So no edition is in force by an earlier acceptance of
+  that edge which it does not know any more.
+- The times at which purges are due follow from the times of the editions (edition_timeline.py).
 """
 
 from __future__ import annotations
@@ -50,13 +51,13 @@
 )
 from ochrecourse.fleet.entries import Entry
 
-MAX_EDITIONS = 64  # of a site; older ones that no longer matter are forgotten
-MAX_FORGOTTEN = 16 * MAX_EDITIONS  # ids that are remembered, so that none is taken for a new one
+MAX_EDITIONS = 64  # per site; older ones that are replaced are removed
+MAX_FORGOTTEN = 16 * MAX_EDITIONS  # ids of removed editions, retained so that none is treated as new
 
 
 class SiteCalendar:
-    """The calendar of one site. `edges`: names of the site's gateways; `notice_ms`: from the acceptance of an
-    edition by a majority until it is in force.
+    """The calendar of one site. `edges`: names of the site's gateways; `notice_ms`: time from the acceptance
+    of an edition by a majority of the edges until it is in force.
     """
 
     def __init__(self, site: str, edges: Sequence[str], notice_ms: int) -> None:
@@ -65,19 +66,19 @@
         self.majority = len(self.edges) // 2 + 1
         self.notice_ms = notice_ms
         self.editions: dict[EditionId, EditionState] = {}
-        # Accepted by an edge (its name, incarnation and timestamp in ms), and not here yet.
+        # Editions not received yet, with their acceptances: name of the edge, incarnation, timestamp in ms.
         self.missing: dict[EditionId, list[tuple[str, int, int]]] = {}
-        self.forgotten: dict[EditionId, None] = {}  # the oldest first
+        self.forgotten: dict[EditionId, None] = {}  # ids of removed editions, oldest first
         self.disks = DiskRecovery()
-        self.first_accepted_ms: dict[str, int] = {}  # by edge, of any edition
-        self.watermarks: dict[str, int] = {}  # by edge: its events up to there, in ms, are all here
+        self.first_accepted_ms: dict[str, int] = {}  # by edge, its first acceptance of any edition
+        self.watermarks: dict[str, int] = {}  # by edge: all its events up to this time in ms are stored here
         self.invalid_events: dict[str, int] = {}  # count by reason
-        self.revision = 0  # counts up with everything that may change what is due
+        self.revision = 0  # incremented by each change that may affect when purges are due
 
     # --- events ---
 
     def event(self, entry: Entry) -> None:
-        """An event of channel `calendar/SITE`, in any order; an invalid one is counted by reason."""
+        """Records an event of channel `calendar/SITE`, in any order; invalid ones are counted by reason."""
         try:
             body = msgspec.json.decode(entry.body)
             if not isinstance(body, dict):
@@ -131,7 +132,7 @@
         self.revision += 1
 
     def advance_watermark(self, edge: str, at_ms: int) -> None:
-        """All that this edge appends with a timestamp at or before `at_ms` is here."""
+        """Records that all entries of an edge with timestamps up to `at_ms` are stored here."""
         if edge in self.edges and at_ms > self.watermarks.get(edge, BEFORE_ALL_MS):
             self.watermarks[edge] = at_ms
             for state in self.editions.values():
@@ -139,7 +140,7 @@
                     self._update_times(state)
 
     def _update_times(self, state: EditionState) -> None:
-        """When the edition comes into force, at the earliest and at the latest."""
+        """Updates the earliest and the latest time at which an edition comes into force."""
         known = sorted(state.accepted_ms.values())
         earliest = sorted(self._earliest_acceptances(state))[self.majority - 1]
         latest = known[self.majority - 1] if len(known) >= self.majority else NEVER_MS
@@ -150,8 +151,8 @@
             self.revision += 1
 
     def _earliest_acceptances(self, state: EditionState) -> list[int]:
-        """When each edge may have accepted the edition at the earliest, in ms."""
-        # An edge that did not say so may have, after all of it that is known here and after the edition.
+        """The earliest times, in ms, at which the edges may have accepted the edition."""
+        # An edge without a known acceptance may have accepted it after its watermark and after the edition.
         written_ms = state.edition.place.at.ms
         earliest = dict(state.accepted_ms)
         for edge in self.edges:
@@ -159,13 +160,13 @@
             before_loss = disk is not None and written_ms <= disk.at_ms + self.notice_ms
             first_incarnation = state.accepted_in.get(edge, (NEVER_MS, 0))[0]
             if disk is not None and before_loss and first_incarnation >= disk.incarnation:
-                earliest[edge] = written_ms  # with the lost disk it may have accepted it at any time
+                earliest[edge] = written_ms  # it may have accepted it at any time, on the lost disk
             elif edge not in earliest:
                 earliest[edge] = max(self.watermarks.get(edge, BEFORE_ALL_MS) + 1, written_ms)
         return list(earliest.values())
 
     def _forget_replaced(self) -> None:
-        """Forgets the oldest editions beyond MAX_EDITIONS, of those that a higher one in force replaced."""
+        """Removes the oldest editions beyond MAX_EDITIONS that an accepted one of higher rank replaces."""
         while len(self.editions) > MAX_EDITIONS:
             states = self.editions.values()
             accepted = [state.edition.rank for state in states if state.in_force_max_ms < NEVER_MS]
@@ -180,9 +181,7 @@
     # --- which edition applies ---
 
     def is_up_to_date(self, at_ms: int, own_edge: str, connected: Sequence[str]) -> bool:
-        """Whether this edge (`own_edge`) knows all that is in force at `at_ms`, by the edges that it is
-        connected to.
-        """
+        """Whether `own_edge`, being connected to `connected`, knows all editions in force at `at_ms`."""
         least_ms = at_ms - self.notice_ms
         complete = [
             edge
@@ -192,38 +191,38 @@
         return len(complete) + 1 >= self.majority and not self.missing
 
     def edition_in_force(self, at_ms: int) -> Edition | None:
-        """The edition that certainly is in force at `at_ms` and applies."""
+        """Of the editions certainly in force at `at_ms`, the one that applies; None if there is none."""
         in_force = [state.edition for state in self.editions.values() if state.in_force_max_ms <= at_ms]
         return max(in_force, key=lambda each: each.rank, default=None)
 
     def highest_edition(self) -> Edition | None:
-        """The edition of the highest rank, in force or not."""
+        """The edition with the highest rank, in force or not; None if there is none."""
         editions = [state.edition for state in self.editions.values()]
         return max(editions, key=lambda each: each.rank, default=None)
 
     def due_occurrences(self, after_ms: int, until_ms: int) -> list[DueOccurrence]:
-        """The occurrences whose time is known, due later than `after_ms` and not later than `until_ms`."""
+        """The occurrences with known times, due after `after_ms` and up to `until_ms`, sorted by time."""
         return EditionTimeline(self.editions.values(), until_ms).due_occurrences(after_ms)
 
     def possible_purges(self, after_ms: int, until_ms: int) -> list[tuple[Instant, Scope]]:
-        """The instants of any edition that may apply then, with what they purge."""
+        """The instants after `after_ms` and up to `until_ms` of editions that may apply, and their scopes."""
         return EditionTimeline(self.editions.values(), until_ms).possible_purges(after_ms)
 
     def possible_late_purges(self, after_ms: int, until_ms: int) -> list[LatePurge]:
-        """What any edition may bring by coming into force later than `after_ms`, and not later than
-        `until_ms`, with instants that are over by then.
+        """The occurrences that an edition may make due by coming into force after their instant, between
+        `after_ms` and `until_ms`.
         """
         return EditionTimeline(self.editions.values(), until_ms).possible_late_purges(after_ms)
 
     def next_change_ms(self, after_ms: int) -> int:
-        """When purges may next follow, later than `after_ms`; NEVER_MS if not by time alone."""
+        """The next time after `after_ms` at which purges may become due by time alone; NEVER_MS if none."""
         return next_change_ms(self.editions.values(), after_ms)
 
-    # --- what an edge is to write ---
+    # --- events that an edge has to write ---
 
     def next_to_accept(self, edge: str) -> Edition | None:
-        """An edition that is here and that this edge has not accepted with the disk that it has now; the
-        first in the log's order.
+        """The first edition in the log's order that an edge has to accept: one that it has not accepted with
+        its present disk. None if there is none.
         """
         disk = self.disks.new_disks.get(edge, NO_NEW_DISK)
         not_accepted = [
@@ -235,10 +234,10 @@
         return min(not_accepted, key=lambda each: each.place, default=None)
 
     def _must_wait(self, edge: str, state: EditionState) -> bool:
-        """Whether an edge may not accept an edition yet: one whose new disk it acknowledged may have accepted
-        it before, and must know it again first. That one did not count on edges that acknowledged it after it
-        recovered: these do not wait, so two edges that acknowledged each other's new disks at once do not
-        wait for each other.
+        """Whether an edge must not accept an edition yet, because another edge whose new disk it acknowledged
+        may have accepted the edition with its lost disk and has to accept it again first. Acknowledgements
+        written after the other edge's recovery do not count, as the recovery did not rely on them. So two
+        edges that acknowledge each other's new disks at the same time do not wait for each other.
         """
         for (acknowledging, other), (incarnation, at) in self.disks.acknowledgements.items():
             disk = self.disks.replaced_disk(other) if acknowledging == edge else None
@@ -252,11 +251,11 @@
         return False
 
     def is_recovered(self, edge: str) -> bool:
-        """Whether an edge knows what it once accepted, as far as its events are here."""
+        """Whether an edge knows all editions that it accepted, according to its events stored here."""
         return self.disks.is_recovered(edge)
 
     def next_to_acknowledge(self, edge: str) -> EdgeIncarnation | None:
-        """An edge with a new disk that is not recovered, and that this edge has not acknowledged."""
+        """The first edge by name whose new disk is not recovered and that `edge` has not acknowledged yet."""
         for other, (incarnation, _) in sorted(self.disks.new_disks.items()):
             acknowledged = self.disks.acknowledgements.get((edge, other), NO_ACKNOWLEDGEMENT).incarnation
             if other != edge and not self.is_recovered(other) and acknowledged < incarnation:
@@ -266,9 +265,9 @@
     def recovery(
         self, own_edge: str, connected: Sequence[str], connected_new: Sequence[str], at_ms: int
     ) -> list[EdgeIncarnation] | None:
-        """Whether an edge with a new disk is recovered at `at_ms`, by the edges that it is connected to:
-        those that are recovered, and those that are new too. Empty if it knows again what it accepted; all
-        incarnations that are new if the site bootstraps; else None.
+        """Whether `own_edge`, which has a new disk, is recovered at `at_ms`. `connected`: the recovered edges
+        that it is connected to; `connected_new`: those whose disk is new too. Returns an empty list if it has
+        recovered from others, all new incarnations if the site bootstraps, and None if it is not recovered.
         """
         incarnation = self.disks.new_disks[own_edge].incarnation
         bootstrap = self.disks.bootstraps.get(EdgeIncarnation(own_edge, incarnation))
@@ -283,14 +282,14 @@
             is_current = edge != own_edge and acknowledgement.incarnation == incarnation
             is_complete = self.watermarks.get(edge, BEFORE_ALL_MS) >= acknowledgement.at.ms
             acknowledged += is_current and is_complete
-        # Any majority without this edge has an edge in common with so many others.
+        # Any majority, even without counting this edge, has an edge in common with this many others.
         enough = acknowledged > len(self.edges) - self.majority
         return [] if enough and not self.missing and self.next_to_accept(own_edge) is None else None
 
     def _bootstrap_candidates(
         self, own_edge: str, connected_new: Sequence[str], least_ms: int
     ) -> list[EdgeIncarnation]:
-        """The new disks with which a site may bootstrap, this edge's own among them."""
+        """The new disks with which a site may bootstrap, including that of `own_edge`."""
         others = [
             edge
             for edge in connected_new
