--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -1,7 +1,8 @@
-"""Editions and instants: local times as they come, and a year of 400 sites against a plain reference.
+"""Editions and their instants: difficult local times, and a year of 400 sites compared with a reference.
 
-The reference knows nothing of the site calendars and never asks when a local time is: it walks the year in quarters of
-an hour, reads each zone's clock, and takes the first quarter at which that clock is not before the rule's time.
+The reference is independent of the site calendars and converts no local time to UTC. It steps through the year in
+quarters of an hour, reads each zone's clock, and uses the first quarter at which that clock has reached the rule's
+time.
 """
 
 import bisect
@@ -66,8 +67,8 @@
             "2026-03-29",
             "02:30",
             "2026-03-29T01:00:00",
-        ),  # does not exist: the first instant after
-        ("Europe/Berlin", "2026-10-25", "02:30", "2026-10-25T00:30:00"),  # comes twice: the first
+        ),  # does not exist: the first instant after it
+        ("Europe/Berlin", "2026-10-25", "02:30", "2026-10-25T00:30:00"),  # occurs twice: the first
         ("Europe/Berlin", "2026-07-01", "18:00", "2026-07-01T16:00:00"),
         ("Australia/Lord_Howe", "2026-10-04", "02:10", "2026-10-03T15:30:00"),  # a gap of half an hour
         ("Pacific/Apia", "2011-12-30", "18:00", "2011-12-30T10:00:00"),  # a whole day that does not exist
@@ -76,12 +77,12 @@
             "2026-01-01",
             "00:30",
             "2025-12-31T10:30:00",
-        ),  # the date line: a UTC date before
-        ("America/New_York", "2026-06-30", "23:30", "2026-07-01T03:30:00"),  # and after
+        ),  # the UTC date is the day before
+        ("America/New_York", "2026-06-30", "23:30", "2026-07-01T03:30:00"),  # the UTC date is the day after
         ("America/Santiago", "2026-09-06", "00:00", "2026-09-06T04:00:00"),  # midnight does not exist
     ],
 )
-def test_local_times_that_are_hard(zone, date, at, expected):
+def test_difficult_local_times(zone, date, at, expected):
     assert utc(instant_of(zone_of(zone), dt.date.fromisoformat(date), site_calendars.time_of(at))) == expected
 
 
@@ -93,15 +94,17 @@
             "exceptions": [{"date": "2026-01-04", "at": "none"}, {"date": "2026-01-09", "at": "09:00"}],
         },
     )  # fmt: skip
-    told = {date: utc(ms)[11:16] for _, date, ms in edition(site, 1, YEAR, 10)["instants"]}
-    assert "2026-01-02" not in told and "2026-01-04" not in told  # a Friday, and an exception
-    assert told["2026-01-05"] == "09:00" and told["2026-01-09"] == "06:00" and told["2026-01-03"] == "15:00"
+    times = {date: utc(ms)[11:16] for _, date, ms in edition(site, 1, YEAR, 10)["instants"]}
+    assert "2026-01-02" not in times and "2026-01-04" not in times  # a Friday, and an exception
+    assert (
+        times["2026-01-05"] == "09:00" and times["2026-01-09"] == "06:00" and times["2026-01-03"] == "15:00"
+    )
     site["rules"][0]["holidays"] = "none"
     assert "2026-01-05" not in {date for _, date, _ in edition(site, 1, YEAR, 10)["instants"]}
     assert today("Pacific/Kiritimati", instant_of(zone_of("UTC"), YEAR, dt.time(11))) == dt.date(2026, 1, 2)
 
 
-def test_another_release_of_time_zones_is_named_and_the_editions_instants_hold():
+def test_another_time_zone_release_is_reported_and_the_instants_of_the_edition_apply():
     body = edition(site_of(), 1, YEAR, 3)
     assert differences(body) == []
     body["instants"][1][2] += 3_600_000
@@ -117,7 +120,7 @@
         assert differences({**body, **broken})
 
 
-said = st.fixed_dictionaries(
+rule_fields = st.fixed_dictionaries(
     {
         name: st.none()
         | st.integers()
@@ -139,14 +142,14 @@
 
 @settings(max_examples=150, deadline=None)
 @given(
-    said,
+    rule_fields,
     st.sampled_from(["Europe/Berlin", 5, None, "x"]),
     st.sampled_from(["2026-01-02", "9999-12-31", "0001-01-01", "2026-02-30"]),
 )
-def test_whatever_another_says_its_rules_are_is_compared_or_named(more, zone, through):
+def test_any_rules_of_another_gateway_are_compared_or_reported(more, zone, through):
     body = edition(site_of(), 1, YEAR, 2)
-    told = differences({**body, "through": through, "as": {**body["as"], **more, "zone": zone}})
-    assert all(isinstance(each, str) for each in told)
+    found = differences({**body, "through": through, "as": {**body["as"], **more, "zone": zone}})
+    assert all(isinstance(each, str) for each in found)
 
 
 PLACE = LogPosition(Timestamp(1, 0), "a", 1, 1)
@@ -162,7 +165,7 @@
         {"instants": [["close", "2026-01-01", 1 << 63]]}, {"instants": [["close", "2026-01-01", "5"]]}, {"until": None},
     ],
 )  # fmt: skip
-def test_an_edition_that_is_none_is_refused(change):
+def test_an_invalid_edition_is_rejected(change):
     body = edition(site_of(), 1, YEAR, 3)
     parse_edition(body, PLACE)
     with pytest.raises(InvalidCalendarEventError):
@@ -185,7 +188,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(json)
-def test_any_event_is_read_or_counted(body):
+def test_any_event_is_recorded_or_counted_as_invalid(body):
     calendar = SiteCalendar("s", ["a", "b"], 1000)
     calendar.event(Entry("calendar/s", "a", 1, 1, Timestamp(1, 0), (), msgspec.json.encode(body)))
     assert calendar.invalid_events or calendar.missing
@@ -195,7 +198,7 @@
     return Entry("calendar/s", writer, 1, seq, Timestamp(ms, 0), (), msgspec.json.encode(body))
 
 
-def written(number, ms, instants, writer="a", seq=1):
+def edition_entry(number, ms, instants, writer="a", seq=1):
     body = {
         "what": "edition", "site": "s", "number": number, "zone": "UTC", "tzdata": "t", "from": "2026-01-01",
         "through": "2026-02-01", "rules": [{"name": "close", "scope": ["all", ""]}], "instants": instants,
@@ -203,7 +206,7 @@
     return entry(writer, seq, ms, body)
 
 
-def taken(writer, seq, ms, of):
+def acceptance_entry(writer, seq, ms, of):
     return entry(
         writer,
         seq,
@@ -212,19 +215,19 @@
     )
 
 
-ONE = written(1, 100, [["close", "2026-01-01", 5000]])
-TWO = written(2, 2000, [["close", "2026-01-01", 4000]], "b")
+ONE = edition_entry(1, 100, [["close", "2026-01-01", 5000]])
+TWO = edition_entry(2, 2000, [["close", "2026-01-01", 4000]], "b")
 
 
-def test_an_edition_is_in_force_once_more_than_half_took_it_and_the_notice_is_over():
+def test_an_edition_is_in_force_after_acceptance_by_a_majority_and_the_notice():
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
-    for each in (ONE, taken("a", 2, 150, ONE), taken("b", 1, 200, ONE)):
+    for each in (ONE, acceptance_entry("a", 2, 150, ONE), acceptance_entry("b", 1, 200, ONE)):
         calendar.event(each)
     assert calendar.edition_in_force(1199) is None and calendar.edition_in_force(1200).number == 1
-    # The third may have taken it before: it came into force between 1150 and 1200, and nothing is due then.
+    # The third may have accepted it earlier: it comes into force between 1150 and 1200, and nothing is due then.
     assert [(each.number, each.due_ms) for each in calendar.due_occurrences(0, 9000)] == [(1, 5000)]
-    # A newer one that only one edge took so far, while the others' word is out: nothing is said of the moment.
-    for each in (TWO, taken("b", 2, 2100, TWO)):
+    # A newer one is accepted by one edge, and whether others accepted it is unknown: the purge's time is unknown.
+    for each in (TWO, acceptance_entry("b", 2, 2100, TWO)):
         calendar.event(each)
     assert calendar.due_occurrences(0, 9000) == [] and [
         each.at_ms for each, _ in calendar.possible_purges(0, 9000)
@@ -235,10 +238,10 @@
     for each in (
         TWO,
         ONE,
-        taken("b", 1, 200, ONE),
-        taken("c", 2, 2500, TWO),
-        taken("a", 2, 150, ONE),
-        taken("b", 2, 2100, TWO),
+        acceptance_entry("b", 1, 200, ONE),
+        acceptance_entry("c", 2, 2500, TWO),
+        acceptance_entry("a", 2, 150, ONE),
+        acceptance_entry("b", 2, 2100, TWO),
     ):
         calendar.event(each)
     calendar.advance_watermark("a", 9000), calendar.advance_watermark("c", 9000)
@@ -249,49 +252,49 @@
     events = [
         ONE,
         TWO,
-        *(taken(w, 10 + i, 150 + i, ONE) for i, w in enumerate("abc")),
-        *(taken(w, 20 + i, 2100 + i, TWO) for i, w in enumerate("abc")),
+        *(acceptance_entry(w, 10 + i, 150 + i, ONE) for i, w in enumerate("abc")),
+        *(acceptance_entry(w, 20 + i, 2100 + i, TWO) for i, w in enumerate("abc")),
     ]
-    told = set()
+    results = set()
     for seed in range(50):
         random.Random(seed).shuffle(events)
         calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
         for each in events * 2:
             calendar.event(each)
         assert not calendar.missing and not calendar.invalid_events
-        told.add(
+        results.add(
             (
                 tuple(calendar.due_occurrences(0, 9000)),
                 calendar.edition_in_force(9000).number,
                 tuple(calendar.possible_purges(0, 9000)),
             )
         )
-    assert len(told) == 1
+    assert len(results) == 1
 
 
-def test_what_an_edge_took_and_is_not_here_leaves_this_one_unsure():
+def test_an_edge_is_not_up_to_date_while_an_accepted_edition_is_missing():
     calendar = SiteCalendar("s", ["a", "b", "c"], 1000)
-    for each in (ONE, taken("a", 2, 150, ONE), taken("b", 1, 150, ONE)):
+    for each in (ONE, acceptance_entry("a", 2, 150, ONE), acceptance_entry("b", 1, 150, ONE)):
         calendar.event(each)
     calendar.advance_watermark("b", 5000)
     assert calendar.is_up_to_date(5500, "a", ["a", "b"]) and not calendar.is_up_to_date(6500, "a", ["a", "b"])
     assert not calendar.is_up_to_date(5500, "a", ["a", "c"])
-    calendar.event(taken("b", 2, 2100, TWO))
+    calendar.event(acceptance_entry("b", 2, 2100, TWO))
     assert not calendar.is_up_to_date(5500, "a", ["a", "b"])
     calendar.event(TWO)
     assert calendar.is_up_to_date(5500, "a", ["a", "b"])
-    calendar.event(taken("x", 3, 2100, written(9, 9, [], "x", 7)))  # of no edge of the site
+    calendar.event(acceptance_entry("x", 3, 2100, edition_entry(9, 9, [], "x", 7)))  # of no edge of the site
     assert calendar.is_up_to_date(5500, "a", ["a", "b"])
 
 
-def test_editions_that_were_replaced_are_forgotten_within_a_bound():
+def test_replaced_editions_are_removed_beyond_the_limit():
     calendar = SiteCalendar("s", ["a"], 10)
     for number in range(1, MAX_EDITIONS + 40):
-        each = written(number, number * 100, [["close", "2026-01-01", 10_000_000]], seq=2 * number)
+        each = edition_entry(number, number * 100, [["close", "2026-01-01", 10_000_000]], seq=2 * number)
         calendar.event(each)
-        calendar.event(taken("a", 2 * number + 1, number * 100 + 1, each))
-    first = written(1, 100, [["close", "2026-01-01", 10_000_000]], seq=2)
-    calendar.event(first), calendar.event(taken("a", 3, 101, first))
+        calendar.event(acceptance_entry("a", 2 * number + 1, number * 100 + 1, each))
+    first = edition_entry(1, 100, [["close", "2026-01-01", 10_000_000]], seq=2)
+    calendar.event(first), calendar.event(acceptance_entry("a", 3, 101, first))
     assert len(calendar.editions) == MAX_EDITIONS and not calendar.missing
     assert calendar.edition_in_force(10**6).number == MAX_EDITIONS + 39
 
@@ -300,32 +303,32 @@
 
 
 def local_minutes():
-    """By zone, the farthest local time that each quarter of the year came to, as minutes since 1970."""
+    """By zone, the latest local time up to each quarter of an hour of the year, in minutes since 1970."""
     start = int(dt.datetime(2025, 12, 29, tzinfo=dt.UTC).timestamp())
     quarters = range(start, start + 900 * 96 * 440, 900)
-    told = {}
+    by_zone = {}
     for name in ZONES:
         with importlib.resources.files("tzdata").joinpath("zoneinfo", *name.split("/")).open("rb") as file:
             zone, found = ZoneInfo.from_file(file), []
-        for second in quarters[::2]:  # no zone's clock is set but at whole and half hours of UTC
+        for second in quarters[::2]:  # all zones change their clocks only at whole and half hours of UTC
             offset = int(dt.datetime.fromtimestamp(second, zone).utcoffset().total_seconds())
             found += [(second + offset) // 60, (second + offset) // 60 + 15]
-        told[name] = list(itertools.accumulate(found, max)), quarters
-    return told
+        by_zone[name] = list(itertools.accumulate(found, max)), quarters
+    return by_zone
 
 
 @functools.lru_cache
-def free_days(country):
+def holidays_of(country):
     return {str(each) for each in holidays.country_holidays(country, years=[2026, 2027])}
 
 
-def reference(site, walks, first, days):
-    """By rule and date, the instant, from the statement alone."""
-    reached, quarters = walks[site["zone"]]
-    free = set(site["holidays"])
+def reference(site, local_times_by_zone, first, days):
+    """The instants by rule and date, computed from the specification only."""
+    local_times, quarters = local_times_by_zone[site["zone"]]
+    holiday_dates = set(site["holidays"])
     if site["country"]:
-        free |= free_days(site["country"])
-    told = {}
+        holiday_dates |= holidays_of(site["country"])
+    instants = {}
     for given_rule in site["rules"]:
         special = {each["date"]: each["at"] for each in given_rule["exceptions"]}
         for n in range(days):
@@ -337,17 +340,19 @@
                 "weekdays"
             ]:
                 at = "none"
-            elif str(date) in free and given_rule["holidays"] != "usual":
+            elif str(date) in holiday_dates and given_rule["holidays"] != "usual":
                 at = given_rule["holidays"]
             if at != "none":
                 hour, minute = map(int, at.split(":"))
                 target = (date - dt.date(1970, 1, 1)).days * 1440 + hour * 60 + minute
-                told[given_rule["name"], str(date)] = quarters[bisect.bisect_left(reached, target)] * 1000
-    return told
+                instants[given_rule["name"], str(date)] = (
+                    quarters[bisect.bisect_left(local_times, target)] * 1000
+                )
+    return instants
 
 
-def drawn(chance, number):
-    """A site, and how it changes in the course of the year: its rules, its zone, its holidays."""
+def random_site_versions(chance, number):
+    """A random site and its changes in the course of the year: (day, site) with new rules, zone and holidays."""
 
     def at():
         return f"{chance.choice([0, 1, 2, 3, 12, 17, 18, 19, 20, 21, 22, 23]):02}:{chance.choice([0, 15, 30, 45]):02}"
@@ -372,18 +377,18 @@
     return [(0, one()), *((day, one()) for day in changes)]
 
 
-def year_of(number, walks, make=edition):
-    """One site's year: what was fired, by rule and date, and what the reference expects. Count of firings."""
+def year_of(number, local_times_by_zone, make=edition):
+    """One site's year: purges by rule and date, what the reference expects, and the count of purges."""
     chance = random.Random(f"year {number}")
     name, notice = f"s{number}", 10_000
     calendar = SiteCalendar(name, ["a", "b", "c"], notice)
-    starts, seq, when = drawn(chance, number), 0, {}
-    plan = []  # each wording, and its renewals every 45 days until the next one
+    starts, seq, versions = random_site_versions(chance, number), 0, {}
+    renewals = []  # each version of the settings, and its renewals every 45 days until the next
     for i, (day, site) in enumerate(starts):
         end = starts[i + 1][0] if i + 1 < len(starts) else 364
-        plan += [(each, site) for each in range(day, end, 45)]
+        renewals += [(each, site) for each in range(day, end, 45)]
     bodies = []
-    for count, (day, site) in enumerate(plan, 1):
+    for count, (day, site) in enumerate(renewals, 1):
         at = (
             int(dt.datetime(2026, 1, 1, tzinfo=dt.UTC).timestamp() * 1000)
             + day * 86_400_000
@@ -391,63 +396,74 @@
             + chance.randrange(80_000_000)
         )
         bodies.append((at, site, count))
-    fired, expected = {}, {}
+    purges, expected = {}, {}
     for at, site, count in bodies:
         first = today(site["zone"], at)
         body = make(site, count, first, 60)
         seq += 1
-        brought = Entry(f"calendar/{name}", "a", 1, seq, Timestamp(at, 0), (), msgspec.json.encode(body))
-        calendar.event(brought)
+        edition_event = Entry(
+            f"calendar/{name}", "a", 1, seq, Timestamp(at, 0), (), msgspec.json.encode(body)
+        )
+        calendar.event(edition_event)
         for edge, delay in (("a", 10), ("b", 700), ("c", 1500)):
             seq += 1
-            told = {"what": "taken", "site": name, "number": count, "of": ["a", 1, brought.seq]}
+            acceptance = {"what": "taken", "site": name, "number": count, "of": ["a", 1, edition_event.seq]}
             calendar.event(
                 Entry(
-                    f"calendar/{name}", edge, 1, seq, Timestamp(at + delay, 0), (), msgspec.json.encode(told)
+                    f"calendar/{name}",
+                    edge,
+                    1,
+                    seq,
+                    Timestamp(at + delay, 0),
+                    (),
+                    msgspec.json.encode(acceptance),
                 )
             )
             calendar.advance_watermark(edge, at + 2000)
-        when[count] = (at + 700 + notice, reference(site, walks, first, 60))
+        versions[count] = (at + 700 + notice, reference(site, local_times_by_zone, first, 60))
     end = bodies[-1][0] + 20 * 86_400_000
     due = calendar.due_occurrences(0, end)
     for each in due:
-        assert (each.occurrence.rule, each.occurrence.date) not in fired, "twice"
-        fired[each.occurrence.rule, each.occurrence.date] = (each.number, each.instant_ms)
-    for count in sorted(when):
-        until = min(when[count + 1][0] if count + 1 in when else end + 1, end + 1)
-        for moment, instant in sorted(when[count][1].items()):
-            if moment not in expected and instant < until:
-                expected[moment] = (count, instant)
-    return fired, expected, len(due)
+        assert (each.occurrence.rule, each.occurrence.date) not in purges, "an occurrence is due twice"
+        purges[each.occurrence.rule, each.occurrence.date] = (each.number, each.instant_ms)
+    for count in sorted(versions):
+        until = min(versions[count + 1][0] if count + 1 in versions else end + 1, end + 1)
+        for occurrence, instant in sorted(versions[count][1].items()):
+            if occurrence not in expected and instant < until:
+                expected[occurrence] = (count, instant)
+    return purges, expected, len(due)
 
 
 @pytest.fixture(scope="module")
-def walks():
+def local_times_by_zone():
     return local_minutes()
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_a_year_of_calendars_for_400_sites_against_a_plain_reference(walks, part):
-    firings = moved = 0
+def test_a_year_of_calendars_of_400_sites_matches_the_reference(local_times_by_zone, part):
+    purge_count = moved = 0
     for number in range(100 * part, 100 * part + 100):
-        fired, expected, count = year_of(number, walks)
-        assert fired == expected, f"site {number}"
-        firings += count
-        moved += len({site["zone"] for _, site in drawn(random.Random(f"year {number}"), number)}) > 1
-    assert firings > 30_000 and moved > 35
+        purges, expected, count = year_of(number, local_times_by_zone)
+        assert purges == expected, f"site {number}"
+        purge_count += count
+        moved += (
+            len({site["zone"] for _, site in random_site_versions(random.Random(f"year {number}"), number)})
+            > 1
+        )
+    assert purge_count > 30_000 and moved > 35
 
 
 def by_utc_date(site, number, first, days):
-    """The mistake of a purge keyed by its date in UTC."""
+    """Seeded fault: purges are identified by their date in UTC."""
     body = edition(site, number, first, days)
-    told = {}
+    first_ms = {}
     for given_rule, _, ms in body["instants"]:
-        told.setdefault((given_rule, utc(ms)[:10]), ms)
-    return {**body, "instants": [[given_rule, date, ms] for (given_rule, date), ms in told.items()]}
+        first_ms.setdefault((given_rule, utc(ms)[:10]), ms)
+    return {**body, "instants": [[given_rule, date, ms] for (given_rule, date), ms in first_ms.items()]}
 
 
 def second_of_two(site, number, first, days):
-    """The mistake of an hour that comes twice and is taken the second time."""
+    """Seeded fault: of an hour that occurs twice the second one is used."""
     body = edition(site, number, first, days)
     zone = zone_of(site["zone"])
     times = {each["name"]: each for each in site["rules"]}
@@ -460,18 +476,18 @@
     return body
 
 
-@pytest.mark.parametrize("mistake", [by_utc_date, second_of_two])
-def test_the_reference_finds_each_seeded_mistake(walks, mistake):
+@pytest.mark.parametrize("fault", [by_utc_date, second_of_two])
+def test_the_reference_finds_each_seeded_fault(local_times_by_zone, fault):
     for number in range(40):
-        fired, expected, _ = year_of(number, walks, mistake)
-        if fired != expected:
+        purges, expected, _ = year_of(number, local_times_by_zone, fault)
+        if purges != expected:
             return
     raise AssertionError("not found")
 
 
 # --- settings ---
 
-SAID = """
+SETTINGS = """
 gateway: {name: "g0"}
 list: address: "127.0.0.1:7000"
 products: [{name: "read", promised: 250ms, client_timeout: 1.5s}, {name: "write", promised: 1s, client_timeout: 2s, writes: true}]
@@ -484,8 +500,8 @@
 """
 
 
-def test_sites_resolve_and_are_written_the_same():
-    record = resolve(SAID, "g.cue")
+def test_sites_resolve_and_are_written_unchanged():
+    record = resolve(SETTINGS, "g.cue")
     assert resolve(write(record), "again.cue") == record
     body = edition(record["sites"][0], 1, dt.date(2026, 12, 21), 12)
     assert [each["scope"] for each in body["rules"]] == [["all", ""], ["volume", "7"]]
@@ -494,12 +510,12 @@
         "2026-12-21",
         "2026-12-24",
         "2026-12-28",
-    ]  # Christmas Day is a Friday and no day of closing
+    ]  # 25 December is a Friday and a holiday, on which the rule does not apply
     assert record["fleet"]["purges"] == {"notice": 10_000.0, "days": 60}
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ("Europe/Berlin", "Europe/Berln", "g.cue:7:48: sites[0].zone can't stand: there is no time zone 'Europe/Berln'"),
         ("Europe/Berlin", "../../etc/passwd", "there is no time zone '../../etc/passwd'"),
@@ -523,16 +539,16 @@
         ("fleet: {", "no: {", "there is no field 'no'"),
     ],
 )  # fmt: skip
-def test_each_mistake_of_sites_is_told_with_its_place(old, new, told):
-    assert old in SAID
-    with pytest.raises(SettingsError) as refused:
-        resolve(SAID.replace(old, new, 1), "g.cue")
-    assert told in str(refused.value)
-    assert all(line.startswith("g.cue:") for line in str(refused.value).split("\n"))
+def test_each_error_in_sites_is_reported_with_its_position(old, new, message):
+    assert old in SETTINGS
+    with pytest.raises(SettingsError) as raised:
+        resolve(SETTINGS.replace(old, new, 1), "g.cue")
+    assert message in str(raised.value)
+    assert all(line.startswith("g.cue:") for line in str(raised.value).split("\n"))
 
 
-def test_sites_without_a_fleet_are_told():
-    text = "\n".join(line for line in SAID.split("\n") if not line.startswith("fleet"))
+def test_sites_without_a_fleet_are_reported():
+    text = "\n".join(line for line in SETTINGS.split("\n") if not line.startswith("fleet"))
     with pytest.raises(SettingsError, match="sites is there without a part `fleet`"):
         resolve(text, "g.cue")
 
@@ -542,8 +558,8 @@
     st.text(max_size=12)
     | st.sampled_from(["Europe", "Europe/", "UTC", "Etc/GMT+5", "posixrules", "tzdata.zi", "zone.tab"])
 )
-def test_any_name_of_a_zone_is_one_or_is_refused(name):
+def test_any_zone_name_is_valid_or_rejected(name):
     try:
         assert zone_of(name).utcoffset(dt.datetime(2026, 1, 1)) is not None
-    except CalendarValueError as trouble:
-        assert "there is no time zone" in str(trouble)
+    except CalendarValueError as error:
+        assert "there is no time zone" in str(error)
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -1,4 +1,6 @@
-"""Copies that a gateway holds: one answer each, one fetch an object, nothing older than a purge or a write."""
+"""The object cache: each request gets one answer, reads of one object share a fetch, and no answer is older than
+a purge or a write.
+"""
 
 import subprocess
 import sys
@@ -25,56 +27,58 @@
 BIG = b"x" * 60_000
 
 
-def serving(data, after=0.02, pieces=1, hold=None):
-    """A node that answers reads with `data()`, in so many parts; `hold`: legs are kept for the test."""
+def serving(data, after=0.02, pieces=1, deferred=None):
+    """A node that answers reads with `data()` in `pieces` chunks. `deferred`: a list that receives a callable per
+    attempt, which sends the answer; without it the answer is sent after `after` seconds.
+    """
 
     def answer(wire, message):
-        told = data()
-        size = len(told)
+        content = data()
+        size = len(content)
         first = size if pieces == 1 else size // pieces
-        wire.say(m.AttemptServed(id=message.id, size=size, body=first), told[:first])
+        wire.say(m.AttemptServed(id=message.id, size=size, body=first), content[:first])
         while first < size:
-            part = told[first : first + size // pieces + 1]
-            first += len(part)
-            wire.say(m.BodyChunk(id=message.id, body=len(part)), part)
+            chunk = content[first : first + size // pieces + 1]
+            first += len(chunk)
+            wire.say(m.BodyChunk(id=message.id, body=len(chunk)), chunk)
 
     def script(wire, message, body):
         if not isinstance(message, m.SendAttempt):
             return
         if message.write:
             wire.network.callLater(after, wire.say, m.AttemptServed(id=message.id))
-        elif hold is not None:
-            hold.append(lambda: answer(wire, message))
+        elif deferred is not None:
+            deferred.append(lambda: answer(wire, message))
         else:
             wire.network.callLater(after, answer, wire, message)
 
     return script
 
 
-class Yard:
-    """A gateway with copies before one scripted node; `may` says whether copies may be used."""
+class GatewayWithCache:
+    """A gateway with an object cache and one scripted node. `may_use`: whether cached objects may be used."""
 
-    def __init__(self, make_yard, script, most=1 << 20, largest=200_000, **changes):
-        self.yard = make_yard(script, **changes)
-        self.gateway = self.yard.gateway
-        self.may = True
-        self.copies = PurgeableObjectCache(
-            self.gateway, ObjectCacheSettings(["read"], most, largest), lambda volume, plan: self.may,
-            lambda: now_ns(self.yard.network),
+    def __init__(self, make_yard, script, max_bytes=1 << 20, max_object_bytes=200_000, **changes):
+        self.harness = make_yard(script, **changes)
+        self.gateway = self.harness.gateway
+        self.may_use = True
+        self.cache = PurgeableObjectCache(
+            self.gateway, ObjectCacheSettings(["read"], max_bytes, max_object_bytes), lambda volume, tenant: self.may_use,
+            lambda: now_ns(self.harness.network),
         )  # fmt: skip
-        self.gateway.object_cache = self.copies
+        self.gateway.object_cache = self.cache
 
     @property
-    def legs(self):
+    def attempts(self):
         return self.gateway.request_log.attempts
 
-    def ask(self, wire, number, key=5, **more):
-        self.yard.ask(wire, number, key=key, **more)
+    def submit(self, wire, number, key=5, **more):
+        self.harness.ask(wire, number, key=key, **more)
 
     def read(self, wire, number, **more):
-        """The bytes of a read, by the client's id."""
-        self.ask(wire, number, **more)
-        self.yard.run(0.5)
+        """Sends a read and returns the bytes of its answer. `number`: the client's request id."""
+        self.submit(wire, number, **more)
+        self.harness.run(0.5)
         return self.bytes_of(wire, number)
 
     def bytes_of(self, wire, number):
@@ -85,102 +89,102 @@
 
 @pytest.fixture
 def make(make_yard):
-    return lambda *args, **more: Yard(make_yard, *args, **more)
-
-
-def test_a_second_read_is_answered_at_once_and_no_leg_is_sent(make):
-    yard = make(serving(lambda: b"lesson"))
-    wire = yard.yard.client()
-    assert yard.read(wire, 1) == b"lesson" and yard.legs == 1
-    yard.ask(wire, 2)
-    yard.yard.network.advance(0.005)
-    assert yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
-    # It counts as other jobs do, and its story is told once.
-    assert yard.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not yard.gateway.in_flight
-    assert [(each.outcome, len(each.attempts)) for each in yard.yard.stories] == [
+    return lambda *args, **more: GatewayWithCache(make_yard, *args, **more)
+
+
+def test_a_second_read_is_answered_at_once_without_an_attempt(make):
+    cached = make(serving(lambda: b"lesson"))
+    wire = cached.harness.client()
+    assert cached.read(wire, 1) == b"lesson" and cached.attempts == 1
+    cached.submit(wire, 2)
+    cached.harness.network.advance(0.005)
+    assert cached.bytes_of(wire, 2) == b"lesson" and cached.attempts == 1
+    # It is counted as any other request, and its record is written once.
+    assert cached.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not cached.gateway.in_flight
+    assert [(each.outcome, len(each.attempts)) for each in cached.harness.stories] == [
         (RequestOutcome.SERVED, n) for n in (1, 0)
     ]
-    assert yard.gateway.request_log.open == 0 and not yard.gateway.request_log.requests
+    assert cached.gateway.request_log.open == 0 and not cached.gateway.request_log.requests
 
 
-def test_what_makes_two_reads_the_same(make):
-    yard = make(serving(lambda: b"lesson"))
-    wire = yard.yard.client()
+def test_fields_that_make_two_reads_share_a_cached_object(make):
+    cached = make(serving(lambda: b"lesson"))
+    wire = cached.harness.client()
     different = [{}, {"key": 6}, {"volume": 2}, {"units": 2.0}, {"plan": "p1"}, {"shard": -1}, {"shard": -1}]
     for number, more in enumerate(different, 1):
-        yard.read(wire, number, **more)
-    assert yard.legs == len(different)  # a new object, without a shard, is never held
+        cached.read(wire, number, **more)
+    assert cached.attempts == len(different)  # a new object, which has no shard, is never cached
     for number, more in enumerate(different[:-2], 100):
-        assert yard.read(wire, number, **more) == b"lesson"
-    assert yard.legs == len(different)
+        assert cached.read(wire, number, **more) == b"lesson"
+    assert cached.attempts == len(different)
 
 
-def test_reads_of_one_object_share_one_fetch_in_parts(make):
-    held = []
-    yard = make(serving(lambda: BIG, pieces=4, hold=held))
-    wires = [yard.yard.client() for _ in range(4)]
+def test_reads_of_one_object_share_one_fetch_in_several_chunks(make):
+    deferred = []
+    cached = make(serving(lambda: BIG, pieces=4, deferred=deferred))
+    wires = [cached.harness.client() for _ in range(4)]
     for wire in wires:
-        yard.ask(wire, 1)
-        yard.yard.run(0.01)
-    assert yard.legs == 1 and yard.gateway.request_log.open == 4
-    held.pop()()
-    yard.yard.run(0.3)
-    assert [yard.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
-    assert yard.gateway.request_log.outcomes[RequestOutcome.SERVED] == 4 and not yard.gateway.in_flight
-    assert yard.read(wires[0], 2) == BIG and yard.legs == 1
+        cached.submit(wire, 1)
+        cached.harness.run(0.01)
+    assert cached.attempts == 1 and cached.gateway.request_log.open == 4
+    deferred.pop()()
+    cached.harness.run(0.3)
+    assert [cached.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
+    assert cached.gateway.request_log.outcomes[RequestOutcome.SERVED] == 4 and not cached.gateway.in_flight
+    assert cached.read(wires[0], 2) == BIG and cached.attempts == 1
 
 
-def test_one_that_asks_while_the_answer_comes_shares_it_too(make):
-    parts = []
+def test_a_read_during_the_answer_of_a_fetch_shares_it(make):
+    deferred = []
 
     def script(wire, message, body):
         if isinstance(message, m.SendAttempt):
             wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
-            parts.append(lambda: wire.say(m.BodyChunk(id=message.id, body=3), b"son"))
-
-    yard = make(script)
-    wire = yard.yard.client()
-    yard.ask(wire, 1)
-    yard.yard.run(0.05)
-    yard.ask(wire, 2)
-    yard.yard.run(0.05)
-    assert yard.bytes_of(wire, 2) == b"les"
-    parts.pop()()
-    yard.yard.run(0.05)
-    assert yard.bytes_of(wire, 1) == yard.bytes_of(wire, 2) == b"lesson" and yard.legs == 1
-
-
-def test_when_a_fetch_comes_to_nothing_one_of_those_who_wait_fetches(make):
-    held = []
-    yard = make(serving(lambda: b"lesson", hold=held))
-    first, *others = (yard.yard.client() for _ in range(4))
+            deferred.append(lambda: wire.say(m.BodyChunk(id=message.id, body=3), b"son"))
+
+    cached = make(script)
+    wire = cached.harness.client()
+    cached.submit(wire, 1)
+    cached.harness.run(0.05)
+    cached.submit(wire, 2)
+    cached.harness.run(0.05)
+    assert cached.bytes_of(wire, 2) == b"les"
+    deferred.pop()()
+    cached.harness.run(0.05)
+    assert cached.bytes_of(wire, 1) == cached.bytes_of(wire, 2) == b"lesson" and cached.attempts == 1
+
+
+def test_when_a_fetch_is_cancelled_one_of_the_waiting_reads_fetches(make):
+    deferred = []
+    cached = make(serving(lambda: b"lesson", deferred=deferred))
+    first, *others = (cached.harness.client() for _ in range(4))
     for wire in (first, *others):
-        yard.ask(wire, 1)
-        yard.yard.run(0.01)
+        cached.submit(wire, 1)
+        cached.harness.run(0.01)
     first.transport.loseConnection()
-    yard.yard.run(0.02)
-    assert yard.legs == 2 and len(held) == 2
-    held.pop()()
-    yard.yard.run(0.3)
-    assert [yard.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
+    cached.harness.run(0.02)
+    assert cached.attempts == 2 and len(deferred) == 2
+    deferred.pop()()
+    cached.harness.run(0.3)
+    assert [cached.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
     assert (
-        yard.gateway.request_log.outcomes[RequestOutcome.CLIENT_CLOSED] == 1
-        and yard.gateway.request_log.open == 0
+        cached.gateway.request_log.outcomes[RequestOutcome.CLIENT_CLOSED] == 1
+        and cached.gateway.request_log.open == 0
     )
 
 
-def test_nodes_that_never_answer_leave_each_job_its_one_answer_in_time(make):
-    yard = make(lambda wire, message, body: None, Limits__MaxAttempts="1")
-    wires = [yard.yard.client() for _ in range(3)]
+def test_each_waiting_request_ends_once_and_in_time_if_nodes_never_answer(make):
+    cached = make(lambda wire, message, body: None, Limits__MaxAttempts="1")
+    wires = [cached.harness.client() for _ in range(3)]
     for wire in wires:
-        yard.ask(wire, 1)
-        yard.yard.run(0.1)
-    yard.yard.run(2.0)
+        cached.submit(wire, 1)
+        cached.harness.run(0.1)
+    cached.harness.run(2.0)
     ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
-    assert ends == [1, 1, 1] and yard.gateway.request_log.open == 0 and not yard.copies.waiting
+    assert ends == [1, 1, 1] and cached.gateway.request_log.open == 0 and not cached.cache.waiting
 
 
-def test_an_answer_that_breaks_off_is_no_copy_and_ends_those_who_shared_it(make):
+def test_an_aborted_answer_is_not_cached_and_fails_the_reads_that_share_it(make):
     wires = []
 
     def script(wire, message, body):
@@ -188,325 +192,341 @@
             wires.append(wire)
             wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
 
-    yard = make(script, Limits__MaxAttempts="1")
-    one, two = yard.yard.client(), yard.yard.client()
-    yard.ask(one, 1)
-    yard.yard.run(0.02)
-    yard.ask(two, 1)
-    yard.yard.run(0.02)
+    cached = make(script, Limits__MaxAttempts="1")
+    one, two = cached.harness.client(), cached.harness.client()
+    cached.submit(one, 1)
+    cached.harness.run(0.02)
+    cached.submit(two, 1)
+    cached.harness.run(0.02)
     wires[0].transport.loseConnection()
-    yard.yard.run(0.1)
+    cached.harness.run(0.1)
     assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
-    closings = yard.gateway.request_log.outcomes
-    assert closings[RequestOutcome.FAILED] == 2 and not closings[RequestOutcome.SERVED]
-    assert not yard.copies.store.objects and not yard.gateway.in_flight and not yard.copies.readers.by_request
-
-
-def test_a_write_drops_the_copy_and_bars_the_fetch_under_way(make):
-    """Guards against an old value that is held although its write was answered."""
-    held, value = [], [b"old"]
-    yard = make(serving(lambda: value[0], hold=held))
-    wire = yard.yard.client()
-    yard.ask(wire, 1)
-    yard.yard.run(0.05)
-    yard.ask(wire, 2, product="mark", body=b"new")
-    yard.yard.run(0.1)
-    held.pop()()  # the read began before the write, and its answer is the old value
-    yard.yard.run(0.1)
-    assert yard.bytes_of(wire, 1) == b"old" and not yard.copies.store.objects
+    outcomes = cached.gateway.request_log.outcomes
+    assert outcomes[RequestOutcome.FAILED] == 2 and not outcomes[RequestOutcome.SERVED]
+    assert (
+        not cached.cache.store.objects
+        and not cached.gateway.in_flight
+        and not cached.cache.readers.by_request
+    )
+
+
+def test_a_write_removes_the_cached_object_and_bars_the_fetch_in_progress(make):
+    """Guards against an old value that is cached although the write that replaced it was answered."""
+    deferred, value = [], [b"old"]
+    cached = make(serving(lambda: value[0], deferred=deferred))
+    wire = cached.harness.client()
+    cached.submit(wire, 1)
+    cached.harness.run(0.05)
+    cached.submit(wire, 2, product="mark", body=b"new")
+    cached.harness.run(0.1)
+    deferred.pop()()  # the read began before the write and returns the old value
+    cached.harness.run(0.1)
+    assert cached.bytes_of(wire, 1) == b"old" and not cached.cache.store.objects
     value[0] = b"new"
-    yard.ask(wire, 3)
-    yard.yard.run(0.1)
-    held.pop()()
-    yard.yard.run(0.1)
-    assert yard.bytes_of(wire, 3) == b"new" and len(yard.copies.store.objects) == 1
-    yard.ask(wire, 4, product="mark", body=b"newer")
-    yard.yard.run(0.001)
-    assert not yard.copies.store.objects
-
-
-def test_after_a_write_that_may_still_come_its_object_is_not_held(make):
-    yard = make(serving(lambda: b"old"))
-    wire = yard.yard.client()
-    yard.ask(wire, 1, product="bind", body=b"new")
-    yard.yard.run(0.01)
+    cached.submit(wire, 3)
+    cached.harness.run(0.1)
+    deferred.pop()()
+    cached.harness.run(0.1)
+    assert cached.bytes_of(wire, 3) == b"new" and len(cached.cache.store.objects) == 1
+    cached.submit(wire, 4, product="mark", body=b"newer")
+    cached.harness.run(0.001)
+    assert not cached.cache.store.objects
+
+
+def test_an_object_is_not_cached_after_a_write_that_may_still_take_effect(make):
+    cached = make(serving(lambda: b"old"))
+    wire = cached.harness.client()
+    cached.submit(wire, 1, product="bind", body=b"new")
+    cached.harness.run(0.01)
     wire.say(m.CancelRequest(id=1))
-    yard.yard.run(0.2)
-    assert yard.read(wire, 2) == yard.read(wire, 3) == b"old"
-    assert not yard.copies.store.objects and yard.copies.writes.uncertain_until
-    yard.yard.run(61)
-    yard.read(wire, 4)
-    assert len(yard.copies.store.objects) == 1
-
-
-def test_while_no_copy_may_be_used_reads_share_the_next_fetch_and_none_from_before_them(make):
-    held, value = [], [b"kept"]
-    yard = make(serving(lambda: value[0], hold=held))
-    wire = yard.yard.client()
-    yard.ask(wire, 1)
-    yard.yard.run(0.01)
-    held.pop()()
-    yard.yard.run(0.1)
-    yard.may, value[0] = False, b"old"
+    cached.harness.run(0.2)
+    assert cached.read(wire, 2) == cached.read(wire, 3) == b"old"
+    assert not cached.cache.store.objects and cached.cache.writes.uncertain_until
+    cached.harness.run(61)
+    cached.read(wire, 4)
+    assert len(cached.cache.store.objects) == 1
+
+
+def test_while_the_cache_may_not_be_used_reads_share_the_next_fetch_and_no_earlier_one(make):
+    deferred, value = [], [b"kept"]
+    cached = make(serving(lambda: value[0], deferred=deferred))
+    wire = cached.harness.client()
+    cached.submit(wire, 1)
+    cached.harness.run(0.01)
+    deferred.pop()()
+    cached.harness.run(0.1)
+    cached.may_use, value[0] = False, b"old"
     for number in (2, 3, 4):
-        yard.ask(wire, number)
-    yard.yard.run(0.01)
-    assert yard.legs == 2 and len(yard.copies.waiting) == 2
-    held.pop()()
-    yard.yard.run(0.01)
-    assert yard.bytes_of(wire, 2) == b"old" and yard.legs == 3  # one for both, begun after they asked
-    yard.ask(wire, 5)
-    yard.yard.run(0.01)
+        cached.submit(wire, number)
+    cached.harness.run(0.01)
+    assert cached.attempts == 2 and len(cached.cache.waiting) == 2
+    deferred.pop()()
+    cached.harness.run(0.01)
+    # One fetch for both, begun after they were received
+    assert cached.bytes_of(wire, 2) == b"old" and cached.attempts == 3
+    cached.submit(wire, 5)
+    cached.harness.run(0.01)
     value[0] = b"new"
-    held.pop()()
-    yard.yard.run(0.01)
-    assert yard.bytes_of(wire, 3) == yard.bytes_of(wire, 4) == b"new" and not yard.bytes_of(wire, 5)
-    assert yard.legs == 4
-    held.pop()()
-    yard.yard.run(0.01)
-    assert yard.bytes_of(wire, 5) == b"new" and not yard.copies.barred_fetches and not yard.copies.waiting
-    assert yard.copies.counts.bypassed == 3 and yard.copies.counts.joined == 1
-    yard.may = True
-    assert yard.read(wire, 6) == b"kept" and yard.legs == 4  # the copy from before stands again
-
-
-def test_while_no_copy_may_be_used_those_behind_a_fetch_that_fails_or_is_left_go_on(make):
-    held = []
-    yard = make(serving(lambda: BIG * 4, pieces=4, hold=held))
-    yard.may = False
-    first, wire = yard.yard.client(), yard.yard.client()
-    yard.ask(first, 1)
-    yard.yard.run(0.01)
+    deferred.pop()()
+    cached.harness.run(0.01)
+    assert cached.bytes_of(wire, 3) == cached.bytes_of(wire, 4) == b"new" and not cached.bytes_of(wire, 5)
+    assert cached.attempts == 4
+    deferred.pop()()
+    cached.harness.run(0.01)
+    assert cached.bytes_of(wire, 5) == b"new" and not cached.cache.barred_fetches and not cached.cache.waiting
+    assert cached.cache.counts.bypassed == 3 and cached.cache.counts.joined == 1
+    cached.may_use = True
+    # The object that was cached before is used again
+    assert cached.read(wire, 6) == b"kept" and cached.attempts == 4
+
+
+def test_while_the_cache_may_not_be_used_reads_behind_a_cancelled_or_too_large_fetch_continue(make):
+    deferred = []
+    cached = make(serving(lambda: BIG * 4, pieces=4, deferred=deferred))
+    cached.may_use = False
+    first, wire = cached.harness.client(), cached.harness.client()
+    cached.submit(first, 1)
+    cached.harness.run(0.01)
     for number in (2, 3):
-        yard.ask(wire, number)
-    yard.yard.run(0.01)
-    assert yard.legs == 1
+        cached.submit(wire, number)
+    cached.harness.run(0.01)
+    assert cached.attempts == 1
     first.transport.loseConnection()
-    yard.yard.run(0.01)
-    assert yard.legs == 2 and len(yard.copies.waiting) == 1
-    held[1]()  # too large to be shared: the other asks for itself
-    yard.yard.run(0.01)
-    assert yard.legs == 3 and not yard.copies.waiting
-    held[2]()
-    yard.yard.run(0.5)
-    assert yard.bytes_of(wire, 2) == yard.bytes_of(wire, 3) == BIG * 4
+    cached.harness.run(0.01)
+    assert cached.attempts == 2 and len(cached.cache.waiting) == 1
+    deferred[1]()  # too large to be shared: the other read sends its own attempt
+    cached.harness.run(0.01)
+    assert cached.attempts == 3 and not cached.cache.waiting
+    deferred[2]()
+    cached.harness.run(0.5)
+    assert cached.bytes_of(wire, 2) == cached.bytes_of(wire, 3) == BIG * 4
 
 
 @pytest.mark.parametrize("scope", [ALL, Scope("plan", "p0"), Scope("volume", "1")])
-def test_a_purge_bars_its_scope_at_once_and_what_is_under_way(make, scope):
-    held, value = [], [b"old"]
-    yard = make(serving(lambda: value[0], hold=held))
-    wire = yard.yard.client()
-    yard.ask(wire, 1)
-    yard.yard.run(0.05)
-    held.pop()()
-    yard.yard.run(0.05)
-    yard.ask(wire, 2, key=6)
-    yard.yard.run(0.05)
-    assert yard.copies.drop(scope) == 1
-    yard.ask(wire, 3, key=6)
-    yard.yard.run(0.05)
-    assert yard.legs == 3  # nobody of after the moment joins the fetch from before it
-    held[0]()
-    yard.yard.run(0.05)
-    assert yard.bytes_of(wire, 2) == b"old" and not yard.bytes_of(wire, 3)
+def test_a_purge_bars_its_scope_and_fetches_in_progress_at_once(make, scope):
+    deferred, value = [], [b"old"]
+    cached = make(serving(lambda: value[0], deferred=deferred))
+    wire = cached.harness.client()
+    cached.submit(wire, 1)
+    cached.harness.run(0.05)
+    deferred.pop()()
+    cached.harness.run(0.05)
+    cached.submit(wire, 2, key=6)
+    cached.harness.run(0.05)
+    assert cached.cache.drop(scope) == 1
+    cached.submit(wire, 3, key=6)
+    cached.harness.run(0.05)
+    assert cached.attempts == 3  # a read after the purge does not join a fetch from before it
+    deferred[0]()
+    cached.harness.run(0.05)
+    assert cached.bytes_of(wire, 2) == b"old" and not cached.bytes_of(wire, 3)
     value[0] = b"new"
-    held[1]()
-    yard.ask(wire, 4)
-    yard.yard.run(0.05)
-    assert yard.legs == 4  # what was held before is no answer either
-    held[2]()
-    yard.yard.run(0.05)
-    assert yard.bytes_of(wire, 3) == yard.bytes_of(wire, 4) == b"new"
-    assert yard.copies.drop(Scope("plan", "p1")) == yard.copies.drop(Scope("volume", "9")) == 0
-    assert yard.read(wire, 5) == b"new" and yard.legs == 4
-
-
-def test_an_answer_on_its_way_from_a_copy_breaks_off_at_the_purge(make):
-    yard = make(serving(lambda: BIG * 2, pieces=4))
-    wire = yard.yard.client()
-    assert yard.read(wire, 1) == BIG * 2
-    wire.transport.pauseProducing()  # a client that takes nothing more
+    deferred[1]()
+    cached.submit(wire, 4)
+    cached.harness.run(0.05)
+    assert cached.attempts == 4  # an object cached before the purge is not used either
+    deferred[2]()
+    cached.harness.run(0.05)
+    assert cached.bytes_of(wire, 3) == cached.bytes_of(wire, 4) == b"new"
+    assert cached.cache.drop(Scope("plan", "p1")) == cached.cache.drop(Scope("volume", "9")) == 0
+    assert cached.read(wire, 5) == b"new" and cached.attempts == 4
+
+
+def test_a_purge_aborts_answers_that_are_sent_from_a_cached_object(make):
+    cached = make(serving(lambda: BIG * 2, pieces=4))
+    wire = cached.harness.client()
+    assert cached.read(wire, 1) == BIG * 2
+    wire.transport.pauseProducing()  # the client stops reading
     for number in range(2, 40):
-        yard.ask(wire, number)
-    yard.yard.run(0.05)
-    slow = len(yard.copies.readers.by_request)
-    assert 30 < slow < 39  # each has one piece written at most, however much it asked for
-    assert yard.copies.drop(ALL) == 1 and not yard.copies.readers.by_request
-    assert yard.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not yard.gateway.in_flight
+        cached.submit(wire, number)
+    cached.harness.run(0.05)
+    slow = len(cached.cache.readers.by_request)
+    assert 30 < slow < 39  # at most one chunk is written for each, however large its answer
+    assert cached.cache.drop(ALL) == 1 and not cached.cache.readers.by_request
+    assert cached.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not cached.gateway.in_flight
     wire.transport.resumeProducing()
-    yard.yard.run(0.5)
+    cached.harness.run(0.5)
     assert len(wire.told(m.RequestFailed)) == slow
     assert len(wire.told(m.RequestServed)) == 39
 
 
-def test_slow_clients_beyond_the_bound_ask_the_nodes(make):
-    yard = make(serving(lambda: BIG * 2, pieces=4), Limits__Multiplex="1024")
-    wire = yard.yard.client()
-    yard.read(wire, 1)
+def test_reads_of_slow_clients_beyond_the_limit_are_sent_to_nodes(make):
+    cached = make(serving(lambda: BIG * 2, pieces=4), Limits__Multiplex="1024")
+    wire = cached.harness.client()
+    cached.read(wire, 1)
     wire.transport.pauseProducing()
     for number in range(2, MAX_READERS + 30):
-        yard.ask(wire, number)
-    yard.yard.run(0.05)
-    assert len(yard.copies.readers.by_request) == MAX_READERS and yard.legs > 1 and not yard.copies.fetches
+        cached.submit(wire, number)
+    cached.harness.run(0.05)
+    assert (
+        len(cached.cache.readers.by_request) == MAX_READERS
+        and cached.attempts > 1
+        and not cached.cache.fetches
+    )
 
 
-def test_a_large_purge_goes_in_bounded_steps_and_nothing_of_it_is_served_meanwhile():
-    copies = PurgeableObjectCache(
-        Desk(), ObjectCacheSettings(["read"], 1 << 22, 4000), lambda volume, plan: True, lambda: 0
+def test_a_large_purge_removes_objects_in_bounded_steps_and_serves_none_meanwhile():
+    cache = PurgeableObjectCache(
+        RecordingGateway(),
+        ObjectCacheSettings(["read"], 1 << 22, 4000),
+        lambda volume, tenant: True,
+        lambda: 0,
     )
 
-    def read(job, key):
-        through = copies.request_received(
-            job, Request("read", "p", 1, SECOND, 0, key, 1.0, 0), False, 9, Asker()
+    def read(request_id, key):
+        fetch_handler = cache.request_received(
+            request_id, Request("read", "p", 1, SECOND, 0, key, 1.0, 0), False, 9, RecordingHandler()
         )
-        if through is not None:
-            through.served(job, 3, 0)
-            through.body_chunk(job, b"old")
-        return through is not None
+        if fetch_handler is not None:
+            fetch_handler.served(request_id, 3, 0)
+            fetch_handler.body_chunk(request_id, b"old")
+        return fetch_handler is not None
 
     assert all(read(key, key) for key in range(600)) and not read(600, 1)
-    assert copies.drop(ALL) == 600 and copies.step(256) and len(copies.store.objects) == 344
-    assert read(601, 1) and not read(602, 1)  # asked for anew while the drop goes on
-    while copies.step(256):
+    assert cache.drop(ALL) == 600 and cache.step(256) and len(cache.store.objects) == 344
+    assert read(601, 1) and not read(602, 1)  # fetched again while the purged objects are being removed
+    while cache.step(256):
         pass
-    assert [key.key for key in copies.store.objects] == [1] and len(copies.store.by_tenant_volume) == len(
-        copies.store.by_volume_object
+    assert [key.key for key in cache.store.objects] == [1] and len(cache.store.by_tenant_volume) == len(
+        cache.store.by_volume_object
     ) == 1
 
 
-def test_bounded_by_bytes_and_by_the_size_of_one(make):
+def test_limits_of_total_bytes_and_object_size(make):
     value = [b"x" * 1000]
-    room = 3 * (1000 + OBJECT_OVERHEAD_BYTES)
-    yard = make(serving(lambda: value[0]), most=room, largest=1000)
-    wire = yard.yard.client()
+    capacity = 3 * (1000 + OBJECT_OVERHEAD_BYTES)
+    cached = make(serving(lambda: value[0]), max_bytes=capacity, max_object_bytes=1000)
+    wire = cached.harness.client()
     for number in range(1, 6):
-        yard.read(wire, number, key=number)
-    assert [each.key for each in yard.copies.store.objects] == [
+        cached.read(wire, number, key=number)
+    assert [each.key for each in cached.cache.store.objects] == [
         3,
         4,
         5,
-    ] and yard.copies.store.objects.currsize <= room
+    ] and cached.cache.store.objects.currsize <= capacity
     value[0] = b"y" * 1001
-    two = yard.yard.client()
-    yard.ask(wire, 10, key=10)
-    yard.ask(two, 10, key=10)
-    yard.yard.run(0.5)
-    assert yard.bytes_of(wire, 10) == yard.bytes_of(two, 10) == value[0] and yard.legs == 7
-    assert len(yard.copies.store.by_volume_object) == 3 and not yard.copies.fetches
-
-
-def test_a_drain_waits_for_those_who_share_a_fetch(make):
-    held, left = [], []
-    yard = make(serving(lambda: b"lesson", hold=held))
-    yard.gateway.on_drained.append(lambda: left.append(1))
-    wires = [yard.yard.client() for _ in range(2)]
+    two = cached.harness.client()
+    cached.submit(wire, 10, key=10)
+    cached.submit(two, 10, key=10)
+    cached.harness.run(0.5)
+    assert cached.bytes_of(wire, 10) == cached.bytes_of(two, 10) == value[0] and cached.attempts == 7
+    assert len(cached.cache.store.by_volume_object) == 3 and not cached.cache.fetches
+
+
+def test_a_drain_waits_for_reads_that_share_a_fetch(make):
+    deferred, drained = [], []
+    cached = make(serving(lambda: b"lesson", deferred=deferred))
+    cached.gateway.on_drained.append(lambda: drained.append(1))
+    wires = [cached.harness.client() for _ in range(2)]
     for wire in wires:
-        yard.ask(wire, 1)
-        yard.yard.run(0.01)
-    yard.gateway.drain()
-    yard.yard.run(0.02)
-    assert not left
-    held.pop()()
-    yard.yard.run(0.05)
-    assert left == [1] and [yard.bytes_of(wire, 1) for wire in wires] == [b"lesson"] * 2
+        cached.submit(wire, 1)
+        cached.harness.run(0.01)
+    cached.gateway.drain()
+    cached.harness.run(0.02)
+    assert not drained
+    deferred.pop()()
+    cached.harness.run(0.05)
+    assert drained == [1] and [cached.bytes_of(wire, 1) for wire in wires] == [b"lesson"] * 2
 
 
-def test_the_webdav_door_answers_from_copies_whole_and_in_ranges_and_reads_what_was_put(make_yard):
+def test_webdav_answers_whole_objects_and_ranges_from_the_cache_and_reads_what_was_put(make_yard):
     house = House(make_yard)
-    gateway, legs = house.yard.gateway, house.store.legs
-    copies = PurgeableObjectCache(
+    gateway, attempts = house.yard.gateway, house.store.legs
+    cache = PurgeableObjectCache(
         gateway,
         ObjectCacheSettings(["read"], 1 << 20, 400_000),
-        lambda volume, plan: True,
+        lambda volume, tenant: True,
         lambda: now_ns(house.yard.network),
     )
-    gateway.object_cache = copies
-    client, whole = house.open(), bytes(range(256)) * 600  # longer than two frames
-    client.send("PUT", "/song", whole)
+    gateway.object_cache = cache
+    client, content = house.open(), bytes(range(256)) * 600  # longer than two frames
+    client.send("PUT", "/song", content)
     assert client.next()[0] == 201
     for path, more, status, body in (
-        ("/song", {}, 200, whole),
-        ("/song", {}, 200, whole),
-        ("/song", {"Range": "bytes=70000-70009"}, 206, whole[70_000:70_010]),
-        ("/song", {"Range": "bytes=-3"}, 206, whole[-3:]),
+        ("/song", {}, 200, content),
+        ("/song", {}, 200, content),
+        ("/song", {"Range": "bytes=70000-70009"}, 206, content[70_000:70_010]),
+        ("/song", {"Range": "bytes=-3"}, 206, content[-3:]),
     ):
         client.send("GET", path, **more)
-        told = client.next()
-        assert (told[0], told[2]) == (status, body)
-    assert sum(not leg.write for leg in legs) == 1 and copies.counts.hits == 3
+        response = client.next()
+        assert (response[0], response[2]) == (status, body)
+    assert sum(not attempt.write for attempt in attempts) == 1 and cache.counts.hits == 3
     client.send("PUT", "/song", b"another")
     assert client.next()[0] == 204
     client.send("GET", "/song")
-    assert client.next()[2] == b"another" and not gateway.in_flight and not copies.readers.by_request
+    assert client.next()[2] == b"another" and not gateway.in_flight and not cache.readers.by_request
 
 
-def test_without_copies_the_gateway_is_as_it_was_and_never_loads_the_room():
+def test_a_gateway_without_a_cache_does_not_import_the_fleet_or_cachetools():
     code = "import sys, ochrecourse.service.gateway_service, ochrecourse.gateway.daemon; sys.exit(any('ochrecourse.fleet' in each or 'cachetools' in each for each in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-class Desk:
-    """A gateway's books, for the machine below: who was answered, from what, and how often."""
+class RecordingGateway:
+    """Records the calls of the cache to its gateway, for the state machine below."""
 
     def __init__(self):
-        self.answered, self.over, self.sent = {}, {}, {}
+        self.answered, self.finished, self.forwarded = {}, {}, {}
 
-    def answer_from_cache(self, job):
-        assert job not in self.answered
-        self.answered[job] = "copy or shared"
+    def answer_from_cache(self, request_id):
+        assert request_id not in self.answered
+        self.answered[request_id] = "from the cache"
         return True
 
-    def forward(self, job, asker):
-        self.sent[job] = asker
+    def forward(self, request_id, handler):
+        self.forwarded[request_id] = handler
 
-    def finish_cached(self, job, whole):
-        assert job not in self.over
-        self.over[job] = whole
+    def finish_cached(self, request_id, completed):
+        assert request_id not in self.finished
+        self.finished[request_id] = completed
 
-    def grant_credit(self, job, size):
+    def grant_credit(self, request_id, size):
         pass
 
 
-class Asker:
+class RecordingHandler:
     def __init__(self):
-        self.got, self.told = b"", []
+        self.data, self.events = b"", []
 
-    def served(self, job, size, shard):
-        self.told.append("fulfilled")
+    def served(self, request_id, size, shard):
+        self.events.append("served")
 
-    def body_chunk(self, job, data):
-        self.got += data
+    def body_chunk(self, request_id, data):
+        self.data += data
 
-    def aborted(self, job):
-        self.told.append("broke off")
+    def aborted(self, request_id):
+        self.events.append("aborted")
 
-    def rejected(self, job, retry_after):
-        self.told.append("denied")
+    def rejected(self, request_id, retry_after):
+        self.events.append("rejected")
 
-    def failed(self, job):
-        self.told.append("written off")
+    def failed(self, request_id):
+        self.events.append("failed")
 
 
-OFTEN = [0, 0, 0, 0, 0, 1]  # mostly the same object, as it takes several steps with one to go wrong
+MOSTLY_ZERO = [0, 0, 0, 0, 0, 1]  # mostly the same object, as faults need several steps with one object
 
 
-class CopiesMachine(RuleBasedStateMachine):
-    """Reads, writes, purges, ends and leaves in any order. A value is the time at which its node read it; no
-    answer is older than the last purge before its ask, unless its own fetch or one it shares began before.
+class ObjectCacheMachine(RuleBasedStateMachine):
+    """Reads, writes, purges, ends of fetches and cancellations in any order. A value is the time at which its fetch
+    began. No answer is older than the last purge or write before its request was received.
     """
 
-    copies_class = PurgeableObjectCache
+    cache_class = PurgeableObjectCache
 
     def __init__(self):
         super().__init__()
-        self.desk = Desk()
-        self.copies = self.copies_class(
-            self.desk, ObjectCacheSettings(["read"], 40_000, 4_000), lambda v, p: self.may, lambda: self.now
+        self.gateway_calls = RecordingGateway()
+        self.cache = self.cache_class(
+            self.gateway_calls,
+            ObjectCacheSettings(["read"], 40_000, 4_000),
+            lambda v, p: self.may_use,
+            lambda: self.now,
         )
-        self.may, self.now, self.number = True, 0, 0
-        self.out = {}  # legs out: job -> (asker, when it began)
-        self.asked, self.purged, self.written = {}, {}, {}
+        self.may_use, self.now, self.number = True, 0, 0
+        self.in_flight = {}  # attempts in flight, by request id: the handler, and when the attempt began
+        self.requested, self.purged, self.written = {}, {}, {}
 
     @initialize()
     def begin(self):
@@ -514,68 +534,70 @@
 
     def _tick(self):
         self.now += 1
-        for job in list(self.desk.sent):
-            self.out[job] = (self.desk.sent.pop(job), self.now)
+        for request_id in list(self.gateway_calls.forwarded):
+            self.in_flight[request_id] = (self.gateway_calls.forwarded.pop(request_id), self.now)
 
-    @rule(key=st.sampled_from(OFTEN), volume=st.sampled_from(OFTEN))
+    @rule(key=st.sampled_from(MOSTLY_ZERO), volume=st.sampled_from(MOSTLY_ZERO))
     def read(self, key, volume):
         self._tick()
         self.number += 1
-        asker, job = Asker(), self.number
-        self.asked[job] = (volume, key, self.now, asker)
+        handler, request_id = RecordingHandler(), self.number
+        self.requested[request_id] = (volume, key, self.now, handler)
         request = Request("read", "p", volume, SECOND, self.now, key, 1.0, 0)
-        if (through := self.copies.request_received(job, request, False, self.now + 50, asker)) is not None:
-            self.out[job] = (through, self.now)
+        if (
+            fetch_handler := self.cache.request_received(request_id, request, False, self.now + 50, handler)
+        ) is not None:
+            self.in_flight[request_id] = (fetch_handler, self.now)
         self._tick()
 
-    @rule(key=st.sampled_from(OFTEN), volume=st.sampled_from(OFTEN))
+    @rule(key=st.sampled_from(MOSTLY_ZERO), volume=st.sampled_from(MOSTLY_ZERO))
     def write(self, key, volume):
         self._tick()
         self.number += 1
         request = Request("mark", "p", volume, SECOND, self.now, key, 1.0, 0)
-        self.copies.request_received(self.number, request, True, self.now + 50, Asker())
+        self.cache.request_received(self.number, request, True, self.now + 50, RecordingHandler())
         self.written[volume, key] = self.now
-        self.copies.request_finished(self.number, True)
+        self.cache.request_finished(self.number, True)
         self._tick()
 
     @rule()
     def first_ends(self):
-        self.end(0, "fulfilled")
+        self.end(0, "served")
 
-    @rule(which=st.integers(0, 50), how=st.sampled_from(["fulfilled", "denied", "broke off"]))
+    @rule(which=st.integers(0, 50), how=st.sampled_from(["served", "rejected", "aborted"]))
     def end(self, which, how):
-        if not self.out:
+        if not self.in_flight:
             return
-        job = list(self.out)[which % len(self.out)]
-        asker, began = self.out.pop(job)
-        if how == "denied":
-            asker.rejected(job, 0)
+        request_id = list(self.in_flight)[which % len(self.in_flight)]
+        handler, began = self.in_flight.pop(request_id)
+        if how == "rejected":
+            handler.rejected(request_id, 0)
         else:
             data = b"%d" % began
-            asker.served(job, len(data), 0)
-            if how == "fulfilled":
-                asker.body_chunk(job, data)
+            handler.served(request_id, len(data), 0)
+            if how == "served":
+                handler.body_chunk(request_id, data)
             else:
-                asker.aborted(job)
-        self.copies.request_finished(job, True)
+                handler.aborted(request_id)
+        self.cache.request_finished(request_id, True)
         self._tick()
 
     @rule(which=st.integers(0, 50))
     def leave(self, which):
-        if self.asked:
-            job = list(self.asked)[which % len(self.asked)]
+        if self.requested:
+            request_id = list(self.requested)[which % len(self.requested)]
             if (
-                job not in self.desk.over
-                and not self.asked[job][3].told
-                and self.copies.request_cancelled(job)
+                request_id not in self.gateway_calls.finished
+                and not self.requested[request_id][3].events
+                and self.cache.request_cancelled(request_id)
             ):
-                self.desk.over[job] = False
+                self.gateway_calls.finished[request_id] = False
         self._tick()
 
     @rule(scope=st.sampled_from([ALL, Scope("volume", "0"), Scope("volume", "1")]))
     def purge(self, scope):
         self._tick()
-        self.copies.drop(scope)
+        self.cache.drop(scope)
         for volume in (0, 1):
             if scope.covers(volume, "p"):
                 self.purged[volume] = self.now
@@ -583,58 +605,62 @@
 
     @rule(most=st.integers(1, 2))
     def step(self, most):
-        self.copies.step(most)
+        self.cache.step(most)
 
     @rule()
     def bar(self):
-        """Copies go, and may not be used until it is clear that a moment came."""
-        if self.may:
-            self.copies.drop(ALL)
-            self.may = False
+        """Purges everything; the cache may not be used until the time of a possible purge is known."""
+        if self.may_use:
+            self.cache.drop(ALL)
+            self.may_use = False
             self._tick()
 
     @rule()
     def moment_within(self):
-        if not self.may:
+        if not self.may_use:
             self._tick()
             self.purged = dict.fromkeys((0, 1), self.now)
             self._tick()
 
     @rule()
     def clear(self):
-        self.may = True
+        self.may_use = True
 
     @invariant()
     def nothing_older_than_a_purge_or_a_write(self):
-        for volume, key, asked, asker in self.asked.values():
-            if asker.got:
-                value = int(asker.got)
+        for volume, key, requested_at, handler in self.requested.values():
+            if handler.data:
+                value = int(handler.data)
                 for when in (self.purged.get(volume, 0), self.written.get((volume, key), 0)):
-                    assert not value < when < asked, f"asked at {asked}, told {value}, dropped at {when}"
-            assert len(asker.told) - ("broke off" in asker.told and "fulfilled" in asker.told) <= 1
+                    assert not value < when < requested_at, (
+                        f"requested at {requested_at}, value of {value}, invalidated at {when}"
+                    )
+            assert len(handler.events) - ("aborted" in handler.events and "served" in handler.events) <= 1
 
     @invariant()
-    def books_agree(self):
-        copies = self.copies
-        assert sorted(key for keys in copies.store.by_tenant_volume.values() for key in keys) == sorted(
+    def indexes_agree_with_the_objects(self):
+        cache = self.cache
+        assert sorted(key for keys in cache.store.by_tenant_volume.values() for key in keys) == sorted(
             key
-            for key in copies.store.objects
-            if not any(key in each for each in copies.store.discarded)
-            or key in copies.store.by_tenant_volume.get((key.tenant, key.volume), {})
+            for key in cache.store.objects
+            if not any(key in each for each in cache.store.discarded)
+            or key in cache.store.by_tenant_volume.get((key.tenant, key.volume), {})
         )
-        assert set(copies.waiting) == {
-            job for fetch in copies.fetches.values() for job in (*fetch.waiting, *fetch.waiting_for_next)
+        assert set(cache.waiting) == {
+            request_id
+            for fetch in cache.fetches.values()
+            for request_id in (*fetch.waiting, *fetch.waiting_for_next)
         }
 
 
-TestCopies = CopiesMachine.TestCase
-TestCopies.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
+TestObjectCache = ObjectCacheMachine.TestCase
+TestObjectCache.settings = settings(max_examples=60, stateful_step_count=50, deadline=None)
 
 
-class JoinsAcross(PurgeableObjectCache):
-    """The mistake of a join that knows nothing of the purge between."""
+class JoinsAcrossPurge(PurgeableObjectCache):
+    """Seeded fault: a read joins a fetch although there was a purge since the fetch began."""
 
-    def request_received(self, job, request, write, due, asker):
+    def request_received(self, request_id, request, write, deadline, handler):
         fetch = self.shared_fetches.get(
             ObjectKey(
                 request.request_class,
@@ -645,40 +671,42 @@
                 request.units,
             )
         )
-        if fetch is not None and self._join(fetch, WaitingRead(job, request, due, asker, 0)):
+        if fetch is not None and self._join(fetch, WaitingRead(request_id, request, deadline, handler, 0)):
             return None
-        return super().request_received(job, request, write, due, asker)
+        return super().request_received(request_id, request, write, deadline, handler)
 
 
-class HoldsAcross(PurgeableObjectCache):
-    """The mistake of a fetch that is held under the epoch of its end."""
+class CachesUnderLaterEpochs(PurgeableObjectCache):
+    """Seeded fault: an answer is cached under the epochs at the end of its fetch instead of those at its start."""
 
     def _store_fetched(self, fetch):
         fetch.epochs = fetch.cached.epochs = self.store.current_epochs(fetch.key.volume, fetch.key.tenant)
         super()._store_fetched(fetch)
 
 
-class SharesWithin(PurgeableObjectCache):
-    """The mistake of a read that shares a fetch from before it while a moment may lie between."""
+class SharesEarlierFetch(PurgeableObjectCache):
+    """Seeded fault: a read shares a fetch that began before it, while there may have been a purge between."""
 
     def _read_barred(self, key, read):
         return super()._read_barred(key, read._replace(order=0))
 
 
-class KeepsWritten(PurgeableObjectCache):
-    """The mistake of a write that leaves the fetch under way alone."""
+class KeepsFetchAfterWrite(PurgeableObjectCache):
+    """Seeded fault: a write does not bar a fetch in progress."""
 
     def _invalidate_object(self, target):
         for key in list(self.store.by_volume_object.get(target, ())):
             self.store.remove(key)
 
 
-@pytest.mark.parametrize("mistake", [JoinsAcross, HoldsAcross, SharesWithin, KeepsWritten])
-def test_the_machine_finds_each_seeded_mistake(mistake):
-    class Broken(CopiesMachine):
-        copies_class = mistake
+@pytest.mark.parametrize(
+    "fault", [JoinsAcrossPurge, CachesUnderLaterEpochs, SharesEarlierFetch, KeepsFetchAfterWrite]
+)
+def test_the_state_machine_finds_each_seeded_fault(fault):
+    class Broken(ObjectCacheMachine):
+        cache_class = fault
 
-    with pytest.raises(AssertionError, match="dropped at"):
+    with pytest.raises(AssertionError, match="invalidated at"):
         run_state_machine_as_test(
             Broken,
             settings=settings(
