--- a/tests/transcripts/test_timing.py
+++ b/tests/transcripts/test_timing.py
@@ -18,7 +18,7 @@
     building.until(29_950)
     tap.note(building.network, "50 ms before the close by true time, within the clocks' bound: four ask")
     for _ in range(4):
-        building.ask("g0")
+        building.send_read("g0")
     building.until(31_000)
     tap.note(building.network, "a second after it two ask, and the second is told from the first one's copy")
     building.read("g0")
--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -11,7 +11,7 @@
 from test_door import LOCK, House
 from test_fleet_part import LIES, Liar, bodies
 from test_fleet_part import Fleet as Gateways
-from test_fleet_purges import Building
+from test_fleet_purges import SiteOfDaemons
 from test_gateway import answer, silent
 from test_registrar import Town, enrolled
 from test_service import PING, Shop, listed, read, write
@@ -719,7 +719,7 @@
 
 
 def building_of(tap):
-    building = Building(ScriptedNode, Wire)
+    building = SiteOfDaemons(ScriptedNode, Wire)
     tap.place(21_000, "g0", "client", Framed)
     tap.place(building.node.port, "node 70", "an edge", Framed)
     return building
