--- a/ochrecourse/fleet/clock_confidence.py
+++ b/ochrecourse/fleet/clock_confidence.py
@@ -53,9 +53,9 @@
     """The names within `distance` positions of `name` in the sorted ring of all names. The relation is
     symmetric: each gateway is a neighbour of its neighbours.
     """
-    circle = sorted({name, *names})
-    position = circle.index(name)
-    neighbours = {circle[(position + step) % len(circle)] for step in range(-distance, distance + 1)}
+    ring = sorted({name, *names})
+    position = ring.index(name)
+    neighbours = {ring[(position + step) % len(ring)] for step in range(-distance, distance + 1)}
     return frozenset(neighbours - {name})
 
 
@@ -79,9 +79,9 @@
 
     def record_reading(self, now: int, wall_ms: int) -> bool:
         """Records readings of both clocks, in ns and ms; returns False if the wall clock jumped."""
-        before, self._last_reading = self._last_reading, (now, wall_ms)
-        elapsed_ms = (now - before[0]) // MS
-        if abs(wall_ms - before[1] - elapsed_ms) <= self.bound_ms:
+        previous, self._last_reading = self._last_reading, (now, wall_ms)
+        elapsed_ms = (now - previous[0]) // MS
+        if abs(wall_ms - previous[1] - elapsed_ms) <= self.bound_ms:
             return True
         self.jumps += 1
         self.epoch += 1
--- a/ochrecourse/fleet/disk_recovery.py
+++ b/ochrecourse/fleet/disk_recovery.py
@@ -67,8 +67,8 @@
         """Records an event of DISK_EVENTS by an edge of the site. Raises InvalidCalendarEventError."""
         edge = entry.writer
         if body["what"] == DISK_NEW:
-            before = self.new_disks.get(edge, NewDisk(0, 0))
-            self.new_disks[edge] = max(NewDisk(entry.incarnation, entry.at.ms), before)
+            previous = self.new_disks.get(edge, NewDisk(0, 0))
+            self.new_disks[edge] = max(NewDisk(entry.incarnation, entry.at.ms), previous)
         elif body["what"] == DISK_ACKNOWLEDGED:
             other, incarnation = parse_acknowledged_disk(body)
             known = self.acknowledgements.get((edge, other), Acknowledgement(BEFORE_ALL_MS, entry.at))
--- a/ochrecourse/fleet/edition_timeline.py
+++ b/ochrecourse/fleet/edition_timeline.py
@@ -106,8 +106,10 @@
         occurrences: dict[Occurrence, None] = {}
         for state in self.states:
             # An edition that comes into force in this interval may make any of its past occurrences due.
-            becomes = after_ms < state.in_force_max_ms and state.in_force_min_ms <= self.until_ms
-            instants = state.edition.instants_between(BEFORE_ALL_MS if becomes else after_ms, self.until_ms)
+            may_come_into_force = after_ms < state.in_force_max_ms and state.in_force_min_ms <= self.until_ms
+            instants = state.edition.instants_between(
+                BEFORE_ALL_MS if may_come_into_force else after_ms, self.until_ms
+            )
             occurrences.update((instant.occurrence, None) for instant in instants)
         due = [self._due(occurrence) for occurrence in occurrences]
         known = [each for each in due if each is not None and after_ms < each.due_ms]
--- a/ochrecourse/fleet/purge_schedule.py
+++ b/ochrecourse/fleet/purge_schedule.py
@@ -204,8 +204,8 @@
         """
         barred_until_ms = latest_ms + self.bound_ms
         if barred_until_ms >= self.wall_ms:
-            before_ms = self.barred_until_ms.get(scope, BEFORE_ALL_MS)
-            self.barred_until_ms[scope] = max(barred_until_ms, before_ms)
+            previous_ms = self.barred_until_ms.get(scope, BEFORE_ALL_MS)
+            self.barred_until_ms[scope] = max(barred_until_ms, previous_ms)
         known_ms = latest_ms if latest_ms < NEVER_MS else earliest_ms
         if self._cached_since(scope) < known_ms + self.bound_ms:
             self._add_purge(occurrence, scope, max(self.wall_ms, known_ms + self.bound_ms))
--- a/ochrecourse/fleet/purge_settlement.py
+++ b/ochrecourse/fleet/purge_settlement.py
@@ -80,10 +80,10 @@
         raise InvalidSettlementError("edge, rule and dates are texts")
     if texts[0] != entry.writer:
         raise InvalidSettlementError("an edge settles for itself alone")
-    figures = [body.get(each, 0) for each in ("at", "late_ms", "edition", "dropped")]
-    if not all(isinstance(each, int) and not isinstance(each, bool) for each in figures):
+    numbers = [body.get(each, 0) for each in ("at", "late_ms", "edition", "dropped")]
+    if not all(isinstance(each, int) and not isinstance(each, bool) for each in numbers):
         raise InvalidSettlementError("times, edition and count are whole numbers")
-    at_ms, late_ms, edition, dropped = figures
+    at_ms, late_ms, edition, dropped = numbers
     return Settlement(
         edge=entry.writer,
         rule=str(texts[1]),
--- a/ochrecourse/fleet/purge_subsystem.py
+++ b/ochrecourse/fleet/purge_subsystem.py
@@ -126,9 +126,11 @@
             count = self.cache.drop(purge.scope) if self.cache is not None else 0
             schedule.purge_executed(count)
             if purge.occurrences or count:
-                why = [f"{rule} of {date}" for rule, date in purge.occurrences] or ["the clock was in doubt"]
+                reasons = [f"{rule} of {date}" for rule, date in purge.occurrences] or [
+                    "the clock was in doubt"
+                ]
                 self.environment.log_event(
-                    "copies dropped", scope=purge.scope.kind, of=purge.scope.name, copies=count, why=why
+                    "copies dropped", scope=purge.scope.kind, of=purge.scope.name, copies=count, why=reasons
                 )
             self._discard()
 
@@ -159,13 +161,13 @@
 
     def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
         """Records another gateway's status. Raises msgspec.DecodeError, a ValueError, if it is invalid."""
-        before = self._statuses.get(name)
-        if before is not None and before.encoded == status:
-            decoded, clock_report = before.status, None
+        previous = self._statuses.get(name)
+        if previous is not None and previous.encoded == status:
+            decoded, clock_report = previous.status, None
         else:
             decoded = msgspec.json.decode(status, type=PurgeStatus)
             clock_report = decoded.clock
-        if before is None or before.status.clock.epoch != decoded.clock.epoch:
+        if previous is None or previous.status.clock.epoch != decoded.clock.epoch:
             self._encoded_at = now - CLOCK_INTERVAL_NS  # it awaits other clocks' reports: send one at once
         self._statuses[name] = ReceivedStatus(status, decoded)
         self._execute_purges()
--- a/ochrecourse/fleet/site_calendar.py
+++ b/ochrecourse/fleet/site_calendar.py
@@ -144,10 +144,10 @@
         known = sorted(state.accepted_ms.values())
         earliest = sorted(self._earliest_acceptances(state))[self.majority - 1]
         latest = known[self.majority - 1] if len(known) >= self.majority else NEVER_MS
-        before = (state.in_force_min_ms, state.in_force_max_ms)
+        previous = (state.in_force_min_ms, state.in_force_max_ms)
         state.in_force_min_ms = min(earliest, latest) + self.notice_ms
         state.in_force_max_ms = latest + self.notice_ms if latest < NEVER_MS else NEVER_MS
-        if (state.in_force_min_ms, state.in_force_max_ms) != before:
+        if (state.in_force_min_ms, state.in_force_max_ms) != previous:
             self.revision += 1
 
     def _earliest_acceptances(self, state: EditionState) -> list[int]:
