--- a/ochrecourse/fleet/calendar_edition.py
+++ b/ochrecourse/fleet/calendar_edition.py
@@ -67,7 +67,7 @@
     up to which all instants are included.
     """
 
-    place: LogPosition
+    position: LogPosition
     site: str
     number: int
     settings_version: int
@@ -83,12 +83,12 @@
     @property
     def id(self) -> EditionId:
         """The edition's id: writer, incarnation and sequence number of its entry."""
-        return (self.place.writer, self.place.incarnation, self.place.seq)
+        return (self.position.writer, self.position.incarnation, self.position.seq)
 
     @property
     def rank(self) -> tuple[int, LogPosition]:
         """The order of editions: of those in force, the one with the highest rank applies."""
-        return (self.number, self.place)
+        return (self.number, self.position)
 
     def instants_between(self, after_ms: int, until_ms: int) -> list[Instant]:
         """The instants after `after_ms` and up to `until_ms`, in order."""
@@ -102,7 +102,7 @@
         return self.instants[index].at_ms if index < len(self.instants) else NEVER_MS
 
 
-def parse_edition(body: Mapping[str, Any], place: LogPosition) -> Edition:
+def parse_edition(body: Mapping[str, Any], position: LogPosition) -> Edition:
     """Parses the edition in an event's body. Raises InvalidCalendarEventError."""
     site = parse_name(body, "site")
     number = parse_whole_number(body.get("number"), "number")
@@ -115,7 +115,7 @@
     instants = sorted(Instant(at_ms, *occurrence) for occurrence, at_ms in instant_ms.items())
     latest = instants[-1].at_ms if instants else 0
     return Edition(
-        place=place,
+        position=position,
         site=site,
         number=number,
         settings_version=settings_version,
--- a/ochrecourse/fleet/purge_settlement.py
+++ b/ochrecourse/fleet/purge_settlement.py
@@ -33,7 +33,7 @@
     late_ms: int
     edition: int
     dropped: int
-    place: LogPosition
+    position: LogPosition
 
     def covers(self, occurrence: Occurrence) -> bool:
         """Whether it settles this occurrence."""
@@ -93,7 +93,7 @@
         late_ms=late_ms,
         edition=edition,
         dropped=dropped,
-        place=entry.position,
+        position=entry.position,
     )
 
 
@@ -112,10 +112,10 @@
         if key not in self.by_edge and len(self.by_edge) >= MAX_EDGES_AND_RULES:
             raise InvalidSettlementError("more edges and rules than a site has")
         known = self.by_edge.setdefault(key, [])
-        if any(each.place == settlement.place for each in known):
+        if any(each.position == settlement.position for each in known):
             return
         known.append(settlement)
-        known.sort(key=lambda each: (each.last_date, each.first_date, each.place))
+        known.sort(key=lambda each: (each.last_date, each.first_date, each.position))
         del known[:-MAX_RECORDS]
         self.count += 1
 
@@ -123,4 +123,4 @@
         """The settlement of an occurrence by an edge; None if there is none."""
         records = self.by_edge.get((edge, occurrence.rule), ())
         covering = [each for each in records if each.covers(occurrence)]
-        return min(covering, key=lambda each: each.place, default=None)
+        return min(covering, key=lambda each: each.position, default=None)
--- a/ochrecourse/fleet/site_calendar.py
+++ b/ochrecourse/fleet/site_calendar.py
@@ -153,7 +153,7 @@
     def _earliest_acceptances(self, state: EditionState) -> list[int]:
         """The earliest times, in ms, at which the edges may have accepted the edition."""
         # An edge without a known acceptance may have accepted it after its watermark and after the edition.
-        written_ms = state.edition.place.at.ms
+        written_ms = state.edition.position.at.ms
         earliest = dict(state.accepted_ms)
         for edge in self.edges:
             disk = self.disks.replaced_disk(edge)
@@ -231,7 +231,7 @@
             if state.accepted_in.get(edge, (0, BEFORE_ALL_MS - 1))[1] < disk.incarnation
             and not self._must_wait(edge, state)
         ]
-        return min(not_accepted, key=lambda each: each.place, default=None)
+        return min(not_accepted, key=lambda each: each.position, default=None)
 
     def _must_wait(self, edge: str, state: EditionState) -> bool:
         """Whether an edge must not accept an edition yet, because another edge whose new disk it acknowledged
@@ -245,7 +245,7 @@
                 continue
             if self.disks.recovered_at.get(EdgeIncarnation(other, incarnation), NEVER) < at:
                 continue
-            is_earlier = state.edition.place.at.ms <= at.ms + self.notice_ms
+            is_earlier = state.edition.position.at.ms <= at.ms + self.notice_ms
             if is_earlier and state.accepted_in.get(other, (0, BEFORE_ALL_MS))[1] < incarnation:
                 return True
         return False
--- a/tests/test_fleet_calendar.py
+++ b/tests/test_fleet_calendar.py
@@ -110,7 +110,7 @@
     body["instants"][1][2] += 3_600_000
     body["tzdata"] = "2019a"
     assert len(differences(body)) == 1 and "2026-01-02" in differences(body)[0]
-    assert parse_edition(body, PLACE).instant_ms["close", "2026-01-02"] == body["instants"][1][2]
+    assert parse_edition(body, POSITION).instant_ms["close", "2026-01-02"] == body["instants"][1][2]
     for broken in (
         {"zone": "Mars/Olympus"},
         {"as": {}},
@@ -152,7 +152,7 @@
     assert all(isinstance(each, str) for each in found)
 
 
-PLACE = LogPosition(Timestamp(1, 0), "a", 1, 1)
+POSITION = LogPosition(Timestamp(1, 0), "a", 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -167,9 +167,9 @@
 )  # fmt: skip
 def test_an_invalid_edition_is_rejected(change):
     body = edition(site_of(), 1, YEAR, 3)
-    parse_edition(body, PLACE)
+    parse_edition(body, POSITION)
     with pytest.raises(InvalidCalendarEventError):
-        parse_edition({**body, **change}, PLACE)
+        parse_edition({**body, **change}, POSITION)
 
 
 json = st.recursive(
--- a/tests/test_fleet_purges.py
+++ b/tests/test_fleet_purges.py
@@ -114,8 +114,8 @@
     def wall_ms(self):
         return EPOCH_MS + self.simulation.true_ms + self.offset
 
-    def has_entries(self, writer, life, seq):
-        return not seq or (writer, life, seq) in self.entries
+    def has_entries(self, writer, incarnation, seq):
+        return not seq or (writer, incarnation, seq) in self.entries
 
     def start(self):
         self.incarnation, self.seq, self.running, self.suspended = self.incarnation + 1, 0, True, False
@@ -185,15 +185,15 @@
 
     def run_interval(self):
         """What a fleet member does at each heartbeat interval."""
-        for row, entries, status in self.inbox:
+        for heartbeat, entries, status in self.inbox:
             for entry in entries:
                 self.store(entry)
-            if row.name not in self.heartbeats or (row.incarnation, row.number) > (
-                self.heartbeats[row.name].incarnation,
-                self.heartbeats[row.name].number,
+            if heartbeat.name not in self.heartbeats or (heartbeat.incarnation, heartbeat.number) > (
+                self.heartbeats[heartbeat.name].incarnation,
+                self.heartbeats[heartbeat.name].number,
             ):
-                self.heartbeats[row.name] = row
-                self.subsystem.status_received(row.name, 0, status, 0)
+                self.heartbeats[heartbeat.name] = heartbeat
+                self.subsystem.status_received(heartbeat.name, 0, status, 0)
         self.inbox.clear()
         self.subsystem.beat_passed(0)
         for _ in range(64):
@@ -210,8 +210,8 @@
         )  # fmt: skip
 
     def message(self):
-        row = self.heartbeats[self.name]
-        return row, list(self.entries.values()), row.statuses["purges"]
+        heartbeat = self.heartbeats[self.name]
+        return heartbeat, list(self.entries.values()), heartbeat.statuses["purges"]
 
     def read(self, volume):
         """A read as the gateway submits it to the cache; no heartbeat interval need have passed before."""
@@ -728,12 +728,12 @@
     other.start()
     sim.run(300)
     assert not one.schedule.is_ready()
-    row, entries, status = other.message()
-    assert row.incarnation == 3 and row.earlier_incarnations == ()
-    one.inbox.append((row, [each for each in entries if each.incarnation == 3], status))
+    heartbeat, entries, status = other.message()
+    assert heartbeat.incarnation == 3 and heartbeat.earlier_incarnations == ()
+    one.inbox.append((heartbeat, [each for each in entries if each.incarnation == 3], status))
     one.run_interval()
     assert not one.schedule.is_ready()
-    one.inbox.append((row, entries, status))
+    one.inbox.append((heartbeat, entries, status))
     one.run_interval()
     assert one.schedule.is_ready() and one.schedule.own_calendar.highest_edition().number == 2
 
