--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -93,45 +93,45 @@
 
 
 def test_a_second_read_is_answered_at_once_without_an_attempt(make):
-    cached = make(serving(lambda: b"lesson"))
-    wire = cached.harness.client()
-    assert cached.read(wire, 1) == b"lesson" and cached.attempts == 1
-    cached.submit(wire, 2)
-    cached.harness.network.advance(0.005)
-    assert cached.bytes_of(wire, 2) == b"lesson" and cached.attempts == 1
+    setup = make(serving(lambda: b"lesson"))
+    wire = setup.harness.client()
+    assert setup.read(wire, 1) == b"lesson" and setup.attempts == 1
+    setup.submit(wire, 2)
+    setup.harness.network.advance(0.005)
+    assert setup.bytes_of(wire, 2) == b"lesson" and setup.attempts == 1
     # It is counted as any other request, and its record is written once.
-    assert cached.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not cached.gateway.in_flight
-    assert [(each.outcome, len(each.attempts)) for each in cached.harness.stories] == [
+    assert setup.gateway.request_log.outcomes[RequestOutcome.SERVED] == 2 and not setup.gateway.in_flight
+    assert [(each.outcome, len(each.attempts)) for each in setup.harness.stories] == [
         (RequestOutcome.SERVED, n) for n in (1, 0)
     ]
-    assert cached.gateway.request_log.open == 0 and not cached.gateway.request_log.requests
+    assert setup.gateway.request_log.open == 0 and not setup.gateway.request_log.requests
 
 
 def test_fields_that_make_two_reads_share_a_cached_object(make):
-    cached = make(serving(lambda: b"lesson"))
-    wire = cached.harness.client()
+    setup = make(serving(lambda: b"lesson"))
+    wire = setup.harness.client()
     different = [{}, {"key": 6}, {"volume": 2}, {"units": 2.0}, {"plan": "p1"}, {"shard": -1}, {"shard": -1}]
     for number, more in enumerate(different, 1):
-        cached.read(wire, number, **more)
-    assert cached.attempts == len(different)  # a new object, which has no shard, is never cached
+        setup.read(wire, number, **more)
+    assert setup.attempts == len(different)  # a new object, which has no shard, is never cached
     for number, more in enumerate(different[:-2], 100):
-        assert cached.read(wire, number, **more) == b"lesson"
-    assert cached.attempts == len(different)
+        assert setup.read(wire, number, **more) == b"lesson"
+    assert setup.attempts == len(different)
 
 
 def test_reads_of_one_object_share_one_fetch_in_several_chunks(make):
     deferred = []
-    cached = make(serving(lambda: BIG, pieces=4, deferred=deferred))
-    wires = [cached.harness.client() for _ in range(4)]
+    setup = make(serving(lambda: BIG, pieces=4, deferred=deferred))
+    wires = [setup.harness.client() for _ in range(4)]
     for wire in wires:
-        cached.submit(wire, 1)
-        cached.harness.run(0.01)
-    assert cached.attempts == 1 and cached.gateway.request_log.open == 4
+        setup.submit(wire, 1)
+        setup.harness.run(0.01)
+    assert setup.attempts == 1 and setup.gateway.request_log.open == 4
     deferred.pop()()
-    cached.harness.run(0.3)
-    assert [cached.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
-    assert cached.gateway.request_log.outcomes[RequestOutcome.SERVED] == 4 and not cached.gateway.in_flight
-    assert cached.read(wires[0], 2) == BIG and cached.attempts == 1
+    setup.harness.run(0.3)
+    assert [setup.bytes_of(wire, 1) for wire in wires] == [BIG] * 4
+    assert setup.gateway.request_log.outcomes[RequestOutcome.SERVED] == 4 and not setup.gateway.in_flight
+    assert setup.read(wires[0], 2) == BIG and setup.attempts == 1
 
 
 def test_a_read_during_the_answer_of_a_fetch_shares_it(make):
@@ -142,46 +142,46 @@
             wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
             deferred.append(lambda: wire.say(m.BodyChunk(id=message.id, body=3), b"son"))
 
-    cached = make(script)
-    wire = cached.harness.client()
-    cached.submit(wire, 1)
-    cached.harness.run(0.05)
-    cached.submit(wire, 2)
-    cached.harness.run(0.05)
-    assert cached.bytes_of(wire, 2) == b"les"
+    setup = make(script)
+    wire = setup.harness.client()
+    setup.submit(wire, 1)
+    setup.harness.run(0.05)
+    setup.submit(wire, 2)
+    setup.harness.run(0.05)
+    assert setup.bytes_of(wire, 2) == b"les"
     deferred.pop()()
-    cached.harness.run(0.05)
-    assert cached.bytes_of(wire, 1) == cached.bytes_of(wire, 2) == b"lesson" and cached.attempts == 1
+    setup.harness.run(0.05)
+    assert setup.bytes_of(wire, 1) == setup.bytes_of(wire, 2) == b"lesson" and setup.attempts == 1
 
 
 def test_when_a_fetch_is_cancelled_one_of_the_waiting_reads_fetches(make):
     deferred = []
-    cached = make(serving(lambda: b"lesson", deferred=deferred))
-    first, *others = (cached.harness.client() for _ in range(4))
+    setup = make(serving(lambda: b"lesson", deferred=deferred))
+    first, *others = (setup.harness.client() for _ in range(4))
     for wire in (first, *others):
-        cached.submit(wire, 1)
-        cached.harness.run(0.01)
+        setup.submit(wire, 1)
+        setup.harness.run(0.01)
     first.transport.loseConnection()
-    cached.harness.run(0.02)
-    assert cached.attempts == 2 and len(deferred) == 2
+    setup.harness.run(0.02)
+    assert setup.attempts == 2 and len(deferred) == 2
     deferred.pop()()
-    cached.harness.run(0.3)
-    assert [cached.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
+    setup.harness.run(0.3)
+    assert [setup.bytes_of(wire, 1) for wire in others] == [b"lesson"] * 3
     assert (
-        cached.gateway.request_log.outcomes[RequestOutcome.CLIENT_CLOSED] == 1
-        and cached.gateway.request_log.open == 0
+        setup.gateway.request_log.outcomes[RequestOutcome.CLIENT_CLOSED] == 1
+        and setup.gateway.request_log.open == 0
     )
 
 
 def test_each_waiting_request_ends_once_and_in_time_if_nodes_never_answer(make):
-    cached = make(lambda wire, message, body: None, Limits__MaxAttempts="1")
-    wires = [cached.harness.client() for _ in range(3)]
+    setup = make(lambda wire, message, body: None, Limits__MaxAttempts="1")
+    wires = [setup.harness.client() for _ in range(3)]
     for wire in wires:
-        cached.submit(wire, 1)
-        cached.harness.run(0.1)
-    cached.harness.run(2.0)
+        setup.submit(wire, 1)
+        setup.harness.run(0.1)
+    setup.harness.run(2.0)
     ends = [len(wire.told(m.RequestFailed)) + len(wire.told(m.RequestRejected)) for wire in wires]
-    assert ends == [1, 1, 1] and cached.gateway.request_log.open == 0 and not cached.cache.waiting
+    assert ends == [1, 1, 1] and setup.gateway.request_log.open == 0 and not setup.cache.waiting
 
 
 def test_an_aborted_answer_is_not_cached_and_fails_the_reads_that_share_it(make):
@@ -192,176 +192,172 @@
             wires.append(wire)
             wire.say(m.AttemptServed(id=message.id, size=6, body=3), b"les")
 
-    cached = make(script, Limits__MaxAttempts="1")
-    one, two = cached.harness.client(), cached.harness.client()
-    cached.submit(one, 1)
-    cached.harness.run(0.02)
-    cached.submit(two, 1)
-    cached.harness.run(0.02)
+    setup = make(script, Limits__MaxAttempts="1")
+    one, two = setup.harness.client(), setup.harness.client()
+    setup.submit(one, 1)
+    setup.harness.run(0.02)
+    setup.submit(two, 1)
+    setup.harness.run(0.02)
     wires[0].transport.loseConnection()
-    cached.harness.run(0.1)
+    setup.harness.run(0.1)
     assert len(one.told(m.RequestFailed)) == len(two.told(m.RequestFailed)) == 1
-    outcomes = cached.gateway.request_log.outcomes
+    outcomes = setup.gateway.request_log.outcomes
     assert outcomes[RequestOutcome.FAILED] == 2 and not outcomes[RequestOutcome.SERVED]
     assert (
-        not cached.cache.store.objects
-        and not cached.gateway.in_flight
-        and not cached.cache.readers.by_request
+        not setup.cache.store.objects and not setup.gateway.in_flight and not setup.cache.readers.by_request
     )
 
 
 def test_a_write_removes_the_cached_object_and_bars_the_fetch_in_progress(make):
     """Guards against an old value that is cached although the write that replaced it was answered."""
     deferred, value = [], [b"old"]
-    cached = make(serving(lambda: value[0], deferred=deferred))
-    wire = cached.harness.client()
-    cached.submit(wire, 1)
-    cached.harness.run(0.05)
-    cached.submit(wire, 2, product="mark", body=b"new")
-    cached.harness.run(0.1)
+    setup = make(serving(lambda: value[0], deferred=deferred))
+    wire = setup.harness.client()
+    setup.submit(wire, 1)
+    setup.harness.run(0.05)
+    setup.submit(wire, 2, product="mark", body=b"new")
+    setup.harness.run(0.1)
     deferred.pop()()  # the read began before the write and returns the old value
-    cached.harness.run(0.1)
-    assert cached.bytes_of(wire, 1) == b"old" and not cached.cache.store.objects
+    setup.harness.run(0.1)
+    assert setup.bytes_of(wire, 1) == b"old" and not setup.cache.store.objects
     value[0] = b"new"
-    cached.submit(wire, 3)
-    cached.harness.run(0.1)
+    setup.submit(wire, 3)
+    setup.harness.run(0.1)
     deferred.pop()()
-    cached.harness.run(0.1)
-    assert cached.bytes_of(wire, 3) == b"new" and len(cached.cache.store.objects) == 1
-    cached.submit(wire, 4, product="mark", body=b"newer")
-    cached.harness.run(0.001)
-    assert not cached.cache.store.objects
+    setup.harness.run(0.1)
+    assert setup.bytes_of(wire, 3) == b"new" and len(setup.cache.store.objects) == 1
+    setup.submit(wire, 4, product="mark", body=b"newer")
+    setup.harness.run(0.001)
+    assert not setup.cache.store.objects
 
 
 def test_an_object_is_not_cached_after_a_write_that_may_still_take_effect(make):
-    cached = make(serving(lambda: b"old"))
-    wire = cached.harness.client()
-    cached.submit(wire, 1, product="bind", body=b"new")
-    cached.harness.run(0.01)
+    setup = make(serving(lambda: b"old"))
+    wire = setup.harness.client()
+    setup.submit(wire, 1, product="bind", body=b"new")
+    setup.harness.run(0.01)
     wire.say(m.CancelRequest(id=1))
-    cached.harness.run(0.2)
-    assert cached.read(wire, 2) == cached.read(wire, 3) == b"old"
-    assert not cached.cache.store.objects and cached.cache.writes.uncertain_until
-    cached.harness.run(61)
-    cached.read(wire, 4)
-    assert len(cached.cache.store.objects) == 1
+    setup.harness.run(0.2)
+    assert setup.read(wire, 2) == setup.read(wire, 3) == b"old"
+    assert not setup.cache.store.objects and setup.cache.writes.uncertain_until
+    setup.harness.run(61)
+    setup.read(wire, 4)
+    assert len(setup.cache.store.objects) == 1
 
 
 def test_while_the_cache_may_not_be_used_reads_share_the_next_fetch_and_no_earlier_one(make):
     deferred, value = [], [b"kept"]
-    cached = make(serving(lambda: value[0], deferred=deferred))
-    wire = cached.harness.client()
-    cached.submit(wire, 1)
-    cached.harness.run(0.01)
+    setup = make(serving(lambda: value[0], deferred=deferred))
+    wire = setup.harness.client()
+    setup.submit(wire, 1)
+    setup.harness.run(0.01)
     deferred.pop()()
-    cached.harness.run(0.1)
-    cached.may_use, value[0] = False, b"old"
+    setup.harness.run(0.1)
+    setup.may_use, value[0] = False, b"old"
     for number in (2, 3, 4):
-        cached.submit(wire, number)
-    cached.harness.run(0.01)
-    assert cached.attempts == 2 and len(cached.cache.waiting) == 2
+        setup.submit(wire, number)
+    setup.harness.run(0.01)
+    assert setup.attempts == 2 and len(setup.cache.waiting) == 2
     deferred.pop()()
-    cached.harness.run(0.01)
+    setup.harness.run(0.01)
     # One fetch for both, begun after they were received
-    assert cached.bytes_of(wire, 2) == b"old" and cached.attempts == 3
-    cached.submit(wire, 5)
-    cached.harness.run(0.01)
+    assert setup.bytes_of(wire, 2) == b"old" and setup.attempts == 3
+    setup.submit(wire, 5)
+    setup.harness.run(0.01)
     value[0] = b"new"
     deferred.pop()()
-    cached.harness.run(0.01)
-    assert cached.bytes_of(wire, 3) == cached.bytes_of(wire, 4) == b"new" and not cached.bytes_of(wire, 5)
-    assert cached.attempts == 4
+    setup.harness.run(0.01)
+    assert setup.bytes_of(wire, 3) == setup.bytes_of(wire, 4) == b"new" and not setup.bytes_of(wire, 5)
+    assert setup.attempts == 4
     deferred.pop()()
-    cached.harness.run(0.01)
-    assert cached.bytes_of(wire, 5) == b"new" and not cached.cache.barred_fetches and not cached.cache.waiting
-    assert cached.cache.counts.bypassed == 3 and cached.cache.counts.joined == 1
-    cached.may_use = True
+    setup.harness.run(0.01)
+    assert setup.bytes_of(wire, 5) == b"new" and not setup.cache.barred_fetches and not setup.cache.waiting
+    assert setup.cache.counts.bypassed == 3 and setup.cache.counts.joined == 1
+    setup.may_use = True
     # The object that was cached before is used again
-    assert cached.read(wire, 6) == b"kept" and cached.attempts == 4
+    assert setup.read(wire, 6) == b"kept" and setup.attempts == 4
 
 
 def test_while_the_cache_may_not_be_used_reads_behind_a_cancelled_or_too_large_fetch_continue(make):
     deferred = []
-    cached = make(serving(lambda: BIG * 4, pieces=4, deferred=deferred))
-    cached.may_use = False
-    first, wire = cached.harness.client(), cached.harness.client()
-    cached.submit(first, 1)
-    cached.harness.run(0.01)
+    setup = make(serving(lambda: BIG * 4, pieces=4, deferred=deferred))
+    setup.may_use = False
+    first, wire = setup.harness.client(), setup.harness.client()
+    setup.submit(first, 1)
+    setup.harness.run(0.01)
     for number in (2, 3):
-        cached.submit(wire, number)
-    cached.harness.run(0.01)
-    assert cached.attempts == 1
+        setup.submit(wire, number)
+    setup.harness.run(0.01)
+    assert setup.attempts == 1
     first.transport.loseConnection()
-    cached.harness.run(0.01)
-    assert cached.attempts == 2 and len(cached.cache.waiting) == 1
+    setup.harness.run(0.01)
+    assert setup.attempts == 2 and len(setup.cache.waiting) == 1
     deferred[1]()  # too large to be shared: the other read sends its own attempt
-    cached.harness.run(0.01)
-    assert cached.attempts == 3 and not cached.cache.waiting
+    setup.harness.run(0.01)
+    assert setup.attempts == 3 and not setup.cache.waiting
     deferred[2]()
-    cached.harness.run(0.5)
-    assert cached.bytes_of(wire, 2) == cached.bytes_of(wire, 3) == BIG * 4
+    setup.harness.run(0.5)
+    assert setup.bytes_of(wire, 2) == setup.bytes_of(wire, 3) == BIG * 4
 
 
 @pytest.mark.parametrize("scope", [ALL, Scope("plan", "p0"), Scope("volume", "1")])
 def test_a_purge_bars_its_scope_and_fetches_in_progress_at_once(make, scope):
     deferred, value = [], [b"old"]
-    cached = make(serving(lambda: value[0], deferred=deferred))
-    wire = cached.harness.client()
-    cached.submit(wire, 1)
-    cached.harness.run(0.05)
+    setup = make(serving(lambda: value[0], deferred=deferred))
+    wire = setup.harness.client()
+    setup.submit(wire, 1)
+    setup.harness.run(0.05)
     deferred.pop()()
-    cached.harness.run(0.05)
-    cached.submit(wire, 2, key=6)
-    cached.harness.run(0.05)
-    assert cached.cache.drop(scope) == 1
-    cached.submit(wire, 3, key=6)
-    cached.harness.run(0.05)
-    assert cached.attempts == 3  # a read after the purge does not join a fetch from before it
+    setup.harness.run(0.05)
+    setup.submit(wire, 2, key=6)
+    setup.harness.run(0.05)
+    assert setup.cache.drop(scope) == 1
+    setup.submit(wire, 3, key=6)
+    setup.harness.run(0.05)
+    assert setup.attempts == 3  # a read after the purge does not join a fetch from before it
     deferred[0]()
-    cached.harness.run(0.05)
-    assert cached.bytes_of(wire, 2) == b"old" and not cached.bytes_of(wire, 3)
+    setup.harness.run(0.05)
+    assert setup.bytes_of(wire, 2) == b"old" and not setup.bytes_of(wire, 3)
     value[0] = b"new"
     deferred[1]()
-    cached.submit(wire, 4)
-    cached.harness.run(0.05)
-    assert cached.attempts == 4  # an object cached before the purge is not used either
+    setup.submit(wire, 4)
+    setup.harness.run(0.05)
+    assert setup.attempts == 4  # an object cached before the purge is not used either
     deferred[2]()
-    cached.harness.run(0.05)
-    assert cached.bytes_of(wire, 3) == cached.bytes_of(wire, 4) == b"new"
-    assert cached.cache.drop(Scope("plan", "p1")) == cached.cache.drop(Scope("volume", "9")) == 0
-    assert cached.read(wire, 5) == b"new" and cached.attempts == 4
+    setup.harness.run(0.05)
+    assert setup.bytes_of(wire, 3) == setup.bytes_of(wire, 4) == b"new"
+    assert setup.cache.drop(Scope("plan", "p1")) == setup.cache.drop(Scope("volume", "9")) == 0
+    assert setup.read(wire, 5) == b"new" and setup.attempts == 4
 
 
 def test_a_purge_aborts_answers_that_are_sent_from_a_cached_object(make):
-    cached = make(serving(lambda: BIG * 2, pieces=4))
-    wire = cached.harness.client()
-    assert cached.read(wire, 1) == BIG * 2
+    setup = make(serving(lambda: BIG * 2, pieces=4))
+    wire = setup.harness.client()
+    assert setup.read(wire, 1) == BIG * 2
     wire.transport.pauseProducing()  # the client stops reading
     for number in range(2, 40):
-        cached.submit(wire, number)
-    cached.harness.run(0.05)
-    slow = len(cached.cache.readers.by_request)
+        setup.submit(wire, number)
+    setup.harness.run(0.05)
+    slow = len(setup.cache.readers.by_request)
     assert 30 < slow < 39  # at most one chunk is written for each, however large its answer
-    assert cached.cache.drop(ALL) == 1 and not cached.cache.readers.by_request
-    assert cached.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not cached.gateway.in_flight
+    assert setup.cache.drop(ALL) == 1 and not setup.cache.readers.by_request
+    assert setup.gateway.request_log.outcomes[RequestOutcome.FAILED] == slow and not setup.gateway.in_flight
     wire.transport.resumeProducing()
-    cached.harness.run(0.5)
+    setup.harness.run(0.5)
     assert len(wire.told(m.RequestFailed)) == slow
     assert len(wire.told(m.RequestServed)) == 39
 
 
 def test_reads_of_slow_clients_beyond_the_limit_are_sent_to_nodes(make):
-    cached = make(serving(lambda: BIG * 2, pieces=4), Limits__Multiplex="1024")
-    wire = cached.harness.client()
-    cached.read(wire, 1)
+    setup = make(serving(lambda: BIG * 2, pieces=4), Limits__Multiplex="1024")
+    wire = setup.harness.client()
+    setup.read(wire, 1)
     wire.transport.pauseProducing()
     for number in range(2, MAX_READERS + 30):
-        cached.submit(wire, number)
-    cached.harness.run(0.05)
+        setup.submit(wire, number)
+    setup.harness.run(0.05)
     assert (
-        len(cached.cache.readers.by_request) == MAX_READERS
-        and cached.attempts > 1
-        and not cached.cache.fetches
+        len(setup.cache.readers.by_request) == MAX_READERS and setup.attempts > 1 and not setup.cache.fetches
     )
 
 
@@ -395,38 +391,38 @@
 def test_limits_of_total_bytes_and_object_size(make):
     value = [b"x" * 1000]
     capacity = 3 * (1000 + OBJECT_OVERHEAD_BYTES)
-    cached = make(serving(lambda: value[0]), max_bytes=capacity, max_object_bytes=1000)
-    wire = cached.harness.client()
+    setup = make(serving(lambda: value[0]), max_bytes=capacity, max_object_bytes=1000)
+    wire = setup.harness.client()
     for number in range(1, 6):
-        cached.read(wire, number, key=number)
-    assert [each.key for each in cached.cache.store.objects] == [
+        setup.read(wire, number, key=number)
+    assert [each.key for each in setup.cache.store.objects] == [
         3,
         4,
         5,
-    ] and cached.cache.store.objects.currsize <= capacity
+    ] and setup.cache.store.objects.currsize <= capacity
     value[0] = b"y" * 1001
-    two = cached.harness.client()
-    cached.submit(wire, 10, key=10)
-    cached.submit(two, 10, key=10)
-    cached.harness.run(0.5)
-    assert cached.bytes_of(wire, 10) == cached.bytes_of(two, 10) == value[0] and cached.attempts == 7
-    assert len(cached.cache.store.by_volume_object) == 3 and not cached.cache.fetches
+    two = setup.harness.client()
+    setup.submit(wire, 10, key=10)
+    setup.submit(two, 10, key=10)
+    setup.harness.run(0.5)
+    assert setup.bytes_of(wire, 10) == setup.bytes_of(two, 10) == value[0] and setup.attempts == 7
+    assert len(setup.cache.store.by_volume_object) == 3 and not setup.cache.fetches
 
 
 def test_a_drain_waits_for_reads_that_share_a_fetch(make):
     deferred, drained = [], []
-    cached = make(serving(lambda: b"lesson", deferred=deferred))
-    cached.gateway.on_drained.append(lambda: drained.append(1))
-    wires = [cached.harness.client() for _ in range(2)]
+    setup = make(serving(lambda: b"lesson", deferred=deferred))
+    setup.gateway.on_drained.append(lambda: drained.append(1))
+    wires = [setup.harness.client() for _ in range(2)]
     for wire in wires:
-        cached.submit(wire, 1)
-        cached.harness.run(0.01)
-    cached.gateway.drain()
-    cached.harness.run(0.02)
+        setup.submit(wire, 1)
+        setup.harness.run(0.01)
+    setup.gateway.drain()
+    setup.harness.run(0.02)
     assert not drained
     deferred.pop()()
-    cached.harness.run(0.05)
-    assert drained == [1] and [cached.bytes_of(wire, 1) for wire in wires] == [b"lesson"] * 2
+    setup.harness.run(0.05)
+    assert drained == [1] and [setup.bytes_of(wire, 1) for wire in wires] == [b"lesson"] * 2
 
 
 def test_webdav_answers_whole_objects_and_ranges_from_the_cache_and_reads_what_was_put(make_yard):
