--- a/ochrecourse/fleet/member_zones.py
+++ b/ochrecourse/fleet/member_zones.py
@@ -1,4 +1,4 @@
-"""The zones of a fleet member, and the settings that must be the same at all gateways for them to work."""
+"""Connects a fleet member to zone control and to the settings that must be equal at all gateways."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class MemberZones:
-    """`zones` and `zone_subsystem` are None where the settings have no zones. `wall_ms`: ms since 1970."""
+    """Zone control of one member.
+
+    `zones` and `zone_subsystem` are None if the settings have no zones. `wall_ms`: returns ms since 1970.
+    """
 
     def __init__(
         self,
@@ -46,17 +49,17 @@
         )
 
     def attempt_ended(self, request: RequestRecord, attempt: AttemptRecord) -> None:
-        """An attempt of the gateway ended: what it shows of the node's zone."""
+        """Passes an ended attempt of the gateway to zone control."""
         if self.zone_subsystem is not None:
             self.zone_subsystem.attempt_ended(request, attempt, now_ns(self.network))
 
     def detach(self) -> None:
-        """Attempts of the gateway are no longer observed."""
+        """Stops observing the gateway's attempts."""
         if self.attempt_ended in self.gateway.attempt_observers:
             self.gateway.attempt_observers.remove(self.attempt_ended)
 
     def apply_shared_settings(self, operator_log: OperatorLog) -> None:
-        """Applies what the other gateways have for the settings that must be the same for all."""
+        """Logs differences to other gateways' settings and applies the most conservative values."""
         for change in self.shared_settings.changes():
             event = "fleet settings alike" if change.is_over else "fleet settings differ"
             operator_log.write(event, **change.log_fields())
--- a/ochrecourse/fleet/shard_demand.py
+++ b/ochrecourse/fleet/shard_demand.py
@@ -1,7 +1,7 @@
-"""What this gateway's requests need of each shard, and to whom quotas that it does not need are best lent.
+"""This gateway's demand by shard, and the choice of borrowers for quotas that it does not need.
 
-The demand of a shard is observed at whichever node serves it, so it is known of a lost zone's nodes too, as
-long as another zone holds the shard. Free of I/O, clocks and chance.
+Demand is measured per shard, at any node that serves it, so that the demand at nodes of a lost zone is known
+as long as another zone has the shard. Free of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 HALF_TIME = (
     10 * SECOND
-)  # ns in which observed demand halves; some requests of a shard, at one in a few seconds
+)  # ns in which measured demand halves; covers several requests to a shard that gets one every few seconds
 LN_2 = 0.693
-USUAL_WEIGHT = 1 / 32  # of the newest request in the mean of units; single large requests hardly move it
-GOLDEN_SECTION = 0.6180339887  # so many lenders in a row fall evenly over the borrowers
-MIN_RELATIVE_DEMAND = 0.1  # of a node's largest demand, below which no quota of it is lent
+MEAN_WEIGHT = 1 / 32  # of the newest request in the moving mean of units; large ones hardly move it
+GOLDEN_SECTION = 0.6180339887  # multiples modulo 1 are evenly spread, so consecutive lenders are too
+MIN_RELATIVE_DEMAND = 0.1  # of the largest demand at a node; a gateway with less gets no loan of it
 REPORTED_DIGITS = 2
 
 
@@ -27,29 +27,31 @@
 
 
 class ShardDemand:
-    """Units a second by shard. `usual`, `largest`: units of a request in the mean, and of the largest."""
+    """Demand by shard in units/s. `mean_units`, `largest_units`: mean and maximum units of a request."""
 
     def __init__(self) -> None:
-        self.usual = 1.0
-        self.largest = 1.0
+        self.mean_units = 1.0
+        self.largest_units = 1.0
         self._by_shard: dict[int, _Demand] = {}
 
     def units_sent(self, shard: int, units: float, now: int) -> None:
-        """An attempt was sent to a node that holds the shard."""
+        """Adds an attempt's units to the demand of the shard."""
         demand = self.of(shard, now) + units * LN_2 * SECOND / HALF_TIME
         self._by_shard[shard] = _Demand(demand, now)
-        self.usual += USUAL_WEIGHT * (units - self.usual)
-        self.largest = max(self.largest, units)
+        self.mean_units += MEAN_WEIGHT * (units - self.mean_units)
+        self.largest_units = max(self.largest_units, units)
 
     def of(self, shard: int, now: int) -> float:
-        """Units a second that its requests need of the shard now."""
+        """Returns the current demand of the shard in units/s."""
         demand = self._by_shard.get(shard) or _Demand(0.0, now)
         return float(demand.units_per_s * 0.5 ** ((now - demand.at) / HALF_TIME))
 
 
 def choose_borrower(rank: int, node: int, demand: Sequence[tuple[str, float]]) -> str | None:
-    """To whom the lender of this rank lends its quota of a node, so that all lenders together serve each
-    borrower after its demand. `demand`: units a second by gateway, in the order of names.
+    """Returns the borrower of a node's quota for the lender of the given rank; None if there is no demand.
+
+    Over all lenders, each borrower gets loans in proportion to its demand. `demand`: units/s by gateway, in
+    the order of names.
     """
     largest = max((units for _, units in demand), default=0.0)
     borrowers = [
@@ -65,7 +67,7 @@
 
 
 def largest_demands(demand: Mapping[int, float], count: int) -> tuple[tuple[int, float], ...]:
-    """The largest of these, by node, as they are reported."""
+    """Returns the `count` largest demands by node, rounded as in reports."""
     largest = sorted(demand.items(), key=lambda each: (-each[1], each[0]))[:count]
     rounded = [(node, round(units, REPORTED_DIGITS)) for node, units in sorted(largest)]
     return tuple((node, units) for node, units in rounded if units > 0)
--- a/ochrecourse/fleet/shared_settings.py
+++ b/ochrecourse/fleet/shared_settings.py
@@ -1,9 +1,9 @@
-"""Settings that must be the same at all gateways: zones in order, fleet size, clocks' bound, cold limit.
+"""Settings that must be equal at all gateways: order of zones, fleet size, clock bound and cold node rate.
 
-Each gateway reports its own in its heartbeat, so that they come through others too. Where another gateway's
-differ, both say so by name, once, and keep to the safe side until they are the same: the larger size and
-bound on clocks, the lower limit, and no evidence of zones from a gateway with other zones. Free of I/O,
-clocks and chance.
+Each gateway reports its settings in its heartbeats, which other gateways relay. If two gateways' settings
+differ, both log each difference once and use the more conservative values until they are equal again: the
+larger fleet size and clock bound, the lower rate, and no zone evidence from a gateway with other zones. Free
+of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from ochrecourse.fleet.entries import Entry
 
-MAX_NAMES_BYTES = 2048  # of all zones; of longer names a digest is reported
-MAX_SHOWN_CHARACTERS = 200  # of one side's value in a line of the log
-MAX_GATEWAYS = 1024  # whose settings are remembered; the largest fleet that is planned for
+MAX_NAMES_BYTES = 2048  # of all zone names; if they are longer, a digest is reported
+MAX_SHOWN_CHARACTERS = 200  # of one gateway's value in a log line
+MAX_GATEWAYS = 1024  # whose settings are stored; the largest supported fleet
 MAX_FLEET_SIZE = 1 << 20
 MAX_CLOCK_BOUND_MS = 1e9
-MAX_RATE = 1e12  # units a second
+MAX_RATE = 1e12  # units/s
 DIGEST_BYTES = 8
-COLD_NODE_RATE = "cold"  # the name in reports
-ALL_SETTINGS = "all"  # in place of a name, where a difference is over
+COLD_NODE_RATE = "cold"  # name of the setting in reports
+ALL_SETTINGS = "all"  # in place of a setting's name, when all settings are equal again
 
 ZoneName = Annotated[str, msgspec.Meta(max_length=MAX_NAMES_BYTES)]
 
@@ -40,8 +40,10 @@
         "cold_node_rate": COLD_NODE_RATE,
     },
 ):
-    """One gateway's settings. `zone_names`: in order, or one digest of them; `fleet_size`: gateways, itself
-    included; `cold_node_rate`: units a second, 0 where zones are not shared.
+    """One gateway's settings.
+
+    `zone_names`: in the order of zone numbers, or one digest of them. `fleet_size`: number of gateways,
+    including this one. `cold_node_rate`: units/s, 0 if the gateway does not take part in zone decisions.
     """
 
     zone_names: Annotated[tuple[ZoneName, ...], msgspec.Meta(max_length=MAX_NAMES_BYTES)]
@@ -50,13 +52,13 @@
     cold_node_rate: Annotated[float, msgspec.Meta(ge=0, le=MAX_RATE)] = 0.0
 
     def by_reported_name(self) -> dict[str, Any]:
-        """All values by their names in reports and log lines."""
+        """Returns all values by their names in reports and log lines."""
         names = zip(self.__struct_encode_fields__, self.__struct_fields__, strict=True)
         return {reported: getattr(self, field) for reported, field in names}
 
 
 class SettingsChange(NamedTuple):
-    """A difference to another gateway's settings that began, or all of them that are over."""
+    """A new difference to another gateway's settings, or the end of all differences to it."""
 
     peer: str
     setting: str
@@ -65,11 +67,11 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether all settings are the same again."""
+        """Whether all settings are equal again."""
         return self.setting == ALL_SETTINGS
 
     def log_fields(self) -> dict[str, str]:
-        """Its fields in a line of the log."""
+        """Returns the fields of the log line."""
         return {"peer": self.peer, "what": self.setting, "here": self.here, "there": self.there}
 
 
@@ -77,7 +79,7 @@
 
 
 class SharedSettingsSubsystem:
-    """Own settings and those of the other gateways; a subsystem of the member."""
+    """Compares this gateway's settings with those of others; a subsystem of the fleet member."""
 
     name = "terms"  # in heartbeats
 
@@ -88,40 +90,40 @@
         self.others: dict[str, SharedSettings] = {}
         self._changes: list[SettingsChange] = []
         self._own_status = msgspec.json.encode(self.own)
-        self._statuses: dict[str, bytes] = {}  # as last received
+        self._statuses: dict[str, bytes] = {}  # last received encoded settings, by gateway
 
-    # --- what follows from them ---
+    # --- results ---
 
     def gateways_with_other_zones(self) -> set[str]:
-        """Gateways whose reports are on other zones."""
+        """Returns the gateways whose zone names or order differ, so that their reports are on other zones."""
         return {name for name, each in self.others.items() if each.zone_names != self.own.zone_names}
 
     def fleet_size(self) -> int:
-        """The largest that a gateway has."""
+        """Returns the largest fleet size of any gateway."""
         return max(self.own.fleet_size, *(each.fleet_size for each in self.others.values()), 1)
 
     def clock_bound_ms(self) -> float:
-        """The largest that a gateway has."""
+        """Returns the largest clock bound of any gateway, in ms."""
         return max(self.own.clock_bound_ms, *(each.clock_bound_ms for each in self.others.values()), 0.0)
 
     def cold_node_rate(self) -> float:
-        """Units a second: the lowest that a gateway has."""
+        """Returns the lowest cold node rate of any gateway, in units/s."""
         others = (each.cold_node_rate for each in self.others.values() if each.cold_node_rate)
         return min(self.own.cold_node_rate, *others, float("inf"))
 
     def changes(self) -> list[SettingsChange]:
-        """What operators are to be notified of, each once."""
+        """Returns the changes since the last call, to be logged for operators."""
         changes, self._changes = self._changes, []
         return changes
 
-    # --- the member's calls (subsystem.Subsystem) ---
+    # --- called by the member (subsystem.Subsystem) ---
 
     def status(self, now: int) -> bytes | None:
-        """Its own settings, for the next heartbeat."""
+        """Returns this gateway's encoded settings for its next heartbeat."""
         return self._own_status
 
     def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
-        """Another gateway's settings. Raises ValueError (msgspec.DecodeError)."""
+        """Stores another gateway's settings. Raises ValueError (msgspec.DecodeError) if malformed."""
         if self._statuses.get(name) == status:
             return
         if name not in self.others and len(self.others) >= MAX_GATEWAYS:
@@ -139,27 +141,27 @@
         for setting, there in received.by_reported_name().items():
             here = own[setting]
             is_new = here != there and there != before[setting]
-            # A gateway that shares no zones has no limit, and needs none.
-            is_owed = setting != COLD_NODE_RATE or (here and there)
-            if is_new and is_owed:
+            # A gateway that takes no part in zone decisions has no cold node rate to compare.
+            is_comparable = setting != COLD_NODE_RATE or (here and there)
+            if is_new and is_comparable:
                 self._changes.append(SettingsChange(name, setting, _shown(here), _shown(there)))
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        """Settings are no matter of the log."""
+        """Ignores entries: settings are not in the log."""
 
-    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
-        """Nothing to append."""
+    def next_entry(self, now: int, reachable: Mapping[str, int]) -> tuple[str, object] | None:
+        """Returns None: there is nothing to append."""
         return None
 
     def node_rates(self, now: int) -> Mapping[int, float]:
-        """It limits no node."""
+        """Returns an empty mapping: no node is limited."""
         return {}
 
     def beat_passed(self, now: int) -> None:
-        """Nothing is due with time."""
+        """Does nothing: no task depends on time."""
 
     def report(self) -> dict[str, Any]:
-        """Gateways whose settings differ from this one's, and in what."""
+        """Returns the names of differing settings by gateway."""
         own = self.own.by_reported_name()
         return {
             name: [setting for setting, there in each.by_reported_name().items() if there != own[setting]]
--- a/ochrecourse/fleet/zone_context.py
+++ b/ochrecourse/fleet/zone_context.py
@@ -1,4 +1,4 @@
-"""What the rules on zones share at one gateway: settings, the endpoint list, evidence and decisions.
+"""State of one gateway that all zone rules share: settings, endpoint list, evidence and decisions.
 
 Free of I/O, clocks and chance.
 """
@@ -22,8 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlacement:
-    """Where a gateway stands. `zone_count`: how many zones the settings name; `gateway_count`: the fleet's
-    size; `zone_names`: in order, if they are known.
+    """A gateway's zone and its fleet.
+
+    `zone_count`: number of zones in the settings. `gateway_count`: size of the fleet. `zone_names`: in the
+    order of the zone numbers; empty if not known.
     """
 
     zone_count: int
@@ -35,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """Another gateway's report. `received_at`: ns."""
+    """A report received from another gateway. `received_at`: ns."""
 
     received_at: int
     gateway_zone: int
@@ -43,14 +45,14 @@
 
 
 class ZoneContext:
-    """One gateway's state of zones, by zone unless the name says otherwise."""
+    """Zone state of one gateway. Mappings are keyed by zone unless noted otherwise."""
 
     def __init__(self, settings: ZoneSettings, placement: FleetPlacement) -> None:
         self.settings = settings
         self.name = placement.name
         self.zone = placement.zone
         self.gateway_count = max(1, placement.gateway_count)
-        self.cold_node_rate = settings.cold_node_rate  # units a second; the lowest of the fleet
+        self.cold_node_rate = settings.cold_node_rate  # units/s; the lowest in the fleet
         self.decisions = ZoneDecisions(placement.zone_count, placement.zone_names)
         self.nodes = ZoneNodes(placement.zone_count)
         self.observations = LocalObservations(
@@ -61,18 +63,19 @@
             placement.name, self.gateway_count, int(settings.loan_time_ms), int(settings.clock_bound_ms)
         )
         self.gateways_with_other_zones: AbstractSet[str] = frozenset()
-        self.reached: dict[str, int] = {placement.name: placement.zone}  # zones by gateway, itself included
+        self.reachable: dict[str, int] = {placement.name: placement.zone}  # zone by gateway, including itself
         self.reports: dict[str, ReceivedReport] = {}  # by gateway
         self.summaries: dict[int, ZoneSummary] = {}
-        self.fleet_summary = ZoneSummary()  # all zones together
+        self.fleet_summary = ZoneSummary()  # totals over all zones
         self.timers: dict[int, ZoneTimers] = {}
-        self.isolated_zones: set[int] = set()  # lost to this side, which is too small to decide for the fleet
-        self.node_alive_at: dict[int, int] = {}  # by node: ns when a gateway last reported that it answers
+        # Zones that this gateway can't reach while it is in a minority, which must not decide for the fleet.
+        self.isolated_zones: set[int] = set()
+        self.node_alive_at: dict[int, int] = {}  # by node: ns at which a gateway last reported an answer
 
     def is_minority(self) -> bool:
-        """Whether less than half of the fleet is reached: too few to decide for all."""
-        return 2 * len(self.reached) < self.gateway_count
+        """Whether less than half of the fleet is reachable; a minority makes no decisions."""
+        return 2 * len(self.reachable) < self.gateway_count
 
     def zones_not_in(self) -> set[int]:
-        """The zones on which the decision in force is other than IN."""
+        """Zones whose decision in force is not IN."""
         return {zone for zone, each in self.decisions.by_zone.items() if each.state is not ZoneState.IN}
--- a/ochrecourse/fleet/zone_controller.py
+++ b/ochrecourse/fleet/zone_controller.py
@@ -1,9 +1,10 @@
-"""Which zones the fleet evacuates and when it returns to them: one gateway's evidence in, decisions out.
+"""Decides which zones the fleet evacuates and when it sends requests to them again.
 
-Own evidence goes out as a status, other gateways' come in; together they show how each zone fares. A decision
-is one entry of the log, written by the first gateway in the order of names among those that reach each other,
-by the next one if that one does not, and so on. docs/fleet.md has the rules in words. Free of I/O, clocks and
-chance; durations in ns unless a name says otherwise, times on a clock that only goes on.
+Each gateway sends its own evidence in its heartbeats and receives that of the others; the summary of all
+reports shows the condition of each zone. A decision is one log entry. Among the gateways that reach each
+other, the first by name writes it; if it does not within a time-out, the next one does, and so on.
+docs/fleet.md describes the rules. Free of I/O, clocks and chance. Durations are in ns unless a name says
+otherwise; times are read from a monotonic clock.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 from ochrecourse.fleet.zone_timers import Observation, ZoneTimers
 from ochrecourse.interface import Ending
 
-EVALUATION_INTERVAL = 100 * MS  # ns; finer than a beat, and cheap
-MAX_ELAPSED = 500 * MS  # ns that one evaluation may count; more means that this process stood still
-LOAN_KIND = "lend"  # in field `what` of an entry
+EVALUATION_INTERVAL = 100 * MS  # ns; shorter than a heartbeat interval, and cheap
+MAX_ELAPSED = 500 * MS  # ns that one evaluation may count; a longer gap means that this process stalled
+LOAN_KIND = "lend"  # value of field `what` in an entry
 
 
 class ZoneController:
-    """One gateway's side of the fleet's decisions on zones."""
+    """One gateway's part in the fleet's zone decisions."""
 
     def __init__(self, settings: ZoneSettings, placement: FleetPlacement) -> None:
         self.context = ZoneContext(settings, placement)
@@ -46,13 +47,13 @@
         self.loans = ZoneLoans(self.context, self.limited)
         self.writer = DecisionWriter(self.context, self.policy)
         self._evaluated_at = -1
-        self._majority_since = 0  # when it last began to reach enough of the fleet to decide for it
-        self._own_report: tuple[int, ZoneReport] | None = None  # and of when
+        self._majority_since = 0  # ns at which this gateway last left a minority
+        self._own_report: tuple[int, ZoneReport] | None = None  # ns of its making, and the report
 
-    # --- what is observed and received ---
+    # --- observations and messages ---
 
     def update_nodes(self, entries: Mapping[int, ZoneNode]) -> None:
-        """The complete endpoint list, by node."""
+        """Replaces the endpoint list. `entries`: the complete list, by node."""
         context = self.context
         context.observations.forget(context.nodes.by_node.keys() - entries.keys())
         context.node_alive_at = {node: at for node, at in context.node_alive_at.items() if node in entries}
@@ -61,14 +62,17 @@
         self.limited.invalidate()
 
     def attempt_ended(self, attempt: EndedAttempt) -> None:
-        """An attempt ended, or has been without an answer for too long and counts as TIMEOUT."""
+        """Records an attempt that ended, or that has been unanswered for so long that it counts as TIMEOUT.
+
+        Failures of attempts that began while this gateway was in a minority are no evidence.
+        """
         began_at = attempt.ended_at - attempt.duration
         if began_at >= self._majority_since or attempt.ending is Ending.SERVED:
             self.context.observations.attempt_ended(attempt)
         self.units_sent(attempt.node, attempt.ended_at, attempt.units)
 
     def units_sent(self, node: int, now: int, units: float = 1.0) -> None:
-        """An attempt that ended and is no evidence of its node: the units that it took count all the same."""
+        """Counts the units of an ended attempt as demand and against the node's rate, but not as evidence."""
         nodes = self.context.nodes
         if node in nodes.by_node:
             self.context.shard_demand.units_sent(nodes.by_node[node].shard, units, now)
@@ -78,12 +82,12 @@
             self.context.observations.use_rate(node, units, rate, now)
 
     def report_received(self, name: str, zone: int, status: bytes, now: int) -> None:
-        """Another gateway's status. Raises ZoneReportError."""
+        """Stores another gateway's report. Raises ZoneReportError if it can't be decoded."""
         if name != self.context.name:
             self.context.reports[name] = ReceivedReport(now, zone, decode_report(status))
 
     def gateway_unreachable(self, name: str) -> None:
-        """A gateway is no longer reached: its report is no evidence."""
+        """Drops the report of a gateway that is no longer reachable."""
         self.context.reports.pop(name, None)
 
     def apply_shared_settings(
@@ -93,7 +97,7 @@
         clock_bound_ms: float,
         cold_node_rate: float,
     ) -> None:
-        """What the fleet has for the settings that must be the same at all gateways, on the safe side."""
+        """Applies the most conservative values that any gateway reports for settings that must be equal."""
         context = self.context
         context.gateways_with_other_zones = gateways_with_other_zones
         for name in sorted(gateways_with_other_zones & context.reports.keys()):
@@ -103,11 +107,14 @@
         context.cold_node_rate = cold_node_rate
 
     def set_time(self, now: int, wall_ms: int) -> None:
-        """The wall clock in ms since 1970; without it nothing is lent or borrowed."""
+        """Sets the wall clock, in ms since 1970; until then no quota is lent or borrowed."""
         self.context.quota.set_time(now, wall_ms)
 
     def entry_received(self, entry: Entry, now: int = 0) -> None:
-        """An entry of channel `fleet`, in any order and any number of times; others are ignored."""
+        """Applies an entry of channel `fleet`; entries of other channels are ignored.
+
+        The result depends neither on the order of entries nor on how often each is received.
+        """
         if entry.channel != CHANNEL:
             return
         kind = _kind_of(entry.body)
@@ -126,10 +133,10 @@
         restart = timers.restarted_as_suspect if is_suspect else timers.restarted
         self.context.timers[zone] = restart(decided_at, warm_at)
 
-    # --- what is reported and decided ---
+    # --- reports and decisions ---
 
     def status(self, now: int) -> bytes:
-        """This gateway's report for its next heartbeat."""
+        """Returns the encoded report for this gateway's next heartbeat."""
         return msgspec.json.encode(self._report_at(now))
 
     def _report_at(self, now: int) -> ZoneReport:
@@ -138,7 +145,7 @@
         return self._own_report[1]
 
     def make_report(self, now: int) -> ZoneReport:
-        """What this gateway observed over the window that ends now."""
+        """Returns this gateway's observations over the window that ends now."""
         context = self.context
         accused_nodes = {
             each.node
@@ -157,14 +164,15 @@
         demand = self.loans.unmet_demand(now)
         return msgspec.structs.replace(report, demand=demand) if demand else report
 
-    def next_entry(self, now: int, reached: Mapping[str, int]) -> dict[str, object] | None:
-        """The body of an entry for channel `fleet`; called until None. `reached`: the gateways that this one
-        reaches, itself included, each with its zone.
+    def next_entry(self, now: int, reachable: Mapping[str, int]) -> dict[str, object] | None:
+        """Returns the body of the next entry to append to channel `fleet`; called until it returns None.
+
+        `reachable`: zone by gateway, for all reachable gateways including this one.
         """
-        self.evaluate(now, reached)
+        self.evaluate(now, reachable)
         if self.context.is_minority():
-            return None  # what it observes limits its own rates alone
-        order = sorted(self.context.reached)
+            return None  # in a minority, its evidence limits only its own rates
+        order = sorted(self.context.reachable)
         rank = order.index(self.context.name)
         for zone, timers in self.context.timers.items():
             number = self.context.decisions.of(zone).number + 1
@@ -176,14 +184,14 @@
     def _is_to_write(self, timers: ZoneTimers, rank: int, number: int, now: int) -> bool:
         timeout = self.context.settings.decider_timeout
         if now - timers.due_at < rank * timeout:
-            return False  # a gateway before this one may write it
-        # Written, and either refused by the log or on its way.
+            return False  # a gateway earlier in the order may still write it
+        # This gateway has proposed the decision: the log rejected the entry or has not yet returned it.
         is_pending = timers.proposed_number == number and now - timers.proposed_at < timeout
         return not is_pending
 
-    def evaluate(self, now: int, reached: Mapping[str, int]) -> None:
-        """Looks at all evidence; a few times a beat is often enough."""
-        self._set_reached(now, reached)
+    def evaluate(self, now: int, reachable: Mapping[str, int]) -> None:
+        """Evaluates all evidence, at most once per EVALUATION_INTERVAL."""
+        self._set_reachable(now, reachable)
         if self._evaluated_at >= 0 and now - self._evaluated_at < EVALUATION_INTERVAL:
             return
         elapsed = min(MAX_ELAPSED, now - self._evaluated_at) if self._evaluated_at >= 0 else 0
@@ -196,15 +204,15 @@
             if context.decisions.of(zone).state is ZoneState.IN:
                 self._evaluate_without_evidence(zone, elapsed)
 
-    def _set_reached(self, now: int, reached: Mapping[str, int]) -> None:
+    def _set_reachable(self, now: int, reachable: Mapping[str, int]) -> None:
         context = self.context
         was_minority = context.is_minority()
         others = context.gateways_with_other_zones
-        same_zones = {name: zone for name, zone in reached.items() if name not in others}
-        context.reached = {**same_zones, context.name: context.zone}
+        same_zones = {name: zone for name, zone in reachable.items() if name not in others}
+        context.reachable = {**same_zones, context.name: context.zone}
         if was_minority and not context.is_minority():
-            # Guards against a side that was isolated and is believed afterwards: its failures and what was
-            # due for decision are its own failure, not that of the zones that it could not reach.
+            # Observations and pending decisions from the time in a minority reflect this gateway's own
+            # isolation, not the state of the zones that it could not reach; they must not count afterwards.
             context.observations.forget(list(context.observations.by_node))
             context.timers = {
                 zone: each.restarted(each.decided_at, each.warm_at) for zone, each in context.timers.items()
@@ -216,7 +224,7 @@
         reports = {
             name: GatewayReport(each.gateway_zone, each.report)
             for name, each in context.reports.items()
-            if name in context.reached and now - each.received_at <= STALE_AFTER
+            if name in context.reachable and now - each.received_at <= STALE_AFTER
         }
         reports[context.name] = GatewayReport(context.zone, self._report_at(now))
         listed = ListedZones(context.nodes.zone_of, context.nodes.ready, self.limited.zones())
@@ -227,7 +235,7 @@
             context.fleet_summary.add_totals(report.totals)
 
     def _evaluate_zone(self, zone: int, elapsed: int, now: int) -> None:
-        """Adds the elapsed time to the zone's timers, and finds the state that is due."""
+        """Advances the zone's timers by the elapsed time and determines which state is due."""
         context = self.context
         summary = context.summaries.get(zone) or ZoneSummary(len(context.nodes.ready.get(zone, ())))
         timers = context.timers.setdefault(zone, ZoneTimers())
@@ -236,7 +244,7 @@
             summary,
             self.policy.loss_of(summary),
             context.decisions.of(zone).state,
-            self.limited.is_resting(zone, now),
+            self.limited.is_probing_paused(zone, now),
             context.settings.max_failed_fraction,
         )
         timers.advance(observation)
@@ -248,30 +256,30 @@
     def _evaluate_without_evidence(self, zone: int, elapsed: int) -> None:
         timers = self.context.timers[zone]
         timers.advance_without_evidence(elapsed)
-        # Guards against an isolated zone that is seldom tried, and for that reason is no longer in evidence.
+        # An isolated zone gets few attempts, so a window without reports is no sign that it has recovered.
         if not timers.lost or not self.context.is_minority():
             self.limited.set_isolated(zone, False)
 
     def _update_isolation(self, zone: int, is_lost: bool, timers: ZoneTimers) -> None:
-        """A side that is too small to decide for the fleet limits its own rates at a lost zone."""
+        """In a minority, limits this gateway's own rates at a lost zone instead of deciding for the fleet."""
         settings = self.context.settings
-        if not self.context.is_minority() or timers.calm >= settings.clear_after:
+        if not self.context.is_minority() or timers.clear >= settings.clear_after:
             self.limited.set_isolated(zone, False)
         elif is_lost and timers.lost >= settings.silent_loss_after:
             self.limited.set_isolated(zone, True)
 
-    # --- what follows ---
+    # --- results ---
 
     def state_of(self, zone: int) -> tuple[ZoneState, int]:
-        """Its state at this gateway, and the number of the decision in force."""
+        """Returns the zone's state at this gateway and the number of the decision in force."""
         return self.limited.state_of(zone)
 
     def node_rates(self, now: int) -> dict[int, float]:
-        """By node, units a second that this gateway may begin there; a node left out has no such limit."""
+        """Returns the units/s that this gateway may send to each rate-limited node, by node."""
         return self.rates.rates(now)
 
     def report(self) -> dict[str, object]:
-        """For operators, by zone with any decision: its state, and what was last observed of it."""
+        """Returns the operator report: state and latest evidence of each zone that has a decision."""
         zones = {}
         for zone, decision in sorted(self.context.decisions.by_zone.items()):
             state, number = self.state_of(zone)
@@ -280,12 +288,12 @@
                 "standing": STATE_WORDS[state],
                 "number": number,
                 "part": decision.fraction,
-                "rest_ms": decision.rest_ms,
+                "rest_ms": decision.min_evacuation_ms,
                 "hand": decision.by_operator,
                 "seen": summary.as_evidence() if summary else None,
             }
         isolated = sorted(self.context.isolated_zones)
-        return {"zones": zones, "spared": isolated, "reached": len(self.context.reached)}
+        return {"zones": zones, "spared": isolated, "reached": len(self.context.reachable)}
 
 
 class _EntryKind(msgspec.Struct):
@@ -293,7 +301,7 @@
 
 
 def _kind_of(body: bytes) -> str:
-    """What an entry of the channel is about; empty if it does not say."""
+    """Returns field `what` of an entry; empty if it is missing or the body can't be decoded."""
     try:
         return msgspec.json.decode(body, type=_EntryKind).what
     except (msgspec.MsgspecError, RecursionError):
--- a/ochrecourse/fleet/zone_decision_entry.py
+++ b/ochrecourse/fleet/zone_decision_entry.py
@@ -1,4 +1,4 @@
-"""The bodies of entries that decide on zones, by this gateway or by an operator.
+"""Builds the log entries of zone decisions, made by this gateway or by an operator.
 
 Free of I/O, clocks and chance.
 """
@@ -16,23 +16,23 @@
 
 
 class DecisionWriter:
-    """Writes this gateway's decisions."""
+    """Builds the entry bodies of this gateway's decisions."""
 
     def __init__(self, context: ZoneContext, policy: ZonePolicy) -> None:
         self.context = context
         self.policy = policy
 
     def body(self, zone: int, state: ZoneState, number: int, now: int) -> dict[str, object]:
-        """The body of an entry, as JSON has it."""
+        """Returns the body of a decision entry, ready for JSON encoding."""
         summary = self.context.summaries.get(zone) or ZoneSummary()
-        rest_ms, clear_ms = self._durations_ms(zone, state, now)
+        min_evacuation_ms, clear_ms = self._durations_ms(zone, state, now)
         return {
             "what": "zone",
             "zone": zone,
             "standing": STATE_WORDS[state],
             "number": number,
             "part": round(self._fraction(zone, state, summary), FRACTION_DIGITS),
-            "rest": round(rest_ms),
+            "rest": round(min_evacuation_ms),
             "clear": round(clear_ms),
             "blind": self._is_unprobed(zone, state),
             "evidence": summary.as_evidence(),
@@ -40,21 +40,27 @@
         }
 
     def _durations_ms(self, zone: int, state: ZoneState, now: int) -> tuple[float, float]:
-        """How long it is to stay evacuated, and how long without a bad sign ends a suspicion."""
+        """Returns the minimum evacuation time and the time without failures that ends a suspicion.
+
+        Both grow with each repetition and decay while the zone is in use.
+        """
         settings, decision = self.context.settings, self.context.decisions.of(zone)
-        rest_ms, clear_ms = float(decision.rest_ms), float(decision.clear_ms)
+        min_evacuation_ms, clear_ms = float(decision.min_evacuation_ms), float(decision.clear_ms)
         if decision.state is ZoneState.IN:
             in_use_for = now - self.context.timers[zone].decided_at
-            eased = 0.5 ** (in_use_for / settings.rest_halves_after)
-            rest_ms, clear_ms = rest_ms * eased, clear_ms * eased
+            decay = 0.5 ** (in_use_for / settings.evacuation_halves_after)
+            min_evacuation_ms, clear_ms = min_evacuation_ms * decay, clear_ms * decay
             if state is ZoneState.SUSPECT:
                 clear_ms = min(settings.max_clear_after / MS, max(settings.clear_after / MS, 2 * clear_ms))
         if state is ZoneState.EVACUATED:
-            # A slow start without an answered health check was none: the zone was lost all along.
-            is_same_fall = decision.unprobed and decision.fraction <= self.policy.first_fraction()
-            factor = 1 if is_same_fall else 2
-            rest_ms = min(settings.max_rest / MS, max(settings.min_rest / MS, factor * rest_ms))
-        return rest_ms, clear_ms
+            # If a slow start began without an answered health check and fails at its first rate, the zone
+            # never recovered: this is the same outage, so the evacuation time does not double.
+            is_same_loss = decision.unprobed and decision.fraction <= self.policy.first_fraction()
+            factor = 1 if is_same_loss else 2
+            min_evacuation_ms = min(
+                settings.max_evacuation / MS, max(settings.min_evacuation / MS, factor * min_evacuation_ms)
+            )
+        return min_evacuation_ms, clear_ms
 
     def _fraction(self, zone: int, state: ZoneState, summary: ZoneSummary) -> float:
         if state is ZoneState.EVACUATED:
@@ -85,8 +91,10 @@
 def operator_decision(
     zone: int, state: ZoneState, current: ZoneDecision = NO_DECISION, zone_name: str = ""
 ) -> dict[str, object]:
-    """The body of an entry by which an operator decides on a zone. What an operator evacuates stays so until
-    an operator takes it back. `zone_name`: empty if it is not known.
+    """Returns the body of an operator's decision on a zone.
+
+    A zone that an operator evacuates stays evacuated until an operator reverses it. `zone_name`: empty if it
+    is not known.
     """
     return {
         "what": "zone",
@@ -94,7 +102,7 @@
         "standing": STATE_WORDS[state],
         "number": current.number + 1,
         "hand": True,
-        "rest": current.rest_ms,
+        "rest": current.min_evacuation_ms,
         "evidence": {"witnesses": 0},
         **({"name": zone_name} if zone_name else {}),
     }
--- a/ochrecourse/fleet/zone_evidence.py
+++ b/ochrecourse/fleet/zone_evidence.py
@@ -1,7 +1,7 @@
-"""This gateway's own evidence of zones: its attempts at each node over a short window, and their report.
+"""This gateway's own evidence on zones: its attempts at each node over a short window, and their report.
 
-Gateways share counts, never verdicts: each of them summarizes the counts of all that it reaches and its own.
-Free of I/O, clocks and chance.
+Gateways exchange counts, not conclusions: each one summarizes its own counts and those of all reachable
+gateways. Free of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 )
 from ochrecourse.interface import Ending
 
-MAX_NODES_PER_ZONE = 64  # in a report; far more than tell a lost zone from a bad rack
-ALIVE_ANSWER_TIMES = 4  # times its usual answer time that a node may not answer and still count as alive
-ANSWER_TIME_WEIGHT = 0.125  # of the newest answer in the mean; about the last eight count
-MIN_MEASURABLE_PACE = MS  # ns a unit; a shorter pace is no measure for slow answers
-SAMPLE_MULTIPLIER = 2_654_435_761  # odd, near the golden section of 2**32: a rack's nodes fall far apart
+MAX_NODES_PER_ZONE = 64  # in a report; far more than needed to distinguish a lost zone from a failed rack
+ALIVE_ANSWER_TIMES = 4  # mean answer times without an answer for which a node still counts as alive
+ANSWER_TIME_WEIGHT = 0.125  # of the newest answer in the moving mean, which covers about eight answers
+MIN_MEASURABLE_DURATION = MS  # ns; answers of attempts that usually take less are never counted as slow
+SAMPLE_MULTIPLIER = 2_654_435_761  # odd, near 2**32 / golden ratio: spreads consecutive node numbers
 SAMPLE_MASK = 0xFFFFFFFF
 
-# Places in a node's counts; from the first to the slow attempts as in ZoneCounts.
+# Indices into a node's counts; from _ATTEMPTS to _SLOW in the order of the fields of ZoneCounts.
 _ATTEMPTS, _SERVED, _FULL, _SLOW, _UNITS_SERVED, _UNITS_LOST = 0, 1, 2, 7, 8, 9
 _COUNTS = 10
 _COUNT_OF_ENDING = {
@@ -45,10 +45,9 @@
 
 
 class EndedAttempt(NamedTuple):
-    """An attempt that ended, or that has been without an answer for too long and counts as TIMEOUT.
+    """An attempt that ended, or that has been unanswered for so long that it counts as TIMEOUT.
 
-    `duration`: ns; `usual_duration`: ns that such an attempt usually takes, 0 if that is not known;
-    `ended_at`: ns.
+    `duration` and `ended_at`: ns. `usual_duration`: mean duration of such attempts in ns, 0 if unknown.
     """
 
     node: int
@@ -61,8 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportScope:
-    """What a report is to cover. `suspect_zones`: zones of which all is reported; `accused_nodes`: nodes at
-    which other gateways failed; `exhausted_zones`: passed on as they are.
+    """What a report covers.
+
+    `zone_of`: zone by node. `suspect_zones`: zones of which all nodes are reported. `accused_nodes`: nodes at
+    which attempts of other gateways failed. `exhausted_zones`: copied into the report.
     """
 
     zone_of: Mapping[int, int]
@@ -72,7 +73,7 @@
 
 
 class NodeObservations:
-    """One node as this gateway observes it. Times in ns, -1 for never."""
+    """This gateway's observations of one node. Times in ns, -1 for never."""
 
     __slots__ = (
         "answer_time",
@@ -88,19 +89,19 @@
     )
 
     def __init__(self) -> None:
-        self.half_window = -1  # the half of the window that `counts` are of
+        self.half_window = -1  # number of the half window that `counts` covers
         self.counts = [0] * _COUNTS
         self.previous_counts = [0] * _COUNTS
         self.failures = 0  # since the last answer
         self.refuses = False
         self.answered_at = -1
         self.failed_at = -1
-        self.rate_used_until = 0  # when its rate covers the units that it was sent
-        self.answer_time = 0.0  # ns, in the mean
+        self.rate_used_until = 0  # ns at which its rate has covered the units sent to it
+        self.answer_time = 0.0  # ns, moving mean
         self.last_answer_time = 0
 
     def advance_to(self, half_window: int) -> None:
-        """Counts are of this half of the window from now on."""
+        """Starts new counts if the half window has changed."""
         if half_window == self.half_window:
             return
         is_next = half_window == self.half_window + 1
@@ -108,16 +109,16 @@
         self.counts = [0] * _COUNTS
         self.half_window = half_window
 
-    def sum_of(self, place: int) -> int:
-        """One of the counts over the window."""
-        return self.counts[place] + self.previous_counts[place]
+    def sum_of(self, index: int) -> int:
+        """Returns one of the counts, summed over the window."""
+        return self.counts[index] + self.previous_counts[index]
 
 
 class _NodeStatus(NamedTuple):
     node: int
     zone: int
     observations: NodeObservations
-    failures: int  # in a row, 0 without a recent one
+    failures: int  # consecutive failures; 0 if none is within the window
     is_alive: bool
 
     @property
@@ -126,8 +127,9 @@
 
 
 class LocalObservations:
-    """This gateway's observations of all nodes. `window`, `alive_time`: ns; `slow_factor`: times the pace
-    from which on an answer is slow.
+    """This gateway's observations of all nodes.
+
+    `window`, `alive_time`: ns. `slow_factor`: multiple of the usual duration above which an answer is slow.
     """
 
     def __init__(self, window: int, alive_time: int, slow_factor: float) -> None:
@@ -135,20 +137,22 @@
         self.alive_time = alive_time
         self.slow_factor = slow_factor
         self.by_node: dict[int, NodeObservations] = {}
-        self.recent: dict[int, None] = {}  # nodes that were tried in the window, in that order
+        self.recent: dict[
+            int, None
+        ] = {}  # nodes that were tried in the window, in the order of their first attempts
 
     def attempt_ended(self, attempt: EndedAttempt) -> None:
         """Counts an attempt."""
-        place = _COUNT_OF_ENDING.get(attempt.ending)
-        if place is None:
-            return  # withdrawn, or never sent: no evidence of the node
+        index = _COUNT_OF_ENDING.get(attempt.ending)
+        if index is None:
+            return  # withdrawn or never sent, so it shows nothing about the node
         observations = self.by_node.setdefault(attempt.node, NodeObservations())
         self.recent[attempt.node] = None
         observations.advance_to(self._half_window(attempt.ended_at))
         counts = observations.counts
         is_answer = attempt.ending in _ANSWERS
         counts[_ATTEMPTS] += 1
-        counts[place] += 1
+        counts[index] += 1
         counts[_UNITS_SERVED if is_answer else _UNITS_LOST] += round(UNIT_FRACTIONS * attempt.units)
         if is_answer:
             counts[_SLOW] += self._is_slow(attempt)
@@ -159,7 +163,7 @@
             observations.refuses = attempt.ending in _REFUSALS
 
     def _is_slow(self, attempt: EndedAttempt) -> bool:
-        if attempt.ending is not Ending.SERVED or attempt.usual_duration <= MIN_MEASURABLE_PACE:
+        if attempt.ending is not Ending.SERVED or attempt.usual_duration <= MIN_MEASURABLE_DURATION:
             return False
         return attempt.duration > self.slow_factor * attempt.usual_duration
 
@@ -173,25 +177,28 @@
         )
 
     def use_rate(self, node: int, units: float, rate: float, now: int) -> None:
-        """The node was sent units, of which `rate` a second may begin there."""
+        """Uses up the node's rate, in units/s, by the units sent to it."""
         if rate > 0:
             observations = self.by_node.setdefault(node, NodeObservations())
             since = max(now, observations.rate_used_until)
             observations.rate_used_until = since + round(units / rate * SECOND)
 
     def is_rate_used_up(self, node: int, now: int) -> bool:
-        """Whether the node was sent all that its rate covers by now."""
+        """Whether the units sent to the node exceed what its rate covers by now."""
         observations = self.by_node.get(node)
         return observations is not None and observations.rate_used_until > now
 
     def forget(self, nodes: Iterable[int]) -> None:
-        """Drops all observations of these nodes."""
+        """Drops all observations of the given nodes."""
         for node in nodes:
             self.by_node.pop(node, None)
             self.recent.pop(node, None)
 
     def report(self, scope: ReportScope, now: int) -> ZoneReport:
-        """The report of the window that ends now."""
+        """Returns the report for the window that ends now.
+
+        It covers nodes that fail here, nodes accused by other gateways and all nodes of suspect zones.
+        """
         statuses = self._recent_statuses(scope.zone_of, now)
         totals = _totals_of(statuses)
         covered = set(scope.suspect_zones)
@@ -212,7 +219,7 @@
         return now // (self.window // 2)
 
     def _recent_statuses(self, zone_of: Mapping[int, int], now: int) -> list[_NodeStatus]:
-        """The nodes that were tried in the window; others are no longer recent."""
+        """Returns the status of each node that was tried in the window, and drops others from `recent`."""
         half_window = self._half_window(now)
         statuses = []
         for node in list(self.recent):
@@ -226,7 +233,7 @@
         return statuses
 
     def _status_of(self, node: int, zone: int, observations: NodeObservations, now: int) -> _NodeStatus:
-        # Guards against a jam: an overloaded node answers seldom, from the first late answer on.
+        # An overloaded node answers rarely but is alive: the last answer time shows the first late answer.
         usual = max(observations.answer_time, observations.last_answer_time)
         alive_time = max(self.alive_time, ALIVE_ANSWER_TIMES * usual)
         is_alive = observations.answered_at >= 0 and now - observations.answered_at <= alive_time
@@ -238,8 +245,8 @@
 def _totals_of(statuses: Iterable[_NodeStatus]) -> AttemptTotals:
     totals = [0] * len(AttemptTotals._fields)
     for each in statuses:
-        for i, place in enumerate((_ATTEMPTS, _SERVED, _FULL, _SLOW)):
-            totals[i] += each.observations.sum_of(place)
+        for i, index in enumerate((_ATTEMPTS, _SERVED, _FULL, _SLOW)):
+            totals[i] += each.observations.sum_of(index)
     return AttemptTotals(*totals)
 
 
@@ -251,7 +258,7 @@
 
 
 def _counts_of_zone(zone: int, statuses: list[_NodeStatus]) -> ZoneCounts:
-    sums = [sum(each.observations.sum_of(place) for each in statuses) for place in range(_COUNTS)]
+    sums = [sum(each.observations.sum_of(index) for each in statuses) for index in range(_COUNTS)]
     attempts = sums[: _SLOW + 1]
     nodes = [
         len(statuses),
@@ -263,7 +270,10 @@
 
 
 def _sample(statuses: list[_NodeStatus]) -> list[NodeReport]:
-    """Of a large zone some nodes, the same ones at all gateways as far as they were tried."""
+    """Returns the reports of at most MAX_NODES_PER_ZONE nodes per zone.
+
+    All gateways choose by the same order, so their samples overlap as far as they tried the same nodes.
+    """
     ordered = sorted(statuses, key=lambda each: (each.node * SAMPLE_MULTIPLIER & SAMPLE_MASK, each.node))
     reported_of_zone: dict[int, int] = {}
     reports: list[NodeReport] = []
--- a/ochrecourse/fleet/zone_limits.py
+++ b/ochrecourse/fleet/zone_limits.py
@@ -1,4 +1,4 @@
-"""Which zones' nodes have limited rates at this gateway, by decision or by isolation.
+"""Determines the zones whose nodes have limited rates at this gateway, by decision or by isolation.
 
 Free of I/O, clocks and chance.
 """
@@ -11,20 +11,20 @@
 
 
 class RateLimitedZones:
-    """Computed anew after each change; until then cached."""
+    """The zones with limited rates, cached until `invalidate` is called."""
 
     def __init__(self, context: ZoneContext) -> None:
         self.context = context
-        self.exempt_zone: int | None = None  # suspect rather than evacuated, as all zones are
+        self.exempt_zone: int | None = None  # suspect in place of evacuated, where all zones are evacuated
         self._zones: set[int] | None = None
         self._unlimited_shards: set[int] | None = None  # of ready nodes of other zones
 
     def invalidate(self) -> None:
-        """Decisions, the endpoint list or the isolated zones changed."""
+        """Drops the cache, after decisions, the endpoint list or the isolated zones have changed."""
         self._zones = None
 
     def zones(self) -> set[int]:
-        """The zones whose nodes have limited rates."""
+        """Returns the zones whose nodes have limited rates."""
         if self._zones is not None:
             return self._zones
         self._unlimited_shards = None
@@ -35,20 +35,22 @@
             for zone, each in context.decisions.by_zone.items()
             if each.state in (ZoneState.EVACUATED, ZoneState.SLOW_START) and zone != self.exempt_zone
         }
-        # Guards against limits everywhere: isolation alone never takes this side's last zone.
+        # Isolation never limits the last unlimited zone: then this gateway would have limits everywhere.
         has_other = bool(context.nodes.ready.keys() - decided - context.isolated_zones)
         self._zones = decided | context.isolated_zones if has_other else decided
         return self._zones
 
     def set_isolated(self, zone: int, is_isolated: bool) -> None:
-        """Whether a zone is lost to this side, which decides nothing for the fleet."""
+        """Sets whether this gateway, in a minority, treats the zone as lost for itself."""
         if is_isolated != (zone in self.context.isolated_zones):
             self.context.isolated_zones ^= {zone}
             self.invalidate()
 
     def state_of(self, zone: int) -> tuple[ZoneState, int]:
-        """Its state and the number of that decision. Where all zones with nodes are evacuated, as after two
-        sides of a partition each evacuated the other's, one of them is only suspect.
+        """Returns the zone's state and the number of the decision in force.
+
+        If all zones with nodes are evacuated, as after two sides of a partition evacuated each other's
+        zones, the exempt one counts as suspect.
         """
         decision = self.context.decisions.of(zone)
         self.zones()
@@ -56,9 +58,11 @@
             return ZoneState.SUSPECT, decision.number
         return decision.state, decision.number
 
-    def is_resting(self, zone: int, now: int) -> bool:
-        """Whether an evacuated zone is not yet due for health checks: until they can be answered as its rest
-        ends, or for as long as an operator wants it.
+    def is_probing_paused(self, zone: int, now: int) -> bool:
+        """Whether an evacuated zone is not yet due for health checks.
+
+        They begin one window before the minimum evacuation time ends, so that answers are known by then, and
+        never while an operator's evacuation is in force.
         """
         decision = self.context.decisions.of(zone)
         timers = self.context.timers.get(zone)
@@ -66,11 +70,11 @@
             return False
         if zone in self.context.isolated_zones:
             return False
-        rest = decision.rest_ms * MS - self.context.settings.window
-        return decision.by_operator or now - timers.decided_at < rest
+        pause = decision.min_evacuation_ms * MS - self.context.settings.window
+        return decision.by_operator or now - timers.decided_at < pause
 
     def is_only_holder(self, node: int) -> bool:
-        """Whether no ready node without a limited rate holds the node's shard."""
+        """Whether the node's shard has no ready node without a limited rate."""
         if self._unlimited_shards is None:
             limited = self.zones()
             self._unlimited_shards = {
--- a/ochrecourse/fleet/zone_loans.py
+++ b/ochrecourse/fleet/zone_loans.py
@@ -1,4 +1,4 @@
-"""What this gateway's requests need at nodes with limited rates, and the loans of its quota to others.
+"""Demand of this gateway at nodes with limited rates, and loans of its unused quota to other gateways.
 
 Free of I/O, clocks and chance.
 """
@@ -14,15 +14,16 @@
 
 
 class ZoneLoans:
-    """Rates in units a second."""
+    """Computes loans and reported demand. Rates and demands are in units/s."""
 
     def __init__(self, context: ZoneContext, limited: RateLimitedZones) -> None:
         self.context = context
         self.limited = limited
 
     def next_loan(self, now: int, order: list[str]) -> dict[str, object] | None:
-        """The body of an entry that lends quotas of nodes that its own requests do not need to gateways that
-        need more there, each node's to one. `order`: names of the gateways that are reached.
+        """Returns the body of an entry that lends unneeded quotas to gateways with unmet demand, or None.
+
+        Each node's quota is lent to one borrower. `order`: sorted names of the reachable gateways.
         """
         for zone in sorted(self.limited.zones() - self.context.isolated_zones):
             if not self._may_lend(zone, now):
@@ -33,12 +34,16 @@
         return None
 
     def _may_lend(self, zone: int, now: int) -> bool:
-        """From when an evacuated zone answers health checks, so that loans are in force in its slow start."""
+        """Whether quotas of the zone may be lent.
+
+        For an evacuated zone this starts once it answers health checks, so that loans are usable when its
+        slow start begins.
+        """
         if self.context.decisions.of(zone).state is not ZoneState.EVACUATED:
             return True
         summary = self.context.summaries.get(zone)
         answers = summary is not None and summary.answered and summary.answered >= summary.failed
-        return bool(answers) and not self.limited.is_resting(zone, now)
+        return bool(answers) and not self.limited.is_probing_paused(zone, now)
 
     def _nodes_by_borrower(self, zone: int, order: list[str], now: int) -> dict[str, list[int]]:
         not_lendable = self.context.cold_node_rate * (1 - LENDABLE_FRACTION) / self.context.gateway_count
@@ -53,7 +58,7 @@
         return nodes
 
     def _demand_of_others(self, zone: int, order: list[str]) -> dict[int, list[tuple[str, float]]]:
-        """By ready node of the zone, who needs how much more there, in the order of names."""
+        """Returns the unmet demand of other gateways by ready node, as (gateway, units/s) in `order`."""
         ready = self.context.nodes.ready.get(zone, ())
         demand: dict[int, list[tuple[str, float]]] = {}
         for name in order:
@@ -65,13 +70,13 @@
         return demand
 
     def demand(self, node: int, now: int) -> float:
-        """What its requests need of a node: of its shard, in even fractions over those that hold it."""
+        """Returns this gateway's demand at a node: its shard's demand divided by the shard's ready nodes."""
         nodes = self.context.nodes
         shard = nodes.by_node[node].shard
         return self.context.shard_demand.of(shard, now) / max(1, nodes.holders_of_shard.get(shard, 1))
 
     def unmet_demand(self, now: int) -> tuple[tuple[int, float], ...]:
-        """By node, what its requests need beyond what its quota of a cold node lets it begin."""
+        """Returns by node the demand that exceeds this gateway's quota of a cold node's rate."""
         unmet: dict[int, float] = {}
         for zone in self.limited.zones():
             for node in self.context.nodes.ready.get(zone, ()):
@@ -82,7 +87,10 @@
         return largest_demands(unmet, MAX_NODES_PER_ZONE) if unmet else ()
 
     def exhausted_zones(self, now: int) -> list[int]:
-        """Zones at most of whose nodes it used up its rate; gateways of an earlier version lend by that."""
+        """Returns the zones in which the rate is used up at most nodes.
+
+        Gateways of an earlier version choose borrowers by this list.
+        """
         return [zone for zone in self.limited.zones() if self._is_exhausted(zone, now)]
 
     def _is_exhausted(self, zone: int, now: int) -> bool:
--- a/ochrecourse/fleet/zone_nodes.py
+++ b/ochrecourse/fleet/zone_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of the endpoint list by zone. Free of I/O, clocks and chance."""
+"""Indexes the nodes of the endpoint list by zone. Free of I/O, clocks and chance."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ZoneNode(NamedTuple):
-    """One node of the list. `warm_at`: ns from which on it is warm; 0 if it was never cold."""
+    """One node of the list. `warm_at`: ns from which the node is warm; 0 if it never was cold."""
 
     zone: int
     shard: int
@@ -16,7 +16,7 @@
 
 
 class ZoneNodes:
-    """All nodes of the zones that the settings name, and several orders of them."""
+    """All nodes of the configured zones, indexed by node, zone and shard."""
 
     def __init__(self, zone_count: int) -> None:
         self.zone_count = zone_count
@@ -24,10 +24,10 @@
         self.zone_of: dict[int, int] = {}
         self.ready: dict[int, set[int]] = {}  # by zone
         self.listed: dict[int, set[int]] = {}  # by zone
-        self.holders_of_shard: dict[int, int] = {}  # ready nodes
+        self.holders_of_shard: dict[int, int] = {}  # number of ready nodes by shard
 
     def update(self, entries: Mapping[int, ZoneNode]) -> None:
-        """The complete list by node."""
+        """Replaces the list. `entries`: the complete list, by node; nodes of unknown zones are ignored."""
         self.by_node = {node: each for node, each in entries.items() if 0 <= each.zone < self.zone_count}
         self.zone_of = {node: each.zone for node, each in self.by_node.items()}
         self.ready, self.listed, self.holders_of_shard = {}, {}, {}
@@ -38,5 +38,5 @@
                 self.ready.setdefault(each.zone, set()).add(node)
 
     def warm_at(self, zone: int) -> int:
-        """ns at which the last of its ready nodes is warm; 0 if none was ever cold."""
+        """Returns the ns at which all ready nodes of the zone are warm; 0 if none ever was cold."""
         return max((self.by_node[node].warm_at for node in self.ready.get(zone, ())), default=0)
--- a/ochrecourse/fleet/zone_rates.py
+++ b/ochrecourse/fleet/zone_rates.py
@@ -1,4 +1,4 @@
-"""What this gateway may begin at the nodes of zones with limited rates, in units a second.
+"""Rates at which this gateway may send to nodes of zones with limited rates, in units/s.
 
 Free of I/O, clocks and chance.
 """
@@ -14,10 +14,11 @@
 from ochrecourse.fleet.zone_report import ZoneReport
 from ochrecourse.fleet.zone_state import ZoneDecision, ZoneState
 
-IMMEDIATE_WINDOW = 1500 * MS  # ns in which a rate must cover a unit to be used at once; the usual `cold_fall`
-MIN_PROBED_NODES = 4  # of an evacuated zone; two that answer are enough for a slow start
-PROBED_NODES_TURN_MS = 10_000  # after which other nodes are probed, or a bad rack would delay recovery
-STALE_AFTER = 3 * SECOND  # ns; a report that is older is no evidence; longer than a missed beat or two
+# ns; a rate that covers a request within this time may be used at once; equals the default `cold_fall`.
+IMMEDIATE_WINDOW = 1500 * MS
+MIN_PROBED_NODES = 4  # of an evacuated zone; two that answer suffice for a slow start
+PROBED_NODES_TURN_MS = 10_000  # then other nodes are probed, so that a failed rack does not delay recovery
+STALE_AFTER = 3 * SECOND  # ns; an older report is no evidence; longer than a lost heartbeat or two
 NEVER = -STALE_AFTER
 PHASE_BYTES = 4
 
@@ -28,14 +29,14 @@
 
 
 class _PendingRequest(NamedTuple):
-    """A request that is to begin once the rate has covered `units_left`. `at`: ns."""
+    """A request that may begin once the rate has covered `units_left`, as of `at` (ns)."""
 
     units_left: float
     at: int
 
 
 class NodeRates:
-    """This gateway's rates by node."""
+    """Computes this gateway's rates by node."""
 
     def __init__(self, context: ZoneContext, limited: RateLimitedZones) -> None:
         self.context = context
@@ -45,16 +46,16 @@
         self._pending: dict[int, _PendingRequest] = {}  # by node
 
     def endpoint_list_changed(self) -> None:
-        """Nodes to probe are chosen anew."""
+        """Drops the chosen nodes to probe; they are chosen again from the new list."""
         self._probed = {}
 
     def report_received(self, report: ZoneReport, now: int) -> None:
-        """Notes the nodes that answer some gateway."""
+        """Records the nodes that the report shows as alive."""
         alive = (each.node for each in report.nodes if each.is_alive and not each.failures)
         self.context.node_alive_at.update((node, now) for node in alive)
 
     def limit(self, zone: int, node: int, now: int) -> float:
-        """What the complete fleet may begin at a node of a zone with limited rates."""
+        """Returns the rate of the whole fleet at a node of a zone with limited rates, in units/s."""
         decision = self.context.decisions.of(zone)
         if decision.state is ZoneState.SLOW_START and zone not in self.context.isolated_zones:
             limit = self.settings.full_node_rate * decision.fraction
@@ -71,13 +72,13 @@
         decision, summary = self.context.decisions.of(zone), self.context.summaries.get(zone)
         limit = self._probe_rate()
         if not self.limited.is_only_holder(node):
-            if self.limited.is_resting(zone, now) or node not in self._probed_nodes(zone):
-                limit = 0.0  # no answer of it is needed, so no request need be risked for one
+            if self.limited.is_probing_paused(zone, now) or node not in self._probed_nodes(zone):
+                limit = 0.0  # its answer is not needed now, so no request is risked on it
         elif not decision.by_operator and self._is_alive(node, now):
-            # It answers: requests that no other node can serve need not wait for the zone's slow start.
+            # It answers, so requests that no other node can serve do not wait for the zone's slow start.
             limit = self.context.cold_node_rate
         if decision.fraction < 1 and summary is not None and summary.alive_nodes:
-            # What the others can't bear stays where some of it is still served.
+            # The load that other zones can't take stays here, where some of it is still served.
             limit = max(limit, self._unbearable_rate(decision))
         return limit
 
@@ -88,7 +89,7 @@
         return min(self.context.cold_node_rate, (1 - decision.fraction) * self.settings.full_node_rate)
 
     def _probed_nodes(self, zone: int) -> set[int]:
-        """The nodes of an evacuated zone whose answers show its recovery: some, then the others."""
+        """Returns the nodes of an evacuated zone to probe for its recovery; they rotate through the zone."""
         turn = (self.context.quota.wall_ms or 0) // PROBED_NODES_TURN_MS
         if zone not in self._probed or self._probed[zone].turn != turn:
             nodes = sorted(self.context.nodes.ready.get(zone, ()))
@@ -98,17 +99,17 @@
         return self._probed[zone].nodes
 
     def rate(self, zone: int, node: int, now: int) -> float:
-        """What this gateway's quota lets it begin at a node of a zone with limited rates."""
+        """Returns this gateway's share of the fleet's rate at a node, in units/s, by its quota."""
         return self.limit(zone, node, now) * self.context.quota.usable(zone, node, now)
 
     def rates(self, now: int) -> dict[int, float]:
-        """By node, what this gateway may begin there now; a node that is left out has no limited rate."""
+        """Returns this gateway's current rate by node, in units/s; nodes without a limit are omitted."""
         rates = {
             node: self.rate(zone, node, now)
             for zone in sorted(self.limited.zones())
             for node in sorted(self.context.nodes.listed.get(zone, ()))
         }
-        # What a node's probing turn leaves of a wait is waited for in the next one.
+        # The wait for a request pauses while a node's rate is 0 and goes on when it is probed again.
         self._pending = {
             node: _PendingRequest(pending.units_left, pending.at if rates[node] else now)
             for node, pending in self._pending.items()
@@ -117,25 +118,28 @@
         return {node: rate and self._rate_now(node, rate, now) for node, rate in rates.items()}
 
     def _rate_now(self, node: int, rate: float, now: int) -> float:
-        """A rate that lets less than a request begin at once lets it from a moment within its time on."""
+        """Returns 0 until the rate has covered the node's next request, if it is too low to be used at once.
+
+        The first wait starts at a pseudo-random phase that differs between gateways.
+        """
         zone = self.context.nodes.zone_of[node]
         is_only_holder = self.limited.is_only_holder(node)
         demand = self.context.shard_demand
-        largest = demand.largest if is_only_holder else 1.0
-        has_rush = is_only_holder or self.context.decisions.of(zone).state is ZoneState.EVACUATED
+        largest = demand.largest_units if is_only_holder else 1.0
+        could_burst = is_only_holder or self.context.decisions.of(zone).state is ZoneState.EVACUATED
         covers_request = rate * IMMEDIATE_WINDOW >= largest * SECOND
-        if covers_request or zone in self.context.isolated_zones or not has_rush:
-            return rate  # requests with a choice do not wait for a node, so no more begin than are due
-        # Guards against a rush: where each gateway has far less than a request a second, their first ones
-        # together are far more than a node bears, or than health checks of a lost one should cost.
-        units = largest if is_only_holder else demand.usual
+        if covers_request or zone in self.context.isolated_zones or not could_burst:
+            return rate  # requests with other nodes to choose do not queue up for this one
+        # Prevents a burst: if each gateway's rate is far below one request/s, the first requests of all
+        # gateways together would exceed what a cold node can take, or what health checks may cost.
+        units = largest if is_only_holder else demand.mean_units
         pending = self._pending.get(node) or _PendingRequest(self._phase(node) * units, now)
         units_left = pending.units_left - rate * (now - pending.at) / SECOND
         self._pending[node] = _PendingRequest(units_left, now)
         return rate if units_left <= 0 else 0.0
 
     def _phase(self, node: int) -> float:
-        """From 0 to 1, as if by chance: another one for each gateway, node and decision."""
+        """Returns a pseudo-random number from 0 to 1 that depends on gateway, node and decision."""
         number = self.context.decisions.of(self.context.nodes.zone_of[node]).number
         text = f"{self.context.name} {node} {number}"
         digest = blake2b(text.encode(), digest_size=PHASE_BYTES).digest()
--- a/ochrecourse/fleet/zone_report.py
+++ b/ochrecourse/fleet/zone_report.py
@@ -1,8 +1,8 @@
-"""What a gateway reports of zones in its heartbeats: counts of attempts by zone and by node.
+"""The zone report in a gateway's heartbeats: counts of attempts by zone and by node.
 
-Only of zones with failures and, for a node that another gateway reports as failing, whether it answered here.
-The structs are arrays in JSON: the order of their fields is the form on the wire. Free of I/O, clocks and
-chance.
+It covers zones with failures and, for nodes that other gateways report as failing, whether they answered
+here. The structs are encoded as JSON arrays, so the order of their fields is the wire format. Free of I/O,
+clocks and chance.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from ochrecourse.common.errors import OchrecourseError
 
-MAX_REPORTED = 1024  # zones, and nodes, in one report; the largest fleet that is planned for
-UNIT_FRACTIONS = 100  # fractions of a unit in which units are reported; a request may be less than one unit
+MAX_REPORTED = 1024  # zones, and nodes, in one report; the largest supported fleet
+UNIT_FRACTIONS = 100  # units are reported in hundredths, since a request may be less than one unit
 MAX_COUNT = 1 << 40
 MAX_NODE = 1 << 62
-MAX_DEMAND = 1e9  # units a second
+MAX_DEMAND = 1e9  # units/s
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 NodeNumber = Annotated[int, msgspec.Meta(ge=-MAX_NODE, le=MAX_NODE)]
@@ -25,18 +25,18 @@
 
 
 class ZoneReportError(OchrecourseError):
-    """A peer's report of zones cannot be read; the text names its mistake."""
+    """A peer's zone report cannot be decoded; the text names the cause."""
 
 
 class AttemptTotals(NamedTuple):
-    """All attempts of one gateway that ended in the window, at nodes of all zones.
+    """Counts of one gateway's attempts that ended in the window, over all zones.
 
-    Without defaults, so that a report with fewer counts is malformed.
+    The fields have no defaults, so a report with fewer counts is malformed.
     """
 
     attempts: Count
     served: Count
-    full: Count  # answered that the node is full
+    full: Count  # rejected by a full node
     slow: Count
 
 
@@ -44,9 +44,9 @@
 
 
 class ZoneCounts(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Attempts at a zone's nodes that ended in the window by their ending, distinct nodes, and units.
+    """Counts of the attempts at a zone's nodes that ended in the window, of distinct nodes and of units.
 
-    Units are in fractions (`UNIT_FRACTIONS`); those that a full node rejected count as served.
+    Units are multiplied by `UNIT_FRACTIONS`; units that a full node rejected count as served.
     """
 
     zone: Count
@@ -66,18 +66,20 @@
 
     @property
     def answered(self) -> int:
-        """Attempts that the node answered, if only that it is full."""
+        """Attempts that the node answered, including rejections by a full node."""
         return self.served + self.full
 
     @property
     def failed(self) -> int:
-        """Attempts that the node did not answer, or with an error."""
+        """Attempts that the node did not answer or answered with an error."""
         return self.refused + self.reset + self.timed_out + self.errors
 
 
 class NodeReport(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """`failures`: in a row since the node last answered, if one is recent; `is_alive`: it answered recently;
-    `refuses`: the last failure was a refusal or a reset.
+    """One node in a report.
+
+    `failures`: consecutive failures since the last answer, 0 if none is within the window. `is_alive`: it
+    answered recently. `refuses`: the last failure was a refused or reset connection.
     """
 
     node: NodeNumber
@@ -87,8 +89,10 @@
 
 
 class ZoneReport(msgspec.Struct, array_like=True, frozen=True):
-    """One gateway's report. `exhausted_zones`: those at most of whose nodes it used up its rate; `demand`: by
-    node with a limited rate, units a second that its requests need there beyond its rate.
+    """One gateway's report.
+
+    `exhausted_zones`: zones in which its rate is used up at most nodes. `demand`: for nodes with limited
+    rates, the units/s that its requests need beyond its rate.
     """
 
     totals: AttemptTotals = NO_ATTEMPTS
@@ -102,7 +106,7 @@
 
 
 def decode_report(status: bytes) -> ZoneReport:
-    """A peer's report. Raises ZoneReportError."""
+    """Decodes a peer's report. Raises ZoneReportError if it is malformed."""
     try:
         return _DECODER.decode(status)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/ochrecourse/fleet/zone_state.py
+++ b/ochrecourse/fleet/zone_state.py
@@ -1,9 +1,9 @@
-"""The state of each zone, which follows from the set of the fleet's decisions alone.
+"""The state of each zone, a function of the set of the fleet's decisions only.
 
-Neither the order of arrival nor a clock nor the sender matters. Of two decisions on a zone the one with the
-higher number is in force; of the same number, the one with more witnesses; then the later in the order of the
-log. So all gateways with the same entries have the same states, and of two sides of a network partition one
-prevails, after which evidence from both decides. Free of I/O, clocks and chance.
+Order of arrival, clocks and sender have no influence. Of two decisions on a zone, the one with the higher
+number is in force; if the numbers are equal, the one with more witnesses; then the later one in log order.
+Gateways with the same entries therefore have the same states. After a network partition the decisions of one
+side win, and from then on the evidence of both sides is used. Free of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from ochrecourse.fleet.entries import Entry, LogPosition
 
 CHANNEL = "fleet"  # the channel of the fleet's decisions
-MAX_DECISION_NUMBER = 1 << 40  # a faulty writer must not exhaust the numbers
+MAX_DECISION_NUMBER = 1 << 40  # keeps a faulty writer from exhausting the numbers
 MAX_ZONE = 1 << 20
 MAX_WITNESSES = 1 << 20
 MAX_DURATION_MS = 1 << 40
 MAX_NAME_CHARACTERS = 2048
-DECISION_KIND = "zone"  # in field `what` of an entry
+DECISION_KIND = "zone"  # value of field `what` in an entry
 
 
 class ZoneState(IntEnum):
-    """What the fleet decided of a zone."""
+    """A zone's state, as decided by the fleet."""
 
     IN = 0
-    SUSPECT = 1  # every gateway with requests for it tries it, so that all have evidence
+    SUSPECT = 1  # every gateway with requests for it sends attempts there, so that all have evidence
     EVACUATED = 2
     SLOW_START = 3
 
@@ -50,7 +50,7 @@
         "kind": "what",
         "state_word": "standing",
         "fraction": "part",
-        "rest_ms": "rest",
+        "min_evacuation_ms": "rest",
         "clear_ms": "clear",
         "by_operator": "hand",
         "unprobed": "blind",
@@ -63,27 +63,27 @@
     state_word: str
     number: Annotated[int, msgspec.Meta(ge=1, le=MAX_DECISION_NUMBER)]
     fraction: Annotated[float, msgspec.Meta(ge=0, le=1)] = 1.0
-    rest_ms: DurationMs = 0
+    min_evacuation_ms: DurationMs = 0
     clear_ms: DurationMs = 0
     by_operator: bool = False
     unprobed: bool = False
     witnesses: _Witnesses = _Witnesses()
-    zone_name: str = ""  # by its writer's settings; older versions write none
+    zone_name: str = ""  # in the writer's settings; empty from older versions
 
 
 class ZoneDecision(NamedTuple):
     """One decision on a zone.
 
-    `fraction`: of an evacuated zone, how much of its load the other zones can bear; in slow start, how much
-    of the full rate its nodes are sent. `rest_ms`: how long it stays evacuated at the least. `clear_ms`: time
-    without a bad sign that ends a suspicion. `by_operator`: only an operator takes it back. `unprobed`: in
-    slow start though no health check was answered, as there was none.
+    `fraction`: if evacuated, the fraction of the zone's load that the other zones can take; in slow start,
+    the fraction of the full rate that its nodes get. `clear_ms`: time without failures that ends a suspicion.
+    `by_operator`: only an operator can reverse it. `unprobed`: the slow start began without an answered
+    health check, since none was sent.
     """
 
     state: ZoneState = ZoneState.IN
     number: int = 0
     fraction: float = 1.0
-    rest_ms: int = 0
+    min_evacuation_ms: int = 0
     clear_ms: int = 0
     by_operator: bool = False
     unprobed: bool = False
@@ -95,18 +95,20 @@
 
 
 class ZoneDecisions:
-    """The decisions in force by zone. `zone_count`: how many zones the settings name; entries on others are
-    ignored. `zone_names`: their names, if known; an entry that names its zone otherwise is on another zone.
+    """The decisions in force by zone.
+
+    `zone_count`: number of configured zones; entries on other zone numbers are ignored. `zone_names`: their
+    names, if known; an entry with a different name for its zone number is ignored too.
     """
 
     def __init__(self, zone_count: int, zone_names: Sequence[str] = ()) -> None:
         self.zone_count = zone_count
         self.zone_names = zone_names
         self.by_zone: dict[int, ZoneDecision] = {}
-        self.ignored_entries = 0  # that are no decisions on zones of these settings
+        self.ignored_entries = 0  # not decisions, or on unknown zones
 
     def apply(self, entry: Entry) -> int | None:
-        """The zone whose decision in force the entry changed, if any."""
+        """Applies an entry; returns the zone whose decision in force it changed, or None."""
         try:
             body = msgspec.json.decode(entry.body, type=_DecisionEntry)
         except (msgspec.MsgspecError, RecursionError):
@@ -120,7 +122,7 @@
             state,
             body.number,
             body.fraction,
-            body.rest_ms,
+            body.min_evacuation_ms,
             body.clear_ms,
             body.by_operator,
             body.unprobed,
@@ -140,21 +142,21 @@
         return body.zone_name == self.zone_names[body.zone]
 
     def supersedes(self, decision: ZoneDecision, current: ZoneDecision) -> bool:
-        """Whether a decision takes the place of the one in force."""
+        """Whether a decision replaces the one in force."""
         if current.place is None or decision.place is None:
             return True
         rank = (decision.number, decision.witnesses, decision.place)
         return rank > (current.number, current.witnesses, current.place)
 
     def of(self, zone: int) -> ZoneDecision:
-        """The decision in force for a zone; `NO_DECISION` if there was none."""
+        """Returns the decision in force for a zone; `NO_DECISION` if there is none."""
         return self.by_zone.get(zone, NO_DECISION)
 
     def exempt_zone(self, zones: Iterable[int]) -> int | None:
-        """Of zones with nodes that are all evacuated, the one that is used all the same; None if one is not.
+        """Returns the zone that stays in use although all of `zones` are evacuated; None if one is not.
 
-        Two sides of a partition may each have evacuated the other's zone. The one with the fewest witnesses
-        against it is exempt, then the one that was evacuated last.
+        This happens when two sides of a partition each evacuated the other's zone. The zone with the fewest
+        witnesses against it is exempt; among equals, the one evacuated last.
         """
         evacuated = [(zone, self.of(zone)) for zone in sorted(zones)]
         if not evacuated or any(each.state is not ZoneState.EVACUATED for _, each in evacuated):
@@ -173,7 +175,7 @@
 
 
 def zone_name_of(body: bytes) -> str:
-    """The name of the zone that an entry's body is on; empty where its writer names none."""
+    """Returns the zone name in an entry's body; empty if there is none."""
     try:
         return msgspec.json.decode(body, type=_ZoneName).name
     except (msgspec.MsgspecError, RecursionError):
--- a/ochrecourse/fleet/zone_subsystem.py
+++ b/ochrecourse/fleet/zone_subsystem.py
@@ -1,6 +1,7 @@
-"""Zones as a subsystem of the member: attempts that ended here in; statuses, entries and node rates out.
+"""Zone control as a subsystem of the fleet member.
 
-The rules are those of zone_controller.py. Free of I/O, clocks and chance.
+It passes ended attempts, received reports and entries to the ZoneController (zone_controller.py), and returns
+the reports, entries and node rates that result. Free of I/O, clocks and chance.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 from ochrecourse.fleet.zone_state import CHANNEL, STATE_WORDS, ZoneDecisions, ZoneState, zone_name_of
 from ochrecourse.interface import Ending, Health, NodeEntry
 
-LOAN_OVER_MS = 600_000  # after its end, when no gateway uses a loan any more, whatever the clocks say
+LOAN_RETENTION_MS = 600_000  # after its end no gateway uses a loan any more, even if clocks are wrong
 USUAL_DURATION_WEIGHT = (
     1 / 32
-)  # of the newest attempt in the mean of its class; single slow ones hardly count
-SILENT_FACTOR = 4  # times its class's usual duration after which an attempt without an answer is a time-out
-MIN_SILENT = 250 * MS  # ns, and at the least; shorter is a pause of one process
-LATE_AFTER = MIN_SILENT // 2  # ns by which a beat is late here, and with it all answers
+)  # of the newest attempt in the moving mean of its class; single slow attempts hardly move it
+UNANSWERED_FACTOR = 4  # usual durations after which an unanswered attempt counts as a time-out
+MIN_UNANSWERED = 250 * MS  # ns; lower bound of that time, as a process may pause for almost as long
+LATE_AFTER = MIN_UNANSWERED // 2  # ns; if a heartbeat is later, answers are read too late as well
 OPERATOR_STATES = (ZoneState.EVACUATED, ZoneState.SLOW_START, ZoneState.IN)
 
 
 class InFlightRequests(Protocol):
-    """Where the requests in flight are (gateway.request_log.RequestLog)."""
+    """The requests in flight, by number (see gateway.request_log.RequestLog)."""
 
     requests: dict[int, RequestRecord]
 
@@ -42,8 +43,10 @@
 
 
 class ZoneSubsystem:
-    """One gateway's zones. `warm_up`: ns for which a node is cold after its start; `wall_ms`: ms since 1970;
-    `beat_interval`: ns between two beats, 0 where there are none.
+    """Zone control of one gateway.
+
+    `warm_up`: ns for which a node is cold after its start. `wall_ms`: returns ms since 1970. `beat_interval`:
+    ns between two heartbeats, 0 if there are none.
     """
 
     name = "zones"
@@ -61,14 +64,14 @@
         self.warm_up = warm_up
         self.wall_ms = wall_ms
         self.beat_interval = beat_interval
-        self.usual_duration: dict[int, float] = {}  # of an attempt, in ns, by request class
-        self._beat_at = -1  # ns, the last beat
-        self._late_until = -1  # ns, until when endings are this process's own doing
-        self._timed_out: set[_AttemptKey] = set()  # attempts that were counted before their end
-        self._shown: dict[int, tuple[str, int]] = {}  # by zone, state and number that operators last saw
+        self.usual_duration: dict[int, float] = {}  # moving mean of attempts in ns, by request class
+        self._beat_at = -1  # ns of the last heartbeat
+        self._late_until = -1  # ns; time-outs before it are attributed to this process
+        self._timed_out: set[_AttemptKey] = set()  # attempts that were counted as time-outs before their end
+        self._logged: dict[int, tuple[str, int]] = {}  # by zone: state and number in the last log line
 
     def nodes_are(self, entries: Iterable[NodeEntry], now: int) -> None:
-        """The complete endpoint list."""
+        """Replaces the endpoint list. `entries`: the complete list."""
         self.zones.update_nodes({
             each.node: ZoneNode(
                 each.zone,
@@ -81,14 +84,14 @@
         })  # fmt: skip
 
     def attempt_ended(self, request: RequestRecord, attempt: AttemptRecord, now: int) -> None:
-        """An attempt of a request ended."""
+        """Records an ended attempt of a request as evidence."""
         if attempt.ending is None:
             return
         key = _AttemptKey(request.number, attempt.number)
         if key in self._timed_out:
             self._timed_out.discard(key)
             if attempt.ending is Ending.TIMEOUT:
-                return  # counted when it had been without an answer for too long
+                return  # already counted as a time-out
         if self._is_late(now):
             self._attempt_ended_late(request, attempt, now)
             return
@@ -100,7 +103,8 @@
             self.usual_duration[request.request_class] = newer if usual else float(attempt.took)
 
     def _attempt_ended_late(self, request: RequestRecord, attempt: AttemptRecord, now: int) -> None:
-        # Guards against a gateway whose own loop is slow: its timers ran before it read what had arrived.
+        # If this gateway's own event loop is slow, its timers run before it has read answers that arrived in
+        # time, so time-outs and failed connections are no evidence.
         if attempt.ending is None or attempt.ending in (Ending.TIMEOUT, Ending.UNREACHABLE):
             self.zones.units_sent(attempt.node, now, request.units)
             return
@@ -109,27 +113,27 @@
         )
 
     def _is_late(self, now: int) -> bool:
-        """Whether this process runs late: its last beat was late, or the next one is overdue."""
+        """Whether this process runs late: its last heartbeat was late, or the next one is overdue."""
         is_overdue = self._beat_at >= 0 and now - self._beat_at > self.beat_interval + LATE_AFTER
         return self.beat_interval > 0 and (is_overdue or now < self._late_until)
 
-    # --- the member's calls (subsystem.Subsystem) ---
+    # --- called by the member (subsystem.Subsystem) ---
 
     def beat_passed(self, now: int) -> None:
-        """Counts attempts that have been without an answer for too long."""
+        """Counts attempts that have been unanswered for too long as time-outs."""
         self.zones.set_time(now, self.wall_ms())
         if self._is_late(now) and now >= self._late_until:
             self._late_until = now + self.beat_interval
         self._beat_at = now
         if self._is_late(now):
-            return  # what seems unanswered may wait unread at this process's own sockets
+            return  # answers may be waiting unread in this process's own sockets
         for request in self.requests.requests.values():
             usual = self.usual_duration.get(request.request_class)
             if usual is not None and request.attempts_out:
                 self._count_unanswered(request, usual, now)
 
     def _count_unanswered(self, request: RequestRecord, usual: float, now: int) -> None:
-        longest = max(MIN_SILENT, SILENT_FACTOR * usual)
+        longest = max(MIN_UNANSWERED, UNANSWERED_FACTOR * usual)
         for attempt in request.attempts:
             key = _AttemptKey(request.number, attempt.number)
             duration = now - attempt.sent_at
@@ -140,40 +144,41 @@
                 )
 
     def status(self, now: int) -> bytes | None:
-        """This gateway's report of zones."""
+        """Returns this gateway's encoded zone report."""
         return self.zones.status(now)
 
     def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
-        """Another gateway's report of zones. Raises zone_report.ZoneReportError."""
+        """Stores another gateway's zone report. Raises zone_report.ZoneReportError if it is malformed."""
         self.zones.report_received(name, zone, status, now)
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        """A decision or a loan, or another entry."""
+        """Applies an entry, if it is a zone decision or a loan."""
         self.zones.entry_received(entry, now)
 
-    def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
-        """A decision or a loan that this gateway is to write."""
-        body = self.zones.next_entry(now, reached)
+    def next_entry(self, now: int, reachable: Mapping[str, int]) -> tuple[str, object] | None:
+        """Returns channel and body of a decision or loan that this gateway must append, or None."""
+        body = self.zones.next_entry(now, reachable)
         return None if body is None else (CHANNEL, body)
 
     def node_rates(self, now: int) -> Mapping[int, float]:
-        """Units a second that may begin at nodes of zones with limited rates."""
-        # Guards against a process that stood still: a loan ends by the wall clock, whatever asks first.
+        """Returns the units/s that this gateway may send to nodes of zones with limited rates, by node."""
+        # After a stall the time must be current here, or loans that ended meanwhile would still be used.
         self.zones.set_time(now, self.wall_ms())
         return self.zones.node_rates(now)
 
     def keeps(self, events: Sequence[Entry], upto: Timestamp) -> list[Entry]:
-        """Of these events those in force: for each zone its decision, and loans that may still be in use.
-        Depends on nothing but the events and `upto`.
+        """Returns the events still in force: the decision on each zone, and loans that may still be in use.
+
+        The result depends only on the events and `upto`, so that all gateways retain the same ones.
         """
         loans: list[Entry] = []
-        # By name too: gateways whose settings differ have the same events, and each retains those of others.
+        # Keyed by zone name too: a gateway must also retain the events of gateways with other zone settings.
         decisions: dict[str, ZoneDecisions] = {}
         in_force: dict[tuple[int, str], Entry] = {}
         for entry in events:
             until_ms = loan_until_ms(entry)
             if until_ms is not None:
-                if until_ms + LOAN_OVER_MS > upto.ms:
+                if until_ms + LOAN_RETENTION_MS > upto.ms:
                     loans.append(entry)
                 continue
             name = zone_name_of(entry.body)
@@ -186,20 +191,20 @@
     # --- for operators ---
 
     def changes(self) -> list[dict[str, object]]:
-        """Fields of log lines, each once: zones whose state changed, and by which decision."""
+        """Returns the fields of a log line for each zone whose state changed since the last call."""
         changes: list[dict[str, object]] = []
         for zone, decision in sorted(self.zones.context.decisions.by_zone.items()):
             state, number = self.zones.state_of(zone)
-            shown = (STATE_WORDS[state], number)
-            if self._shown.get(zone) == shown:
+            logged = (STATE_WORDS[state], number)
+            if self._logged.get(zone) == logged:
                 continue
-            self._shown[zone] = shown
+            self._logged[zone] = logged
             changes.append({
                 "zone": zone,
                 "standing": STATE_WORDS[state],
                 "number": number,
                 "part": decision.fraction,
-                "rest_ms": decision.rest_ms,
+                "rest_ms": decision.min_evacuation_ms,
                 "witnesses": decision.witnesses,
                 "hand": decision.by_operator,
                 "by": decision.place.writer if decision.place else "",
@@ -207,9 +212,10 @@
         return changes
 
     def operator_entry(self, zone: int, word: str) -> tuple[str, object] | None:
-        """Channel and value of the entry by which an operator evacuates a zone, takes it back, or starts it
-        slowly, which evidence decides on from then on; None if `word` is none of these, or there is no such
-        zone.
+        """Returns channel and body of the entry by which an operator sets the state of a zone.
+
+        `word`: the state as written in entries (STATE_WORDS) for evacuated, in use or slow start. After an
+        operator's slow start, evidence decides again. Returns None for other words and unknown zones.
         """
         states = {STATE_WORDS[each]: each for each in OPERATOR_STATES}
         decisions = self.zones.context.decisions
@@ -222,7 +228,7 @@
         return CHANNEL, body
 
     def report(self) -> dict[str, object]:
-        """The state of zones at this gateway."""
+        """Returns the state of the zones at this gateway."""
         return self.zones.report()
 
 
@@ -232,7 +238,7 @@
 
 
 def loan_until_ms(entry: Entry) -> int | None:
-    """Until when an event lends, since 1970; None if it is no loan."""
+    """Returns the end of a loan in ms since 1970; None if the event is not a loan."""
     try:
         body = msgspec.json.decode(entry.body, type=_LoanEnd)
     except (msgspec.MsgspecError, RecursionError):
--- a/ochrecourse/fleet/zone_summary.py
+++ b/ochrecourse/fleet/zone_summary.py
@@ -1,4 +1,4 @@
-"""The evidence of all gateways that are reached, summarized by zone: what a decision on a zone rests on.
+"""Summarizes the reports of all reachable gateways by zone; zone decisions are based on these summaries.
 
 Free of I/O, clocks and chance.
 """
@@ -12,14 +12,14 @@
 
 from ochrecourse.fleet.zone_report import UNIT_FRACTIONS, AttemptTotals, ZoneCounts, ZoneReport
 
-FAILURES_OF_FAILING_NODE = 3  # in a row, of all gateways together; by chance there are two
-MIN_FAILURES_OF_ACCUSER = 2  # by which one gateway accuses a zone; one may be the attempt's own
-ENOUGH_FAILING_NODES = 8  # of a large zone; one rack or one switch has fewer
-MAX_ALIVE_PER_FAILING = 0.25  # nodes seen alive for each failing one, up to which a zone may be lost
+FAILURES_OF_FAILING_NODE = 3  # consecutive, summed over all gateways; two occur at random
+MIN_FAILURES_OF_ACCUSER = 2  # for one gateway to accuse a zone; a single one may be due to the attempt
+ENOUGH_FAILING_NODES = 8  # of a large zone; one rack or one switch has fewer nodes
+MAX_ALIVE_PER_FAILING = 0.25  # nodes reported alive per failing node, up to which a zone may be lost
 
 
 class GatewayReport(NamedTuple):
-    """A gateway's report, and the zone in which the gateway is."""
+    """A gateway's report and the zone of that gateway."""
 
     gateway_zone: int
     report: ZoneReport
@@ -27,33 +27,33 @@
 
 @dataclass(slots=True)
 class ZoneSummary:
-    """A zone as all gateways that are reached see it together. Units in fractions, as in ZoneCounts."""
+    """The combined evidence of all reachable gateways on one zone. Units are scaled as in ZoneCounts."""
 
-    ready_nodes: int = 0  # by the endpoint list
-    failing_nodes: int = 0  # ready ones at which all who tried failed, more than once
-    alive_nodes: int = 0  # seen alive, at the least
+    ready_nodes: int = 0  # in the endpoint list
+    failing_nodes: int = 0  # ready nodes with several failures that no gateway reports as alive
+    alive_nodes: int = 0  # lower bound of the nodes that answered
     attempts: int = 0
     answered: int = 0
     failed: int = 0
-    refusing_nodes: int = 0  # failing ones that refuse or reset connections
+    refusing_nodes: int = 0  # failing nodes that refuse or reset connections
     slow: int = 0
     units_served: int = 0
     units_lost: int = 0
-    # Gateways, each with its own zone:
-    accusers: dict[str, int] = field(default_factory=dict)  # that fail here and are answered elsewhere
-    defenders: dict[str, int] = field(default_factory=dict)  # that see more nodes alive than failing
-    observers: dict[str, int] = field(default_factory=dict)  # that tried
-    losers: dict[str, int] = field(default_factory=dict)  # that lose most of their units, and only here
+    # Gateways, mapped to their own zones:
+    accusers: dict[str, int] = field(default_factory=dict)  # fail here but get answers from other zones
+    defenders: dict[str, int] = field(default_factory=dict)  # report more nodes alive than failing
+    observers: dict[str, int] = field(default_factory=dict)  # made attempts in this zone
+    losers: dict[str, int] = field(default_factory=dict)  # lose most units here but get answers elsewhere
 
     @property
     def is_suspect(self) -> bool:
-        """More nodes fail than are alive, and they are more than one."""
+        """Whether more than one node fails (or the only one), at least as many as are alive."""
         most_fail = self.failing_nodes >= min(2, self.ready_nodes) and self.failing_nodes >= self.alive_nodes
         return self.ready_nodes > 0 and most_fail and bool(self.accusers)
 
     @property
     def is_unresponsive(self) -> bool:
-        """Half of its nodes fail, or enough of them, and next to none is alive."""
+        """Whether at least half of the nodes fail, or enough of them, and almost none is alive."""
         half = (self.ready_nodes + 1) // 2
         enough = min(self.ready_nodes, max(2, min(ENOUGH_FAILING_NODES, half)))
         next_to_none_alive = self.alive_nodes <= MAX_ALIVE_PER_FAILING * self.failing_nodes
@@ -61,8 +61,10 @@
 
     @property
     def is_degraded(self) -> bool:
-        """Its nodes answer, and most units are lost: by the sum, for gateways of several zones, and for at
-        least as many as those that are served well.
+        """Whether most units are lost, though nodes may still answer.
+
+        This must hold for the sum of all gateways, for gateways in several zones, and for at least half of
+        the gateways that tried the zone.
         """
         from_several_zones = len(set(self.losers.values())) > 1
         for_most = 2 * len(self.losers) >= len(self.observers)
@@ -71,7 +73,7 @@
         )
 
     def as_evidence(self) -> dict[str, object]:
-        """The evidence in a decision's entry."""
+        """Returns the evidence as it is written in a decision entry."""
         return {
             "nodes": [self.ready_nodes, self.failing_nodes, self.alive_nodes, self.refusing_nodes],
             "legs": [self.attempts, self.answered, self.failed, self.slow],
@@ -81,13 +83,13 @@
         }
 
     def add_totals(self, totals: AttemptTotals) -> None:
-        """Adds one gateway's attempts in all zones; those that a full node rejected count as slow."""
+        """Adds one gateway's totals over all zones; rejections by full nodes count as slow."""
         self.attempts += totals.attempts
         self.failed += totals.attempts - totals.served - totals.full
         self.slow += totals.slow + totals.full
 
     def add_counts(self, gateway: str, reported: GatewayReport, counts: ZoneCounts) -> None:
-        """Adds what one gateway reports of the zone."""
+        """Adds one gateway's counts of the zone."""
         self.attempts += counts.attempts
         self.answered += counts.answered
         self.failed += counts.failed
@@ -101,7 +103,7 @@
         zone, totals = reported.gateway_zone, reported.report.totals
         if counts.attempts:
             self.observers[gateway] = zone
-        # Guards against a gateway that is itself disconnected: other nodes must answer it.
+        # A gateway that gets no answers from other zones may itself be disconnected, so it is no witness.
         answered_elsewhere = totals.served + totals.full > counts.answered
         if counts.units_lost > counts.units_served and answered_elsewhere:
             self.losers[gateway] = zone
@@ -114,8 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedZones:
-    """What the endpoint list has. `ready`: the ready nodes by zone; `rate_limited`: zones with limited rates,
-    whose attempts are too few for several failures in a row.
+    """Nodes by the endpoint list.
+
+    `zone_of`: zone by node. `ready`: ready nodes by zone. `rate_limited`: zones with limited rates, which get
+    too few attempts for several consecutive failures.
     """
 
     zone_of: Mapping[int, int]
@@ -124,7 +128,7 @@
 
 
 def summarize(reports: Mapping[str, GatewayReport], listed: ListedZones) -> dict[int, ZoneSummary]:
-    """Summaries by zone, of the zones that some gateway reports on. `reports`: by gateway."""
+    """Returns a summary of each zone with ready nodes that a report covers. `reports`: by gateway."""
     summaries: dict[int, ZoneSummary] = {}
     for gateway, reported in reports.items():
         for counts in reported.report.zones:
@@ -137,7 +141,7 @@
 
 
 class _NodeEvidence(NamedTuple):
-    failures: dict[int, int]  # by node, of all gateways
+    failures: dict[int, int]  # by node, summed over all gateways
     alive: set[int]
     refusing: set[int]
 
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -16,7 +16,7 @@
 from ochrecourse.fleet.zone_rates import NodeRates
 from ochrecourse.settings import site_calendars
 from ochrecourse.fleet import log_store as log_store_module
-from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanPlace
+from ochrecourse.fleet.quota import ALL_NODES, GatewayQuota, LoanScope
 from ochrecourse.fleet import purge_subsystem
 from ochrecourse.fleet.site_calendar import SiteCalendar
 from ochrecourse.fleet.channel import Channel, Snapshot
@@ -67,7 +67,7 @@
 
     def remembers(self: ZoneController, now: int, reached: Any) -> None:
         if self.context.is_minority():
-            self.context.reached = dict.fromkeys(map(str, range(self.context.gateway_count)), 0)
+            self.context.reachable = dict.fromkeys(map(str, range(self.context.gateway_count)), 0)
         evaluate(self, now, reached)
 
     patch(ZoneController, "evaluate", remembers)
@@ -102,8 +102,8 @@
 
     def for_ever(self: GatewayQuota, zone: int, node: int) -> float:
         of = [
-            *self.borrowed.get(LoanPlace(ALL_NODES, node), {}).values(),
-            *self.borrowed.get(LoanPlace(zone, ALL_NODES), {}).values(),
+            *self.borrowed.get(LoanScope(ALL_NODES, node), {}).values(),
+            *self.borrowed.get(LoanScope(zone, ALL_NODES), {}).values(),
         ]
         return sum(loan.fraction for loan in of)
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -231,7 +231,7 @@
     ) == (6, 6, 700)
     assert zones.context.cold_node_rate == 3.0
     zones.evaluate(0, {"g0": 0, "g1": 1, "g2": 1})
-    assert set(zones.context.reached) == {"g0", "g2"}
+    assert set(zones.context.reachable) == {"g0", "g2"}
     said = {"what": "zone", "zone": 1, "standing": "left", "number": 1}
     zones.entry_received(entry("g1", name="north", **said))
     assert zones.state_of(1)[0] is ZoneState.IN
@@ -367,9 +367,9 @@
     network.advance(2)
     assert made["c"].zones.state_of(1)[0] is ZoneState.EVACUATED
     assert made["a"].zones.state_of(1)[0] is made["b"].zones.state_of(1)[0] is ZoneState.IN
-    assert set(made["a"].zones.context.reached) == {"a", "b"} and set(made["c"].zones.context.reached) == {
-        "c"
-    }
+    assert set(made["a"].zones.context.reachable) == {"a", "b"} and set(
+        made["c"].zones.context.reachable
+    ) == {"c"}
     assert made["a"].dump("fleet") == made["c"].dump("fleet")
 
 
--- a/tests/test_fleet_shard_demand.py
+++ b/tests/test_fleet_shard_demand.py
@@ -25,7 +25,7 @@
         needs.units_sent(3, 2.0, i * S // 4)  # eight units a second
     assert needs.of(3, 100 * S) == pytest.approx(8, rel=0.05)
     assert needs.of(3, 100 * S + HALF_TIME) == pytest.approx(4, rel=0.05)
-    assert needs.of(4, 0) == 0 and needs.usual == pytest.approx(2, rel=0.01)
+    assert needs.of(4, 0) == 0 and needs.mean_units == pytest.approx(2, rel=0.01)
 
 
 def test_lenders_turn_to_borrowers_after_their_needs_and_to_nobody_where_nobody_needs():
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -317,7 +317,7 @@
     world.lose(1)
     world.run(6)
     assert left(world, 1)
-    assert world.gates["g0"].zones.context.decisions.of(1).rest_ms == 2 * world.figures["rest"]
+    assert world.gates["g0"].zones.context.decisions.of(1).min_evacuation_ms == 2 * world.figures["rest"]
 
 
 # --- what is no lost zone ---
@@ -567,7 +567,7 @@
 class ShortRests(DecisionWriter):
     def body(self, *given):
         said = super().body(*given)
-        return {**said, "rest": min(said["rest"], round(self.context.settings.min_rest / MS))}
+        return {**said, "rest": min(said["rest"], round(self.context.settings.min_evacuation / MS))}
 
 
 class NoRest(ZoneController):
@@ -590,7 +590,7 @@
     """A part of those that it hears of, in place of the known size."""
 
     def node_rates(self, now):
-        self.context.quota.gateway_count = len(self.context.reached)
+        self.context.quota.gateway_count = len(self.context.reachable)
         return super().node_rates(now)
 
 
--- a/tests/transcripts/test_grey.py
+++ b/tests/transcripts/test_grey.py
@@ -29,7 +29,7 @@
         told = part.zones.report()["zones"]
         tap.note(
             network,
-            f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.context.reached)}",
+            f"{name} holds of zones {told or 'nothing but in'}; its evidence is that of {', '.join(part.zones.context.reachable)}",
         )
     text = tap.text(test_two_gateways_name_their_zones_in_another_order.__doc__)
     assert text == snapshot(extension_class=Approved)
