--- a/ochrecourse/fleet/quota.py
+++ b/ochrecourse/fleet/quota.py
@@ -8,7 +8,7 @@
 
 At the start of each incarnation a gateway uses only the fraction that it may not lend, and lends nothing. Its
 disk may have lost an entry by which it lent the rest, and any such loan has ended when this period is over.
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -132,7 +132,7 @@
                 del loans_by_scope[scope]
 
     def apply(self, entry: Entry) -> bool:
-        """A loan; the entry's writer is its lender. Whether it concerns this gateway."""
+        """Applies a loan entry, whose writer is the lender; returns whether it concerns this gateway."""
         try:
             body = msgspec.json.decode(entry.body, type=_LoanEntry)
         except (msgspec.MsgspecError, RecursionError):
@@ -178,7 +178,7 @@
         )
 
     def borrowed_fraction(self, zone: int, node: int) -> float:
-        """Returns the fraction of a node's rate that is borrowed and surely not yet used by the lender."""
+        """Returns the fraction of a node's rate that is borrowed and certainly not yet used by the lender."""
         if self.wall_ms is None:
             return 0.0
         latest = self.wall_ms + self.max_loan_ms + 2 * self.clock_bound_ms  # valid loans end before
--- a/ochrecourse/fleet/shard_demand.py
+++ b/ochrecourse/fleet/shard_demand.py
@@ -1,7 +1,7 @@
 """This gateway's demand by shard, and the choice of borrowers for quotas that it does not need.
 
 Demand is measured per shard, at any node that serves it, so that the demand at nodes of a lost zone is known
-as long as another zone has the shard. Free of I/O, clocks and chance.
+as long as another zone has the shard. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -11,9 +11,8 @@
 
 from ochrecourse.common.time_units import SECOND
 
-HALF_TIME = (
-    10 * SECOND
-)  # ns in which measured demand halves; covers several requests to a shard that gets one every few seconds
+# ns in which measured demand halves; covers several requests to a shard that gets one every few seconds.
+HALF_TIME = 10 * SECOND
 LN_2 = 0.693
 MEAN_WEIGHT = 1 / 32  # of the newest request in the moving mean of units; large ones hardly move it
 GOLDEN_SECTION = 0.6180339887  # multiples modulo 1 are evenly spread, so consecutive lenders are too
--- a/ochrecourse/fleet/shared_settings.py
+++ b/ochrecourse/fleet/shared_settings.py
@@ -3,7 +3,7 @@
 Each gateway reports its settings in its heartbeats, which other gateways relay. If two gateways' settings
 differ, both log each difference once and use the more conservative values until they are equal again: the
 larger fleet size and clock bound, the lower rate, and no zone evidence from a gateway with other zones. Free
-of I/O, clocks and chance.
+of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
 
     peer: str
     setting: str
-    here: str
-    there: str
+    own_value: str
+    peer_value: str
 
     @property
     def is_over(self) -> bool:
@@ -72,7 +72,7 @@
 
     def log_fields(self) -> dict[str, str]:
         """Returns the fields of the log line."""
-        return {"peer": self.peer, "what": self.setting, "here": self.here, "there": self.there}
+        return {"peer": self.peer, "what": self.setting, "here": self.own_value, "there": self.peer_value}
 
 
 _DECODER = msgspec.json.Decoder(SharedSettings)
@@ -137,14 +137,14 @@
             self._changes.append(SettingsChange(name, ALL_SETTINGS, "alike", "alike"))
 
     def _note_differences(self, name: str, received: SharedSettings, previous: SharedSettings) -> None:
-        own, before = self.own.by_reported_name(), previous.by_reported_name()
-        for setting, there in received.by_reported_name().items():
-            here = own[setting]
-            is_new = here != there and there != before[setting]
+        own, earlier = self.own.by_reported_name(), previous.by_reported_name()
+        for setting, peer_value in received.by_reported_name().items():
+            own_value = own[setting]
+            is_new = own_value != peer_value and peer_value != earlier[setting]
             # A gateway that takes no part in zone decisions has no cold node rate to compare.
-            is_comparable = setting != COLD_NODE_RATE or (here and there)
+            is_comparable = setting != COLD_NODE_RATE or (own_value and peer_value)
             if is_new and is_comparable:
-                self._changes.append(SettingsChange(name, setting, _shown(here), _shown(there)))
+                self._changes.append(SettingsChange(name, setting, _shown(own_value), _shown(peer_value)))
 
     def entry_received(self, entry: Entry, now: int) -> None:
         """Ignores entries: settings are not in the log."""
@@ -164,7 +164,11 @@
         """Returns the names of differing settings by gateway."""
         own = self.own.by_reported_name()
         return {
-            name: [setting for setting, there in each.by_reported_name().items() if there != own[setting]]
+            name: [
+                setting
+                for setting, peer_value in each.by_reported_name().items()
+                if peer_value != own[setting]
+            ]
             for name, each in sorted(self.others.items())
             if each != self.own
         }
--- a/ochrecourse/fleet/zone_context.py
+++ b/ochrecourse/fleet/zone_context.py
@@ -1,6 +1,6 @@
 """State of one gateway that all zone rules share: settings, endpoint list, evidence and decisions.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_controller.py
+++ b/ochrecourse/fleet/zone_controller.py
@@ -3,7 +3,7 @@
 Each gateway sends its own evidence in its heartbeats and receives that of the others; the summary of all
 reports shows the condition of each zone. A decision is one log entry. Among the gateways that reach each
 other, the first by name writes it; if it does not within a time-out, the next one does, and so on.
-docs/fleet.md describes the rules. Free of I/O, clocks and chance. Durations are in ns unless a name says
+docs/fleet.md describes the rules. Free of I/O, clocks and randomness. Durations are in ns unless a name says
 otherwise; times are read from a monotonic clock.
 """
 
--- a/ochrecourse/fleet/zone_decision_entry.py
+++ b/ochrecourse/fleet/zone_decision_entry.py
@@ -1,6 +1,6 @@
 """Builds the log entries of zone decisions, made by this gateway or by an operator.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
     def _fraction(self, zone: int, state: ZoneState, summary: ZoneSummary) -> float:
         if state is ZoneState.EVACUATED:
-            return self.policy.bearable_fraction(summary)
+            return self.policy.absorbable_fraction(summary)
         if state is ZoneState.SLOW_START:
             return self._slow_start_fraction(self.context.decisions.of(zone), self.context.timers[zone])
         return 1.0
--- a/ochrecourse/fleet/zone_evidence.py
+++ b/ochrecourse/fleet/zone_evidence.py
@@ -1,7 +1,7 @@
 """This gateway's own evidence on zones: its attempts at each node over a short window, and their report.
 
 Gateways exchange counts, not conclusions: each one summarizes its own counts and those of all reachable
-gateways. Free of I/O, clocks and chance.
+gateways. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_limits.py
+++ b/ochrecourse/fleet/zone_limits.py
@@ -1,6 +1,6 @@
 """Determines the zones whose nodes have limited rates at this gateway, by decision or by isolation.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_loans.py
+++ b/ochrecourse/fleet/zone_loans.py
@@ -1,6 +1,6 @@
 """Demand of this gateway at nodes with limited rates, and loans of its unused quota to other gateways.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         return demand
 
     def demand(self, node: int, now: int) -> float:
-        """Returns this gateway's demand at a node: its shard's demand divided by the shard's ready nodes."""
+        """Returns this gateway's demand at a node: its shard's demand, split evenly over the ready nodes."""
         nodes = self.context.nodes
         shard = nodes.by_node[node].shard
         return self.context.shard_demand.of(shard, now) / max(1, nodes.holders_of_shard.get(shard, 1))
--- a/ochrecourse/fleet/zone_nodes.py
+++ b/ochrecourse/fleet/zone_nodes.py
@@ -1,4 +1,4 @@
-"""Indexes the nodes of the endpoint list by zone. Free of I/O, clocks and chance."""
+"""Indexes the nodes of the endpoint list by zone. Free of I/O, clocks and randomness."""
 
 from __future__ import annotations
 
--- a/ochrecourse/fleet/zone_policy.py
+++ b/ochrecourse/fleet/zone_policy.py
@@ -1,6 +1,6 @@
 """Determines which state of a zone is due, from its summary, its timers and the decision in force.
 
-docs/fleet.md describes the rules. Free of I/O, clocks and chance.
+docs/fleet.md describes the rules. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from ochrecourse.fleet.zone_summary import ZoneSummary
 from ochrecourse.fleet.zone_timers import ZoneLoss, ZoneTimers
 
-MIN_BEARABLE_FRACTION = 0.5  # of a degraded zone's load that other zones must be able to take
+MIN_ABSORBABLE_FRACTION = 0.5  # of a degraded zone's load that other zones must be able to take
 NOT_LOST = ZoneLoss(is_lost=False, is_unconfirmed=False)
 LOST = ZoneLoss(is_lost=True, is_unconfirmed=False)
 
@@ -84,7 +84,7 @@
             return True
         # A degraded zone still answers, so evacuation helps only if the others can take the load it loses.
         is_degraded = timers.degraded >= self.settings.unconfirmed_loss_after
-        return is_degraded and self.bearable_fraction(summary) > MIN_BEARABLE_FRACTION
+        return is_degraded and self.absorbable_fraction(summary) > MIN_ABSORBABLE_FRACTION
 
     def _loss_after(self, summary: ZoneSummary) -> float:
         if 4 * summary.refusing_nodes >= 3 * summary.failing_nodes:
@@ -139,7 +139,7 @@
             return False
         return len(in_use) == len(others) or summary.alive_nodes == 0
 
-    def bearable_fraction(self, summary: ZoneSummary) -> float:
+    def absorbable_fraction(self, summary: ZoneSummary) -> float:
         """Returns the fraction of a zone's load that the other zones can take.
 
         This is the fraction of their own attempts that are not slow, rejected or failed.
--- a/ochrecourse/fleet/zone_rates.py
+++ b/ochrecourse/fleet/zone_rates.py
@@ -1,6 +1,6 @@
 """Rates at which this gateway may send to nodes of zones with limited rates, in units/s.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 # ns; a rate that covers a request within this time may be used at once; equals the default `cold_fall`.
 IMMEDIATE_WINDOW = 1500 * MS
 MIN_PROBED_NODES = 4  # of an evacuated zone; two that answer suffice for a slow start
-PROBED_NODES_TURN_MS = 10_000  # then other nodes are probed, so that a failed rack does not delay recovery
-STALE_AFTER = 3 * SECOND  # ns; an older report is no evidence; longer than a lost heartbeat or two
+PROBE_ROTATION_MS = 10_000  # then other nodes are probed, so that a failed rack does not delay recovery
+STALE_AFTER = 3 * SECOND  # ns; an older report is no evidence; outlasts one or two lost heartbeats
 NEVER = -STALE_AFTER
 PHASE_BYTES = 4
 
 
 class _ProbedNodes(NamedTuple):
-    turn: int
+    rotation: int
     nodes: set[int]
 
 
@@ -79,23 +79,23 @@
             limit = self.context.cold_node_rate
         if decision.fraction < 1 and summary is not None and summary.alive_nodes:
             # The load that other zones can't take stays here, where some of it is still served.
-            limit = max(limit, self._unbearable_rate(decision))
+            limit = max(limit, self._excess_rate(decision))
         return limit
 
     def _is_alive(self, node: int, now: int) -> bool:
         return now - self.context.node_alive_at.get(node, NEVER) < self.settings.window
 
-    def _unbearable_rate(self, decision: ZoneDecision) -> float:
+    def _excess_rate(self, decision: ZoneDecision) -> float:
         return min(self.context.cold_node_rate, (1 - decision.fraction) * self.settings.full_node_rate)
 
     def _probed_nodes(self, zone: int) -> set[int]:
         """Returns the nodes of an evacuated zone to probe for its recovery; they rotate through the zone."""
-        turn = (self.context.quota.wall_ms or 0) // PROBED_NODES_TURN_MS
-        if zone not in self._probed or self._probed[zone].turn != turn:
+        rotation = (self.context.quota.wall_ms or 0) // PROBE_ROTATION_MS
+        if zone not in self._probed or self._probed[zone].rotation != rotation:
             nodes = sorted(self.context.nodes.ready.get(zone, ()))
             count = min(len(nodes), max(MIN_PROBED_NODES, (len(nodes) + 1) // 2))
-            chosen = {nodes[(turn * count + i) % len(nodes)] for i in range(count)}
-            self._probed[zone] = _ProbedNodes(turn, chosen)
+            chosen = {nodes[(rotation * count + i) % len(nodes)] for i in range(count)}
+            self._probed[zone] = _ProbedNodes(rotation, chosen)
         return self._probed[zone].nodes
 
     def rate(self, zone: int, node: int, now: int) -> float:
--- a/ochrecourse/fleet/zone_report.py
+++ b/ochrecourse/fleet/zone_report.py
@@ -2,7 +2,7 @@
 
 It covers zones with failures and, for nodes that other gateways report as failing, whether they answered
 here. The structs are encoded as JSON arrays, so the order of their fields is the wire format. Free of I/O,
-clocks and chance.
+clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_state.py
+++ b/ochrecourse/fleet/zone_state.py
@@ -3,7 +3,7 @@
 Order of arrival, clocks and sender have no influence. Of two decisions on a zone, the one with the higher
 number is in force; if the numbers are equal, the one with more witnesses; then the later one in log order.
 Gateways with the same entries therefore have the same states. After a network partition the decisions of one
-side win, and from then on the evidence of both sides is used. Free of I/O, clocks and chance.
+side win, and from then on the evidence of both sides is used. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_subsystem.py
+++ b/ochrecourse/fleet/zone_subsystem.py
@@ -1,7 +1,7 @@
 """Zone control as a subsystem of the fleet member.
 
 It passes ended attempts, received reports and entries to the ZoneController (zone_controller.py), and returns
-the reports, entries and node rates that result. Free of I/O, clocks and chance.
+the reports, entries and node rates that result. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -21,10 +21,9 @@
 from ochrecourse.fleet.zone_state import CHANNEL, STATE_WORDS, ZoneDecisions, ZoneState, zone_name_of
 from ochrecourse.interface import Ending, Health, NodeEntry
 
-LOAN_RETENTION_MS = 600_000  # after its end no gateway uses a loan any more, even if clocks are wrong
-USUAL_DURATION_WEIGHT = (
-    1 / 32
-)  # of the newest attempt in the moving mean of its class; single slow attempts hardly move it
+LOAN_RETENTION_MS = 600_000  # after a loan's end; by then no gateway uses it, even if clocks are wrong
+# Weight of the newest attempt in the moving mean of its request class; single slow attempts hardly move it.
+USUAL_DURATION_WEIGHT = 1 / 32
 UNANSWERED_FACTOR = 4  # usual durations after which an unanswered attempt counts as a time-out
 MIN_UNANSWERED = 250 * MS  # ns; lower bound of that time, as a process may pause for almost as long
 LATE_AFTER = MIN_UNANSWERED // 2  # ns; if a heartbeat is later, answers are read too late as well
--- a/ochrecourse/fleet/zone_summary.py
+++ b/ochrecourse/fleet/zone_summary.py
@@ -1,6 +1,6 @@
 """Summarizes the reports of all reachable gateways by zone; zone decisions are based on these summaries.
 
-Free of I/O, clocks and chance.
+Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
--- a/ochrecourse/fleet/zone_timers.py
+++ b/ochrecourse/fleet/zone_timers.py
@@ -1,6 +1,6 @@
 """Timers of a zone: how long each condition has lasted since the last decision on it.
 
-Durations are in ns. Free of I/O, clocks and chance.
+Durations are in ns. Free of I/O, clocks and randomness.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         )
 
     def restarted_as_suspect(self, decided_at: int, warm_at: int) -> ZoneTimers:
-        """Returns the timers after the decision SUSPECT, which keeps the time for which the zone was lost."""
+        """Returns the timers after the decision SUSPECT, which does not reset the evidence of a loss."""
         timers = self.restarted(decided_at, warm_at)
         timers.lost, timers.unconfirmed, timers.degraded = self.lost, self.unconfirmed, self.degraded
         return timers
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -189,7 +189,7 @@
     for _ in range(3):
         exchange_statuses(one, other)
     changes = one.changes()
-    assert [(line.peer, line.setting, line.here, line.there) for line in changes] == [
+    assert [(line.peer, line.setting, line.own_value, line.peer_value) for line in changes] == [
         ("other", "zones", "a, b", "b, a"), ("other", "size", "3", "4"), ("other", "cold", "5", "9"),
     ]  # fmt: skip
     assert [line.setting for line in other.changes()] == ["zones", "size", "cold"]
