--- a/ochrecourse/fleet/zone_state.py
+++ b/ochrecourse/fleet/zone_state.py
@@ -88,7 +88,7 @@
     by_operator: bool = False
     unprobed: bool = False
     witnesses: int = 0
-    place: LogPosition | None = None
+    position: LogPosition | None = None
 
 
 NO_DECISION = ZoneDecision()
@@ -143,10 +143,10 @@
 
     def supersedes(self, decision: ZoneDecision, current: ZoneDecision) -> bool:
         """Whether a decision replaces the one in force."""
-        if current.place is None or decision.place is None:
+        if current.position is None or decision.position is None:
             return True
-        rank = (decision.number, decision.witnesses, decision.place)
-        return rank > (current.number, current.witnesses, current.place)
+        rank = (decision.number, decision.witnesses, decision.position)
+        return rank > (current.number, current.witnesses, current.position)
 
     def of(self, zone: int) -> ZoneDecision:
         """Returns the decision in force for a zone; `NO_DECISION` if there is none."""
@@ -163,9 +163,9 @@
             return None
         fewest = min(decision.witnesses for _, decision in evacuated)
         candidates = [
-            (decision.place, zone)
+            (decision.position, zone)
             for zone, decision in evacuated
-            if decision.witnesses == fewest and decision.place
+            if decision.witnesses == fewest and decision.position
         ]
         return max(candidates)[1]
 
--- a/ochrecourse/fleet/zone_subsystem.py
+++ b/ochrecourse/fleet/zone_subsystem.py
@@ -206,7 +206,7 @@
                 "rest_ms": decision.min_evacuation_ms,
                 "witnesses": decision.witnesses,
                 "hand": decision.by_operator,
-                "by": decision.place.writer if decision.place else "",
+                "by": decision.position.writer if decision.position else "",
             })  # fmt: skip
         return changes
 
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -25,8 +25,8 @@
 ZONE, NODE = 1, 7
 
 
-def entry(body, writer="a", life=1, seq=1):
-    return Entry("fleet", writer, life, seq, Timestamp(1, 0), (), msgspec.json.encode(body))
+def entry(body, writer="a", incarnation=1, seq=1):
+    return Entry("fleet", writer, incarnation, seq, Timestamp(1, 0), (), msgspec.json.encode(body))
 
 
 def loan(to="b", units=0.25, until=10_000, node=NODE):
--- a/tests/zone_world.py
+++ b/tests/zone_world.py
@@ -125,7 +125,7 @@
         )  # units of attempts, and their generator
         self.in_flight = []  # attempts: end, counter, gateway, incarnation, node, ending, duration, units
         self.counter = itertools.count()
-        self.said = []
+        self.said = []  # appended entries: time, gateway, body, gateways reachable from it
         self.differ_since = {}
         self.together_since = {}
         self.max_usable = 0.0  # the largest sum of usable quotas so far
