--- a/ochrecourse/fleet/zone_controller.py
+++ b/ochrecourse/fleet/zone_controller.py
@@ -26,7 +26,7 @@
 from ochrecourse.fleet.zone_rates import STALE_AFTER, NodeRates
 from ochrecourse.fleet.zone_report import ZoneReport, decode_report
 from ochrecourse.fleet.zone_settings import ZoneSettings
-from ochrecourse.fleet.zone_state import CHANNEL, DECISION_KIND, STATE_WORDS, ZoneState
+from ochrecourse.fleet.zone_state import FLEET_CHANNEL, DECISION_KIND, STATE_WORDS, ZoneState
 from ochrecourse.fleet.zone_summary import GatewayReport, ListedZones, ZoneSummary, summarize
 from ochrecourse.fleet.zone_timers import Observation, ZoneTimers
 from ochrecourse.interface import Ending
@@ -115,7 +115,7 @@
 
         The result depends neither on the order of entries nor on how often each is received.
         """
-        if entry.channel != CHANNEL:
+        if entry.channel != FLEET_CHANNEL:
             return
         kind = _kind_of(entry.body)
         if kind == LOAN_KIND:
--- a/ochrecourse/fleet/zone_state.py
+++ b/ochrecourse/fleet/zone_state.py
@@ -16,7 +16,7 @@
 
 from ochrecourse.fleet.entries import Entry, LogPosition
 
-CHANNEL = "fleet"  # the channel of the fleet's decisions
+FLEET_CHANNEL = "fleet"  # the channel of the fleet's decisions
 MAX_DECISION_NUMBER = 1 << 40  # keeps a faulty writer from exhausting the numbers
 MAX_ZONE = 1 << 20
 MAX_WITNESSES = 1 << 20
--- a/ochrecourse/fleet/zone_subsystem.py
+++ b/ochrecourse/fleet/zone_subsystem.py
@@ -18,7 +18,7 @@
 from ochrecourse.fleet.zone_decision_entry import operator_decision
 from ochrecourse.fleet.zone_evidence import EndedAttempt
 from ochrecourse.fleet.zone_nodes import ZoneNode
-from ochrecourse.fleet.zone_state import CHANNEL, STATE_WORDS, ZoneDecisions, ZoneState, zone_name_of
+from ochrecourse.fleet.zone_state import FLEET_CHANNEL, STATE_WORDS, ZoneDecisions, ZoneState, zone_name_of
 from ochrecourse.interface import Ending, Health, NodeEntry
 
 LOAN_RETENTION_MS = 600_000  # after a loan's end; by then no gateway uses it, even if clocks are wrong
@@ -44,8 +44,8 @@
 class ZoneSubsystem:
     """Zone control of one gateway.
 
-    `warm_up`: ns for which a node is cold after its start. `wall_ms`: returns ms since 1970. `beat_interval`:
-    ns between two heartbeats, 0 if there are none.
+    `warm_up`: ns for which a node is cold after its start. `wall_ms`: returns ms since 1970.
+    `heartbeat_interval`: ns between two heartbeats, 0 if there are none.
     """
 
     name = "zones"
@@ -56,15 +56,15 @@
         requests: InFlightRequests,
         warm_up: int,
         wall_ms: Callable[[], int],
-        beat_interval: int = 0,
+        heartbeat_interval: int = 0,
     ) -> None:
         self.zones = zones
         self.requests = requests
         self.warm_up = warm_up
         self.wall_ms = wall_ms
-        self.beat_interval = beat_interval
+        self.heartbeat_interval = heartbeat_interval
         self.usual_duration: dict[int, float] = {}  # moving mean of attempts in ns, by request class
-        self._beat_at = -1  # ns of the last heartbeat
+        self._heartbeat_at = -1  # ns of the last heartbeat
         self._late_until = -1  # ns; time-outs before it are attributed to this process
         self._timed_out: set[_AttemptKey] = set()  # attempts that were counted as time-outs before their end
         self._logged: dict[int, tuple[str, int]] = {}  # by zone: state and number in the last log line
@@ -113,8 +113,10 @@
 
     def _is_late(self, now: int) -> bool:
         """Whether this process runs late: its last heartbeat was late, or the next one is overdue."""
-        is_overdue = self._beat_at >= 0 and now - self._beat_at > self.beat_interval + LATE_AFTER
-        return self.beat_interval > 0 and (is_overdue or now < self._late_until)
+        is_overdue = (
+            self._heartbeat_at >= 0 and now - self._heartbeat_at > self.heartbeat_interval + LATE_AFTER
+        )
+        return self.heartbeat_interval > 0 and (is_overdue or now < self._late_until)
 
     # --- called by the member (subsystem.Subsystem) ---
 
@@ -122,8 +124,8 @@
         """Counts attempts that have been unanswered for too long as time-outs."""
         self.zones.set_time(now, self.wall_ms())
         if self._is_late(now) and now >= self._late_until:
-            self._late_until = now + self.beat_interval
-        self._beat_at = now
+            self._late_until = now + self.heartbeat_interval
+        self._heartbeat_at = now
         if self._is_late(now):
             return  # answers may be waiting unread in this process's own sockets
         for request in self.requests.requests.values():
@@ -157,7 +159,7 @@
     def next_entry(self, now: int, reachable: Mapping[str, int]) -> tuple[str, object] | None:
         """Returns channel and body of a decision or loan that this gateway must append, or None."""
         body = self.zones.next_entry(now, reachable)
-        return None if body is None else (CHANNEL, body)
+        return None if body is None else (FLEET_CHANNEL, body)
 
     def node_rates(self, now: int) -> Mapping[int, float]:
         """Returns the units/s that this gateway may send to nodes of zones with limited rates, by node."""
@@ -224,7 +226,7 @@
         body = operator_decision(zone, states[word], decisions.of(zone), zone_name)
         if states[word] is ZoneState.SLOW_START:
             body.update({"hand": False, "part": self.zones.context.settings.first_fraction})
-        return CHANNEL, body
+        return FLEET_CHANNEL, body
 
     def report(self) -> dict[str, object]:
         """Returns the state of the zones at this gateway."""
--- a/ochrecourse/lab/fleet_checks.py
+++ b/ochrecourse/lab/fleet_checks.py
@@ -8,7 +8,7 @@
 
 from ochrecourse.fleet.log_store import MIN_REWRITE_BYTES
 from ochrecourse.fleet.log import HARD_LIMIT_FACTOR
-from ochrecourse.fleet.zone_state import CHANNEL, ZoneState
+from ochrecourse.fleet.zone_state import FLEET_CHANNEL, ZoneState
 from ochrecourse.lab.fleet_instance import FleetSeat
 from ochrecourse.lab.fleet_notes import NOTES
 from ochrecourse.lab.fleet_site import CHANNELS
@@ -191,7 +191,7 @@
         self.play.notes.at_the_end(seats)
         # Where the log may begin anew, old snapshots of notes may stand at some gateways and not at others.
         notes = () if self.play.notes.begun_anew and self.world.compacts else (NOTES,)
-        for channel in (CHANNEL, *notes, *CHANNELS):
+        for channel in (FLEET_CHANNEL, *notes, *CHANNELS):
             held = {seat.part().dump(channel) for seat in seats}
             if len(held) > 1:
                 self.seen.breach("logs differ", at, f"{len(held)} forms of channel {channel}")
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 
 from ochrecourse.audit import records as r
-from ochrecourse.fleet.zone_state import CHANNEL
+from ochrecourse.fleet.zone_state import FLEET_CHANNEL
 from ochrecourse.lab.day import volumes
 from ochrecourse.lab.fleet_checks import BIN
 from ochrecourse.lab.fleet_faults import Faults
@@ -92,7 +92,7 @@
 def loans(play: FleetPlay) -> tuple[int, int]:
     """Loans in the log of the fleet, and their bytes."""
     seat = next((each for each in play.seats if each.runs() and each.part() is not None), None)
-    events = seat.part().log.events(CHANNEL) if seat is not None else ()
+    events = seat.part().log.events(FLEET_CHANNEL) if seat is not None else ()
     bodies = [each.body for each in events if b'"lend"' in each.body]
     return len(bodies), sum(map(len, bodies))
 
--- a/tests/test_fleet_grey.py
+++ b/tests/test_fleet_grey.py
@@ -266,10 +266,10 @@
 # --- a process that runs late or stalls ---
 
 
-def make_subsystem(beat=250 * MS):
+def make_subsystem(heartbeat_interval=250 * MS):
     zones = ZoneController(ZoneSettings(), FleetPlacement(2, "g0", 0, 2))
     zones.update_nodes({1: ZoneNode(0, 0, True, 0), 2: ZoneNode(1, 1, True, 0)})
-    return ZoneSubsystem(zones, RequestLog(), 0, lambda: 0, beat)
+    return ZoneSubsystem(zones, RequestLog(), 0, lambda: 0, heartbeat_interval)
 
 
 def end_attempt(subsystem, ending, sent, now, node=2, number=1):
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -116,9 +116,8 @@
     two.dial()
     two.network.advance(10)
     assert calls == [] and two.accepts.ends[0].got == []
-    assert (
-        len(two.dials.ends) == 2 and len(two.accepts.ends) == 1
-    )  # connected at the client, not yet accepted
+    # The new connection is open at the client, and not yet accepted.
+    assert len(two.dials.ends) == 2 and len(two.accepts.ends) == 1
     two.dials.ends[1].transport.write(b"hello")
     two.b.stand_still(False)
     two.network.advance(0.1)
