--- a/ochrecourse/fleet/zone_decision_entry.py
+++ b/ochrecourse/fleet/zone_decision_entry.py
@@ -48,7 +48,7 @@
         min_evacuation_ms, clear_ms = float(decision.min_evacuation_ms), float(decision.clear_ms)
         if decision.state is ZoneState.IN:
             in_use_for = now - self.context.timers[zone].decided_at
-            decay = 0.5 ** (in_use_for / settings.evacuation_halves_after)
+            decay = 0.5 ** (in_use_for / settings.rest_halves_after)
             min_evacuation_ms, clear_ms = min_evacuation_ms * decay, clear_ms * decay
             if state is ZoneState.SUSPECT:
                 clear_ms = min(settings.max_clear_after / MS, max(settings.clear_after / MS, 2 * clear_ms))
@@ -58,7 +58,7 @@
             is_same_loss = decision.unprobed and decision.fraction <= self.policy.first_fraction()
             factor = 1 if is_same_loss else 2
             min_evacuation_ms = min(
-                settings.max_evacuation / MS, max(settings.min_evacuation / MS, factor * min_evacuation_ms)
+                settings.max_rest / MS, max(settings.min_rest / MS, factor * min_evacuation_ms)
             )
         return min_evacuation_ms, clear_ms
 
--- a/ochrecourse/fleet/zone_settings.py
+++ b/ochrecourse/fleet/zone_settings.py
@@ -20,9 +20,9 @@
     "clear": "clear_after",
     "longest_clear": "max_clear_after",
     "turn": "decider_timeout",
-    "rest": "min_evacuation",
-    "longest_rest": "max_evacuation",
-    "ease": "evacuation_halves_after",
+    "rest": "min_rest",
+    "longest_rest": "max_rest",
+    "ease": "rest_halves_after",
     "well": "recovered_after",
     "step": "slow_start_step",
     "hold": "full_rate_time",
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSettings:
-    """Thresholds of evidence, durations of states, and rates at nodes."""
+    """Thresholds of evidence, durations of states, and rates at nodes. Rest: the minimum evacuation time."""
 
     window: float = 2000 * MS  # over which attempts are counted: tens of attempts per node, yet short
     alive_time: float = 500 * MS  # for which an answer shows that a node is alive; two heartbeats
@@ -54,9 +54,9 @@
     clear_after: float = 2000 * MS  # without failures that end a suspicion; initial value, doubles with each
     max_clear_after: float = 60_000 * MS
     decider_timeout: float = 500 * MS  # after which the next gateway in order writes the due decision
-    min_evacuation: float = 5000 * MS  # shortest evacuation; initial value, doubles with each repeated loss
-    max_evacuation: float = 300_000 * MS
-    evacuation_halves_after: float = 60_000 * MS  # in use, for the next evacuation time to halve
+    min_rest: float = 5000 * MS  # shortest evacuation; initial value, doubles with each repeated loss
+    max_rest: float = 300_000 * MS
+    rest_halves_after: float = 60_000 * MS  # in use, for the next evacuation time to halve
     recovered_after: float = 500 * MS  # of answered health checks before a slow start; two heartbeats
     first_fraction: float = 0.125  # of the full rate; lowest fraction with which a slow start begins
     slow_start_step: float = 500 * MS  # of timely answers before the rate doubles; two heartbeats
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -593,7 +593,7 @@
 class ConstantTimeWriter(DecisionWriter):
     def body(self, *given):
         body = super().body(*given)
-        return {**body, "rest": min(body["rest"], round(self.context.settings.min_evacuation / MS))}
+        return {**body, "rest": min(body["rest"], round(self.context.settings.min_rest / MS))}
 
 
 class ConstantEvacuationTime(ZoneController):
