--- a/ochrecourse/storage/atomic_file.py
+++ b/ochrecourse/storage/atomic_file.py
@@ -1,9 +1,9 @@
-"""Small files that are complete or not there: written to a temporary file, synced, renamed; read only with
-the right checksum.
+"""Atomic replacement of small files: each is written to a temporary file, synced and renamed, and its
+checksum is verified when it is read.
 
 Format: one line `ochrecourse KIND VERSION LENGTH CRC32` in ASCII, then LENGTH bytes. A crash at any point
-leaves the old file or the new one. Not guaranteed: that the newest write survives a power failure before
-`write` has returned.
+leaves either the old file or the new one. A write is durable across a power failure only once `write` has
+returned.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class DamagedFileError(OchrecourseError):
-    """The file is there but is not what was written; the text says what is wrong with it."""
+    """The file exists but its header, length or checksum is wrong; the text says which."""
 
 
 def write(path: Path, kind: str, version: int, data: bytes) -> None:
-    """Puts `data` in place of the file's old content. Raises OSError."""
+    """Replaces the file's content with `data`. Raises OSError."""
     temporary = temporary_path(path)
     header = f"{MAGIC} {kind} {version} {len(data)} {zlib.crc32(data):08x}\n".encode()
     with open(temporary, "wb") as file:
@@ -35,7 +35,7 @@
 
 
 def read(path: Path, kind: str, version: int) -> bytes | None:
-    """The file's content, or None if there is no file. Raises DamagedFileError, OSError."""
+    """Returns the file's content, or None if there is no file. Raises DamagedFileError, OSError."""
     try:
         content = path.read_bytes()
     except FileNotFoundError:
@@ -52,18 +52,18 @@
 
 
 def temporary_path(path: Path) -> Path:
-    """Where the next content of a file is written before it replaces the old one."""
+    """Returns the path of the temporary file that new content is written to before it replaces `path`."""
     return path.with_name(f"{path.name}.new")
 
 
 def replace(temporary: Path, path: Path) -> None:
-    """Renames a complete and synced file to `path`, and syncs the directory. Raises OSError."""
+    """Renames a complete, synced file to `path` and syncs the directory. Raises OSError."""
     os.replace(temporary, path)
     sync_directory(path.parent)
 
 
 def sync_directory(path: Path) -> None:
-    """Makes names that were changed in a directory survive a power failure, where its file system can."""
+    """Makes created and renamed entries of a directory durable, if its file system supports that."""
     directory = os.open(path, os.O_RDONLY)
     try:
         with contextlib.suppress(OSError):  # not every file system syncs directories
@@ -73,7 +73,7 @@
 
 
 def _check_header(path: Path, fields: list[str], kind: str, version: int) -> None:
-    """Raises DamagedFileError for a file of another kind or version."""
+    """Raises DamagedFileError if the header is malformed or of another kind or version."""
     if len(fields) != HEADER_FIELDS or fields[0] != MAGIC:
         raise DamagedFileError(f"{path}: not a file of ours")
     if fields[1] != kind:
--- a/ochrecourse/storage/disk_thread.py
+++ b/ochrecourse/storage/disk_thread.py
@@ -1,4 +1,4 @@
-"""Operations on files in a thread of their own, so that the event loop goes on while a disk is slow."""
+"""File operations in a separate thread, so that a slow disk does not block the event loop."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 @dataclass(frozen=True)
 class _Finished:
-    """An operation that has run, whose end is still to be reported."""
+    """An operation that has run and whose result has not been reported yet."""
 
     on_done: OnDone
     error: OSError | None
 
 
 class ThreadWorker:
-    """A worker (`storage.disk_worker.DiskWorker`) with one thread.
+    """A `storage.disk_worker.DiskWorker` with one thread.
 
-    `call_from_thread`: has the event loop make a call (Twisted's IReactorFromThreads). `name`: of the thread.
+    `call_from_thread`: schedules a call on the event loop's thread (Twisted's IReactorFromThreads). `name`:
+    of the thread.
     """
 
     def __init__(self, call_from_thread: Callable[..., Any], name: str) -> None:
@@ -33,14 +34,16 @@
         self._unreported = 0
 
     def run(self, operation: Operation, on_done: OnDone) -> None:
-        """Runs the operation in the thread; its end is reported in a later iteration of the event loop, or in
-        `wait`.
+        """Runs the operation in the thread; its result is reported in a later iteration of the event loop or
+        by `wait`.
         """
         self._unreported += 1
         self._executor.submit(self._execute, operation, on_done)
 
     def wait(self, timeout_s: float) -> bool:
-        """Blocks until all operations have run and were reported, but at most so long; whether they have."""
+        """Blocks until all operations have run and been reported. Returns False if `timeout_s`
+        passed first.
+        """
         ends_at = time.monotonic() + timeout_s
         while self._unreported:
             try:
@@ -68,12 +71,12 @@
 
 
 def _error_of(operation: Operation) -> OSError | None:
-    """Runs an operation; how it failed, None if it did not."""
+    """Runs an operation and returns its error, or None if it succeeded."""
     try:
         operation()
     except OSError as error:
         return error
     except Exception as error:
-        # Guards against a caller that waits for ever for the end of an operation that raised something else.
+        # Guards against a caller that waits for ever because an operation raised an unexpected exception.
         return OSError(f"{type(error).__name__}: {error}")
     return None
--- a/ochrecourse/storage/disk_worker.py
+++ b/ochrecourse/storage/disk_worker.py
@@ -1,7 +1,7 @@
-"""Who runs operations on files: one at a time, in the order of the calls, and reports what became of each.
+"""Workers that run file operations one at a time, in the order of the calls, and report each result.
 
-With `InlineWorker` an operation blocks its caller; with `storage.disk_thread.ThreadWorker` a slow disk delays
-nobody but who waits for it.
+`InlineWorker` blocks the caller during an operation; `storage.disk_thread.ThreadWorker` runs operations in
+another thread, so that a slow disk delays only code that waits for the result.
 """
 
 from __future__ import annotations
@@ -10,26 +10,28 @@
 from typing import Protocol
 
 Operation = Callable[[], None]  # raises OSError
-OnDone = Callable[[OSError | None], None]  # None: it succeeded
+OnDone = Callable[[OSError | None], None]  # called with None if the operation succeeded
 
 
 class DiskWorker(Protocol):
-    """Runs operations on files, in order and one at a time. Its calls are made on the event loop's thread."""
+    """Runs file operations one at a time, in order. Its methods are called on the event loop's thread."""
 
     def run(self, operation: Operation, on_done: OnDone) -> None:
         """Runs an operation after all earlier ones, then calls `on_done` on the event loop's thread with its
-        error, None if it succeeded; possibly before this returns.
+        error, or None if it succeeded. `on_done` may be called before this method returns.
         """
 
     def wait(self, timeout_s: float) -> bool:
-        """Blocks until all operations have run and were reported, but at most so long; whether they have."""
+        """Blocks until all operations have run and been reported. Returns False if `timeout_s`
+        passed first.
+        """
 
 
 class InlineWorker:
-    """Runs each operation at once: for memory, for a start, for programs without an event loop."""
+    """Runs each operation synchronously: for in-memory journals, at start, and without an event loop."""
 
     def run(self, operation: Operation, on_done: OnDone) -> None:
-        """Runs the operation and reports its end before this returns."""
+        """Runs the operation and reports its result before returning."""
         try:
             operation()
         except OSError as error:
@@ -38,5 +40,5 @@
             on_done(None)
 
     def wait(self, timeout_s: float) -> bool:
-        """Nothing is ever under way."""
+        """Returns True: no operation is ever pending."""
         return True
--- a/ochrecourse/storage/journal.py
+++ b/ochrecourse/storage/journal.py
@@ -1,9 +1,9 @@
-"""An append-only file of records, for state that must outlive its process.
+"""An append-only file of records, for state that must survive its process.
 
 Format: a line `ochrecourse NAME VERSION` in ASCII, then the records as in `record_frames`. Once `append` has
-returned, a record outlives the process; `sync` and `rewrite` make it outlive a power failure too. A record
-that is truncated or damaged ends what is read; the file as it was then stays under another name, and is never
-overwritten.
+returned, a record survives a crash of the process; `sync` and `rewrite` make it survive a power failure too.
+Reading stops at the first truncated or damaged record; the damaged file is preserved under another name
+and is never overwritten.
 """
 
 from __future__ import annotations
@@ -30,49 +30,51 @@
 
 
 class JournalError(OchrecourseError):
-    """The file is not a journal of this kind; the text says what it is."""
+    """The file is not a journal of this kind and version; the text states what was found."""
 
 
 class MemoryJournal:
-    """For runs that store nothing, and for incarnations that follow each other in one process."""
+    """A journal in memory: for runs that store nothing, and for tests and simulations that restart a gateway
+    within one process.
+    """
 
     def __init__(self) -> None:
         self.stored: list[bytes] = []
         self.version = 1
 
     def records(self) -> Iterator[bytes]:
-        """All records, in order."""
+        """Iterates over all records, in order."""
         return iter(list(self.stored))
 
     def append(self, record: bytes) -> None:
-        """Adds a record."""
+        """Appends a record."""
         self.stored.append(record)
 
     def append_all(self, records: Sequence[bytes]) -> None:
-        """Adds records."""
+        """Appends several records, in order."""
         for record in records:
             self.append(record)
 
     def sync(self) -> None:
-        """Memory has nothing to sync."""
+        """Does nothing: memory needs no sync."""
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replaces the content by these records."""
+        """Replaces all records by these."""
         self.stored = list(records)
 
     def begin_rewrite(self) -> JournalRewrite:
-        """New content that is not yet the journal's."""
+        """Starts a rewrite; its content replaces the journal's when it is committed."""
         return _MemoryJournalRewrite(self)
 
     def close(self) -> None:
-        """The records stay, for the next one who reads them."""
+        """Does nothing: the records remain readable."""
 
     def retire(self) -> None:
-        """No other process has them."""
+        """Does nothing: no other process can use a journal in memory."""
 
 
 class _MemoryJournalRewrite:
-    """New content of a journal in memory."""
+    """A rewrite of a journal in memory."""
 
     def __init__(self, journal: MemoryJournal) -> None:
         self.journal = journal
@@ -83,7 +85,7 @@
         return len(record)
 
     def sync(self) -> None:
-        """Memory has nothing to sync."""
+        """Does nothing: memory needs no sync."""
 
     def commit(self) -> None:
         self.journal.rewrite(self.records)
@@ -93,13 +95,14 @@
 
 
 class FileJournal:
-    """Records in one file.
-
-    Versions from `version` to `newest_version` can be read; a new file is in `version`, an existing one stays
-    in its own until that is set. `damage_reports` have a line for each damage that was found. `size`: bytes
-    of the file. `broken`: after a failure that only a rewrite can repair. `on_slow_sync` is called with the
-    time, in s, of each sync that took longer than SLOW_SYNC_S, on the thread that syncs; `worst_sync_s`: the
-    longest so far; `sync_counts`: how many took up to each of SYNC_BUCKETS_S, the last one any time.
+    """A journal in one file.
+
+    Format versions from `version` to `newest_version` can be read. A new file is written in `version`;
+    reading an existing file sets `version` to that file's, which rewrites keep until the caller sets another.
+    `damage_reports` has a line for each damaged record found. `size`: of the file, in bytes. `broken`: a
+    write or sync failed in a way that only a rewrite can repair. `on_slow_sync` is called on the syncing
+    thread with the duration, in s, of each sync that took longer than SLOW_SYNC_S; `worst_sync_s`: the
+    longest sync so far; `sync_counts`: the cumulative histogram of sync durations over SYNC_BUCKETS_S.
     """
 
     def __init__(self, path: Path, name: str, version: int, newest_version: int = 0) -> None:
@@ -121,7 +124,7 @@
     # --- reading ---
 
     def records(self) -> Iterator[bytes]:
-        """All records up to the first that is damaged. Raises JournalError, OSError."""
+        """Iterates over the records up to the first damaged one. Raises JournalError, OSError."""
         try:
             with open(self.path, "rb") as file:
                 header = file.readline(MAX_HEADER_BYTES)
@@ -134,16 +137,18 @@
             return
 
     def check_readable(self) -> None:
-        """Checks that this program can read the file, if there is one. Raises JournalError, OSError."""
+        """Checks that this program can read the file, if it exists. Raises JournalError, OSError."""
         with contextlib.suppress(FileNotFoundError), open(self.path, "rb") as file:
             self._check_header(file.readline(MAX_HEADER_BYTES))
 
     def header(self, version: int) -> bytes:
-        """The first line of a file of that version."""
+        """Returns the first line of a file of the given format version."""
         return f"ochrecourse {self.name} {version}\n".encode()
 
     def _check_header(self, header: bytes) -> None:
-        """Raises JournalError: nothing of another's or of a newer program's file is read or changed."""
+        """Raises JournalError for a file of another kind or of a newer program: such a file is neither read
+        nor changed.
+        """
         for version in range(self.version, self.newest_version + 1):
             if header == self.header(version):
                 self.version = version
@@ -158,24 +163,26 @@
         raise JournalError(text)
 
     def _preserve_damaged_file(self, header_size: int, reader: FrameReader, file_size: int) -> None:
-        """Guards against the loss of what might still be read of a damaged file: a rewrite replaces it."""
+        """Keeps a second link to a damaged file: the next rewrite replaces the original, and the damaged one
+        may still be partly recoverable.
+        """
         preserved = self.path.with_name(f"{self.path.name}.damaged")
         with contextlib.suppress(FileExistsError):
-            os.link(self.path, preserved)  # a second name: the file stays when the first one is replaced
+            os.link(self.path, preserved)  # a hard link keeps the file when `path` is replaced
         damaged_at = header_size + reader.bytes_read
         self.damage_reports.append(
-            f"{self.path}: record {reader.records_read + 1} at byte {damaged_at} is cut short or damaged; "
-            f"the last {file_size - damaged_at} bytes are left out, the file is kept as {preserved.name}"
+            f"{self.path}: record {reader.records_read + 1} at byte {damaged_at} is truncated or damaged; "
+            f"the last {file_size - damaged_at} bytes are ignored, the file is preserved as {preserved.name}"
         )
 
     # --- writing ---
 
     def append(self, record: bytes) -> None:
-        """Adds a record. Raises OSError, and then nothing of the record is stored."""
+        """Appends a record. Raises OSError; the record is then not stored, not even in part."""
         self.append_all([record])
 
     def append_all(self, records: Sequence[bytes]) -> None:
-        """Adds records with one call of the system. Raises OSError, and then nothing of them is stored."""
+        """Appends records with one system call. Raises OSError; none of them is then stored."""
         if self.broken:
             raise OSError("the journal could not be mended after a write that failed")
         frames = b"".join(map(encode_frame, records))
@@ -189,15 +196,16 @@
         self.size += len(frames)
 
     def sync(self) -> None:
-        """What was appended survives a power failure. Raises OSError."""
+        """Makes all appended records survive a power failure. Raises OSError."""
         try:
             self.sync_file(self._descriptor)
         except OSError:
-            self.broken = True  # the system may have dropped what it could not write, and says so only once
+            # The kernel may have dropped the dirty pages, and reports the error only once.
+            self.broken = True
             raise
 
     def sync_file(self, descriptor: int) -> None:
-        """Syncs a file of this journal and notes how long that took. Raises OSError."""
+        """Syncs a file of this journal and records the duration. Raises OSError."""
         began = time.monotonic()
         try:
             os.fdatasync(descriptor)
@@ -211,18 +219,18 @@
                 self.on_slow_sync(took_s)
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replaces the content by these records, all at once. Raises OSError."""
+        """Replaces all records by these, atomically. Raises OSError."""
         rewrite = self.begin_rewrite()
         for record in records:
             rewrite.append(record)
         rewrite.commit()
 
     def begin_rewrite(self) -> _FileJournalRewrite:
-        """New content in a temporary file. Raises OSError."""
+        """Starts a rewrite in a temporary file. Raises OSError."""
         return _FileJournalRewrite(self)
 
     def replace_file(self, temporary: Path) -> None:
-        """Puts a complete and synced file in place of this one. Raises OSError."""
+        """Replaces the journal's file by a complete, synced one. Raises OSError."""
         with self._replacing:
             if self._is_retired:
                 raise OSError("the journal is another process's")
@@ -234,13 +242,13 @@
         self.broken = False
 
     def close(self) -> None:
-        """Nothing more is written."""
+        """Closes the file; nothing more can be appended."""
         if self._descriptor != CLOSED:
             os.close(self._descriptor)
             self._descriptor = CLOSED
 
     def retire(self) -> None:
-        """Another process has the file: a rewrite that is still under way may not replace it."""
+        """Marks the file as taken over by another process: a rewrite in progress must not replace it."""
         with self._replacing:
             self._is_retired = True
 
@@ -248,18 +256,20 @@
         try:
             os.ftruncate(self._descriptor, self.size)
         except OSError:
-            self.broken = True  # guards against records behind a partial frame, which nobody could read
+            self.broken = True  # records appended behind a partial frame would be unreadable
 
 
 class _FileJournalRewrite:
-    """New content in a file beside the journal's; what is left of an earlier one is removed."""
+    """A rewrite in a temporary file next to the journal's; a leftover file of an earlier
+    rewrite is removed.
+    """
 
     def __init__(self, journal: FileJournal) -> None:
         self.journal = journal
         self.temporary = atomic_file.temporary_path(journal.path)
-        # Guards against an earlier process that still writes to the file of that name.
+        # Unlinked, not truncated: an earlier process may still be writing to the file of that name.
         self.temporary.unlink(missing_ok=True)
-        self.file = open(self.temporary, "xb")  # noqa: SIM115 - it stays open over many calls
+        self.file = open(self.temporary, "xb")  # noqa: SIM115 - stays open across calls
         self._write(journal.header(journal.version))
 
     def append(self, record: bytes) -> int:
@@ -279,7 +289,7 @@
         self.journal.replace_file(self.temporary)
 
     def abort(self) -> None:
-        with contextlib.suppress(OSError):  # there may be no space for what is in the buffer
+        with contextlib.suppress(OSError):  # flushing the buffer may fail for lack of space
             self.file.close()
         with contextlib.suppress(OSError):
             os.unlink(self.temporary)
--- a/ochrecourse/storage/journal_interface.py
+++ b/ochrecourse/storage/journal_interface.py
@@ -1,4 +1,6 @@
-"""What is needed of a journal, and of its rewrite in steps, whoever stores it. Free of I/O."""
+"""The interfaces of a journal and of its incremental rewrite, independent of where it is
+stored. Free of I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,50 +9,52 @@
 
 
 class JournalRewrite(Protocol):
-    """New content of a journal, written while the journal goes on; it counts once it is committed."""
+    """A rewrite of a journal in steps, while records are still appended to the journal; it takes effect when
+    it is committed.
+    """
 
     def append(self, record: bytes) -> int:
-        """Adds a record to the new content; returns how many bytes that took. Raises OSError."""
+        """Appends a record to the new content; returns the number of bytes written. Raises OSError."""
 
     def sync(self) -> None:
-        """Syncs what was appended so far, so that `commit` has little left to do. Raises OSError."""
+        """Syncs the records appended so far, so that `commit` has little left to sync. Raises OSError."""
 
     def commit(self) -> None:
-        """Replaces the journal's content, all at once. Raises OSError."""
+        """Replaces the journal's content atomically. Raises OSError."""
 
     def abort(self) -> None:
         """Discards the new content."""
 
 
 class Journal(Protocol):
-    """Where records are stored. `version`: its format's, and what the next rewrite is written in."""
+    """Stores records in order. `version`: the format version, also of the next rewrite."""
 
     version: int
 
     def records(self) -> Iterator[bytes]:
-        """All records that can be read, in order. Raises JournalError, OSError."""
+        """Iterates over all readable records, in order. Raises JournalError, OSError."""
 
     def append(self, record: bytes) -> None:
-        """Adds a record. Raises OSError, and then nothing of the record is stored."""
+        """Appends a record. Raises OSError; the record is then not stored, not even in part."""
 
     def append_all(self, records: Sequence[bytes]) -> None:
-        """Adds records, in order. Raises OSError, and then some of them may be stored."""
+        """Appends records, in order. Raises OSError; some of them may then be stored."""
 
     def sync(self) -> None:
-        """What was appended survives a power failure. Raises OSError: then it may or may not, and nothing
-        more can be appended before a rewrite.
+        """Makes all appended records survive a power failure. Raises OSError; it is then unknown whether they
+        do, and nothing more can be appended before a rewrite.
         """
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replaces the content by these records, all at once. Raises OSError."""
+        """Replaces all records by these, atomically. Raises OSError."""
 
     def begin_rewrite(self) -> JournalRewrite:
-        """The same in steps. Raises OSError."""
+        """Starts a rewrite in steps. Raises OSError."""
 
     def close(self) -> None:
-        """Nothing more is written."""
+        """Closes the journal; nothing more can be appended."""
 
     def retire(self) -> None:
-        """Another process has the file: an operation that is still under way may not replace it. May be
-        called from another thread than that operation's.
+        """Marks the journal as taken over by another process: an operation in progress must not replace its
+        file. May be called from a thread other than that operation's.
         """
--- a/ochrecourse/storage/process_lock.py
+++ b/ochrecourse/storage/process_lock.py
@@ -1,7 +1,8 @@
-"""One process at a time uses a gateway's state: a lock that is released with its process, however that ends.
+"""A lock that lets one process at a time use a gateway's stored state; the kernel releases it when the
+process ends, however that happens.
 
 A journal is rewritten at each start. A second process that opened it would replace the file that the first
-one goes on writing to, and what the first one confirms from then on would be lost at its end.
+one still appends to, and all records that the first one confirms from then on would be lost.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class StateLockedError(JournalError):
-    """Another process has the lock; the text is for the operator."""
+    """Another process has the lock; the text tells the operator what to do."""
 
 
 CLOSED = -1  # in place of a file descriptor
@@ -22,9 +23,9 @@
 
 
 class ProcessLock:
-    """The right to write the state that is stored under one name.
+    """An exclusive lock on the state that is stored under one name.
 
-    The file is never removed: a lock on a file that another process has just unlinked would be no lock.
+    The lock file is never removed: a lock on a file that another process has unlinked excludes nobody.
     """
 
     def __init__(self, path: Path) -> None:
@@ -32,7 +33,9 @@
         self._descriptor = CLOSED
 
     def acquire(self) -> None:
-        """Raises StateLockedError if another process has the lock, OSError if the file can't be opened."""
+        """Acquires the lock, unless this object already has it. Raises StateLockedError if another process
+        has it, OSError if the file can't be opened.
+        """
         if self._descriptor != CLOSED:
             return
         descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
@@ -49,7 +52,7 @@
         self._descriptor = descriptor
 
     def release(self) -> None:
-        """Another process may have the lock."""
+        """Releases the lock."""
         if self._descriptor != CLOSED:
             os.close(self._descriptor)
             self._descriptor = CLOSED
--- a/ochrecourse/storage/record_frames.py
+++ b/ochrecourse/storage/record_frames.py
@@ -1,7 +1,8 @@
-"""Records in a sequence of bytes, each with its length and checksum. Free of I/O: reading is handed in.
+"""Framing of records: each has its length and checksum before it. Free of I/O: the read function is passed
+in.
 
-A frame is 4 bytes length and 4 bytes CRC-32, both big endian, then the record. A frame that is truncated, too
-long or whose checksum is wrong ends what can be read: nothing behind it is trusted, for its length may be
+A frame is 4 bytes length and 4 bytes CRC-32, both big endian, then the record. Reading stops at a frame that
+is truncated, too long or has a wrong checksum: nothing behind it can be trusted, because its length may be
 wrong.
 """
 
@@ -13,11 +14,11 @@
 from dataclasses import dataclass
 
 FRAME_HEADER = struct.Struct(">II")  # length and CRC-32 of the record
-MAX_RECORD_BYTES = 1 << 26  # a length above it is damage, not a record
+MAX_RECORD_BYTES = 1 << 26  # a greater length is taken for damage
 
 
 def encode_frame(record: bytes) -> bytes:
-    """The record with its length and checksum before it."""
+    """Returns the record with its length and checksum before it."""
     return FRAME_HEADER.pack(len(record), zlib.crc32(record)) + record
 
 
@@ -25,8 +26,8 @@
 class FrameReader:
     """Reads a sequence of frames.
 
-    `read` returns up to so many bytes from where its last call ended, fewer only at the end. `bytes_read` and
-    `records_read` count complete frames. `intact`: no damage was found yet.
+    `read` returns the next bytes, up to the given number, and fewer only at the end of the input.
+    `bytes_read` and `records_read` count complete frames. `intact`: no damage has been found.
     """
 
     read: Callable[[int], bytes]
@@ -35,7 +36,7 @@
     intact: bool = True
 
     def records(self) -> Iterator[bytes]:
-        """All records up to the end, or up to the first that can't be read; `intact` tells which."""
+        """Iterates over the records up to the end or to the first damaged frame, which clears `intact`."""
         while header := self.read(FRAME_HEADER.size):
             record = self._read_record(header)
             if record is None:
@@ -46,7 +47,7 @@
             yield record
 
     def _read_record(self, header: bytes) -> bytes | None:
-        """None if the frame is damaged."""
+        """Reads a frame's record; returns None if the frame is damaged."""
         if len(header) < FRAME_HEADER.size:
             return None
         length, checksum = FRAME_HEADER.unpack(header)
