--- a/ochrecourse/membership/__init__.py
+++ b/ochrecourse/membership/__init__.py
@@ -1,1 +1,3 @@
-"""What the gateway knows of the list of storage nodes, and how it hears of changes."""
+"""The endpoint list of storage nodes: its sources (a list server or a registry), state and cache, and this
+gateway's own registration.
+"""
--- a/ochrecourse/membership/endpoint_cache.py
+++ b/ochrecourse/membership/endpoint_cache.py
@@ -16,12 +16,12 @@
 
 
 def save(path: Path, snapshot: EndpointListSnapshot) -> None:
-    """Replaces the cached list. Raises OSError; the old one is then still there."""
+    """Replaces the cached list atomically. Raises OSError."""
     atomic_file.write(path, FILE_KIND, FORMAT_VERSION, msgspec.json.encode(snapshot))
 
 
 def load(path: Path) -> EndpointListSnapshot | None:
-    """The cached list, None if there is none. Raises atomic_file.DamagedFileError, OSError."""
+    """Returns the cached list, or None if there is none. Raises atomic_file.DamagedFileError, OSError."""
     data = atomic_file.read(path, FILE_KIND, FORMAT_VERSION)
     if data is None:
         return None
--- a/ochrecourse/membership/endpoint_list.py
+++ b/ochrecourse/membership/endpoint_list.py
@@ -1,10 +1,10 @@
-"""The endpoint list as this gateway knows it: versions, gaps, stale snapshots. Free of I/O and clocks.
+"""This gateway's state of the endpoint list: versions, gaps, stale snapshots. Free of I/O and clocks.
 
 Updates carry a version (epoch). A delta is applied only on top of the version before it; after a gap the
-complete list is needed. Late and duplicate deltas change nothing. Start times arrive as ages and are stored
-on this host's clock, so a wall clock that steps does no harm. A snapshot restored after a start may be stale,
-and it may have been written on another clock: then every node counts as just started, which is the safe
-side for nodes that are warming up.
+complete list is needed. Late and duplicate deltas are ignored. Start times are received as ages and stored on
+this host's monotonic clock, so steps of the wall clock have no effect. A snapshot restored after a start may
+be stale, and it may have been written on another clock; then every node counts as just started, which is the
+safe assumption for nodes in slow start.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class BadEndpointListError(OchrecourseError):
-    """A list that can't be applied; the text says which entry of it and why."""
+    """A list that can't be applied; the text names the entry and the reason."""
 
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """What the gateway is notified of: the entries that changed, or all of them, and where to connect.
+    """An update for the gateway: the changed entries, or all of them, and their addresses.
 
-    `addresses` has host and port by node number.
+    `addresses`: host and port by node number.
     """
 
     kind: ListKind
@@ -43,10 +43,10 @@
 
 
 class EndpointListSnapshot(msgspec.Struct, rename={"written_at": "written", "entries": "lines"}):
-    """The list as it is cached on disk, where the fields have the names given in `rename`.
+    """The cached form of the list; `rename` gives the field names on disk.
 
-    `written_at`: ns on the clock of the host that wrote it. `cluster`: of the registry that the list is from,
-    0 if it is from a list server.
+    `written_at`: ns on the clock of the host that wrote it. `cluster`: ID of the registry cluster that sent
+    the list, 0 for a list server.
     """
 
     epoch: int
@@ -57,11 +57,11 @@
 
 
 class EndpointList:
-    """The list as this gateway knows it, by node number.
+    """The current list by node number.
 
-    `epoch` is 0 if there is no list yet or after a gap: then the complete list is to be requested.
+    `epoch` is 0 before the first list and after a gap: the complete list must then be requested.
     `started_at`: ns on this host's clock, 0 if long ago. `confirmed_at`: ns when the list was last known to
-    be current, -1 if it never was.
+    be current, -1 for never.
     """
 
     def __init__(self) -> None:
@@ -75,10 +75,10 @@
     def apply_update(
         self, kind: str, epoch: int, entries: Sequence[EndpointEntry], now: int
     ) -> EndpointListUpdate | None:
-        """Applies a complete list or a delta; None if it changes nothing. After a gap `epoch` is 0.
+        """Applies a complete list or a delta; returns None if it changes nothing. A gap resets `epoch` to 0.
 
-        `kind` is "full" or "delta", as list servers write it; `now` in ns. Raises BadEndpointListError;
-        nothing of such a list is applied.
+        `kind` is "full" or "delta", as on the wire; `now` in ns. Raises BadEndpointListError, and then
+        applies no part of the list.
         """
         addresses = {entry.node: address_of(entry) for entry in entries if entry.health != GONE}
         node_entries = [self._node_entry(entry, now) for entry in entries]
@@ -96,7 +96,7 @@
         return EndpointListUpdate(list_kind, node_entries, addresses)
 
     def snapshot(self, now: int) -> EndpointListSnapshot:
-        """The list as it is to be cached; ages are those at `now`, ns."""
+        """Returns the list for the cache; ages are relative to `now`, in ns."""
         entries = []
         for node, entry in sorted(self.entries.items()):
             started_at = self.started_at[node]
@@ -105,7 +105,7 @@
         return EndpointListSnapshot(self.epoch, now, entries)
 
     def restore_snapshot(self, snapshot: EndpointListSnapshot, now: int) -> EndpointListUpdate:
-        """Applies a cached list after a start. Its version is not resumed: the complete list is requested.
+        """Applies a cached list after a start. `epoch` stays 0, so that the complete list is requested.
 
         `now` in ns. Raises BadEndpointListError.
         """
@@ -123,11 +123,11 @@
         return EndpointListUpdate(ListKind.CACHED, node_entries, addresses)
 
     def age(self, now: int) -> int | None:
-        """ns since the list was last confirmed; None if it never was since the start of this process."""
+        """Returns ns since the list was last confirmed, or None if it was not since this process started."""
         return None if self.confirmed_at < 0 else now - self.confirmed_at
 
     def _is_next(self, epoch: int) -> bool:
-        """Whether a delta follows the version that is known. Counts duplicates and gaps."""
+        """Whether a delta directly follows the current version. Counts duplicates and gaps."""
         if self.epoch and epoch <= self.epoch:
             self.duplicates += 1
             return False
@@ -154,19 +154,20 @@
         return NodeEntry(entry.node, entry.zone, entry.shard, health, self._start_time(entry, now))
 
     def _start_time(self, entry: EndpointEntry, now: int) -> int:
-        """When a node started, ns on this host's clock; 0 if long ago."""
+        """Returns a node's start time, ns on this host's clock; 0 if long ago."""
         if entry.started_ms_ago < 0:
             return 0
         started_at = max(1, now - round(entry.started_ms_ago * MS))
         known = self.started_at.get(entry.node, 0)
-        # Guards against a start that looks new in each update: the first time received for it is used.
+        # Received ages jitter: the start time computed first is kept, so that each update does not look like
+        # a new start.
         if known and abs(known - started_at) < SAME_START_TOLERANCE_NS:
             return known
         return started_at
 
 
 def address_of(entry: EndpointEntry) -> tuple[str, int]:
-    """Host and port of an entry. Raises BadEndpointListError."""
+    """Returns an entry's host and port. Raises BadEndpointListError."""
     host, _, port = entry.address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise BadEndpointListError(
--- a/ochrecourse/membership/endpoint_list_store.py
+++ b/ochrecourse/membership/endpoint_list_store.py
@@ -1,4 +1,4 @@
-"""What the watchers of a list server and of a registry share: the endpoint list and its cache on disk."""
+"""Base of the watchers of a list server and of a registry: the endpoint list and its cache on disk."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 def _discard_warning(text: str) -> None:
-    """For watchers whose warnings nobody reads."""
+    """Discards a warning: the default of `WatcherContext.warn`."""
 
 
 @dataclass(frozen=True)
 class WatcherContext:
-    """What a watcher is given.
+    """The environment of a watcher.
 
-    `name`: this gateway's. `on_update` is called with each update of the list. `cache_path`: where the last
-    list is cached, None: nowhere. `seed` of the jitter. `warn` gets a line for operators. `disk_worker`
-    writes the cache.
+    `name`: of this gateway. `on_update` is called with each update of the list. `cache_path`: file in which
+    the newest list is cached, None for no cache. `seed`: of the jitter. `warn` is called with warnings for
+    operators. `disk_worker` writes the cache.
     """
 
     name: str
@@ -44,10 +44,10 @@
 
 
 class EndpointListStore:
-    """The endpoint list, wherever its updates come from.
+    """The endpoint list and its cache, independent of the source of updates.
 
-    `cluster` is the registry's that the list is from, 0 for a list server. `counts`: events by name, as the
-    operators' pages have them.
+    `cluster`: ID of the registry cluster that sent the list, 0 for a list server. `counts`: events by the
+    names that operators' pages show.
     """
 
     def __init__(self, context: WatcherContext) -> None:
@@ -60,11 +60,11 @@
         self.counts: Counter[str] = Counter()
         self.cluster = 0
         self._disk_worker = context.disk_worker
-        self._unsaved: EndpointListSnapshot | None = None  # newer than the one that is being written
+        self._unsaved: EndpointListSnapshot | None = None  # newer than the snapshot being written
         self._is_saving = False
 
     def restore_cached_list(self) -> EndpointListSnapshot | None:
-        """Applies the cached list and returns it; None if there is none that can be used."""
+        """Applies the cached list and returns it, or None if there is no usable one."""
         if self.cache_path is None:
             return None
         try:
@@ -74,13 +74,13 @@
             return snapshot
         except (DamagedFileError, OSError, BadEndpointListError) as error:
             self.counts["kept lists not read"] += 1
-            self.warn(f"the kept list of nodes is ignored: {error}")
+            self.warn(f"the cached list of nodes is ignored: {error}")
             return None
 
     def apply_update(self, kind: str, epoch: int, entries: list[EndpointEntry]) -> bool:
-        """Applies a complete list or a delta, notifies and caches it; True if it changed something.
+        """Applies a complete list or a delta, then notifies the gateway and updates the cache.
 
-        Raises BadEndpointListError.
+        Returns whether the list changed. Raises BadEndpointListError.
         """
         now = now_ns(self.network)
         update = self.endpoint_list.apply_update(kind, epoch, entries, now)
@@ -95,7 +95,7 @@
     def _load_snapshot(self, path: Path) -> EndpointListSnapshot | None:
         snapshot = endpoint_cache.load(path)
         if snapshot is not None and snapshot.gateway not in ("", self.name):
-            # Guards against two gateways whose settings name one file.
+            # Two gateways may be configured with the same cache file by mistake.
             raise DamagedFileError(f"{path}: it is of gateway {snapshot.gateway!r}, not of {self.name!r}")
         return snapshot
 
@@ -106,7 +106,7 @@
             self._save_newest(path)
 
     def _save_newest(self, path: Path) -> None:
-        """Writes the newest list; of those that come meanwhile only the last is written."""
+        """Writes the newest snapshot; of those taken during a write only the last is written."""
         snapshot, self._unsaved = self._unsaved, None
         if snapshot is not None:
             self._is_saving = True
--- a/ochrecourse/membership/etcd.py
+++ b/ochrecourse/membership/etcd.py
@@ -1,7 +1,7 @@
 """The published JSON form of the etcd v3 API: requests to send, responses to decode. Free of I/O.
 
-Keys and values are base64, 64-bit numbers are strings, fields that are zero are left out. Only what a gateway
-needs is here: range, watch, put under a lease, lease grant, keepalive and revoke.
+Keys and values are base64, 64-bit numbers are strings, zero fields are omitted. Only the calls that a gateway
+uses are implemented: range, watch, put under a lease, lease grant, keepalive and revoke.
 """
 
 from __future__ import annotations
@@ -27,26 +27,26 @@
 OK_STATUS = 200
 UNKNOWN_LEASE_STATUS = 400
 MAX_STREAM_MESSAGE_BYTES = 1 << 24
-GRPC_OUT_OF_RANGE = 11  # a revision that was compacted, or does not exist yet
+GRPC_OUT_OF_RANGE = 11  # the revision was compacted or does not exist yet
 
 
 class BadResponseError(OchrecourseError):
-    """A response that is not of the published form; the text says how."""
+    """A response that does not conform to the API; the text says how."""
 
 
 class CompactedError(OchrecourseError):
-    """The revision that was requested is no longer there."""
+    """The requested revision was compacted."""
 
 
 class EtcdRequest(NamedTuple):
-    """What to POST: a path and a body in JSON."""
+    """A POST request: path and JSON body."""
 
     path: str
     body: bytes
 
 
 class ResponseHeader(msgspec.Struct):
-    """What is in every response."""
+    """The header of every response."""
 
     cluster_id: int = 0
     member_id: int = 0
@@ -55,7 +55,7 @@
 
 
 class KeyValue(msgspec.Struct):
-    """One key. Absent fields are zero or empty."""
+    """A key with its value and revisions. Absent fields are zero or empty."""
 
     key: str = ""
     value: str = ""
@@ -66,7 +66,7 @@
 
 
 class RangeResponse(msgspec.Struct):
-    """The response to a range."""
+    """The response to a range request."""
 
     header: ResponseHeader
     kvs: list[KeyValue] = []
@@ -75,14 +75,14 @@
 
 
 class Event(msgspec.Struct):
-    """One event of a watch; without a type it is a put."""
+    """An event of a watch; an absent type means a put."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
 class WatchResponse(msgspec.Struct):
-    """One message of a watch."""
+    """A message of a watch stream."""
 
     header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
     watch_id: int = 0
@@ -94,14 +94,14 @@
 
 
 class WatchStreamMessage(msgspec.Struct):
-    """How the JSON form wraps each message of a watch."""
+    """The envelope of each message of a watch stream."""
 
     result: WatchResponse | None = None
     error: Any = None
 
 
 class LeaseResponse(msgspec.Struct, rename={"lease_id": "ID", "ttl_seconds": "TTL"}):
-    """The response to a grant, a keepalive or a put; a time to live of 0 or less: the lease is gone."""
+    """The response to a grant, a keepalive or a put; a `ttl_seconds` of 0 or less: the lease has expired."""
 
     header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
     lease_id: int = 0
@@ -109,13 +109,13 @@
 
 
 class KeepaliveStreamMessage(msgspec.Struct):
-    """How the JSON form wraps the response to a keepalive."""
+    """The envelope of the response to a keepalive."""
 
     result: LeaseResponse | None = None
 
 
 class ErrorResponse(msgspec.Struct):
-    """The body of a response that is no success."""
+    """The body of an error response."""
 
     code: int = 0
     message: str = ""
@@ -126,7 +126,7 @@
 
 
 def prefix_range_end(prefix: bytes) -> bytes:
-    """The first key after all with this prefix; for a prefix of 0xff only there is none, written as a 0."""
+    """Returns the first key after all keys with the prefix; b"\\0" (no end) if the prefix is all 0xff."""
     for index in range(len(prefix) - 1, -1, -1):
         if prefix[index] < 0xFF:
             return prefix[:index] + bytes((prefix[index] + 1,))
@@ -134,7 +134,7 @@
 
 
 def range_request(prefix: bytes, request: RangeRequest, max_keys: int) -> EtcdRequest:
-    """A page of at most `max_keys`, in order of keys."""
+    """Requests a page of at most `max_keys` keys, in key order."""
     range_end = _encode_base64(prefix_range_end(prefix))
     fields = {"key": _encode_base64(request.start_key), "range_end": range_end, "limit": str(max_keys)}
     if request.revision:
@@ -143,7 +143,7 @@
 
 
 def newest_record_request(prefix: bytes) -> EtcdRequest:
-    """The key under the prefix that changed last, without its value."""
+    """Requests the most recently modified key under the prefix, without its value."""
     fields = {
         "key": _encode_base64(prefix),
         "range_end": _encode_base64(prefix_range_end(prefix)),
@@ -156,7 +156,7 @@
 
 
 def watch_request(prefix: bytes, start_revision: int) -> EtcdRequest:
-    """The events of all keys under the prefix from a revision on, with progress notifications."""
+    """Requests the events of all keys under the prefix from a revision on, with progress notifications."""
     fields = {
         "key": _encode_base64(prefix),
         "range_end": _encode_base64(prefix_range_end(prefix)),
@@ -167,23 +167,23 @@
 
 
 def put_request(key: bytes, value: bytes, lease_id: int) -> EtcdRequest:
-    """A key that is deleted with its lease."""
+    """Puts a key under a lease; the registry deletes it when the lease ends."""
     fields = {"key": _encode_base64(key), "value": _encode_base64(value), "lease": str(lease_id)}
     return EtcdRequest(PUT_PATH, msgspec.json.encode(fields))
 
 
 def lease_grant_request(ttl_seconds: int) -> EtcdRequest:
-    """A new lease."""
+    """Requests a new lease."""
     return EtcdRequest(LEASE_GRANT_PATH, msgspec.json.encode({"TTL": str(ttl_seconds)}))
 
 
 def lease_keepalive_request(lease_id: int) -> EtcdRequest:
-    """The lease extended by its time to live."""
+    """Extends a lease by its time to live."""
     return EtcdRequest(LEASE_KEEPALIVE_PATH, msgspec.json.encode({"ID": str(lease_id)}))
 
 
 def lease_revoke_request(lease_id: int) -> EtcdRequest:
-    """The lease ended, and its keys deleted."""
+    """Revokes a lease; the registry deletes its keys."""
     return EtcdRequest(LEASE_REVOKE_PATH, msgspec.json.encode({"ID": str(lease_id)}))
 
 
@@ -191,7 +191,7 @@
 
 
 def raise_error_response(status: int, body: bytes) -> NoReturn:
-    """Raises CompactedError or BadResponseError for a response that is no success."""
+    """Raises CompactedError or BadResponseError for an error response."""
     try:
         response = msgspec.json.decode(body, type=ErrorResponse, strict=False)
     except msgspec.DecodeError:
@@ -202,7 +202,7 @@
 
 
 def decode_range_response(status: int, body: bytes) -> RangePage:
-    """A page of a range. Raises CompactedError, BadResponseError."""
+    """Decodes a page of a range. Raises CompactedError, BadResponseError."""
     if status != OK_STATUS:
         raise_error_response(status, body)
     response: RangeResponse = _decode_json(body, RangeResponse)
@@ -214,7 +214,7 @@
 
 
 def watch_events(response: WatchResponse) -> list[WatchEvent]:
-    """The events of a message of a watch, in order. Raises BadResponseError."""
+    """Decodes the events of a watch message, in order. Raises BadResponseError."""
     events = []
     for event in response.events:
         if event.type not in ("PUT", "DELETE"):
@@ -225,7 +225,7 @@
 
 
 def decode_lease_response(status: int, body: bytes) -> LeaseResponse:
-    """The response to a grant or a put. Raises BadResponseError, CompactedError."""
+    """Decodes the response to a grant or a put. Raises BadResponseError, CompactedError."""
     if status != OK_STATUS:
         raise_error_response(status, body)
     response: LeaseResponse = _decode_json(body, LeaseResponse)
@@ -233,7 +233,9 @@
 
 
 def decode_keepalive_response(status: int, body: bytes) -> LeaseResponse:
-    """The response to a keepalive, of a stream of one message. Raises BadResponseError, CompactedError."""
+    """Decodes the response to a keepalive, a stream of one message. Raises BadResponseError,
+    CompactedError.
+    """
     if status != OK_STATUS:
         raise_error_response(status, body)
     first_line = body.strip().split(b"\n")[0]
@@ -244,16 +246,16 @@
 
 
 class WatchStreamDecoder:
-    """Splits the stream of a watch into its messages, in whatever pieces it arrives."""
+    """Splits a watch stream, received in chunks of any size, into messages."""
 
     def __init__(self) -> None:
         self._unread = b""
 
     def feed(self, data: bytes) -> Iterator[WatchResponse]:
-        """The messages that `data` completes. Raises BadResponseError, CompactedError."""
+        """Yields the messages that `data` completes. Raises BadResponseError, CompactedError."""
         self._unread += data
         if len(self._unread) > MAX_STREAM_MESSAGE_BYTES:
-            # Guards against a server that never ends its message: memory would grow without bound.
+            # A server that never ends its message would otherwise grow memory without bound.
             raise BadResponseError(f"a message of more than {MAX_STREAM_MESSAGE_BYTES} bytes")
         *lines, self._unread = self._unread.split(b"\n")
         for line in lines:
--- a/ochrecourse/membership/freshness_check.py
+++ b/ochrecourse/membership/freshness_check.py
@@ -1,8 +1,8 @@
-"""Checks that the watch of a registry keeps up with what other servers have.
+"""Checks that the watch of a registry keeps up with the registry's other servers.
 
-Once a second the newest change under the prefix is read, from another server than the watch's if there is
-one: a server that is behind and does not know it can't vouch for itself. This also tells a watch that is
-stuck from one that has no events.
+Once a second the newest change under the prefix is read, from a server other than the watch's if there is
+one: a server that lags without knowing it would report itself as current. The check also distinguishes a
+stuck watch from one that has no events.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class FreshnessCallbacks:
-    """Who is notified of a check's result."""
+    """Callbacks for a check's result: the watch is current, the watch is stuck, or the check failed."""
 
     on_current: Callable[[], None]
     on_stuck: Callable[[], None]
@@ -35,7 +35,7 @@
 
 
 class FreshnessCheck:
-    """The checks that run beside a watch, on a connection of their own."""
+    """Periodic checks of a watch, on a separate connection."""
 
     def __init__(
         self,
@@ -57,12 +57,12 @@
         self._timeout_timer: Timer | None = None
 
     def start(self, random_source: random.Random) -> None:
-        """The first check is due at a random moment of the interval, so that gateways spread theirs."""
+        """Schedules the first check at a random time within the interval, so that gateways' checks spread."""
         self.running = True
         self._schedule(FRESHNESS_CHECK_INTERVAL_S * random_source.random(), self._check)
 
     def stop(self) -> None:
-        """No more checks; the connection is closed."""
+        """Stops the checks and closes the connection."""
         self.running = False
         stop(self._next_timer)
         stop(self._timeout_timer)
@@ -105,9 +105,12 @@
         self._schedule(delay_s, self._check)
 
     def _newest_revision(self, response: HttpResponse | None) -> int:
-        """Raises BadResponseError, CompactedError, UntrustedRegistryError."""
+        """Returns the newest revision under the prefix, 0 without keys.
+
+        Raises BadResponseError, CompactedError, UntrustedRegistryError.
+        """
         if response is None or not response.complete:
-            raise etcd.BadResponseError("it broke off")
+            raise etcd.BadResponseError("response incomplete")
         page = etcd.decode_range_response(response.status, response.body)
         self.registry.verify_server(page.cluster_id, page.revision)
         return page.records[0].mod_revision if page.records else 0
@@ -124,7 +127,9 @@
             self._failed()
 
     def _failed(self) -> None:
-        """The server is out of reach or not trusted; the next check goes to another one, at random."""
+        """The server is unreachable or untrusted: closes the connection; the next check uses a random other
+        one.
+        """
         self.callbacks.on_failed()
         connection, self._connection = self._connection, None
         stop(self._timeout_timer)
--- a/ochrecourse/membership/list_server_watcher.py
+++ b/ochrecourse/membership/list_server_watcher.py
@@ -1,4 +1,4 @@
-"""Watches a list server: connects, requests what is new, reconnects with backoff after a failure."""
+"""Watches a list server: connects, requests updates, reconnects with backoff after a failure."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from ochrecourse.wire.framed_protocol import FramedProtocol
 from ochrecourse.wire.state import ListConnectionState, Role, StreamState
 
-INITIAL_BACKOFF_S = 0.1  # a restarted server is back soon
-MAX_BACKOFF_S = 2.0  # an operator's drain grace is of this size, so a failure costs no more than one of it
+INITIAL_BACKOFF_S = 0.1  # a restarted server is soon reachable again
+MAX_BACKOFF_S = 2.0  # as long as the grace period of a drain, so that a failure costs at most one of these
 
 
 class _ListServerConnection(FramedProtocol):
-    """One connection to the list server."""
+    """A connection to the list server."""
 
     max_body: ClassVar[int] = m.MAX_LIST_BODY_BYTES
 
@@ -29,12 +29,12 @@
         self.watcher = watcher
 
     def connection_ready(self) -> None:
-        """Introduces this gateway and requests what is newer than the list that it has."""
+        """Sends this gateway's name and requests updates newer than its current list."""
         self.send_message(m.Hello(version=m.PROTOCOL_VERSION, role="gateway", name=self.watcher.name))
         self.send_message(m.WatchEndpoints(epoch=self.watcher.endpoint_list.epoch))
 
     def message_received(self, message: m.AnyMessage, body: bytes, stream_state: StreamState | None) -> None:
-        """A message was received. Raises ProtocolViolationError for a list that can't be applied."""
+        """Applies a received list. Raises ProtocolViolationError if it can't be applied."""
         if isinstance(message, m.EndpointListMessage):
             try:
                 self.watcher.update_received(message.kind, message.epoch, m.decode_list(body))
@@ -44,7 +44,7 @@
                 self.send_message(m.WatchEndpoints(epoch=0))
 
     def connection_ended(self, mid_message: bool) -> None:
-        """The connection is over."""
+        """Reports the end of the connection to the watcher."""
         self.watcher.connection_lost(self)
 
 
@@ -64,40 +64,42 @@
 
     @property
     def connected(self) -> bool:
-        """Whether there is a connection to the list server."""
+        """Whether the list server is connected."""
         return self.connection is not None
 
     def start(self) -> None:
-        """Applies the cached list, if there is a good one, then connects."""
+        """Applies the cached list, if there is a usable one, then connects."""
         self.restore_cached_list()
         self._connect()
 
     def stop(self) -> None:
-        """Closes the connection; there is no other one after it."""
+        """Closes the connection for good."""
         self.stopped = True
         stop(self._reconnect_timer)
         if self.connection is not None:
             self.connection.abort()
 
     def update_received(self, kind: str, epoch: int, entries: list[m.EndpointEntry]) -> None:
-        """A list was received; a good one resets the backoff. Raises BadEndpointListError."""
+        """Applies a received list; one that changes something resets the backoff. Raises
+        BadEndpointListError.
+        """
         if self.apply_update(kind, epoch, entries):
             self.backoff_s = INITIAL_BACKOFF_S
 
     def connection_lost(self, connection: _ListServerConnection) -> None:
-        """A connection ended; unless it was replaced already, there will be another one."""
+        """Schedules a reconnect, unless the connection was already replaced."""
         if self.connection is connection:
             self.connection = None
             self.counts["breaks"] += 1
             self._schedule_reconnect()
 
     def buildProtocol(self, addr: Any) -> _ListServerConnection:
-        """Twisted: connected."""
+        """Twisted: the connection is open."""
         self.connection = _ListServerConnection(self)
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Twisted: the server can't be reached."""
+        """Twisted: the dial has failed."""
         self._schedule_reconnect()
 
     def _connect(self) -> None:
--- a/ochrecourse/membership/registration.py
+++ b/ochrecourse/membership/registration.py
@@ -1,6 +1,6 @@
-"""Keeps this gateway's entry in the registry under its lease, on a connection of its own.
+"""Keeps this gateway's entry in the registry, under a lease and on a separate connection.
 
-It also reads the entries of all gateways now and then, if somebody is interested in them.
+Optionally it also reads the entries of all gateways periodically.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from ochrecourse.wire.http_client import HttpClientProtocol, HttpResponse
 
 RESPONSE_TIMEOUT_S = 0.8
-TICK_INTERVAL_S = 0.5  # between looks at what is due; well inside a third of the shortest lease
+TICK_INTERVAL_S = 0.5  # between checks for due requests; well below a third of the shortest lease
 ENTRIES_INTERVAL_S = 3.0  # between reads of all entries; addresses change when gateways restart
-ENTRIES_PAGE_KEYS = 100  # some tens of KiB, less than what is stored of a response
-MAX_BACKOFF_S = 1.0  # before another attempt, with full jitter
+ENTRIES_PAGE_KEYS = 100  # some tens of KiB, less than the limit of a stored response body
+MAX_BACKOFF_S = 1.0  # before the next request after a failure, with full jitter
 
 
 @dataclass(frozen=True)
 class RegistrationSettings:
-    """Where the entry stands.
+    """Settings of the registration.
 
-    `servers`: host and port of each of the registry. `prefix`: of the entries of all gateways. `seed` of the
-    jitter.
+    `servers`: host and port of each registry server. `key`: of this gateway's entry. `prefix`: of the entries
+    of all gateways. `seed`: of the jitter.
     """
 
     servers: Sequence[tuple[str, int]]
@@ -44,10 +44,10 @@
 
 
 class Registration(ClientFactory):
-    """This gateway's entry.
+    """The registration of this gateway's entry.
 
-    `entry_value` gives the value that is put. `on_entries`, if there, is called now and then with the values
-    of all entries under the prefix, by key.
+    `entry_value` returns the value to put. `on_entries`, if set, is called every ENTRIES_INTERVAL_S with the
+    values of all entries under the prefix, by key.
     """
 
     noisy = False
@@ -72,16 +72,18 @@
         self.connecting = False
         self._tick_timer: Timer | None = None
         self._response_timer: Timer | None = None
-        self._entries: dict[bytes, bytes] = {}  # of the pages so far
+        self._entries: dict[bytes, bytes] = {}  # of the pages read so far
         self._next_page_key = settings.prefix
         self._entries_due_at = 0  # ns
 
     def start(self) -> None:
-        """The first request is due at a random moment of the interval, so that gateways spread theirs."""
+        """Schedules the first request at a random time within the interval, so that gateways' requests
+        spread.
+        """
         self._tick_timer = self.network.callLater(TICK_INTERVAL_S * self.random_source.random(), self._tick)
 
     def stop(self) -> None:
-        """Ends at once; the registry deletes the entry when its lease expires."""
+        """Stops at once; the registry deletes the entry when its lease expires."""
         stop(self._tick_timer)
         stop(self._response_timer)
         self._tick_timer = self._response_timer = None
@@ -98,7 +100,7 @@
             self.stop()
 
     def is_active(self) -> bool:
-        """Whether the entry stands in the registry, as far as this gateway knows."""
+        """Whether the registry has the entry, as far as this gateway knows."""
         return self.lease.is_active(now_ns(self.network))
 
     # --- requests ---
@@ -180,7 +182,7 @@
     def _decode_lease_response(
         self, action: LeaseAction, response: HttpResponse | None
     ) -> etcd.LeaseResponse:
-        """Raises BadResponseError, CompactedError."""
+        """Decodes the response to a lease request. Raises BadResponseError, CompactedError."""
         if response is None or not response.complete:
             raise etcd.BadResponseError("it broke off")
         if action is LeaseAction.KEEPALIVE:
@@ -212,7 +214,7 @@
             self.on_entries(entries)
 
     def _tick_now(self) -> None:
-        """The next request may be due already."""
+        """Runs the next tick at once: another request may be due already."""
         stop(self._tick_timer)
         self._tick_timer = self.network.callLater(0, self._tick)
 
@@ -223,7 +225,7 @@
     # --- failures ---
 
     def _request_failed(self, reason: str) -> None:
-        """Another server is used, after a backoff with jitter. `reason` names the event to operators."""
+        """Switches to another server, after a backoff with jitter. `reason` names the event in `counts`."""
         self.counts[f"lease: {reason}"] += 1
         self.connecting = False
         self._stop_response_timer()
@@ -238,11 +240,11 @@
             client.cancel()
 
     def buildProtocol(self, addr: Any) -> HttpClientProtocol:
-        """Twisted: connected."""
+        """Twisted: the connection is open."""
         self.connecting = False
         self.http_client = HttpClientProtocol(lambda client: None, lambda client: None)
         return self.http_client
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Twisted: the server can't be reached."""
+        """Twisted: the dial has failed."""
         self._request_failed("no connection")
--- a/ochrecourse/membership/registrations.py
+++ b/ochrecourse/membership/registrations.py
@@ -1,11 +1,11 @@
-"""From the registry's records to entries of the endpoint list. Free of I/O.
+"""Converts the registry's records to entries of the endpoint list. Free of I/O.
 
 A record's value is JSON: `{"node": 70, "address": "HOST:PORT", "shard": 0, "zone": 0, "health": "ready",
-"started_ms_ago": 0, "written_ms": 1790000000000}`; `written_ms` is the writer's clock since 1970. When a
-node started is computed once, when its record is first seen with a revision, and stored on this host's clock:
-so a clock that steps later moves nothing. A writer whose clock is ahead of ours, or more than a day behind,
-says nothing of time: its node counts as started when it said, or just now, which is the safe side for nodes
-that are warming up.
+"started_ms_ago": 0, "written_ms": 1790000000000}`; `written_ms` is Unix time on the writer's clock. A node's
+start time is computed once per revision of its record, when that revision is first received, and stored on
+this host's monotonic clock, so later steps of a wall clock do not move it. If the writer's clock is ahead of
+this host's or more than a day behind, `written_ms` is ignored and the node counts as just started, which is
+the safe assumption for nodes in slow start.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ochrecourse.membership.registry_state import RegistryRecord
 from ochrecourse.wire.messages import EndpointEntry
 
-MAX_RECORD_AGE_MS = 86_400_000.0  # a record that seems older was written by a clock that is wrong
+MAX_RECORD_AGE_MS = 86_400_000.0  # a record that seems older was written with a wrong clock
 
 
 class NodeRecord(msgspec.Struct, kw_only=True):
-    """The value of one key, with the names that writers use."""
+    """The value of a node's key; the field names are those in the JSON."""
 
     node: int
     address: str
@@ -34,23 +34,21 @@
 
 
 class _KnownStart(NamedTuple):
-    """When a node started, ns on this host's clock, by the record of that revision."""
+    """A node's start time, ns on this host's clock, computed from the record of `mod_revision`."""
 
     mod_revision: int
     started_at: int
 
 
 class _Claim(NamedTuple):
-    """The entry of one node, by the record of that revision."""
+    """A node's entry, from the record of `mod_revision`."""
 
     mod_revision: int
     entry: EndpointEntry
 
 
 class NodeRegistrations:
-    """Entries of the endpoint list by the registry's records. `problems` counts records that can't be used,
-    by reason.
-    """
+    """Builds endpoint entries from the registry's records. `problems` counts unusable records by reason."""
 
     def __init__(self) -> None:
         self.problems: dict[str, int] = {}
@@ -59,10 +57,11 @@
     def endpoint_entries(
         self, records: dict[bytes, RegistryRecord], now: int, unix_time_ms: int
     ) -> list[EndpointEntry]:
-        """The entries by node; `now` in ns on this host's clock, `unix_time_ms` the same moment since 1970.
+        """Returns the entries in order of node; `now`: ns on this host's clock, `unix_time_ms`: the same
+        moment in Unix time.
 
-        A record that can't be read costs its node alone. Of two that claim one node the one that changed
-        last counts.
+        An undecodable record is skipped without affecting others. Of two records that claim one node, the one
+        modified last is used.
         """
         claims: dict[int, _Claim] = {}
         for key, record in sorted(records.items()):
@@ -87,7 +86,7 @@
     def _start_time(
         self, key: bytes, record: RegistryRecord, node_record: NodeRecord, now: int, unix_time_ms: int
     ) -> int:
-        """When a node started, ns on this host's clock; 0 if long ago."""
+        """Returns a node's start time, ns on this host's clock; 0 if long ago."""
         if node_record.started_ms_ago < 0:
             return 0
         known = self._known_starts.get(key)
--- a/ochrecourse/membership/registry_connection.py
+++ b/ochrecourse/membership/registry_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a server of a registry."""
+"""An HTTP connection to a registry server."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class RegistryConnection(ClientFactory):
-    """A connection that is being opened or open. `http_client` is None until it is open.
+    """A connection that is being opened or is open; `http_client` is None until it is open.
 
-    `on_open` is called once it is, `on_lost` when it ended or could not be opened.
+    `on_open` is called once it is open, `on_lost` when it ends or can't be opened.
     """
 
     noisy = False
@@ -31,27 +31,29 @@
         self.http_client: HttpClientProtocol | None = None
 
     def open(self, network: Network, address: tuple[str, int]) -> None:
-        """Connects to host and port."""
+        """Connects to `address`, host and port."""
         host, port = address
         network.connectTCP(host, port, self, timeout=RESPONSE_TIMEOUT_S)
 
     def close(self) -> None:
-        """Ends the connection, if it is open; what is in flight gets no response."""
+        """Closes the connection, if it is open; a request in flight gets no response."""
         if self.http_client is not None and not self.http_client.lost:
             self.http_client.cancel()
 
     def buildProtocol(self, addr: Any) -> HttpClientProtocol:
-        """Twisted: connected."""
+        """Twisted: the connection is open."""
         self.http_client = HttpClientProtocol(self.on_open, lambda client: self.on_lost(self))
         return self.http_client
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Twisted: the server can't be reached."""
+        """Twisted: the dial has failed."""
         self.on_lost(self)
 
 
 def send(
     client: HttpClientProtocol, request: EtcdRequest, on_response: Callable[[HttpResponse | None], None]
 ) -> None:
-    """Sends a request on a connection that has none in flight; None is the response if it was lost."""
+    """Sends a request on a connection that has none in flight; `on_response` gets None if the connection is
+    lost.
+    """
     client.request(METHOD, request.path, HEADERS, request.body, on_response)
--- a/ochrecourse/membership/registry_state.py
+++ b/ochrecourse/membership/registry_state.py
@@ -1,18 +1,19 @@
-"""What a gateway knows of a registry of keys with revisions, and what it requests next. Free of I/O.
-
-In the registry's published form every change has a revision of the whole store; a range is read at one
-revision, in pages; a watch sends the events from a revision on; old revisions are compacted. The rules:
-
-- A range is pinned to the revision of its first page, and applied completely or not at all.
-- A watch starts right after the last revision whose events are known here. That is the range's, or that of
-  the newest event applied; a progress notification only shows that the server is up, for it may arrive before
-  an event that it covers.
-- An event counts once, by its key and revision, however often it is repeated; an older one never undoes a
-  newer one.
-- A compacted start revision, or a range whose revision was compacted between pages, means that the range is
-  read again; the difference to what was known becomes the events.
-- A server whose revision is behind what is known here, or whose cluster is another one, is not trusted. If
-  every server is like that, an operator decides (`accept_registry`): the registry may have been restored.
+"""This gateway's state of a registry of revisioned keys, and the next request to it. Free of I/O.
+
+In the registry's API every change has a revision of the whole store; a range is read at one revision, in
+pages; a watch sends the events from a revision on; old revisions are compacted. The rules:
+
+- A range is pinned to the revision of its first page, and is applied completely or not at all.
+- A watch starts right after the last revision whose events have been applied: the range's, or that of the
+  newest applied event. A progress notification does not advance it, because it may arrive before an event
+  that it covers; it only shows that the server is up.
+- An event is applied once, by its key and revision, however often it is repeated; an older event never undoes
+  a newer one.
+- If the start revision of a watch was compacted, or the revision of a range between its pages, the range is
+  read again, and its differences from the known records become the events.
+- A server whose revision is behind the known one, or which belongs to another cluster, is not trusted. If no
+  server is trusted, an operator decides (`accept_registry`): the registry may have been restored from a
+  backup.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 
 
 class UntrustedRegistryError(OchrecourseError):
-    """A server that must not be trusted; the text says why. Another one is to be used."""
+    """A server is not trusted and another must be used; the text says why."""
 
 
 class RegistryRecord(NamedTuple):
-    """One key as the registry has it; `mod_revision`: revision of its last change."""
+    """A key of the registry; `mod_revision`: revision of its last change."""
 
     key: bytes
     value: bytes
@@ -38,7 +39,7 @@
 
 
 class WatchEvent(NamedTuple):
-    """One change of a key; a `value` of None: it was deleted."""
+    """A change of a key; a `value` of None: the key was deleted."""
 
     key: bytes
     value: bytes | None
@@ -46,22 +47,20 @@
 
 
 class RangeRequest(NamedTuple):
-    """A page to read: from `start_key` on, at a revision (0: the newest)."""
+    """A request for a page of the range: from `start_key` on, at a revision (0: the newest)."""
 
     start_key: bytes
     revision: int
 
 
 class WatchRequest(NamedTuple):
-    """Events to watch, from this revision on."""
+    """A request for a watch of the events from `start_revision` on."""
 
     start_revision: int
 
 
 class RangePage(NamedTuple):
-    """A page that was read: the server's cluster and revision, records in order of keys, and whether there
-    are more.
-    """
+    """A received page: the server's cluster and revision, records in key order, whether more follow."""
 
     cluster_id: int
     revision: int
@@ -70,7 +69,7 @@
 
 
 class SyncPhase(Enum):
-    """How the state is kept current."""
+    """Whether the range is being read or its changes are watched."""
 
     RANGE = "reading the range"
     WATCH = "watching events"
@@ -78,7 +77,7 @@
 
 @dataclass(slots=True)
 class _PartialRange:
-    """A range of which pages are missing. `revision` is 0 before the first page."""
+    """An incomplete range. `revision` is 0 before the first page."""
 
     next_key: bytes
     revision: int = 0
@@ -87,11 +86,11 @@
 
 
 class RegistryState:
-    """All keys under one prefix, as this gateway knows them.
+    """The known records of all keys under one prefix.
 
-    `cluster_id` is 0 before one is known; all events up to `known_revision` are applied. `deleted`: revisions
-    of keys that were deleted since the last range. `distrust_reason`: why the last server was not trusted,
-    empty once one is.
+    `cluster_id`: 0 until a server has responded. `known_revision`: all events up to it are applied.
+    `deleted`: revision of deletion of each key deleted since the last range. `distrust_reason`: why the last
+    server was not trusted, empty once one is.
     """
 
     def __init__(self, prefix: bytes) -> None:
@@ -106,33 +105,38 @@
         self._partial_range = _PartialRange(prefix)
 
     def resume_from(self, cluster_id: int, revision: int) -> None:
-        """Sets what was known before a restart, so that a registry that was rolled back since is noticed."""
+        """Restores cluster and revision known before a restart, to detect a registry rolled
+        back meanwhile.
+        """
         self.cluster_id, self.known_revision = cluster_id, revision
 
     # --- requests ---
 
     def next_request(self) -> RangeRequest | WatchRequest:
-        """What to request of the current server, now or after a reconnect."""
+        """Returns the next request to the current server, also after a reconnect."""
         if self.phase is SyncPhase.RANGE:
             return RangeRequest(self._partial_range.next_key, self._partial_range.revision)
         return WatchRequest(self.known_revision + 1)
 
     def connection_lost(self) -> None:
-        """The current server is left: a range starts again, a watch resumes where it was."""
+        """The connection to the current server ended: a range starts again, a watch resumes at
+        its revision.
+        """
         if self.phase is SyncPhase.RANGE:
             self._partial_range = _PartialRange(self.prefix)
 
     # --- responses ---
 
     def page_received(self, page: RangePage) -> list[WatchEvent] | None:
-        """Adds a page to the range; the last one returns the differences to what was known, others None.
+        """Adds a page to the range. Returns the differences from the known records after the last page, else
+        None.
 
         Raises UntrustedRegistryError.
         """
         self._check_trust(page.cluster_id, page.revision)
         pending = self._partial_range
         if pending.revision and (page.revision < pending.revision or page.cluster_id != pending.cluster_id):
-            # Guards against a range that is put together from two states of the registry.
+            # Prevents a range that mixes pages of two states of the registry.
             self._partial_range = _PartialRange(self.prefix)
             self._distrust(f"its revision {page.revision} is behind the range's, {pending.revision}")
         if not pending.revision:
@@ -145,33 +149,33 @@
         return self._apply_range(pending)
 
     def verify_server(self, cluster_id: int, revision: int) -> None:
-        """A server answered a watch or a freshness check. Raises UntrustedRegistryError."""
+        """Checks a server that answered a watch or a freshness check. Raises UntrustedRegistryError."""
         self._check_trust(cluster_id, revision)
         self.distrust_reason = ""
 
     def events_received(self, cluster_id: int, events: Sequence[WatchEvent]) -> list[WatchEvent]:
-        """Applies events of the watch, in the registry's order; returns those that changed something.
+        """Applies events of the watch, in the registry's order; returns those that changed a record.
 
         Raises UntrustedRegistryError.
         """
         self._check_trust(cluster_id, self.known_revision)
         applied = [event for event in events if self._apply_event(event)]
-        # All events of one revision arrive together: only after them is it known.
+        # All events of one revision arrive in one message: the revision is known only after all of them.
         self.known_revision = max([self.known_revision, *(event.mod_revision for event in events)])
         return applied
 
     def compacted(self) -> None:
-        """The revision that was requested is no longer there: the range is read again."""
+        """The requested revision was compacted: the range is read again."""
         self.counts["compacted"] += 1
         self._restart_range()
 
     # --- trust ---
 
     def accept_registry(self) -> None:
-        """An operator says that the registry is right though it was rolled back or is another one."""
+        """An operator accepts the registry although it was rolled back or is another cluster."""
         self.cluster_id = self.known_revision = 0
         self.distrust_reason = ""
-        # Records stay until a range replaces them; revisions of the old history mean nothing now.
+        # Records are kept until a range replaces them; revisions of the old history are no longer comparable.
         self.records = {key: record._replace(mod_revision=0) for key, record in self.records.items()}
         self.deleted.clear()
         self._restart_range()
@@ -207,7 +211,7 @@
         return events
 
     def _apply_event(self, event: WatchEvent) -> bool:
-        """Whether the event changed something."""
+        """Applies an event unless it is a repeat; returns whether it changed a record."""
         record = self.records.get(event.key)
         newest = max(record.mod_revision if record else 0, self.deleted.get(event.key, 0))
         if event.mod_revision <= newest:
--- a/ochrecourse/membership/registry_watcher.py
+++ b/ochrecourse/membership/registry_watcher.py
@@ -1,7 +1,7 @@
 """Watches a registry over HTTP: one connection for ranges, one for the watch, one for freshness checks.
 
-What is requested and what is trusted is decided in `registry_state`; this module carries it, and chooses
-another of several servers after a failure.
+`registry_state` decides what to request and which server to trust; this module sends the requests and
+switches to another server after a failure.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class RegistryWatcher(EndpointListStore):
-    """Watches the nodes' records of a registry. It is used like a `ListServerWatcher`.
+    """Watches the nodes' records of a registry; has the same interface as `ListServerWatcher`.
 
-    `servers`: host and port of each. `prefix`: of the nodes' keys. `unix_time_ms` gives ms since 1970, for
-    the ages that writers state by their own clocks.
+    `servers`: host and port of each. `prefix`: of the nodes' keys. `unix_time_ms` returns Unix time in ms, to
+    compute the age of records from the writers' timestamps.
     """
 
     def __init__(
@@ -67,20 +67,20 @@
         return self.watch_client is not None
 
     def start(self) -> None:
-        """Applies the cached list, if there is a good one, then connects."""
+        """Applies the cached list, if there is a usable one, then connects."""
         snapshot = self.restore_cached_list()
         if snapshot is not None and snapshot.cluster:
             self.registry.resume_from(snapshot.cluster, snapshot.epoch)
         self._connect()
 
     def stop(self) -> None:
-        """Closes all connections; there are no others after them."""
+        """Closes all connections for good."""
         self.stopped = True
         self._close_connections()
         stop(self._reconnect_timer)
 
     def accept_registry(self) -> None:
-        """An operator says that the registry is right though it was rolled back or is another one."""
+        """An operator accepts the registry although it was rolled back or is another cluster."""
         self.registry.accept_registry()
         self.selector.watch_established()
         self._leave_server("an operator accepted the registry as it is")
@@ -101,9 +101,9 @@
             self._leave_server("the connection ended")
 
     def _leave_server(self, reason: str) -> None:
-        """Leaves the current server; another one, at random, is used after the backoff.
+        """Disconnects from the current server; a random other one is used after the backoff.
 
-        `reason` names the event on the operators' pages.
+        `reason` names the event on operators' pages.
         """
         self._close_connections()
         if self.stopped or self._reconnect_timer is not None:
@@ -123,15 +123,15 @@
         self.freshness.stop()
 
     def _server_distrusted(self, reason: str) -> None:
-        """This server is not trusted. If no other one is, an operator must decide which is right."""
+        """Switches from an untrusted server; warns an operator, who must decide, if no server is trusted."""
         if self.selector.server_distrusted():
-            self.warn(f"the registry is not believed: {reason}; if it was restored, accept it")
+            self.warn(f"the registry is not trusted: {reason}; if it was restored, accept it")
         self._leave_server("not believed")
 
     # --- ranges ---
 
     def _send_next_request(self, client: HttpClientProtocol | None = None) -> None:
-        """Requests a page of the range, or opens the watch."""
+        """Requests the next page of the range, or opens the watch."""
         request = self.registry.next_request()
         if isinstance(request, RangeRequest):
             page_request = etcd.range_request(self.registry.prefix, request, RANGE_PAGE_KEYS)
@@ -215,7 +215,7 @@
             self._server_distrusted(str(error))
 
     def _watch_message_received(self, client: HttpClientProtocol, message: etcd.WatchResponse) -> None:
-        """Raises CompactedError, BadResponseError, UntrustedRegistryError."""
+        """Applies a message of the watch. Raises CompactedError, BadResponseError, UntrustedRegistryError."""
         if message.canceled:
             if not message.compact_revision:
                 raise etcd.BadResponseError(f"a watch that was cancelled: {message.cancel_reason}")
@@ -248,7 +248,7 @@
     # --- the list ---
 
     def _apply_records(self) -> None:
-        """Applies the complete list after each change: it is small, and a complete list has no gaps."""
+        """Applies the complete list after each change: it is small, and a complete list can't have gaps."""
         self.cluster = self.registry.cluster_id
         now = now_ns(self.network)
         entries = self.registrations.endpoint_entries(self.registry.records, now, self.unix_time_ms())
@@ -256,9 +256,9 @@
             self.apply_update("full", self.registry.known_revision, entries)
         except BadEndpointListError as error:
             self.counts["bad lists"] += 1
-            self.warn(f"the registry's list is not taken: {error}")
+            self.warn(f"the registry's list is rejected: {error}")
 
 
 def unix_clock(network: Network, epoch: int) -> Callable[[], int]:
-    """Gives ms since 1970 by the network's clock, whose zero is `epoch` s after 1970."""
+    """Returns a clock of Unix time in ms, from the network's clock, whose zero is `epoch` s of Unix time."""
     return lambda: round(now_ns(network) / MS) + epoch * 1000
