--- a/ochrecourse/relay/__init__.py
+++ b/ochrecourse/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The entry of `python -m ochrecourse.relay`; the deployed process is in ochrecourse/service."""
+"""Entry point of `python -m ochrecourse.relay`; the service itself is in ochrecourse/service."""
--- a/ochrecourse/relay/__main__.py
+++ b/ochrecourse/relay/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m ochrecourse.relay`: one gateway on the platform, in the foreground.
+"""`python -m ochrecourse.relay`: runs a gateway service in the foreground.
 
-RELAY_CONFIG names the start file. Exit codes: 0 it has shut down in order; 2 the start file or the port can't
-be used.
+The environment variable RELAY_CONFIG is the path of the start file. Exit codes: 0 after a graceful shutdown;
+2 if the start file or the port can't be used.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
     """Runs the gateway until it has shut down; returns the process's exit code."""
     signals = SignalHandler()
     signals.install()
-    # Guards against a signal's default action while the program is loaded, most of a start's time.
+    # Imported after the handlers are installed: loading the program takes most of the start, and a signal
+    # meanwhile would otherwise have its default action.
     from ochrecourse.service.main import run
 
     try:
--- a/ochrecourse/service/__init__.py
+++ b/ochrecourse/service/__init__.py
@@ -1,1 +1,1 @@
-"""The deployed process: its start file, service discovery and signals."""
+"""The gateway as a service on the platform: start file, service discovery, signals, start and shutdown."""
--- a/ochrecourse/service/discovery.py
+++ b/ochrecourse/service/discovery.py
@@ -1,10 +1,10 @@
 """Maps the platform's endpoint list and its watch events to `interface` entries. Free of I/O and clocks.
 
-The platform's field names are known here alone: `generation` is a list's version, `reset` marks a complete
-list, `instances` are its nodes, `cell` is a node's shard, `lifecycle` its health. Nodes have names there
-and numbers here; a name keeps its number as long as it may return. Start times are Unix time there and this
-host's clock here; the difference of the two clocks is taken once, so a start keeps its time through all
-lists.
+Only this module uses the platform's field names: `generation` is a list's version, `reset` marks a complete
+list, `instances` are its nodes, `cell` is a node's shard, `lifecycle` its health. The platform identifies
+nodes by name, the gateway by number; a name keeps its number as long as the node may return. The platform
+states start times in Unix time, the gateway uses this host's monotonic clock; the offset between the two
+clocks is determined once, so that a node's start time is the same in all lists.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from ochrecourse.interface import Health, ListKind, NodeEntry
 
 HEALTH_BY_LIFECYCLE = {"Ready": Health.READY, "Terminating": Health.DRAINING, "Gone": Health.GONE}
-MAX_GONE_NAMES = 4_096  # that keep their number, should they return; some hundreds go at once
+MAX_GONE_NAMES = 4_096  # names of removed nodes that keep their number; some hundreds may leave at once
 MAX_PORT_DIGITS = 5
-START_TIME_LIMIT_MS = 1e15  # Unix time, far beyond any start
+START_TIME_LIMIT_MS = 1e15  # Unix time, far later than any start
 
 
 class MalformedEndpointListError(OchrecourseError):
-    """A line of the endpoint list that can't be applied; nothing of it is. The text says why."""
+    """A line of the endpoint list that can't be applied, not even in part; the text says why."""
 
 
 class LineDecoder:
@@ -33,30 +33,30 @@
     def __init__(self, max_bytes: int) -> None:
         """`max_bytes`: limit of one object."""
         self.max_bytes = max_bytes
-        self._buffer = bytearray()  # the lines so far of an object that is not complete
+        self._buffer = bytearray()  # lines of an incomplete object
         self._indent = 0  # blanks before its first line
         self._open_braces = 0
 
     @property
     def incomplete(self) -> bool:
-        """Whether an object has begun that is not complete."""
+        """Whether the last line left an object incomplete."""
         return bool(self._buffer)
 
     def decode(self, line: bytes) -> Any:
-        """The object that this line completes, or None. Raises MalformedEndpointListError if no further lines
-        can complete it.
+        """Returns the object that this line completes, or None. Raises MalformedEndpointListError if no
+        further lines can complete it.
         """
         text = line.strip()
         if not text:
             if self._buffer:
-                raise MalformedEndpointListError("an object of the list breaks off")
+                raise MalformedEndpointListError("an object of the list is incomplete")
             return None
         indent = len(line) - len(line.lstrip())
         if not self._buffer:
             try:
                 return json.loads(text.decode())
             except json.JSONDecodeError as error:
-                ends_early = error.pos >= len(error.doc)  # nothing else is wrong with it
+                ends_early = error.pos >= len(error.doc)  # valid JSON so far
                 if text[:1] != b"{" or not ends_early:
                     raise MalformedEndpointListError("a line of the list is not JSON") from None
             except (ValueError, RecursionError):
@@ -65,12 +65,12 @@
         return self._append(text, indent)
 
     def _append(self, text: bytes, indent: int) -> Any:
-        """Adds a line to an object over several lines; the object if it is complete, else None."""
+        """Appends a line to an object over several lines; returns the object if it is complete, else None."""
         self._buffer += text + b"\n"
         self._open_braces += text.count(b"{") - text.count(b"}")
         if len(self._buffer) > self.max_bytes:
             raise MalformedEndpointListError("an object of the list is too long")
-        # Braces within texts are counted too, so a closing brace at the first line's indent also ends it.
+        # Braces within strings are counted too, so a closing brace at the first line's indent also ends it.
         closes = text[:1] == b"}" and indent <= self._indent
         if self._open_braces > 0 and not closes:
             return None
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list in the gateway's form."""
+    """An update of the endpoint list, converted to the gateway's types."""
 
     kind: ListKind
     entries: list[NodeEntry]
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class ParsedEndpoint:
-    """One node of a list. Its entry has no number yet; a node that is gone may have no address."""
+    """A node of a list. Its entry has no number yet; the address of a removed node may be empty."""
 
     name: str
     entry: NodeEntry
@@ -100,10 +100,10 @@
 
 
 class DiscoveredEndpoints:
-    """The endpoint list as this gateway has it."""
+    """The endpoint list as discovered by this gateway."""
 
     def __init__(self, zones: list[str], unix_offset_ns: int) -> None:
-        """`zones`: names in the settings' order; `unix_offset_ns`: how far Unix time is ahead of this host's
+        """`zones`: names in the order of the settings; `unix_offset_ns`: offset of Unix time from this host's
         clock.
         """
         self.zone_numbers = {name: i for i, name in enumerate(zones)}
@@ -111,23 +111,23 @@
         self.version = 0
         self.node_numbers: dict[str, int] = {}
         self.entries: dict[str, NodeEntry] = {}
-        self.documents: dict[str, Any] = {}  # of the same nodes, as discovery sent them
-        self.gone_names: dict[str, None] = {}  # longest gone first
+        self.documents: dict[str, Any] = {}  # of the same nodes, as received from discovery
+        self.gone_names: dict[str, None] = {}  # in order of removal, oldest first
         self._last_number = 0
 
     @staticmethod
     def version_of(document: Any) -> int:
-        """The version of a complete list or of changes. Raises MalformedEndpointListError."""
+        """Returns the version of a complete list or a delta. Raises MalformedEndpointListError."""
         if not isinstance(document, dict) or not isinstance(document.get("instances"), list):
-            raise MalformedEndpointListError("a line of the list names no nodes")
+            raise MalformedEndpointListError("a line of the list has no nodes")
         version = document.get("generation")
         if not isinstance(version, int) or isinstance(version, bool):
             raise MalformedEndpointListError("a line of the list has no version")
         return version
 
     def apply(self, document: Any, cached: bool = False) -> EndpointListUpdate:
-        """Applies a complete list or changes, whatever their version; `cached`: the list from before this
-        start. Raises MalformedEndpointListError.
+        """Applies a complete list or a delta of any version; `cached`: a list known from before this start.
+        Raises MalformedEndpointListError.
         """
         version = self.version_of(document)
         complete = cached or document.get("reset") is True
@@ -168,7 +168,7 @@
             del self.gone_names[oldest], self.node_numbers[oldest]
 
     def parse_endpoints(self, document: Any) -> list[ParsedEndpoint]:
-        """The nodes of a complete list or of changes. Raises MalformedEndpointListError."""
+        """Parses the nodes of a complete list or a delta. Raises MalformedEndpointListError."""
         return [self._parse_endpoint(each) for each in document["instances"]]
 
     def _parse_endpoint(self, document: Any) -> ParsedEndpoint:
@@ -183,9 +183,9 @@
             raise MalformedEndpointListError(f"node {name[:64]} has no address")
         shard, started_ms = document.get("cell", 0), document.get("startedAtMs", 0)
         if not isinstance(shard, int) or not isinstance(started_ms, int | float):
-            raise MalformedEndpointListError(f"node {name[:64]} has a figure out of range")
+            raise MalformedEndpointListError(f"node {name[:64]} has a number out of range")
         if not 0 <= started_ms < START_TIME_LIMIT_MS:
-            raise MalformedEndpointListError(f"node {name[:64]} has a figure out of range")
+            raise MalformedEndpointListError(f"node {name[:64]} has a number out of range")
         zone = self.zone_numbers.setdefault(str(document.get("zone", "")), len(self.zone_numbers))
         started = max(1, round(started_ms * MS) - self.unix_offset_ns) if started_ms else 0
         return ParsedEndpoint(name, NodeEntry(0, zone, shard, health, started), address or ("", 0))
@@ -199,29 +199,30 @@
 
 
 class WatchedEndpoints:
-    """The endpoint list as one watch has sent it, up to its last line. Several watches may be open for a
-    while, and a line of one may arrive after a newer line of another. So:
-
-    - Changes (`reset` false) are applied if their version is higher than the current one; else they are
-      old, or applied already. Where another watch has updated the list since this one's last line (for its
-      first line: since it was opened), changes need not name nodes that appeared and left meanwhile; then
-      the complete list is applied as this watch has sent it.
-    - A complete list (`reset` true) of the leading watch, the newest that has sent a line at the current
-      address, is applied whatever its version: a lower one comes from an agent that numbers anew, or that
-      knows less than the start file did, and the agent is authoritative. Its version is current from then
-      on. Whoever follows several watches ends the others then: their versions can't be compared with it.
-    - A complete list of any other watch is applied if its version is higher than the current one.
+    """The endpoint list as received from one watch, up to its last line. Several watches may be open at the
+    same time, and a line of one may arrive after a newer line of another. Hence:
+
+    - A delta (`reset` false) is applied if its version is higher than the current one; otherwise it is
+      outdated or a duplicate. If another watch has updated the list since this one's last line (or, before
+      its first line, since it was opened), a delta need not name nodes that appeared and left in between; the
+      complete list as received from this watch is applied instead.
+    - A complete list (`reset` true) from the leading watch, the newest one that has received a line at the
+      current address, is applied whatever its version. A lower version comes from an agent that restarted its
+      numbering or has an older list than the start file, and the agent is authoritative. This version becomes
+      the current one, and the owner of the watches ends the others, whose versions are not comparable with
+      it.
+    - A complete list from any other watch is applied if its version is higher than the current one.
     """
 
     def __init__(self, endpoints: DiscoveredEndpoints) -> None:
-        """For a watch that requests what changed since the current list."""
+        """Starts from the current list: the watch requests the changes since its version."""
         self.endpoints = endpoints
         self.version = endpoints.version
         self.documents = dict(endpoints.documents)
 
     def apply(self, document: Any, is_leader: bool) -> EndpointListUpdate | None:
-        """Applies a line of the watch; None if it is old. `is_leader`: no watch that precedes it has sent a
-        line. Raises MalformedEndpointListError.
+        """Applies a line of the watch; returns None if it is outdated. `is_leader`: no watch of higher
+        precedence has received a line. Raises MalformedEndpointListError.
         """
         version = self.endpoints.version_of(document)
         names = [endpoint.name for endpoint in self.endpoints.parse_endpoints(document)]
--- a/ochrecourse/service/discovery_watch.py
+++ b/ochrecourse/service/discovery_watch.py
@@ -1,12 +1,12 @@
-"""Follows the platform's endpoint list through hedged watches.
+"""Watches the platform's endpoint list through hedged watches.
 
-Another watch is opened beside one that hangs or has fallen silent, and the newest that sends a line takes
-over. One that ends, fails or can't be read is opened again after a backoff. The current list stays in use
-meanwhile.
+If a watch hangs or falls silent, another one is opened in parallel, and the newest that receives a line
+replaces the others. A watch that ends, fails or is malformed is opened again after a backoff. The current
+list stays in use meanwhile.
 
-A change has to be applied within 6 s from when the agent had it and could be reached, whatever failed before.
-An attempt is a dial and the watch on its connection. None waits for the end of an earlier one, so the time to
-one that finds the agent reachable is at most the longest of these gaps:
+A change must be applied within 6 s after the agent has it and is reachable, whatever failed before. An
+attempt is a dial and the watch on its connection. No attempt waits for the end of an earlier one, so the time
+until an attempt finds the agent reachable is at most the longest of these gaps:
 
     a dial or a response's head that hangs       ATTEMPT_GAP_SECONDS      1.0
     a response without a line so far             FIRST_LINE_GAP_SECONDS   4.25
@@ -14,8 +14,8 @@
     a watch that falls silent after a line       SILENT_GAP_SECONDS       3.0
     one that failed or ended                     MAX_BACKOFF_SECONDS      0.25
 
-The response itself comes at once. The worst is 4.25 s, 5.25 s if the next attempt hangs too. A new address
-counts 4 s after the move: 2.5 s, 3.5 s if the next attempt hangs too.
+The agent responds immediately. The worst case is 4.25 s, or 5.25 s if the next attempt hangs too. After a
+move to a new address the limit is 4 s; the worst case is 2.5 s, or 3.5 s if the next attempt hangs too.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 from ochrecourse.service.watch_connection import WatchConnection, WatchDial
 
 ATTEMPT_GAP_SECONDS = (
-    1.0  # from a dial to the next one, without a response's head; the agent is on this machine
+    1.0  # from a dial to the next attempt, without a response's head; the agent is on this host
 )
-FIRST_LINE_GAP_SECONDS = 4.25  # from a response's head to the next attempt; two empty lines were due by then
-MOVED_GAP_SECONDS = 2.5  # likewise at a new address, until it has sent a line; one empty line was due
-SILENT_GAP_SECONDS = 3.0  # from a line to the next attempt; an empty line is sent every 2 s
-FIRST_BACKOFF_SECONDS = 0.1  # before a watch that failed is opened again
-MAX_BACKOFF_SECONDS = 0.25  # after failures in a row; what an outage delayed counts at once
-STEADY_SECONDS = 1.0  # for which a watch has to send lines before its end counts as a first failure
+FIRST_LINE_GAP_SECONDS = 4.25  # from a response's head to the next attempt; by then two empty lines were due
+MOVED_GAP_SECONDS = 2.5  # the same at a new address, until its first line; by then one empty line was due
+SILENT_GAP_SECONDS = 3.0  # from a line to the next attempt; the agent sends an empty line every 2 s
+FIRST_BACKOFF_SECONDS = 0.1  # before a failed watch is opened again
+MAX_BACKOFF_SECONDS = 0.25  # after repeated failures; changes delayed by an outage are due at once
+STEADY_SECONDS = 1.0  # a watch that received lines for this long resets the backoff
 DIAL_TIMEOUT_SECONDS = 2.0
-MAX_ATTEMPTS = 6  # dials and watches at once, a descriptor each
-OLD_ADDRESS_SECONDS = 2.0  # for which an old address is read beside the new one; it closes after 1.5 s
-OUTDATED_ADDRESS_SECONDS = 0.25  # likewise once the new address has sent a newer list: what is on its way
-WARNING_PERIOD_SECONDS = 60.0  # in which a warning is logged once, however often its cause returns
-MAX_WARNINGS_PER_PERIOD = 8  # different ones; a malformed list may name another node in each
+MAX_ATTEMPTS = 6  # concurrent dials and watches, one descriptor each
+OLD_ADDRESS_SECONDS = 2.0  # for which an old address is still watched; it closes after 1.5 s
+OUTDATED_ADDRESS_SECONDS = 0.25  # the same once the new address has sent a newer list: for lines in flight
+WARNING_PERIOD_SECONDS = 60.0  # in which equal warnings are logged once
+MAX_WARNINGS_PER_PERIOD = 8  # distinct warnings logged; each line of a malformed list may name another node
 
 
 class DiscoveryWatch:
-    """Watches the endpoint list at one address, which may change (watch_connection.WatchOwner)."""
+    """Watches the endpoint list at one address, which may change; implements watch_connection.WatchOwner."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self.network = network
         self.endpoints = endpoints
         self.address = address
-        self.address_unproven = False  # it has changed, and the new one has not sent a line yet
+        self.address_unproven = False  # the address has changed and no line was received from the new one yet
         self.on_update = on_update
         self.on_warning = on_warning
         self.dials: list[WatchDial] = []
@@ -79,7 +79,7 @@
         self._start_attempt()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery has a new address: a watch is opened there at once."""
+        """Switches to a new address of discovery: opens a watch there at once."""
         if address == self.address:
             return
         self.address = address
@@ -112,14 +112,18 @@
         dial.connector = self.network.connectTCP(*self.address, dial, timeout=DIAL_TIMEOUT_SECONDS)
 
     def _schedule_attempt(self, seconds: float) -> None:
-        """Replaces the time of the next attempt: `seconds` from now."""
+        """Reschedules the next attempt to `seconds` from now."""
         stop(self.next_attempt_timer)
         if not self.stopped:
             self.next_attempt_at = self.network.seconds() + seconds
             self.next_attempt_timer = self.network.callLater(seconds, self._start_attempt)
 
     def _limit_attempts(self) -> None:
-        """Guards against attempts that pile up, and against endless lines that displace a new attempt."""
+        """Makes room for a new attempt: ends the oldest one that makes no progress, or the newest if all do.
+
+        This bounds the number of attempts, and keeps watches whose lines never end from blocking new
+        attempts.
+        """
         while len(self.dials) + len(self.watches) >= MAX_ATTEMPTS:
             attempts: list[WatchDial | WatchConnection] = sorted(
                 [*self.dials, *self.watches], key=lambda attempt: attempt.attempt_number
@@ -135,13 +139,13 @@
         return watch.line_progresses or self._is_fresh(watch)
 
     def _is_fresh(self, watch: WatchConnection) -> bool:
-        """Whether its last line is recent."""
+        """Whether the watch received a line within SILENT_GAP_SECONDS."""
         return watch.received_line and self.network.seconds() - watch.last_line_at < SILENT_GAP_SECONDS
 
     # --- watch_connection.WatchOwner ---
 
     def dial_connected(self, dial: WatchDial) -> WatchConnection | None:
-        """The dial has succeeded; returns its watch, or None if the dial was cancelled."""
+        """Returns the watch for a successful dial, or None if the dial was cancelled."""
         if dial not in self.dials:
             return None
         self.dials.remove(dial)
@@ -151,12 +155,14 @@
         return watch
 
     def response_started(self, watch: WatchConnection) -> None:
-        """The head of a response is complete and valid; its lines follow."""
+        """Reschedules the next attempt after the complete, valid head of a response."""
         if watch.attempt_number == self.last_attempt_number and not watch.received_line:
             self._schedule_attempt(MOVED_GAP_SECONDS if self.address_unproven else FIRST_LINE_GAP_SECONDS)
 
     def attempt_ended(self, attempt: WatchDial | WatchConnection) -> None:
-        """An attempt failed or ended; the next one follows after the backoff if it was the newest."""
+        """Removes an attempt that failed or ended; if it was the newest, schedules another
+        after the backoff.
+        """
         if isinstance(attempt, WatchDial):
             if attempt not in self.dials:
                 return
@@ -172,7 +178,7 @@
         self.backoff_seconds = min(MAX_BACKOFF_SECONDS, 2 * self.backoff_seconds)
 
     def line_received(self, watch: WatchConnection, line: bytes) -> None:
-        """Applies a line of a watch, and ends the watches that it makes superfluous."""
+        """Applies a line of a watch and ends the watches that this one replaces."""
         version_before = self.endpoints.version
         try:
             document = watch.decoder.decode(line)
@@ -194,7 +200,7 @@
             self.on_update(update)
 
     def report_problem(self, text: str) -> None:
-        """Logs what is wrong with the list, each problem once in a period."""
+        """Logs a problem with the list, equal ones once per WARNING_PERIOD_SECONDS."""
         now = self.network.seconds()
         if now >= self._warning_period_ends_at:
             self._logged_warnings.clear()
@@ -212,22 +218,26 @@
             self.backoff_seconds = FIRST_BACKOFF_SECONDS
 
     def _precedence(self, watch: WatchConnection) -> tuple[bool, int]:
-        """Watches at the current address precede others, newer ones precede older ones."""
+        """Returns a sort key: watches at the current address precede others, newer ones precede
+        older ones.
+        """
         return watch.address == self.address, watch.attempt_number
 
     def _is_leader(self, watch: WatchConnection) -> bool:
-        """Whether no watch that precedes this one has sent a line."""
+        """Whether no watch of higher precedence has received a line."""
         precedence = self._precedence(watch)
         return not any(each.received_line and self._precedence(each) > precedence for each in self.watches)
 
     def _end_others(self, watch: WatchConnection) -> None:
-        """Versions are numbered anew: what other watches requested and send refers to old ones."""
+        """Ends all other watches after the numbering of versions restarted: theirs refer to the old
+        numbering.
+        """
         for other in list(self.watches):
             if other is not watch:
                 other.end()
 
     def _replace_older(self, watch: WatchConnection, list_advanced: bool) -> None:
-        """Ends the watches that this one precedes; an old address is read on for lines on their way."""
+        """Ends the watches that this one precedes; at an old address with a delay, for lines in flight."""
         for older in list(self.watches):
             if self._precedence(older) >= self._precedence(watch):
                 continue
--- a/ochrecourse/service/gateway_service.py
+++ b/ochrecourse/service/gateway_service.py
@@ -1,9 +1,10 @@
-"""The gateway in service on the platform: the library, its RESP2 server and connections, and the endpoint
-list, with the order of start, reload and graceful shutdown.
+"""The gateway service on the platform: assembles the library, its RESP2 server and connections and the
+endpoint list, and implements start, reload and graceful shutdown.
 
-Start: the known endpoint list first, then the watch from its version, then the port. Reload: a file that
-can't be read changes nothing and is read again for some seconds. Shutdown: requests are accepted as long as
-clients may still connect, connections are closed as they become idle, and after the last the process ends.
+Start: the known endpoint list is applied first, then the port is opened and the list is watched from its
+version. Reload: a file that can't be read changes nothing and is retried for some seconds. Shutdown: requests
+are accepted as long as clients may still connect, connections are closed as they become idle, and the process
+ends after the last one.
 """
 
 from __future__ import annotations
@@ -28,35 +29,35 @@
 from ochrecourse.service.start_file import read_start_file
 from ochrecourse.service.start_settings import StartSettings, StartSettingsError
 
-REPLY_TRAVEL_NS = 40 * MS  # reserved of a client's time: its way here is not seen, nor a busy loop foreseen
-MIN_ACCEPT_SECONDS = 0.55  # after SIGTERM, in which new connections still arrive
-MAX_CLIENT_TIMEOUT_SECONDS = 3.0  # that the platform waits for, however long the longest client timeout is
-KILL_DELAY_SECONDS = 0.7  # from the longest client timeout after SIGTERM to the earliest kill
-LAST_REPLY_MARGIN_SECONDS = 0.2  # before the kill, by which the last reply is out
-CLOSING_SECONDS = 0.3  # before that margin, in which no connection is accepted
-RESERVED_DESCRIPTORS = 40  # for the process itself: listener, watches, poll, log, and a few in between
+# Reserved of a client's timeout: the network delay of its request is unknown, and so are event loop delays.
+REPLY_TRAVEL_NS = 40 * MS
+MIN_ACCEPT_SECONDS = 0.55  # after SIGTERM, during which new connections still arrive
+MAX_CLIENT_TIMEOUT_SECONDS = 3.0  # the longest client timeout that the platform waits for before the kill
+KILL_DELAY_SECONDS = 0.7  # from SIGTERM plus the longest client timeout to the earliest kill
+LAST_REPLY_MARGIN_SECONDS = 0.2  # before the kill, by which the last reply must be sent
+CLOSING_SECONDS = 0.3  # before that margin, during which no connection is accepted
+RESERVED_DESCRIPTORS = 40  # for the process itself: listener, watches, poll, log, and some spare
 MIN_SHARED_DESCRIPTORS = 16  # for clients and nodes together, however low the limit is
-RELOAD_BACKOFF_SECONDS = 0.1  # before a start file that can't be read is read again: it may be half written
-MAX_RELOAD_BACKOFF_SECONDS = 0.5  # after failures in a row
-RELOAD_TIMEOUT_SECONDS = (
-    10.0  # after SIGHUP, at which the file is given up; a move of the list counts after 4 s
-)
-EVICTION_DIVISOR = 4  # of all descriptors: clients' connections beyond which idle ones are evicted
-IDLE_CLOSE_DIVISOR = 3  # of the time after which a node closes an idle connection: this side does so first
-MAX_DIALS = 64  # at once; a dial takes a fraction of a second, and a wait for one would look like a slow node
+RELOAD_BACKOFF_SECONDS = 0.1  # before an unreadable start file is read again: it may be partly written
+MAX_RELOAD_BACKOFF_SECONDS = 0.5  # after repeated failures
+# From SIGHUP to the last retry of the file; a move of the list has to take effect within 4 s.
+RELOAD_TIMEOUT_SECONDS = 10.0
+EVICTION_DIVISOR = 4  # all descriptors / 4: number of client connections beyond which idle ones are evicted
+IDLE_CLOSE_DIVISOR = 3  # of a node's idle timeout: this side must close idle connections before the node does
+MAX_DIALS = 64  # concurrent; dials take a fraction of a second, and a queued one would look like a slow node
 DEFAULT_NODE_IDLE_CLOSE_MS = 15_000
 LISTEN_BACKLOG = 1024
 
 
 class DescriptorShares(NamedTuple):
-    """How many descriptors connections of either kind may hold."""
+    """The maximum number of descriptors for client connections and for node connections."""
 
     clients: int
     nodes: int
 
 
 def share_descriptors(max_open_files: int) -> DescriptorShares:
-    """Splits what the process may open; attempts take far fewer connections than a gateway's clients hold."""
+    """Splits the process's descriptor limit; attempts need far fewer connections than clients keep open."""
     shared = max(MIN_SHARED_DESCRIPTORS, max_open_files - RESERVED_DESCRIPTORS)
     clients = shared * 3 // 5
     return DescriptorShares(clients, shared - clients)
@@ -64,20 +65,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceEnvironment:
-    """What a service runs on. `unix_ns`: Unix time now; `unread_since`: as a gateway's."""
+    """The environment of a service. `unix_ns`: current Unix time; `unread_since`: see `Gateway`."""
 
     network: Network
     unix_ns: int
     log: Callable[[str], None]
-    on_stopped: Callable[[], None]  # called when the service has shut down
+    on_stopped: Callable[[], None]  # called after the shutdown
     unread_since: Callable[[], int] | None = None
 
 
 class GatewayService:
-    """One gateway in service."""
+    """A running gateway service."""
 
     def __init__(self, start: StartSettings, start_path: str, environment: ServiceEnvironment) -> None:
-        """`start_path`: the start file, for a reload. Raises StartSettingsError."""
+        """`start_path`: path of the start file, for reloads. Raises StartSettingsError."""
         network = environment.network
         self.start_path = start_path
         self.network = network
@@ -119,7 +120,9 @@
             raise StartSettingsError(f"the known list: {error}") from None
 
     def serve(self) -> tuple[str, int]:
-        """Starts to listen and to watch the endpoint list; returns the address. Raises CannotListenError."""
+        """Opens the port and starts to watch the endpoint list; returns the address. Raises
+        CannotListenError.
+        """
         host, port = self.listen_address
         self.port = self.network.listenTCP(port, self.server, backlog=LISTEN_BACKLOG, interface=host)
         self.port.capacity = self.server.accept_capacity
@@ -133,10 +136,10 @@
     # --- reload ---
 
     def reload(self) -> None:
-        """Reads the start file again and follows what may change in service.
+        """Reads the start file again and applies the settings that may change at run time.
 
-        Guards against a file that is half written, or missing for a moment: one that can't be read is read
-        again for a while.
+        The file may be partly written or briefly missing: one that can't be read is retried for up to
+        RELOAD_TIMEOUT_SECONDS.
         """
         stop(self._reload_timer)
         self._reload_timer = None
@@ -150,7 +153,7 @@
         self._schedule_reload(RELOAD_BACKOFF_SECONDS, give_up_at)
 
     def _try_reload(self) -> StartSettingsError | None:
-        """What is wrong with the start file; None if it was read and followed."""
+        """Reads and applies the start file; returns the error, or None on success."""
         try:
             start = read_start_file(self.start_path)
         except StartSettingsError as error:
@@ -178,12 +181,13 @@
     # --- graceful shutdown ---
 
     def shut_down(self) -> None:
-        """Ends the service in order; `on_stopped` is called at the end."""
+        """Starts a graceful shutdown; `on_stopped` is called at its end."""
         if self.shutting_down:
             return
         self.shutting_down = True
         self.log(f"leaving; {self.gateway.request_log.open} jobs open")
-        # Clients use the connections they have while these are open, and find nobody here afterwards.
+        # Clients use their connections until these are closed and can't reach this gateway afterwards, so
+        # that replies are due by then.
         last_reply_seconds = self.kill_delay_seconds - LAST_REPLY_MARGIN_SECONDS
         self.gateway.shutdown_deadline = now_ns(self.network) + round(last_reply_seconds * SECOND)
         accept_seconds = max(MIN_ACCEPT_SECONDS, last_reply_seconds - CLOSING_SECONDS)
@@ -194,7 +198,7 @@
     def _stop_listening(self) -> None:
         if self.port is not None:
             self.port.stopListening()
-        # Whoever was accepted just now is read before anything is closed.
+        # Connections accepted in this iteration of the event loop are read before any is closed.
         self.network.callLater(0, self._close_connections)
 
     def _close_connections(self) -> None:
@@ -215,7 +219,9 @@
 
 
 def _pool_limits(values: Mapping[str, str], max_connections: int) -> PoolLimits:
-    """Limits of connections to nodes: one attempt on each, and all of them for whichever nodes need them."""
+    """Returns the limits of connections to nodes: one attempt per connection, and no smaller
+    limit per node.
+    """
     node_idle_close_ms = float(values.get("Limits.IdleClose", DEFAULT_NODE_IDLE_CLOSE_MS))
     return PoolLimits(
         attempts_per_connection=1,
@@ -227,7 +233,7 @@
 
 
 def _kill_delay_seconds(values: Mapping[str, str]) -> float:
-    """Seconds from SIGTERM to the earliest kill that the platform allows."""
+    """Returns the time, in s, from SIGTERM to the earliest kill by the platform."""
     count = int(values.get("Classes.count", 0))
     timeouts_ms = (float(values.get(f"Classes.{i}.Deadline", 0)) for i in range(count))
     longest_ms = max(timeouts_ms, default=0.0)
--- a/ochrecourse/service/main.py
+++ b/ochrecourse/service/main.py
@@ -1,4 +1,4 @@
-"""Runs a gateway on the platform on the real reactor, from its start file to the end of its shutdown."""
+"""Runs a gateway service on the real reactor, from reading its start file to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 from ochrecourse.common.predecessor import PredecessorWait, is_port_in_use
 
 EXIT_OK = 0
-EXIT_CANNOT_START = 2  # the start file is missing or broken, or the port can't be opened
+EXIT_CANNOT_START = 2  # the start file is missing or invalid, or the port can't be opened
 
 
 def log(text: str) -> None:
-    """Writes one line to standard error, with the Unix time in seconds."""
+    """Writes a line to standard error, prefixed with the Unix time in seconds."""
     sys.stderr.write(f"{time.time():.3f} {text}\n")
     sys.stderr.flush()
 
 
 def run(signals: SignalHandler) -> int:
-    """Serves until a signal ends the gateway and it has shut down; returns the exit code."""
+    """Serves until a signal requests termination and the shutdown is complete; returns the exit code."""
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
             raise StartSettingsError("RELAY_CONFIG is not set; it names the start file")
         start = read_start_file(path)
         file_limit = raise_open_file_limit()
-        start.max_open_files = min(start.max_open_files, file_limit)  # neither limit may be exceeded
+        start.max_open_files = min(start.max_open_files, file_limit)  # the lower of the two limits applies
         reactor = install_monotonic_reactor(BoundedAcceptPort)
         globalLogBeginner.beginLoggingTo(
             [cast(Any, _log_failure)], redirectStandardIO=False, discardBuffer=True
--- a/ochrecourse/service/signals.py
+++ b/ochrecourse/service/signals.py
@@ -1,15 +1,15 @@
-"""The process's signals, from its first moment to its last.
+"""Signal handling over the whole lifetime of the process.
 
-A signal that arrives before the gateway serves is kept pending; afterwards it is handled in a turn of the
-event loop. This module imports nothing that takes long, so that the handlers are installed before anything
-else is loaded.
+A signal that arrives before the gateway serves stays pending; later ones are handled in an iteration of the
+event loop. This module has no slow imports, so that the handlers are installed before the rest of the program
+is loaded.
 """
 
 from __future__ import annotations
 
 import signal
 
-TYPE_CHECKING = False  # as `typing` has it, which takes longer to load than this module
+TYPE_CHECKING = False  # not imported from `typing`, which takes longer to load than this module
 if TYPE_CHECKING:
     from collections.abc import Callable
     from typing import Any
@@ -28,7 +28,7 @@
         self._reload: Callable[[], None] | None = None
 
     def install(self) -> None:
-        """From now on no signal ends the process by its default action."""
+        """Installs the handlers, which replace the default action of ending the process."""
         for number in HANDLED_SIGNALS:
             signal.signal(number, self._on_signal)
 
@@ -42,8 +42,9 @@
         shut_down: Callable[[], None],
         reload: Callable[[], None],
     ) -> None:
-        """The gateway serves: pending and later signals are handled in a turn of its event loop. `schedule`
-        wakes the loop and may be called from a signal handler.
+        """Handles pending and later signals in iterations of the gateway's event loop, from when it serves.
+
+        `schedule` wakes the loop and may be called from a signal handler.
         """
         self._shut_down, self._reload = shut_down, reload
         self._schedule = schedule
@@ -51,8 +52,8 @@
             schedule(self._dispatch)
 
     def ignore_all(self) -> None:
-        """The process is at its end. Guards against a signal while the interpreter is finalized, which
-        restores the default actions of Python's handlers.
+        """Ignores further signals at the end of the process: finalizing the interpreter restores the default
+        actions, which would end the process with a signal instead of its exit code.
         """
         for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
@@ -63,7 +64,7 @@
             self._schedule(self._dispatch)
 
     def _dispatch(self) -> None:
-        """Handles pending signals, equal ones once; one that arrives meanwhile gets its own turn."""
+        """Handles pending signals, equal ones once; one that arrives meanwhile schedules another call."""
         due = set()
         while self._pending:
             due.add(self._pending.pop())
--- a/ochrecourse/service/start_file.py
+++ b/ochrecourse/service/start_file.py
@@ -1,4 +1,4 @@
-"""Reads the start file from disk; start_settings.py says what is in it."""
+"""Reads the start file from disk; `start_settings` defines its content."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ochrecourse.service.start_settings import StartSettings, StartSettingsError, parse_start_settings
 
-MAX_FILE_BYTES = 16_777_216  # thousands of nodes and tenants fit
+MAX_FILE_BYTES = 16_777_216  # enough for thousands of nodes and tenants
 
 
 def read_start_file(path: str) -> StartSettings:
--- a/ochrecourse/service/start_settings.py
+++ b/ochrecourse/service/start_settings.py
@@ -1,9 +1,10 @@
-"""Maps the platform's start file to typed settings and the plain map that the scheduler reads. Free of I/O.
+"""Maps the platform's start file to typed settings and to the plain map that the scheduler reads. Free of
+I/O.
 
-The file's `settings` are the object of the simulator's first message as nested JSON. `flatten_settings` gives
-them the form that they have on the simulator's wire: a path for each value, `.count` for lists of objects,
-commas between plain values, `_` for spaces and commas in texts. The platform's names of settings are known
-here and where the plain map is read, and nowhere else.
+The file's `settings` are the object of the simulator's first message as nested JSON. `flatten_settings`
+converts them to their form on the simulator's wire: a path for each value, `.count` for lists of objects,
+commas between plain values, `_` for spaces and commas in strings. The platform's names of settings are used
+only here and where the plain map is read.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 
 from ochrecourse.common.errors import OchrecourseError
 
-# The figures that a gateway reads; others are not looked at, for new keys may come. Each may be absent.
+# The numbers that a gateway reads. Each may be absent; unknown keys are ignored, so that the platform can add
+# new ones.
 FIGURE_PATHS = re.compile(
     r"Classes\.\d+\.(Aim|Deadline|Points|Window)"
     r"|Policies\.\d+\.(CapDepth|Limit|Rate|Reserve|ValueFactor|Weight)"
@@ -28,19 +30,19 @@
 COUNT_PATHS = re.compile(r"(Classes|Policies)\.count")
 CHOICES = {"Effect": ("safe", "keyed", "unsafe"), "KeyScope": ("all", "zone", "cell")}
 CHOICE_PATHS = re.compile(r"Classes\.\d+\.(Effect|KeyScope)")
-MAX_FIGURE = 1e12  # 30 years in ms, and in ns still a number that a clock can hold
-MAX_COUNT = 65_536  # request classes or tenants; the wire names them by 16 bits
+MAX_FIGURE = 1e12  # 30 years in ms; in ns it still fits the clock's 64-bit range
+MAX_COUNT = 65_536  # request classes or tenants, which have 16-bit numbers on the wire
 PORTS = 65_536
-DEFAULT_MAX_OPEN_FILES = 1024  # where the file sets no limit
+DEFAULT_MAX_OPEN_FILES = 1024  # if the file sets no limit
 
 
 class StartSettingsError(OchrecourseError):
-    """The start file is missing or not what the platform describes; the text says where."""
+    """The start file is missing or invalid; the text says where."""
 
 
 @dataclass(slots=True)
 class StartSettings:
-    """What the start file holds."""
+    """The content of the start file."""
 
     name: str  # of this gateway
     listen_address: tuple[str, int]
@@ -49,11 +51,11 @@
     max_open_files: int
     memory_mb: int
     values: dict[str, str]  # the plain map
-    known_endpoints: dict[str, Any]  # the endpoint list in discovery's form, as this gateway last had it
+    known_endpoints: dict[str, Any]  # this gateway's last endpoint list, in discovery's format
 
 
 def flatten_settings(settings: Mapping[str, Any]) -> dict[str, str]:
-    """Nested settings as the plain map of paths to texts. Raises StartSettingsError."""
+    """Converts nested settings to the plain map from path to text. Raises StartSettingsError."""
     values: dict[str, str] = {}
     _flatten("", settings, values)
     return values
@@ -84,7 +86,7 @@
 
 
 def check_values(values: Mapping[str, str]) -> None:
-    """Guards against a figure or choice that would fail the gateway in service. Raises StartSettingsError."""
+    """Checks numbers and choices that would otherwise fail only while serving. Raises StartSettingsError."""
     for path, text in values.items():
         if FIGURE_PATHS.fullmatch(path):
             _check_figure(path, text)
@@ -111,7 +113,7 @@
 
 
 def parse_address(text: Any, setting: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT; `setting` names it in the error. Raises StartSettingsError."""
+    """Parses HOST:PORT; `setting` is its name in error messages. Raises StartSettingsError."""
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < PORTS:
         raise StartSettingsError(f"{setting} is not HOST:PORT: {text!r}")
@@ -119,7 +121,7 @@
 
 
 def parse_start_settings(document: Any) -> StartSettings:
-    """The settings in a start file's JSON document. Raises StartSettingsError."""
+    """Parses a start file's JSON document. Raises StartSettingsError."""
     if not isinstance(document, dict) or not isinstance(document.get("settings"), dict):
         raise StartSettingsError("the start file holds no settings")
     limits = document.get("limits") or {}
--- a/ochrecourse/service/watch_connection.py
+++ b/ochrecourse/service/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch of the endpoint list: an HTTP/1.1 request whose chunked response has a line for each event."""
+"""A watch of the endpoint list: an HTTP/1.1 request whose chunked response has one line per event."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 from ochrecourse.service.discovery import DiscoveredEndpoints, LineDecoder, WatchedEndpoints
 from ochrecourse.wire.http_client import HttpClientProtocol
 
-SILENCE_TIMEOUT_SECONDS = 5.0  # without a line, or without progress in one, after which a watch is closed
+SILENCE_TIMEOUT_SECONDS = 5.0  # a watch is closed after this time without a line or progress within one
 LINE_TIMEOUT_SECONDS = 20.0  # for one line, however steadily its bytes arrive
-PROGRESS_BYTES = 512  # of a partial line that count as progress; fewer in a silence timeout: it is dead
-MAX_LINE_BYTES = 4_194_304  # of one line, and of an object over several; some ten thousand nodes
+PROGRESS_BYTES = 512  # of a partial line that count as progress; a watch with fewer per timeout is closed
+MAX_LINE_BYTES = 4_194_304  # of a line, and of an object over several lines; some ten thousand nodes
 STATUS_OK = 200
 
 
 class WatchOwner(Protocol):
-    """What an attempt needs of whoever opens watches."""
+    """The interface through which dials and watches report to the object that opened them."""
 
     network: Network
     endpoints: DiscoveredEndpoints
 
     def dial_connected(self, dial: WatchDial) -> WatchConnection | None:
-        """The dial has succeeded; returns its watch, or None if the dial was cancelled."""
+        """Called when a dial has succeeded; returns its watch, or None if the dial was cancelled."""
 
     def response_started(self, watch: WatchConnection) -> None:
-        """The head of a response is complete and valid; its lines follow."""
+        """Called when the head of a response is complete and valid; its lines follow."""
 
     def line_received(self, watch: WatchConnection, line: bytes) -> None:
-        """A complete line has arrived."""
+        """Called with each complete line."""
 
     def report_problem(self, text: str) -> None:
-        """Something is wrong with the list."""
+        """Called with a description of a problem with the list."""
 
     def attempt_ended(self, attempt: WatchDial | WatchConnection) -> None:
-        """A dial has failed or was cancelled, or a watch has ended."""
+        """Called when a dial has failed or was cancelled, or when a watch has ended."""
 
 
 class WatchConnection(HttpClientProtocol):
-    """One watch, opened by the attempt `attempt_number` at `address`."""
+    """A watch, opened by attempt `attempt_number` at `address`."""
 
     def __init__(self, owner: WatchOwner, attempt_number: int, address: tuple[str, int]) -> None:
         super().__init__(self._request_watch, self._connection_ended)
@@ -51,13 +51,13 @@
         self.decoder = LineDecoder(MAX_LINE_BYTES)
         self.watched = WatchedEndpoints(owner.endpoints)
         self.started_at = self.last_line_at = owner.network.seconds()
-        self.line_progresses = False  # a partial line arrives steadily
+        self.line_progresses = False  # a partial line is arriving steadily
         self.received_line = False
         self.ended = False
         self._partial_line = bytearray()
         self._bytes_since_progress = 0
         self._silence_timer: Timer | None = None
-        self._end_timer: Timer | None = None  # set where a newer watch has replaced this one
+        self._end_timer: Timer | None = None  # set once a newer watch has replaced this one
         self._ends_at = 0.0
 
     def _request_watch(self, connection: HttpClientProtocol) -> None:
@@ -74,7 +74,7 @@
         self._silence_timer = self.owner.network.callLater(timeout, self.end)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have arrived."""
+        """Twisted: bytes were received."""
         if self.ended:
             return
         try:
@@ -91,7 +91,7 @@
     # --- wire.http_client.HttpClientProtocol ---
 
     def _headers_complete(self) -> None:
-        """The head of a response is complete; an interim one is followed by another."""
+        """Handles the complete head of a response; an interim (1xx) response is followed by another."""
         response = self.response
         if response is not None and response.status != STATUS_OK and not response.interim:
             self.owner.report_problem(f"the list is answered with status {response.status}")
@@ -117,7 +117,7 @@
             self.end()
 
     def _count_progress(self, size: int) -> None:
-        """Guards against ending a long line that arrives steadily; a byte now and then is no progress."""
+        """Restarts the silence timer after PROGRESS_BYTES of a long line; single bytes do not restart it."""
         self._bytes_since_progress += size
         if self._bytes_since_progress >= PROGRESS_BYTES:
             self._bytes_since_progress = 0
@@ -133,8 +133,8 @@
             self._restart_silence_timer()
 
     def _response_complete(self) -> None:
-        """The response is complete, which no watch should ever be; its last line may lack a newline."""
-        if self._partial_line and not self.ended:  # by its length nothing of the line is missing
+        """Handles a complete response, which a watch should never have; its last line may lack a newline."""
+        if self._partial_line and not self.ended:  # the response is complete, so the line is too
             line, self._partial_line = bytes(self._partial_line), bytearray()
             self._line_received(line)
         self.end()
@@ -142,7 +142,7 @@
     # --- the end ---
 
     def end(self) -> None:
-        """Ends this watch; the owner opens another if it was the newest."""
+        """Ends this watch; the owner opens another one if this was the newest."""
         if self.ended:
             return
         self._stop()
@@ -151,7 +151,7 @@
         self.owner.attempt_ended(self)
 
     def end_within(self, seconds: float) -> None:
-        """Ends this watch after `seconds`, or sooner if that was arranged before."""
+        """Ends this watch after `seconds`, or sooner if an earlier end is already scheduled."""
         ends_at = self.owner.network.seconds() + seconds
         if self._end_timer is None or ends_at < self._ends_at:
             stop(self._end_timer)
@@ -170,7 +170,7 @@
 
 
 class WatchDial(ClientFactory):
-    """The attempt `attempt_number` until its connection is open."""
+    """Attempt `attempt_number` until its connection is open."""
 
     noisy = False
 
