--- a/ochrecourse/settings/__init__.py
+++ b/ochrecourse/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings as typed records: grammar, checker, resolved values."""
+"""Settings files: grammar, schema, validation, and resolution to plain values."""
--- a/ochrecourse/settings/addresses.py
+++ b/ochrecourse/settings/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in settings, of the form HOST:PORT."""
+"""Parses addresses in settings, which have the form HOST:PORT."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Host and port of HOST:PORT, without the brackets of an IPv6 host; None if it is not of that form."""
+    """Parses HOST:PORT and strips the brackets of an IPv6 host; returns None if the text has another form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > MAX_PORT:
         return None
--- a/ochrecourse/settings/bgp_validation.py
+++ b/ochrecourse/settings/bgp_validation.py
@@ -1,4 +1,4 @@
-"""Checks of the part `bgp` beyond types, and how its texts are read."""
+"""Validates the section `bgp` beyond types, and parses its identifiers, endpoints and communities."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def bgp_problems(record: Mapping[str, Any]) -> list[Problem]:
-    """What is wrong with the part `bgp` of a settings record, if it has one."""
+    """Returns the problems in the section `bgp` of a settings record, if it has one."""
     if "bgp" not in record:
         return []
     speaker = record["bgp"]
@@ -61,7 +61,7 @@
 
 
 def _unreadable(path: str, what: str, read: Callable[..., object], *values: Any) -> list[Problem]:
-    """One problem if `read` does not take the values, else none."""
+    """Returns one problem if `read` raises ValueError for the values, else none."""
     try:
         read(*values)
     except ValueError:
@@ -70,7 +70,7 @@
 
 
 def parse_endpoint(text: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT. Raises ValueError."""
+    """Parses HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(text)
@@ -78,7 +78,7 @@
 
 
 def parse_identifier(text: str) -> int:
-    """A BGP identifier, written as an IPv4 address other than 0.0.0.0 (RFC 6286). Raises ValueError."""
+    """Parses a BGP identifier, an IPv4 address other than 0.0.0.0 (RFC 6286). Raises ValueError."""
     number = int(ipaddress.IPv4Address(text))
     if not number:
         raise ValueError(text)
@@ -86,8 +86,9 @@
 
 
 def parse_community(text: str, count: int) -> tuple[int, ...]:
-    """The `count` numbers of a community (two, RFC 1997) or large community (three, RFC 8092). Raises
-    ValueError.
+    """Parses the `count` numbers of a community (two, RFC 1997) or large community (three, RFC 8092).
+
+    Raises ValueError.
     """
     numbers = tuple(int(number) for number in text.split(":"))
     most = MAX_COMMUNITY_NUMBER if count == 2 else MAX_LARGE_COMMUNITY_NUMBER
--- a/ochrecourse/settings/fleet_validation.py
+++ b/ochrecourse/settings/fleet_validation.py
@@ -1,4 +1,6 @@
-"""Checks of the part `fleet`: each peer is named once, with an address; spans that rest on each other fit."""
+"""Validates the section `fleet`: names and addresses of peers are unique, dependent time spans are
+consistent.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +10,11 @@
 from ochrecourse.settings.addresses import parse_address
 from ochrecourse.settings.problems import Problem
 
-MAX_NAME_BYTES = 64  # of a gateway's or a fleet's name, which each log entry and heartbeat carries
+MAX_NAME_BYTES = 64  # of a gateway's or a fleet's name, which is part of each log entry and heartbeat
 
 
 def fleet_problems(record: Mapping[str, Any]) -> Iterator[Problem]:
-    """What is wrong with the part `fleet` of a settings record, if it has one."""
+    """Yields the problems in the section `fleet` of a settings record, if it has one."""
     if "fleet" not in record:
         return
     fleet = record["fleet"]
@@ -23,7 +25,7 @@
         yield Problem("fleet.listen", f"is {fleet['listen']!r}; an address is HOST:PORT")
     yield from _names(fleet, own_name)
     if fleet["quiet"] < 2 * fleet["beat"]:
-        # Guards against gateways that lose each other between two heartbeats.
+        # With a shorter time gateways would count each other as unreachable between two heartbeats.
         yield Problem("fleet.quiet", "is shorter than two of fleet.beat")
     if "zones" in fleet and len(record["zones"]) < 2:
         yield Problem("fleet.zones", "is there, but zones names fewer than two: none can be left")
@@ -32,8 +34,8 @@
 
 
 def _peers(peers: list[Mapping[str, Any]], own_name: str, has_registry: bool) -> Iterator[Problem]:
-    """`has_registry`: gateways enter themselves there, so an address may be left out."""
-    first_path: dict[tuple[str, str], str] = {}  # where a name or an address stands first
+    """Yields problems with peers. `has_registry`: gateways register there, so addresses may be omitted."""
+    first_path: dict[tuple[str, str], str] = {}  # path of the first use of each name and address
     for i, peer in enumerate(peers):
         at = f"fleet.peers[{i}]"
         if peer["name"] == own_name:
--- a/ochrecourse/settings/load.py
+++ b/ochrecourse/settings/load.py
@@ -1,4 +1,4 @@
-"""Settings from a file to a resolved record, with every default filled in."""
+"""Loads settings files and resolves them to records with all defaults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SettingsError(OchrecourseError):
-    """All that is wrong with a settings file, in order of place; its text is one line each."""
+    """The errors in a settings file, in order of location; the text has one line per error."""
 
     def __init__(self, errors: list[InvalidSettingError]) -> None:
         super().__init__("\n".join(str(each) for each in errors))
@@ -24,19 +24,19 @@
 
     @property
     def troubles(self) -> list[InvalidSettingError]:
-        """Deprecated: `errors`. Programs of library surface 1 may read it."""
+        """Deprecated alias of `errors`, for programs that use library surface 1."""
         return self.errors
 
 
 @lru_cache(maxsize=1)
 def schema() -> Struct:
-    """The schema that every settings file is unified with."""
+    """Returns the parsed schema, with which every settings file is unified."""
     return parse((files("ochrecourse.settings") / SCHEMA).read_text(), SCHEMA)
 
 
 def resolve(text: str, file: str) -> dict[str, Any]:
-    """The record that a text gives; `file` names it in messages. Spans are in ms, sizes in bytes, rates a
-    second. Raises SettingsError.
+    """Resolves a settings text to a record; `file` is its name in messages. Time spans are in ms, sizes in
+    bytes, rates per second. Raises SettingsError.
     """
     try:
         tree = parse(text, file)
@@ -52,7 +52,7 @@
 
 
 def load(path: Path) -> dict[str, Any]:
-    """The record of a file, as `resolve` gives it. Raises SettingsError."""
+    """Reads and resolves a settings file; see `resolve`. Raises SettingsError."""
     start = SourceLocation(str(path), 1, 1)
     try:
         return resolve(path.read_text(), str(path))
@@ -63,6 +63,6 @@
 
 
 def _one_per_location(errors: list[InvalidSettingError]) -> list[InvalidSettingError]:
-    """What one place says wrong is reported once, however many fields refer to it."""
+    """Keeps the first error of each location: one value may be referred to by several fields."""
     first_by_location = {str(each.location): each for each in reversed(errors)}
     return list(first_by_location.values())[::-1]
--- a/ochrecourse/settings/plain.py
+++ b/ochrecourse/settings/plain.py
@@ -1,7 +1,7 @@
-"""The resolved record as the plain map of names to values that the scheduler reads.
+"""Converts a resolved record to the plain map from names to texts that the scheduler reads.
 
-The names are those of the start message that the simulator sends, so the same scheduler runs in both. This is
-a change of names only: every default and every bound is in schema.cue.
+The names are those of the simulator's start message, so that the same scheduler runs in the simulator and in
+a gateway. Only names change here: all defaults and bounds are in schema.cue.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 EFFECTS = {"retriable": "safe", "fingerprinted": "keyed", "binding": "unsafe"}
 
-# Name in the record, name in the map. Spans in ms, rates in units a second.
+# Path in the record, name in the map. Time spans in ms, rates in units per second.
 FIELDS = (
     ("gateway.zone", "Zone"), ("gateway.gateways", "Instances"), ("gateway.number", "SelfIndex"),
     ("units.most", "FamilyInfo.UnitsTop"), ("units.usual", "FamilyInfo.UsualUnits"),
@@ -42,7 +42,7 @@
 
 
 def plain_map(record: Mapping[str, Any]) -> dict[str, str]:
-    """The map for one gateway; what the record leaves out is left out of the map."""
+    """Returns the map for one gateway; fields that the record lacks are omitted."""
     values = {"Discovery": "push", "Family": "stores"}
     for path, name in FIELDS:
         at: Any = record
--- a/ochrecourse/settings/problems.py
+++ b/ochrecourse/settings/problems.py
@@ -1,4 +1,4 @@
-"""What validation finds: a field's path and what is wrong with its value."""
+"""The result type of validation: the path of a field and a description of its problem."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Problem(NamedTuple):
-    """One problem. The message is `path`, a space and `text`."""
+    """A problem with a field. The message is `path`, a space and `text`."""
 
     path: str
     text: str
-    at: str = ""  # the path whose place in the file is named; empty: that of `path`
+    at: str = ""  # path whose location in the file is reported; empty: `path`
--- a/ochrecourse/settings/schema.cue
+++ b/ochrecourse/settings/schema.cue
@@ -1,21 +1,21 @@
-// What a gateway's settings may say. Every default and every bound is here.
+// The schema of a gateway's settings, with all defaults and bounds.
 
 #Product: {
 	name:           string
-	promised:       duration & >0ms           // an answer in this time earns the full payoff
+	promised:       duration & >0ms           // latency objective: a response within it earns the full payoff
 	client_timeout: duration & >0ms
 	payoff:         *1 | (number & >=0)
-	late_share:     *0 | (number & >=0 & <=1) // of the payoff, for an answer after the promised time
+	late_share:     *0 | (number & >=0 & <=1) // of the payoff, for a response after `promised`
 	effect:         *"retriable" | "fingerprinted" | "binding"
-	repeat_group:   *"all" | "zone" | "cell"  // the nodes that drop a repeat of a fingerprinted job
-	repeat_window:  *5s | (duration & >=0ms)  // and for how long they know it
+	repeat_group:   *"all" | "zone" | "cell"  // scope within which nodes detect a repeat of a fingerprinted request
+	repeat_window:  *5s | (duration & >=0ms)  // for how long they detect it
 	in_order:       *false | bool
 	writes:         *false | bool
 }
 
 #Plan: {
 	name:        string
-	rate:        rate & >=0/s                 // units a second for which a volume is sized
+	rate:        rate & >=0/s                 // units per second for which a volume is sized
 	reserve:     *0/s | (rate & >=0/s)
 	weight:      *1 | (number & >0)
 	worth:       *1 | (number & >=0)          // factor on the payoff
@@ -26,13 +26,13 @@
 
 #Peer: {
 	name:         string
-	address:      string                      // HOST:PORT; a peer that comes by itself is known by HOST
+	address:      string                      // HOST:PORT; a peer that connects is identified by HOST
 	local_as:     int & >=1 & <=4294967295
 	remote_as:    int & >=1 & <=4294967295
-	hold_time:    *9s | (duration & >=0ms)    // 0s: no keepalives; else 3s at the least, in whole seconds
-	retry:        *5s | (duration & >=100ms) // what a dial may take before it is tried anew
-	idle_wait:    *1s | (duration & >=100ms)  // after a failure; doubled each time up to 64 times
-	dials:        *true | bool                // false: it is waited for
+	hold_time:    *9s | (duration & >=0ms)    // 0s: no keepalives; else whole seconds, at least 3s
+	retry:        *5s | (duration & >=100ms) // timeout of a dial, after which it is retried
+	idle_wait:    *1s | (duration & >=100ms)  // after a failure; doubled each time, up to 64 times this
+	dials:        *true | bool                // false: waits for the peer to connect
 	families:     *["ipv4", "ipv6"] | [...("ipv4" | "ipv6")]
 	ttl_security: *false | bool
 }
@@ -41,39 +41,39 @@
 	network:           string
 	next_hop:          string
 	med?:              int & >=0 & <=4294967295
-	last_med:          *1000 | (int & >=0 & <=4294967295) // while it is the last choice
+	last_med:          *1000 | (int & >=0 & <=4294967295) // while announced as the last choice
 	local_preference:  *100 | (int & >=0 & <=4294967295)  // within one AS
 	communities:       *[] | [...string]                  // "64512:7"
 	large_communities: *[] | [...string]                  // "64512:7:9"
-	list_needed:       *true | bool                       // whether an old list makes it the last choice
+	list_needed:       *true | bool                       // an outdated endpoint list makes it the last choice
 }
 
 #Request: {
 	method:  "GET" | "PUT"
-	most:    *-1 | (int & >=-1)               // bytes up to which it fits; -1: any size
+	most:    *-1 | (int & >=-1)               // largest matching size in bytes; -1: any size
 	product: string
 }
 
 #Volume: {
-	name:     *"" | string                    // first segment of the path; empty: every other one
+	name:     *"" | string                    // first segment of the path; empty: all others
 	plan:     string
 	gateways: *1 | (int & >=1)
-	quota:    *0B | (size & >=0B)             // bytes that its files may hold at this gateway; 0B: no limit
+	quota:    *0B | (size & >=0B)             // total size of its files at this gateway; 0B: no limit
 }
 
 #Other: {
 	name:    string
-	address: *"" | string                     // HOST:PORT as this gateway reaches it; empty: of the registry
+	address: *"" | string                     // HOST:PORT as seen from this gateway; empty: from the registry
 }
 
 #Rule: {
 	name:       string
-	all?:       bool                          // what is dropped: one of all, plan, volume
+	all?:       bool                          // scope of the purge: one of all, plan, volume
 	plan?:      string
 	volume?:    int & >=0
 	at:         string                        // local time of the site, HH:MM or HH:MM:SS
 	weekdays:   *["mon", "tue", "wed", "thu", "fri", "sat", "sun"] | [...("mon" | "tue" | "wed" | "thu" | "fri" | "sat" | "sun")]
-	holidays:   *"usual" | string             // "usual": as on other days; "none"; or another time
+	holidays:   *"usual" | string             // "usual": as on other days; "none": no purge; or another time
 	exceptions: *[] | [...{
 		date: string                          // YYYY-MM-DD
 		at:   string                          // a time or "none"
@@ -82,45 +82,45 @@
 
 #Site: {
 	name:     string
-	edges:    [...string]                     // its gateways, by name; the same list at each of them
+	edges:    [...string]                     // names of its gateways; the same list at each of them
 	zone:     string                          // time zone, as in "Europe/Berlin"
-	country:  *"" | string                    // whose public holidays count, as in "DE"; empty: none
+	country:  *"" | string                    // whose public holidays apply, as in "DE"; empty: none
 	region:   *"" | string                    // of that country, as in "BY"
-	holidays: *[] | [...string]               // further ones, YYYY-MM-DD
-	edition:  *1 | (int & >=1)                // counts up with each change of what stands here
+	holidays: *[] | [...string]               // additional ones, YYYY-MM-DD
+	edition:  *1 | (int & >=1)                // to be incremented with each change of this site
 	rules:    [...#Rule]
 }
 
 gateway: {
 	name:     string
 	listen:   *"127.0.0.1:0" | string
-	admin:    *"" | string                    // health and metrics; empty: none
+	admin:    *"" | string                    // address of health and metrics; empty: none
 	zone:     *0 | (int & >=0)
-	gateways: *1 | (int & >=1)                // of this tier, this one included
-	number:   *0 | (int & >=0)                // of this one among them
-	travel:   *20ms | (duration & >=0ms & <=1s) // what an answer may take to its client
-	state:    *"" | string                    // folder for what outlives a restart; empty: nothing does
-	seed:     *0 | (int & >=0)                // of chance; 0: drawn at each start
+	gateways: *1 | (int & >=1)                // number of gateways of this tier, this one included
+	number:   *0 | (int & >=0)                // index of this gateway among them
+	travel:   *20ms | (duration & >=0ms & <=1s) // reserved for a response's way to its client
+	state:    *"" | string                    // directory of persistent state; empty: none is kept
+	seed:     *0 | (int & >=0)                // of random numbers; 0: chosen at each start
 	control:  *"" | string                    // path of the control socket; empty: none
 }
 
-list: address: *"" | string                  // of a list server; empty where there is a registry
+list: address: *"" | string                  // of a list server; empty if there is a registry
 
 registry?: {
 	servers: [...string]                      // HOST:PORT of each
 	prefix:  *"/ochrecourse/nodes/" | string
-	own:     *"/ochrecourse/gateways/" | string // under which this gateway enters itself; empty: it does not
-	lease:   *10s | (duration & >=3s)         // after which that entry goes by itself
+	own:     *"/ochrecourse/gateways/" | string // prefix of this gateway's own entry; empty: it does not register
+	lease:   *10s | (duration & >=3s)         // after which that entry expires
 }
 
-sites?: [...#Site]                            // buildings that close; each gateway is of one at the most
+sites?: [...#Site]                            // buildings with closing times; a gateway belongs to at most one
 
 products: [...#Product]
 plans: [...#Plan]
 zones: *["here"] | [...string]
 
 units: {
-	most:        *8 | (number & >=1)          // the largest job
+	most:        *8 | (number & >=1)          // of the largest request
 	usual:       *2 | (number & >0)
 	share_worth: *0.3 | (number & >=0 & <=1)
 	spare_worth: *0.1 | (number & >=0 & <=1)
@@ -164,31 +164,31 @@
 
 webdav?: {
 	listen:   *"127.0.0.1:0" | string
-	unit:     *64KiB | (size & >0B)           // a job counts one unit for each that is begun
-	products: [...#Request]                   // the first that fits
-	volumes:  [...#Volume]                    // the first that fits
+	unit:     *64KiB | (size & >0B)           // a request counts one unit for each started one
+	products: [...#Request]                   // the first match applies
+	volumes:  [...#Volume]                    // the first match applies
 	limits: {
 		connections: *20000 | (int & >=1)
 		header:      *16KiB | (size & >=1KiB)    // request line and headers together
 		headers:     *100 | (int & >=1)
 		body:        *4GiB | (size & >=1KiB)     // of a PUT
-		rate:        *200/s | (rate & >0/s)      // requests of one connection
+		rate:        *200/s | (rate & >0/s)      // requests per connection
 		burst:       *400 | (number & >=1)
 		idle:        *1min | (duration & >0ms)   // between requests
-		head:        *10s | (duration & >0ms)    // for a request's headers to be whole
-		slowest:     *1KiB | (size & >=1B)       // of a body, each second, after `grace`
+		head:        *10s | (duration & >0ms)    // for receiving all headers of a request
+		slowest:     *1KiB | (size & >=1B)       // of a body, per second, after `grace`
 		grace:       *10s | (duration & >0ms)
 	}
 }
 
 bgp?: {
-	identifier: string                        // an IPv4 address, of this speaker alone
-	listen:     *"" | string                  // for peers that come by themselves; empty: none may
+	identifier: string                        // an IPv4 address, unique to this speaker
+	listen:     *"" | string                  // for peers that connect; empty: none may
 	peers:      [...#Peer]
 	addresses:  [...#Address]
 	fitness: {
 		loop_late:    *500ms | (duration & >0ms)
-		list_age:     *1min | (duration & >=0ms) // 0s: any age will do
+		list_age:     *1min | (duration & >=0ms) // 0s: any age is accepted
 		nodes_share:  *0.5 | (number & >=0 & <=1)
 		failed_share: *0.5 | (number & >=0 & <=1)
 		room:         *0.95 | (number & >0 & <=1)
@@ -198,65 +198,65 @@
 		ease:         *10min | (duration & >0ms)
 	}
 	drain: {
-		last_choice: *5s | (duration & >=0ms) // announced as the last choice before it is withdrawn
-		withdrawn:   *2s | (duration & >=0ms) // for the peers to act on it
-		unread:      *10s | (duration & >=0ms) // the longest wait for a peer that does not read
+		last_choice: *5s | (duration & >=0ms) // time announced as the last choice before withdrawal
+		withdrawn:   *2s | (duration & >=0ms) // time for the peers to react to it
+		unread:      *10s | (duration & >=0ms) // maximum wait for a peer that does not read
 	}
 }
 
 fleet?: {
-	name:        string                       // of the whole fleet; who tells another one is not listened to
-	listen:      *"127.0.0.1:0" | string      // for the other gateways
+	name:        string                       // of the whole fleet; peers that state another name are rejected
+	listen:      *"127.0.0.1:0" | string      // address for the other gateways
 	peers:       *[] | [...#Other]            // the other gateways of the fleet
-	beat:        *250ms | (duration & >=10ms & <=10s)   // between what this gateway tells of itself
-	quiet:       *2s | (duration & >=20ms & <=1min)     // without a word: not reached; at least two beats
-	let_go:      *10min | (duration & >=1s)   // not reached for so long: the log goes on without it
-	clock_bound: *500ms | (duration & >=0ms & <=1min)   // that wall clocks of the fleet differ by at most
-	ahead:       *1h | (duration & >=1s)      // a peer whose clock is farther ahead is not listened to
-	newest_form: *2 | (int & >=1 & <=2)       // that is spoken and kept; 1 holds it to what older programs speak
-	shift:       *0ms | duration              // added to the wall clock: a wrong clock, for a trial
+	beat:        *250ms | (duration & >=10ms & <=10s)   // interval of this gateway's heartbeats
+	quiet:       *2s | (duration & >=20ms & <=1min)     // without a heartbeat: unreachable; at least two beats
+	let_go:      *10min | (duration & >=1s)   // unreachable for so long: the log proceeds without it
+	clock_bound: *500ms | (duration & >=0ms & <=1min)   // maximum difference between wall clocks of the fleet
+	ahead:       *1h | (duration & >=1s)      // a peer whose clock is further ahead is rejected
+	newest_form: *2 | (int & >=1 & <=2)       // format version to send and store; 1: for older programs
+	shift:       *0ms | duration              // added to the wall clock, to test a wrong clock
 	log: {
-		entry:    *64KiB | (size & >=256B & <=128KiB)   // the longest body of one entry
-		channel:  *16MiB | (size & >=4KiB)     // all bodies of a channel
+		entry:    *64KiB | (size & >=256B & <=128KiB)   // maximum size of the body of an entry
+		channel:  *16MiB | (size & >=4KiB)     // total size of the bodies of a channel
 		channels: *1024 | (int & >=2 & <=65536)
-		flight:   *256 | (int & >=1 & <=4096)  // entries on the way to one peer
-		catch_up: *1MiB | (size & >=16KiB)     // a second, to all peers together, of what they
-		                                       // lack: what one of them merges in a fifth of a core
+		flight:   *256 | (int & >=1 & <=4096)  // entries in flight to one peer
+		catch_up: *1MiB | (size & >=16KiB)     // per second, to all peers together, of entries they
+		                                       // lack: a peer merges this in a fifth of a core
 	}
-	copies?: {                                // there: reads are answered from copies where that is sure
-		products: [...string]                 // their reads may be older than a write through another gateway
-		bytes:    *256MiB | (size & >=1KiB)   // of all copies
-		largest:  *1MiB | (size & >=1B)       // of one
+	copies?: {                                // if present, reads are served from copies once these are ready
+		products: [...string]                 // their reads may miss a recent write through another gateway
+		bytes:    *256MiB | (size & >=1KiB)   // total size of all copies
+		largest:  *1MiB | (size & >=1B)       // of one copy
 	}
-	purges?: {                                // there: copies are dropped when their site closes
-		notice: *10s | (duration & >=100ms & <=10min) // from a new edition to its force; silence that is borne
-		days:   *60 | (int & >=2 & <=400)     // that an edition reaches ahead; it is renewed at half of them
+	purges?: {                                // if present, copies are purged when their site closes
+		notice: *10s | (duration & >=100ms & <=10min) // from publishing an edition until it applies; also the tolerated silence
+		days:   *60 | (int & >=2 & <=400)     // that an edition covers; it is renewed after half of them
 	}
-	zones?: {                                 // there: zones in trouble are left and regained together
-		window:        *2s | (duration & >=100ms)      // over which legs are counted
-		life:          *500ms | (duration & >0ms)      // for which a sign of life of a node counts
-		slow:          *4 | (number & >1)              // times its usual time that makes an answer slow
-		doubt:         *200ms | (duration & >=0ms)     // that most of a zone must fail for a doubt
-		lasts:         *750ms | (duration & >=0ms)     // that a zone must be silent to be left
-		silence:       *1.5s | (duration & >=0ms)      // the same, where its nodes refuse nothing and answer nothing
-		sole:          *5s | (duration & >=0ms)        // the same, where gateways of one zone alone say so
-		clear:         *2s | (duration & >=0ms)        // without a bad sign, that end a doubt
+	zones?: {                                 // if present, the fleet evacuates failing zones and returns to them
+		window:        *2s | (duration & >=100ms)      // over which attempts are counted
+		life:          *500ms | (duration & >0ms)      // for which a response of a node shows that it is up
+		slow:          *4 | (number & >1)              // factor over the usual response time that makes a response slow
+		doubt:         *200ms | (duration & >=0ms)     // that most of a zone must fail for it to be suspected
+		lasts:         *750ms | (duration & >=0ms)     // that a zone must be silent to be evacuated
+		silence:       *1.5s | (duration & >=0ms)      // the same, if its nodes neither refuse connections nor respond
+		sole:          *5s | (duration & >=0ms)        // the same, if only gateways of one zone report it
+		clear:         *2s | (duration & >=0ms)        // without a failure, after which a suspicion ends
 		longest_clear: *1min | (duration & >=0ms)
-		turn:          *500ms | (duration & >0ms)      // until the next gateway says what is due
-		rest:          *5s | (duration & >=0ms)        // that a zone stays left; doubled with each fall
+		turn:          *500ms | (duration & >0ms)      // until the next gateway takes over a due decision
+		rest:          *5s | (duration & >=0ms)        // that a zone stays evacuated; doubled with each relapse
 		longest_rest:  *5min | (duration & >=0ms)
-		ease:          *1min | (duration & >0ms)       // in good standing, in which the next rest halves
-		well:          *500ms | (duration & >=0ms)        // that probes are answered before a return
-		first:         *0.125 | (number & >0 & <=1)    // of the full pace, at which a return begins at the least
-		step:          *500ms | (duration & >0ms)         // of timely answers, after which the pace doubles
-		hold:          *1s | (duration & >=0ms)        // at full pace, that end a return
-		failed:        *0.25 | (number & >=0 & <=1)    // of a returning zone's legs: above, its pace halves
-		probes:        *2/s | (rate & >0/s)            // units at each node of a left zone, of all gateways
-		cold?:         rate & >0/s                     // units at a node that just started, of all gateways;
-		                                               // left out: `rules.cold_units` in `rules.cold_fall`
-		full:          *40/s | (rate & >0/s)           // units at a node, that are the full pace of a return
-		remain:        *0.3 | (number & >=0 & <=1)     // of all ready nodes, that must stand in other zones
-		lend:          *10s | (duration & >0ms)        // for which a part of an allotment is lent
+		ease:          *1min | (duration & >0ms)       // without a relapse, after which the next `rest` is halved
+		well:          *500ms | (duration & >=0ms)        // that probes must succeed before a return
+		first:         *0.125 | (number & >0 & <=1)    // of the full rate, the minimum at which a return starts
+		step:          *500ms | (duration & >0ms)         // of timely responses, after which the rate doubles
+		hold:          *1s | (duration & >=0ms)        // at the full rate, after which a return is complete
+		failed:        *0.25 | (number & >=0 & <=1)    // of a returning zone's attempts: above, its rate is halved
+		probes:        *2/s | (rate & >0/s)            // units at each node of an evacuated zone, from all gateways
+		cold?:         rate & >0/s                     // units at a node that just started, from all gateways;
+		                                               // default: `rules.cold_units` per `rules.cold_fall`
+		full:          *40/s | (rate & >0/s)           // units at a node: the full rate of a return
+		remain:        *0.3 | (number & >=0 & <=1)     // of all ready nodes that must be in other zones
+		lend:          *10s | (duration & >0ms)        // for which a share of a quota is lent
 	}
 }
 
@@ -268,7 +268,7 @@
 log: {
 	level:  *"info" | "debug" | "warning"
 	form:   *"auto" | "json" | "console"
-	sample: *200/s | (rate & >0/s)            // lines of jobs that went as they should
+	sample: *200/s | (rate & >0/s)            // lines of requests without errors
 }
 
-tick: *2 | (number & >0) // ms; the finest time at which a due is kept
+tick: *2 | (number & >0) // ms; resolution of scheduled times
--- a/ochrecourse/settings/site_calendars.py
+++ b/ochrecourse/settings/site_calendars.py
@@ -1,11 +1,11 @@
-"""From the purge rules of a site in local time to the instants of a calendar edition.
+"""Computes the instants of a calendar edition from a site's purge rules in local time.
 
-The one module that knows time zones, calendars and holidays. An edition carries its instants, and every
-gateway acts on those, whatever its own copy of the time zones says. Zones are read from the library `tzdata`
-and never from the system, so an edition names the release by which it was made.
+Only this module deals with time zones, calendars and holidays. An edition contains its instants, and every
+gateway uses those, whatever its own time zone data say. Time zones are read from the package `tzdata`, never
+from the system, so that an edition can state the release with which it was computed.
 
-An hour that comes twice is taken the first time, early rather than late; a time in an hour that does not
-exist is the first instant after it.
+Of an ambiguous local time (clocks set back) the first occurrence is used, so that a purge is early rather
+than late; a local time that does not exist (clocks set forward) becomes the first instant after the gap.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     "region",
     "holidays",
     "rules",
-)  # of a site, in its edition
-MAX_COMPARED_DAYS = 400  # of an edition that another gateway wrote
+)  # of a site, copied into its edition
+MAX_COMPARED_DAYS = 400  # limit for comparing an edition of another gateway
 MAX_COMPARED_RULES = 64
 
 
@@ -46,7 +46,7 @@
 
 @functools.lru_cache(maxsize=1024)
 def zone_of(name: str) -> ZoneInfo:
-    """A time zone by its IANA name, as the installed release of `tzdata` has it. Raises
+    """Returns a time zone by its IANA name, from the installed release of `tzdata`. Raises
     CalendarValueError.
     """
     parts = name.split("/")
@@ -61,7 +61,7 @@
 
 
 def time_of(text: str) -> dt.time:
-    """HH:MM or HH:MM:SS. Raises CalendarValueError."""
+    """Parses HH:MM or HH:MM:SS. Raises CalendarValueError."""
     parts = text.split(":")
     fits = len(parts) in (2, 3) and all(
         len(each) == 2 and each.isascii() and each.isdigit() for each in parts
@@ -76,7 +76,7 @@
 
 
 def date_of(text: str) -> dt.date:
-    """YYYY-MM-DD. Raises CalendarValueError."""
+    """Parses YYYY-MM-DD. Raises CalendarValueError."""
     try:
         if len(text) != 10:
             raise ValueError
@@ -87,21 +87,22 @@
 
 @functools.lru_cache(maxsize=64)
 def holidays_of(country: str, region: str, years: tuple[int, ...]) -> frozenset[dt.date]:
-    """Public holidays of a country, or of one of its regions. Raises CalendarValueError."""
+    """Returns the public holidays of a country or of one of its regions. Raises CalendarValueError."""
     try:
         return frozenset(holidays.country_holidays(country, subdiv=region or None, years=years))
-    except NotImplementedError:  # as the library says that it knows none
+    except NotImplementedError:  # raised by the library for unknown countries and regions
         where = f"{country!r}, region {region!r}," if region else repr(country)
         raise CalendarValueError(f"holidays of {where} are not known; a country is named as in DE") from None
 
 
 def instant_of(zone: ZoneInfo, date: dt.date, time: dt.time) -> int:
-    """When a local time comes, in ms since 1970."""
-    local = dt.datetime.combine(date, time, tzinfo=zone)  # fold 0: the first of two
+    """Converts a local time to Unix time in ms."""
+    local = dt.datetime.combine(date, time, tzinfo=zone)  # fold 0: the first of two occurrences
     after = _ms(local)
     if _local(zone, after).replace(tzinfo=None) == local.replace(tzinfo=None):
         return after
-    # It is in a gap. With fold 1 it is read with the offset after the gap, so it lies before it.
+    # The time is in a gap. Fold 1 applies the offset after the gap, which gives an instant before the gap;
+    # the search finds the instant at which the offset changes.
     before, offset = _ms(local.replace(fold=1)), _local(zone, after).utcoffset()
     while after - before > 1:
         middle = (before + after) // 2
@@ -121,13 +122,14 @@
 
 
 def today(zone: str, ms: int) -> dt.date:
-    """The local date at an instant. Raises CalendarValueError."""
+    """Returns the local date at an instant, `ms` of Unix time. Raises CalendarValueError."""
     return _local(zone_of(zone), ms).date()
 
 
 def edition(site: Mapping[str, Any], number: int, first: dt.date, days: int) -> dict[str, Any]:
-    """An edition's body: a site of the settings from a local date on, for so many days. Raises
-    CalendarValueError.
+    """Computes the body of an edition for a site of the settings: `days` days from the local date `first` on.
+
+    Raises CalendarValueError.
     """
     zone = zone_of(site["zone"])
     dates = [first + dt.timedelta(days=each) for each in range(days)]
@@ -162,7 +164,7 @@
 def _time_on(
     rule: Mapping[str, Any], date: dt.date, exceptions: Mapping[dt.date, str], closed: set[dt.date]
 ) -> str:
-    """The local time of a rule on a date, empty for none."""
+    """Returns a rule's local time on a date, empty if it does not apply."""
     if date in exceptions:
         time = str(exceptions[date])
         return "" if time == NONE else time
@@ -174,7 +176,7 @@
 
 
 def scope_of(rule: Mapping[str, Any]) -> list[str]:
-    """What a rule of the settings purges, as an edition carries it. Raises CalendarValueError."""
+    """Returns what a rule of the settings purges, in an edition's format. Raises CalendarValueError."""
     named = [each for each in ("volume", "plan", "all") if each in rule]
     if len(named) != 1 or rule.get("all") is False:
         raise CalendarValueError("names no scope; it must name one of volume, plan, all")
@@ -182,8 +184,8 @@
 
 
 def differences(body: Mapping[str, Any]) -> list[str]:
-    """Where the rules of an edition, which it carries under `as`, give other instants here: with another
-    release of time zones or holidays. The edition's instants hold all the same.
+    """Describes the instants of an edition that differ from those computed here from its rules (key `as`),
+    with another release of time zones or holidays. The edition's instants remain in force regardless.
     """
     site = body.get("as")
     try:
--- a/ochrecourse/settings/site_validation.py
+++ b/ochrecourse/settings/site_validation.py
@@ -1,6 +1,6 @@
-"""Checks of sites, purges and object copies: zones, times, dates and holidays exist, each rule has a scope.
+"""Validates sites, purges and object copies: zones, times, dates and holidays exist, each rule has a scope.
 
-Loaded only where the settings name sites: time zones and holidays are needed nowhere else.
+Imported only if the settings use these sections, because it loads the libraries of time zones and holidays.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
     zone_of,
 )
 
-BYTES_PER_INSTANT = 56  # of an edition's JSON, with a rule's name of 20 characters
-EDITION_OVERHEAD = 4096  # bytes of an edition besides its instants
-SAMPLE_YEAR = 2026  # in which a country's holidays are looked up, to see whether it is known
+BYTES_PER_INSTANT = 56  # in an edition's JSON, for a rule with a name of 20 characters
+EDITION_OVERHEAD = 4096  # bytes of an edition other than its instants
+SAMPLE_YEAR = 2026  # used to check that a country's holidays are known
 NO_COPIES: Mapping[str, Any] = {"products": [], "largest": 0, "bytes": 0}
 
 
 def site_problems(record: Mapping[str, Any]) -> list[Problem]:
-    """What is wrong with the sites, purges and copies of a settings record."""
+    """Returns the problems with sites, purges and copies in a settings record."""
     sites = record.get("sites", [])
     fleet = record.get("fleet", {})
     found = _all_sites(record, sites, fleet)
@@ -41,7 +41,7 @@
 def _all_sites(
     record: Mapping[str, Any], sites: Sequence[Mapping[str, Any]], fleet: Mapping[str, Any]
 ) -> list[Problem]:
-    """Each site by itself, and that no gateway belongs to two of them."""
+    """Checks each site, and that no gateway belongs to two sites."""
     found: list[Problem] = []
     known_gateways = {record["gateway"]["name"], *(each["name"] for each in fleet.get("peers", []))}
     tenants = [each["name"] for each in record["plans"]]
@@ -67,7 +67,7 @@
 
 
 def _edition_size(rules: int, fleet: Mapping[str, Any]) -> list[Problem]:
-    """An edition of a site has to fit into one entry of the log."""
+    """Checks that an edition of a site fits into one entry of the log."""
     days = fleet["purges"]["days"]
     bytes_needed = rules * days * BYTES_PER_INSTANT + EDITION_OVERHEAD
     if not rules or bytes_needed <= fleet["log"]["entry"]:
@@ -81,7 +81,7 @@
     if not sites:
         found.append(Problem("fleet.purges", "is there, but no site; name one in `sites`"))
     if fleet["purges"]["notice"] < 2 * fleet["beat"] + 4 * fleet["clock_bound"]:
-        # Guards against gateways that are never sure: what they hear is older than that already.
+        # With a shorter notice heartbeats would already be too old on arrival: copies would never be ready.
         text = "is shorter than two of fleet.beat and four of fleet.clock_bound together"
         found.append(Problem("fleet.purges.notice", text))
     return found
@@ -141,7 +141,7 @@
 
 
 def _unreadable(path: str, read: Callable[..., object], *values: Any) -> list[Problem]:
-    """One problem if `read` does not take the values, else none."""
+    """Returns one problem if `read` raises CalendarValueError for the values, else none."""
     try:
         read(*values)
     except CalendarValueError as error:
--- a/ochrecourse/settings/syntax.py
+++ b/ochrecourse/settings/syntax.py
@@ -1,4 +1,4 @@
-"""The text of settings as a tree: CUE-like records, parsed by lark with the grammar beside this file."""
+"""Parses the text of settings, CUE-like records, into a syntax tree. The grammar is in grammar.lark."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class SourceLocation:
-    """Where something stands in a file; lines and columns count from 1."""
+    """A position in a file; lines and columns count from 1."""
 
     file: str
     line: int
@@ -26,7 +26,7 @@
 
 
 class InvalidSettingError(OchrecourseError):
-    """What is wrong with settings, and where."""
+    """An error in a settings file, with its location."""
 
     def __init__(self, location: SourceLocation, text: str) -> None:
         super().__init__(f"{location}: {text}")
@@ -36,8 +36,8 @@
 
 @dataclass(frozen=True)
 class Quantity:
-    """A number with a unit, in the unit of its kind: ms for a duration, bytes for a size, a second for a
-    rate.
+    """A number with a unit, converted to the base unit of its kind: ms for durations, bytes for sizes, per
+    second for rates.
     """
 
     kind: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Literal:
-    """A value as it is written."""
+    """A literal value."""
 
     location: SourceLocation
     value: float | int | str | bool | Quantity | None
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class List:
-    """A list; `rest` is what further items must be, None if there may be none."""
+    """A list; `rest` constrains further items, None if there must not be any."""
 
     location: SourceLocation
     items: tuple[Value, ...]
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Conjunction:
-    """What must hold at once, joined by `&`."""
+    """Values joined by `&`, which must all hold."""
 
     location: SourceLocation
     parts: tuple[Value, ...]
@@ -99,7 +99,7 @@
     """Options joined by `|`."""
 
     location: SourceLocation
-    options: tuple[tuple[bool, Value], ...]  # whether it is the default, and the option
+    options: tuple[tuple[bool, Value], ...]  # (is the default, option)
 
 
 Value = Literal | Constraint | Reference | Struct | List | Conjunction | Disjunction
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class Field:
-    """One field of a record; `optional`: it may be left out."""
+    """A field of a record; `optional`: it may be omitted."""
 
     location: SourceLocation
     label: str
@@ -126,7 +126,7 @@
 
 
 class _TreeBuilder(Transformer[Token, Value]):
-    """From lark's tree to the classes above; a method for each rule of the grammar."""
+    """Converts lark's tree to the classes above; has a method for each rule of the grammar."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
@@ -229,7 +229,7 @@
 
 
 def parse(text: str, file: str) -> Struct:
-    """The tree of one file. Raises InvalidSettingError with the location and what was expected there."""
+    """Parses a file's text. Raises InvalidSettingError with the location and what was expected there."""
     try:
         tree: Tree[Token] = _parser().parse(text)
     except UnexpectedInput as error:
--- a/ochrecourse/settings/unification.py
+++ b/ochrecourse/settings/unification.py
@@ -1,9 +1,9 @@
-"""Unifies what is said of each field: types, bounds, defaults, choices and values, as CUE does.
+"""Unifies all statements about each field: types, bounds, defaults, choices and values, as CUE does.
 
-The schema and the file are two statements about the same record. Both are merged field by field; a field that
-is left with a type or a bound but no value is missing, a field that the schema does not name is unknown, and
-two values that differ are a conflict. Each message names the place of what is wrong, and the nearest right
-name where one is near.
+The schema and the file are two statements about the same record and are merged field by field. A field with a
+type or a bound but no value is missing, a field that the schema does not define is unknown, and two different
+values are a conflict. Each message has the location of the error, and suggests a similar valid name if there
+is one.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 TYPES = ("string", "bool", "int", "number", "duration", "size", "rate", "null")
 UNIT_OF_KIND = {"duration": "ms", "size": "B", "rate": "/s"}
-MAX_DEPTH = 64  # structures within each other; more is a record that contains itself
+MAX_DEPTH = 64  # of nested structures; deeper nesting is taken for a record that contains itself
 EXAMPLES = {
     "duration": "150ms",
     "size": "64KiB",
@@ -44,22 +44,22 @@
 
 @dataclass(frozen=True)
 class Statement:
-    """One statement about a field, and where its names are looked up."""
+    """A statement about a field, and the scopes in which its names are looked up."""
 
     value: Value
     scopes: tuple[Struct, ...]
 
 
 class Resolver:
-    """Resolves a schema and a file into plain values. All errors are collected, one message each."""
+    """Resolves a schema and a file to plain values. Collects all errors, one message each."""
 
     def __init__(self, schema: Struct) -> None:
         self.schema = schema
         self.errors: list[InvalidSettingError] = []
-        self.locations: dict[str, SourceLocation] = {}  # of the values that the file gave, by path
+        self.locations: dict[str, SourceLocation] = {}  # of the values in the file, by path
 
     def resolve(self, file: Struct) -> dict[str, Any]:
-        """The whole record. What is wrong is in `errors` afterwards, in order of place."""
+        """Resolves the whole record. Errors are then in `errors`, in order of location."""
         resolved = self._resolve_struct(
             [Statement(self.schema, (self.schema,)), Statement(file, (self.schema, file))],
             "",
@@ -98,7 +98,9 @@
     def _fields_by_label(
         self, statements: list[Statement]
     ) -> tuple[dict[str, list[tuple[Field, Statement]]], set[str] | None]:
-        """All that is stated of each field, and the labels that the schema knows, if it states any."""
+        """Groups statements by field; also returns the labels that the schema defines, None if it defines
+        none.
+        """
         by_label: dict[str, list[tuple[Field, Statement]]] = {}
         known: set[str] | None = None
         for number, statement in enumerate(statements):
@@ -119,7 +121,7 @@
     def _resolve_value(
         self, statements: list[Statement], path: str, location: SourceLocation, depth: int
     ) -> Any:
-        """What all statements about a field leave; `_NO_VALUE` after a message."""
+        """Unifies all statements about a field; returns `_NO_VALUE` after reporting an error."""
         if depth > MAX_DEPTH:
             return self._report(location, f"{path} contains itself")
         try:
@@ -136,7 +138,7 @@
     def _resolve_plain(
         self, statements: list[Statement], path: str, location: SourceLocation, depth: int
     ) -> Any:
-        """Statements without choices: a record, a list or a scalar, but no two of them."""
+        """Resolves statements without choices: all records, all lists or all scalars."""
         structs = [each for each in statements if isinstance(each.value, Struct)]
         lists = [each for each in statements if isinstance(each.value, List)]
         scalars = [each for each in statements if not isinstance(each.value, Struct | List)]
@@ -152,7 +154,7 @@
         return self._resolve_scalar(scalars, path, location)
 
     def _flatten(self, statement: Statement, depth: int) -> list[Statement]:
-        """A statement without its references and conjunctions. Raises InvalidSettingError."""
+        """Expands a statement's references and conjunctions. Raises InvalidSettingError."""
         value = statement.value
         if isinstance(value, Conjunction):
             inner = [Statement(each, statement.scopes) for each in value.parts]
@@ -205,7 +207,9 @@
         location: SourceLocation,
         depth: int,
     ) -> Any:
-        """The one option that fits what else is stated; the default where nothing else is."""
+        """Resolves to the first option that fits the other statements, or to the default if
+        there are none.
+        """
         choice, *more = choices
         assert isinstance(choice.value, Disjunction)
         options = [
@@ -229,7 +233,7 @@
         simple = all(isinstance(option.value, Literal) for _, option in options)
         if simple or not errors:
             return self._report(location, _no_option_fits(path, choice.value, statements))
-        self.errors.extend(errors)  # the widest option stands last: its message says most
+        self.errors.extend(errors)  # those of the last option, which is the most general one
         return _NO_VALUE
 
     # --- lists ---
@@ -279,7 +283,7 @@
         return value.value if isinstance(value, Quantity) else value
 
     def _scalar_problem(self, value: object, kinds: list[str], bounds: list[Constraint]) -> str:
-        """Which type or bound a value does not keep; empty if it keeps all."""
+        """Describes the first type or bound that a value violates; empty if there is none."""
         for kind in kinds:
             if not _is_of_kind(kind, value):
                 return f"it is a {kind}, as in {EXAMPLES.get(kind, kind)}"
@@ -313,7 +317,7 @@
 
 
 class _NoValue:
-    """Stands for a value that could not be resolved."""
+    """Placeholder for a value that could not be resolved."""
 
 
 _NO_VALUE = _NoValue()
@@ -359,7 +363,7 @@
 
 
 def _as_written(value: object) -> str:
-    """A value as one would write it."""
+    """Formats a value as in a settings file."""
     if isinstance(value, Literal):
         return _literal_as_written(value.value)
     if isinstance(value, Reference):
--- a/ochrecourse/settings/validation.py
+++ b/ochrecourse/settings/validation.py
@@ -1,4 +1,4 @@
-"""What must hold between fields of a resolved record, beyond the types and bounds of the schema."""
+"""Validates constraints between fields of a resolved record, beyond the types and bounds of the schema."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 def cross_field_errors(
     record: Mapping[str, Any], locations: Mapping[str, SourceLocation], start: SourceLocation
 ) -> list[InvalidSettingError]:
-    """All problems of a record whose fields are each valid by themselves.
+    """Returns the problems of a record whose fields are individually valid.
 
-    `locations` has the place of each value that the file gave, by path; what it did not give is reported at
-    `start` or at the part that holds it.
+    `locations`: of each value in the file, by path. A problem with a value that the file omits is reported at
+    the section that contains it, or at `start`.
     """
     errors = _located(_request_class_and_tenant_problems(record), locations, start)
     errors += _located(_webdav_problems(record), locations, start)
@@ -47,7 +47,7 @@
             yield Problem(f"products[{i}].promised", "is longer than its client_timeout")
         if travel >= request_class["client_timeout"]:
             yield Problem("gateway.travel", f"leaves no time within products[{i}].client_timeout")
-    # A bucket that is shared evenly holds a largest request of each gateway only if it is this deep.
+    # With this depth, each gateway's share of an evenly divided token bucket holds a largest request.
     least_burst = record["units"]["most"] * record["gateway"]["gateways"]
     for i, tenant in enumerate(record["plans"]):
         if tenant["limit"] and tenant["limit_burst"] < least_burst:
@@ -56,7 +56,7 @@
 
 
 def _name_problems(kind: str, names: list[str]) -> Iterator[Problem]:
-    """The names of request classes, or of tenants, are there and differ."""
+    """Checks that there is at least one request class (or tenant), and that names are unique."""
     if not names:
         yield Problem(kind, "is empty; a gateway needs at least one")
     for i, name in enumerate(names):
@@ -65,7 +65,7 @@
 
 
 def _webdav_problems(record: Mapping[str, Any]) -> Iterator[Problem]:
-    """The tables of the WebDAV server name request classes and tenants that there are."""
+    """Checks that the tables of the WebDAV server refer to existing request classes and tenants."""
     if "webdav" not in record:
         return
     for table, field, kind in (("products", "product", "products"), ("volumes", "plan", "plans")):
@@ -79,7 +79,7 @@
 
 
 def _endpoint_source_problems(record: Mapping[str, Any]) -> Iterator[Problem]:
-    """One source tells of nodes, a list server or a registry; addresses are addresses."""
+    """Checks that exactly one source of endpoints, a list server or a registry, is set, and all addresses."""
     if record["gateway"]["number"] >= record["gateway"]["gateways"]:
         yield Problem("gateway.number", "counts from 0 to gateways - 1")
     has_registry = "registry" in record
@@ -103,7 +103,7 @@
 ) -> list[InvalidSettingError]:
     if not record.get("sites") and not {"copies", "purges"} & record.get("fleet", {}).keys():
         return []
-    # Loaded late: time zones and holidays are needed where a site closes, and nowhere else.
+    # Imported late: the libraries of time zones and holidays are needed only for sites.
     from ochrecourse.settings.site_validation import site_problems
 
     return [
@@ -113,7 +113,9 @@
 
 
 def _nearest(path: str, locations: Mapping[str, SourceLocation], start: SourceLocation) -> SourceLocation:
-    """The place of a field, else of the part that holds it, else of the first field inside it."""
+    """Returns the location of a field, else of the section that contains it, else of the first field inside
+    it.
+    """
     inside = [location for name, location in locations.items() if name.startswith(f"{path}.")]
     at = path
     while at not in locations and at and not inside:
--- a/ochrecourse/settings/writer.py
+++ b/ochrecourse/settings/writer.py
@@ -1,11 +1,11 @@
-"""Resolved settings back to text that resolves to the same record."""
+"""Writes a resolved record as text that resolves to the same record."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-# Fields by the last step of their path, to write each with the unit of its kind.
+# Names of fields (last component of the path) by kind; each is written with the unit of its kind.
 DURATION_FIELDS = frozenset(
     (
         "promised", "client_timeout", "repeat_window", "travel", "drain_grace", "cold_time", "cold_fall",
@@ -21,7 +21,7 @@
 
 
 def write(record: Mapping[str, Any], depth: int = 0) -> str:
-    """A resolved record as text that resolves to the same; `depth` is the level of indentation."""
+    """Formats a resolved record as text that resolves to the same record; `depth`: level of indentation."""
     indent = "\t" * depth
     return "".join(f"{indent}{name}: {_text(name, value, depth)}\n" for name, value in record.items())
 
