--- a/tests/relay_process.py
+++ b/tests/relay_process.py
@@ -1,4 +1,4 @@
-"""`python -m ochrecourse.relay` as a child on real sockets, with a storage node and a list agent of the test's own."""
+"""Runs `python -m ochrecourse.relay` as a child process on real sockets, with a storage node and a list agent."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 from ochrecourse.resp import codec
 from ochrecourse.standins.respnode import good
 
-PATIENCE = 120  # s after which a child that does not move is a failure; no verdict depends on it
+TIMEOUT_S = 120  # s after which a child that makes no progress is a failure; no other check depends on it
 HOOK = Path(__file__).parent / "signal_hook"
 
 
@@ -31,39 +31,39 @@
 
 
 class _Agent(socketserver.BaseRequestHandler):
-    """Answers a watch, and says a list when the server has one; before `speaks` is set it is silent."""
+    """Answers a watch, and sends a list if the server has one; silent until `responds` is set."""
 
     def handle(self):
         self.request.recv(4096)
         self.server.asked.put(self.server.server_address[1])
-        while not self.server.speaks.wait(0.05):
+        while not self.server.responds.wait(0.05):
             if self.server.ended.is_set():
                 return
         self.request.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         if self.server.first is not None:
             line = json.dumps(self.server.first).encode() + b"\n"
             self.request.sendall(b"%x\r\n%b\r\n" % (len(line), line))
-        with contextlib.suppress(OSError):  # the child ends its watch as it likes
+        with contextlib.suppress(OSError):  # the child may close its watch at any time
             while not self.server.ended.wait(0.2):
                 self.request.sendall(b"1\r\n\n\r\n")
 
 
-def _serve(handler, first=None):
+def _start_server(handler, first=None):
     server = socketserver.ThreadingTCPServer(("127.0.0.1", 0), handler)
     server.daemon_threads, server.block_on_close = True, False
-    server.ended, server.speaks, server.asked, server.first = (
+    server.ended, server.responds, server.asked, server.first = (
         threading.Event(),
         threading.Event(),
         queue.Queue(),
         first,
     )
-    server.speaks.set()
+    server.responds.set()
     threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     return server
 
 
-class Relay:
-    """The child, its servers, and the lines of its log as they come."""
+class RelayProcess:
+    """The child process, its servers, and the lines of its log."""
 
     def __init__(
         self,
@@ -71,18 +71,18 @@
         points="",
         sockets=256,
         preexec=None,
-        agent_speaks=True,
+        agent_responds=True,
         known=None,
         listen="127.0.0.1:0",
     ):
-        self.node, self.agent, self.other = _serve(_Node), _serve(_Agent), _serve(_Agent)
+        self.node, self.agent, self.other = _start_server(_Node), _start_server(_Agent), _start_server(_Agent)
         self.node_port, self.agent_port, self.other_port = (
             server.server_address[1] for server in (self.node, self.agent, self.other)
         )
-        if not agent_speaks:
-            self.agent.speaks.clear()
+        if not agent_responds:
+            self.agent.responds.clear()
         self.path = folder / "config.json"
-        self.told = {
+        self.start_file = {
             "name": "n0", "listen": listen, "discovery": f"127.0.0.1:{self.agent_port}", "seed": "0f",
             "limits": {"sockets": sockets, "memory_mb": 64}, "settings": FLAT, "known": known or listed(self.node_port),
         }  # fmt: skip
@@ -98,7 +98,7 @@
             preexec_fn=preexec,
         )
         self.lines = queue.Queue()
-        self.seen = []
+        self.log_lines = []
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.reader.start()
 
@@ -108,39 +108,39 @@
         self.lines.put(None)
 
     def write(self, **changes):
-        self.path.write_text(json.dumps({**self.told, **changes}))
+        self.path.write_text(json.dumps({**self.start_file, **changes}))
 
-    def until(self, text):
-        """The next line of the log that holds this text; the child's end before it is a failure."""
-        while (line := self.lines.get(timeout=PATIENCE)) is not None:
-            self.seen.append(line)
+    def wait_for_line(self, text):
+        """Returns the next log line that contains the text; fails if the child ends before it."""
+        while (line := self.lines.get(timeout=TIMEOUT_S)) is not None:
+            self.log_lines.append(line)
             if text in line:
                 return line
-        raise AssertionError(f"ended without {text!r}: {self.seen}")
+        raise AssertionError(f"ended without {text!r}: {self.log_lines}")
 
     def port(self):
-        return int(self.until(" serves at ").split("127.0.0.1:")[1].split(";")[0])
+        return int(self.wait_for_line(" serves at ").split("127.0.0.1:")[1].split(";")[0])
 
     def connect(self, port):
-        return socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        return socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
 
     def send(self, number=signal.SIGTERM):
         self.process.send_signal(number)
 
-    def end(self):
-        """The child's exit code; all that it logged is in `seen`."""
-        code = self.process.wait(timeout=PATIENCE)
-        while (line := self.lines.get(timeout=PATIENCE)) is not None:
-            self.seen.append(line)
+    def wait_for_exit(self):
+        """Waits for the child's exit and returns its code; its log is then complete in `log_lines`."""
+        code = self.process.wait(timeout=TIMEOUT_S)
+        while (line := self.lines.get(timeout=TIMEOUT_S)) is not None:
+            self.log_lines.append(line)
         return code
 
     def __enter__(self):
         return self
 
-    def __exit__(self, *trouble):
+    def __exit__(self, *error):
         self.process.kill()
         self.process.wait()
-        self.reader.join(PATIENCE)
+        self.reader.join(TIMEOUT_S)
         self.process.stderr.close()
         for server in (self.node, self.agent, self.other):
             server.ended.set()
@@ -148,15 +148,15 @@
             server.server_close()
 
 
-def ask(client, command, answer):
-    """Sends a command and reads as many bytes as the answer has; less, if it is a line of another kind, or the
-    connection ends or is reset first.
+def send_and_receive(client, command, expected):
+    """Sends a command and reads as many bytes as the expected response has; fewer if the response is an error line
+    or the connection ends or is reset first.
     """
-    got = b""
+    received = b""
     with contextlib.suppress(ConnectionError):
         client.sendall(command)
-        while len(got) < len(answer) and (data := client.recv(65536)):
-            got += data
-            if got[:1] == b"-" and got.endswith(b"\r\n"):
+        while len(received) < len(expected) and (data := client.recv(65536)):
+            received += data
+            if received[:1] == b"-" and received.endswith(b"\r\n"):
                 break
-    return got
+    return received
--- a/tests/restart_soak.py
+++ b/tests/restart_soak.py
@@ -1,7 +1,7 @@
-"""A soak of restarts on real sockets: gateways of the platform's program that are told to end, killed and started
-again while clients stay on their connections until the kill.
+"""A soak test of restarts on real sockets: gateways of the platform's program are terminated, killed and started
+again while clients keep their connections until the kill.
 
-One seed draws a whole run. `python restart_soak.py 7` plays it again; `python restart_soak.py 1:50` a series.
+A seed determines a whole run. `python restart_soak.py 7` repeats one, `python restart_soak.py 1:50` runs a series.
 """
 
 import contextlib
@@ -32,23 +32,22 @@
 from ochrecourse.standins.respnode import good
 
 LONGEST_DEADLINE_MS = 900
-KILL_DELAY_S = 0.7  # after the longest deadline, the earliest that the platform's page allows
+KILL_DELAY_S = 0.7  # from the longest deadline to the kill, the earliest that the platform's page allows
 KILL_AFTER_TERM_S = LONGEST_DEADLINE_MS / 1000 + KILL_DELAY_S
-TAKEN_AFTER_TERM_S = 0.7  # a request that came later after SIGTERM may find the kill
-LATE_S = 0.5  # STANDING: an answer later than this after its time is lost
-GONE_S = 0.1  # no attempt begins later than this after its client closed
+SAFE_AFTER_TERM_S = 0.7  # a request sent later than this after SIGTERM may be lost with the kill
+LATE_S = 0.5  # STANDING: a response later than this after its deadline is lost
+ATTEMPT_GRACE_S = 0.1  # no attempt starts later than this after its client closed
 READY_S = 10.0
 READY_SHARE = 0.9
-CROSSING_S = 0.05  # a request sent so shortly before the gateway's close may cross it, unread
+CROSSING_S = 0.05  # a request sent this shortly before the gateway's close may cross it, unread
 RUN_S = 8.0
 SETTLE_S = 1.0
 CROWD = 150
 FIXED_PORTS = (15_000, 30_000)
 SOCKETS = 256
-PATIENCE_S = 60
-RESTING_DESCRIPTORS = share_descriptors(SOCKETS)[
-    1
-]  # connections to nodes may rest; of clients none may be left
+TIMEOUT_S = 60
+# Idle connections to nodes may stay open; those of clients must not.
+IDLE_DESCRIPTORS = share_descriptors(SOCKETS)[1]
 MEMORY_GROWTH_MB = 24
 KNOWN_LINES = re.compile(
     r"^[\d.]+ (n\d serves at|leaving;|left;|start file (read again|not taken over|given up)|told to end"
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What is done to a gateway `at_s` after the run began: `hups`, `term`, `early_term` or `kill`."""
+    """An action on a gateway `at_s` after the start of the run: `hups`, `term`, `early_term` or `kill`."""
 
     at_s: float
     gateway: int
@@ -71,7 +70,7 @@
 
 @dataclass
 class Plan:
-    """One drawn run."""
+    """The plan of a run."""
 
     seed: int
     gateways: int
@@ -82,20 +81,22 @@
 
 
 def draw(seed):
-    """The run of a seed; one of three has a crowd."""
-    chance = random.Random(f"{seed} soak")
-    gateways = chance.randint(1, 4)
+    """Returns the plan of a seed; one of three has a crowd of idle clients."""
+    random_source = random.Random(f"{seed} soak")
+    gateways = random_source.randint(1, 4)
     kinds = ["one", "pipeline", "rest", "slow", "leave"]
-    drawn = [chance.choice(kinds) for _ in range(chance.randint(6, 16))]
+    drawn = [random_source.choice(kinds) for _ in range(random_source.randint(6, 16))]
     steps, at = [], 0.8
     while at < RUN_S - KILL_AFTER_TERM_S - 1.5:
-        action = chance.choice(("hups", "term", "term", "kill", "early_term"))
-        steps.append(Step(round(at, 2), chance.randrange(gateways), action))
-        at += chance.uniform(0.2, 1.2)
+        action = random_source.choice(("hups", "term", "term", "kill", "early_term"))
+        steps.append(Step(round(at, 2), random_source.randrange(gateways), action))
+        at += random_source.uniform(0.2, 1.2)
     modes = []
     for _ in range(2):
-        start = chance.uniform(1, RUN_S - 2)
-        modes.append((round(start, 2), round(start + chance.uniform(0.3, 1.5), 2), chance.choice(MODES)))
+        start = random_source.uniform(1, RUN_S - 2)
+        modes.append(
+            (round(start, 2), round(start + random_source.uniform(0.3, 1.5), 2), random_source.choice(MODES))
+        )
     return Plan(seed, gateways, drawn, CROWD if seed % 3 == 0 else 0, steps, modes)
 
 
@@ -105,10 +106,10 @@
 
 
 class Node:
-    """A storage node whose mode follows the plan; it keeps when each command came and whether it ran."""
+    """A storage node whose mode follows the plan; records when each command arrived and whether it was executed."""
 
     def __init__(self, mode):
-        self.mode, self.came, self.ran = mode, [], Counter()
+        self.mode, self.arrivals, self.executions = mode, [], Counter()
         node = self
 
         class Handler(socketserver.BaseRequestHandler):
@@ -124,14 +125,14 @@
         while data := connection.recv(65536):
             reader.feed(data)
             while (words := reader.next()) is not None:
-                self.came.append((time.monotonic_ns(), int(words[2], 16)))
+                self.arrivals.append((time.monotonic_ns(), int(words[2], 16)))
                 mode = self.mode()
                 if mode == "reset":
                     return
                 if mode == "hang":
                     time.sleep(1.5)
                     return
-                self.ran[int(words[2], 16)] += 1
+                self.executions[int(words[2], 16)] += 1
                 if mode == "reset_after_work":
                     return
                 time.sleep(0.06 if mode == "slow" else 0.003)
@@ -139,7 +140,7 @@
 
 
 class Agent:
-    """Discovery: a list at once, then empty lines."""
+    """Discovery: sends a list at once, then empty lines."""
 
     def __init__(self, known):
         self.over = threading.Event()
@@ -170,10 +171,11 @@
 
 
 def free_port():
-    """A port below those that the system gives away: nobody takes it while no gateway listens there."""
-    chance = random.Random()
+    """A free port below the ephemeral range, so that the system assigns it to no other socket while no gateway
+    listens on it."""
+    random_source = random.Random()
     while True:
-        number = chance.randrange(*FIXED_PORTS)
+        number = random_source.randrange(*FIXED_PORTS)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", number)):
             return number
 
@@ -182,19 +184,19 @@
 
 
 def run_command():
-    """The platform's command to start a gateway, with this interpreter."""
+    """The platform's command that starts a gateway, with this interpreter."""
     deploy = tomllib.loads((Path(__file__).parent.parent / "deploy" / "balancer.toml").read_text())
     return deploy["run"].replace(".venv/bin/python", shlex.quote(sys.executable))
 
 
 @dataclass
-class Life:
-    """One process of a gateway. Times in ns, 0: never; `ready_s`: from its start until it served."""
+class Incarnation:
+    """One incarnation (process) of a gateway. Times in ns, 0: never; `ready_s`: from its start until it served."""
 
     began: int
     term: int = 0
     killed: int = 0
-    crashed: bool = False  # killed out of the blue, maybe earlier after SIGTERM than the platform does
+    crashed: bool = False  # killed without warning, possibly sooner after SIGTERM than the platform does
     ended: int = 0
     code: int | None = None
     ready_s: float | None = None
@@ -202,17 +204,17 @@
 
 
 class Gateway:
-    """One gateway over its lives, each started as soon as the one before has ended or was killed."""
+    """A gateway and its incarnations, each started as soon as its predecessor has ended or was killed."""
 
     def __init__(self, index, folder, nodes, agent):
-        self.index, self.port, self.lives = index, free_port(), []
+        self.index, self.port, self.incarnations = index, free_port(), []
         self.path = folder / f"n{index}.json"
         self.start_file = {
             "name": f"n{index}", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{agent.port}",
             "seed": "0f", "limits": {"sockets": SOCKETS, "memory_mb": 128}, "settings": SETTINGS,
             "known": listed(*(node.port for node in nodes)),
         }  # fmt: skip
-        self.process, self.life, self.lock = None, None, threading.RLock()
+        self.process, self.incarnation, self.lock = None, None, threading.RLock()
         self.stopping = False
         self.start()
 
@@ -221,58 +223,61 @@
 
     def start(self):
         self.write()
-        self.life = life = Life(time.monotonic_ns())
-        self.lives.append(life)
+        self.incarnation = incarnation = Incarnation(time.monotonic_ns())
+        self.incarnations.append(incarnation)
         environment = {**os.environ, "RELAY_CONFIG": str(self.path)}
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", run_command()], env=environment, stderr=subprocess.PIPE, text=True
         )
-        threading.Thread(target=self._watch, args=(self.process, life), daemon=True).start()
+        threading.Thread(target=self._watch, args=(self.process, incarnation), daemon=True).start()
 
-    def _watch(self, process, life):
+    def _watch(self, process, incarnation):
         for line in process.stderr:
-            life.lines.append(line.rstrip())
+            incarnation.lines.append(line.rstrip())
             if " serves at " in line:
-                life.ready_s = (time.monotonic_ns() - life.began) / 1e9
-        life.code = process.wait()
-        life.ended = time.monotonic_ns()
+                incarnation.ready_s = (time.monotonic_ns() - incarnation.began) / 1e9
+        incarnation.code = process.wait()
+        incarnation.ended = time.monotonic_ns()
         with self.lock:
-            if life is self.life and not self.stopping:
+            if incarnation is self.incarnation and not self.stopping:
                 self.start()
 
     def signal(self, number):
         with self.lock, contextlib.suppress(ProcessLookupError):
-            if number == signal.SIGTERM and not self.life.term:
-                self.life.term = time.monotonic_ns()
+            if number == signal.SIGTERM and not self.incarnation.term:
+                self.incarnation.term = time.monotonic_ns()
             if number == signal.SIGKILL:
-                self.life.killed = time.monotonic_ns()
+                self.incarnation.killed = time.monotonic_ns()
             self.process.send_signal(number)
 
     def kill(self):
-        """SIGKILL, and the next process at once: the one before may not be torn down yet."""
+        """Sends SIGKILL and starts the next process at once, when the predecessor may not be torn down yet."""
         with self.lock:
             self.signal(signal.SIGKILL)
             if not self.stopping:
                 self.start()
 
     def crash(self):
-        """A kill out of the blue."""
+        """Kills the process without warning."""
         with self.lock:
-            self.life.crashed = True
+            self.incarnation.crashed = True
             self.kill()
 
-    def kill_if_lives(self, life):
+    def kill_if_running(self, incarnation):
         with self.lock:
-            if life is self.life and life.code is None:
+            if incarnation is self.incarnation and incarnation.code is None:
                 self.kill()
 
     def act(self, action):
-        """One step of the plan; signals in a series follow each other at once."""
+        """Executes an action of the plan; signals in a series follow each other at once."""
         if action == "kill":
             self.crash()
         elif action == "hups":
-            with self.lock:  # no process begins while its file is half written, which is an error of a start
-                broken = ("{", json.dumps(self.start_file)[:200]) if self.life.ready_s else (None, None)
+            # No process starts while its file is incomplete, which would be an error of the start.
+            with self.lock:
+                broken = (
+                    ("{", json.dumps(self.start_file)[:200]) if self.incarnation.ready_s else (None, None)
+                )
                 for text in (*broken, None, None):
                     self.write(text)
                     self.signal(signal.SIGHUP)
@@ -287,10 +292,10 @@
 
     def terminate(self):
         with self.lock:
-            life = self.life
+            incarnation = self.incarnation
             self.signal(signal.SIGTERM)
             self.signal(signal.SIGTERM)
-        timer = threading.Timer(KILL_AFTER_TERM_S, self.kill_if_lives, (life,))
+        timer = threading.Timer(KILL_AFTER_TERM_S, self.kill_if_running, (incarnation,))
         timer.daemon = True
         timer.start()
 
@@ -309,7 +314,7 @@
             self.process.wait(timeout=KILL_AFTER_TERM_S)
         if self.process.poll() is None:
             self.signal(signal.SIGKILL)
-        self.process.wait(timeout=PATIENCE_S)
+        self.process.wait(timeout=TIMEOUT_S)
 
 
 # --- one run ---
@@ -317,27 +322,27 @@
 
 @dataclass
 class Evidence:
-    """All that a run left: what clients noted, what nodes got, and how processes fared."""
+    """The records of a run: events of clients, commands at nodes, and the incarnations of gateways."""
 
     events: list
-    came: list
-    ran: Counter
-    lives: list  # by gateway
-    grown: list = field(default_factory=list)  # words of descriptors or memory that did not come back
+    arrivals: list
+    executions: Counter
+    incarnations: list  # by gateway
+    leaks: list = field(default_factory=list)  # descriptions of descriptors and memory that were not released
 
 
 @dataclass
 class Report:
-    """What a run broke, and what it counted."""
+    """The breaches of the rules in a run, and counts of its events."""
 
     seed: int
     breaches: list
     counts: Counter
-    folder: Path | None = None  # what the run left, where it broke
+    folder: Path | None = None  # the evidence of a run with breaches
 
 
-def play(plan):
-    """Plays a run; its evidence."""
+def execute(plan):
+    """Executes a plan and returns the evidence."""
     with tempfile.TemporaryDirectory() as folder:
         began = time.monotonic()
 
@@ -348,7 +353,7 @@
         agent = Agent(listed(*(node.port for node in nodes)))
         gateways = [Gateway(index, Path(folder), nodes, agent) for index in range(plan.gateways)]
         try:
-            return _played(plan, nodes, gateways)
+            return _execute_steps(plan, nodes, gateways)
         finally:
             for gateway in gateways:
                 gateway.stop()
@@ -358,14 +363,14 @@
                 each.server.server_close()
 
 
-def _until_ready(gateways):
-    until = time.monotonic() + PATIENCE_S
-    while time.monotonic() < until and not all(gateway.life.ready_s for gateway in gateways):
+def _wait_until_ready(gateways):
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline and not all(gateway.incarnation.ready_s for gateway in gateways):
         time.sleep(0.02)
 
 
-def _played(plan, nodes, gateways):
-    _until_ready(gateways)
+def _execute_steps(plan, nodes, gateways):
+    _wait_until_ready(gateways)
     at_rest = [(gateway.descriptors(), gateway.memory_mb()) for gateway in gateways]
     clients = subprocess.Popen(
         [sys.executable, str(Path(__file__).with_name("soak_clients.py"))],
@@ -373,48 +378,48 @@
     )  # fmt: skip
     ports = [gateway.port for gateway in gateways]
     config = {"seed": plan.seed, "ports": ports, "length_s": RUN_S, "kinds": plan.kinds, "crowd": plan.crowd}
-    told = queue.Queue()
+    output_queue = queue.Queue()
     threading.Thread(
-        target=lambda: told.put(clients.communicate(json.dumps(config), timeout=PATIENCE_S + RUN_S)),
+        target=lambda: output_queue.put(clients.communicate(json.dumps(config), timeout=TIMEOUT_S + RUN_S)),
         daemon=True,
     ).start()
     began = time.monotonic()
     for step in plan.steps:
         time.sleep(max(0.0, began + step.at_s - time.monotonic()))
         gateways[step.gateway].act(step.action)
-    output, _ = told.get(timeout=2 * PATIENCE_S)
+    output, _ = output_queue.get(timeout=2 * TIMEOUT_S)
     assert clients.returncode == 0, "the clients' process ended by itself"
-    _until_ready(gateways)
+    _wait_until_ready(gateways)
     time.sleep(SETTLE_S)
-    grown = []
+    leaks = []
     for gateway, (descriptors, memory_mb) in zip(gateways, at_rest, strict=True):
         opened = gateway.descriptors() - descriptors
-        if opened > RESTING_DESCRIPTORS:
-            grown.append(f"n{gateway.index} has {opened} descriptors more with no client than at its start")
+        if opened > IDLE_DESCRIPTORS:
+            leaks.append(f"n{gateway.index} has {opened} descriptors more with no client than at its start")
         grown_mb = gateway.memory_mb() - memory_mb
         if grown_mb > MEMORY_GROWTH_MB:
-            grown.append(f"n{gateway.index} has {grown_mb:.0f} MB more than at its start")
+            leaks.append(f"n{gateway.index} has {grown_mb:.0f} MB more than at its start")
         gateway.stop()
     return Evidence(
         [json.loads(line) for line in output.splitlines()],
-        sorted(each for node in nodes for each in node.came),
-        sum((node.ran for node in nodes), Counter()),
-        [gateway.lives for gateway in gateways],
-        grown,
+        sorted(each for node in nodes for each in node.arrivals),
+        sum((node.executions for node in nodes), Counter()),
+        [gateway.incarnations for gateway in gateways],
+        leaks,
     )
 
 
-# --- the judge ---
+# --- checks of the evidence ---
 
 
-class Judge:
-    """Judges the evidence of one run strictly; only the clients' own recorded lateness is taken off."""
+class EvidenceChecker:
+    """Checks the evidence of a run strictly; only the recorded lateness of the clients' event loop is deducted."""
 
     def __init__(self, evidence):
         self.evidence = evidence
         self.breaches, self.counts = [], Counter()
         self.sent, self.answers, self.closed = {}, defaultdict(list), {}
-        self.last_answer = {}  # by connection, while answers are gone through in their order
+        self.last_answer = {}  # time by connection, while answers are processed in order
         self.stalls = []
         for each in evidence.events:
             kind = each["event"]
@@ -429,20 +434,20 @@
             else:
                 self.breach(f"bytes that nobody asked for on connection {each['connection']}")
         self.ends = [end for _, end in self.stalls]
-        self.came_for = defaultdict(list)
-        for t, number in evidence.came:
-            self.came_for[number].append(t)
+        self.arrivals_by_request = defaultdict(list)
+        for t, number in evidence.arrivals:
+            self.arrivals_by_request[number].append(t)
 
     def breach(self, text):
         self.breaches.append(text)
 
     def lateness(self, t):
-        """How late the clients' loop may have been at a time, in ns, by its own record."""
+        """The lateness, in ns, of the clients' event loop at a time, by its own measurement."""
         index = bisect_left(self.ends, t - 10_000_000)
         starts = [start for start, _ in self.stalls[index : index + 2]]
         return t - min([t, *starts])
 
-    def verdict(self):
+    def check(self):
         for number, sent in self.sent.items():
             self.counts["requests"] += 1
             answers = self.answers.get(number, [])
@@ -452,11 +457,11 @@
                 self._answered(number, sent, answers[0])
             else:
                 self._unanswered(number, sent)
-            if sent["effect"] == "unsafe" and self.evidence.ran[number] > 1:
-                self.breach(f"unsafe request {number} ran {self.evidence.ran[number]} times")
+            if sent["effect"] == "unsafe" and self.evidence.executions[number] > 1:
+                self.breach(f"unsafe request {number} ran {self.evidence.executions[number]} times")
             self._attempts(number, sent)
         self._processes()
-        self.breaches += self.evidence.grown
+        self.breaches += self.evidence.leaks
         return self.breaches, self.counts
 
     def _answered(self, number, sent, answer):
@@ -464,7 +469,7 @@
         due = sent["t"] + sent["timeout_ms"] * 1_000_000
         before = self.last_answer.get(sent["connection"], 0)
         self.last_answer[sent["connection"]] = answer["t"]
-        late = answer["t"] - max(due, before)  # the time spent waiting for those before it does not count
+        late = answer["t"] - max(due, before)  # without the time spent waiting for earlier responses
         if late > LATE_S * 1e9:
             if late - self.lateness(answer["t"]) <= LATE_S * 1e9:
                 self.counts["answers whose lateness was the clients' own"] += 1
@@ -476,33 +481,37 @@
         if closed["by"] == "client":
             self.counts["left"] += 1
             return
-        life = self._life(sent["gateway"], closed["t"])
-        asked, over = sent["t"], closed["t"] - self.lateness(closed["t"])
-        if life is not None and life.killed and life.killed <= closed["t"]:
-            if life.crashed or not life.term or asked > life.term + TAKEN_AFTER_TERM_S * 1e9:
+        incarnation = self._incarnation_at(sent["gateway"], closed["t"])
+        sent_at, closed_at = sent["t"], closed["t"] - self.lateness(closed["t"])
+        if incarnation is not None and incarnation.killed and incarnation.killed <= closed["t"]:
+            if (
+                incarnation.crashed
+                or not incarnation.term
+                or sent_at > incarnation.term + SAFE_AFTER_TERM_S * 1e9
+            ):
                 self.counts["ended by a kill"] += 1
                 return
-        elif not self.came_for[number] and over - asked < CROSSING_S * 1e9:
+        elif not self.arrivals_by_request[number] and closed_at - sent_at < CROSSING_S * 1e9:
             self.counts["crossed a close"] += 1
             return
-        told = (
+        last_signal = (
             "no process"
-            if life is None
-            else f"SIGTERM {(asked - life.term) / 1e6:.0f} ms before"
-            if life.term
+            if incarnation is None
+            else f"SIGTERM {(sent_at - incarnation.term) / 1e6:.0f} ms before"
+            if incarnation.term
             else "no SIGTERM"
         )
-        attempts = len(self.came_for[number])
+        attempts = len(self.arrivals_by_request[number])
         self.breach(
             f"request {number} ({sent['effect']}, {sent['timeout_ms']} ms) at n{sent['gateway']} had no answer, "
-            f"{(closed['t'] - asked) / 1e6:.0f} ms until the close; {told}, {attempts} attempts"
+            f"{(closed['t'] - sent_at) / 1e6:.0f} ms until the close; {last_signal}, {attempts} attempts"
         )
 
-    def _life(self, gateway, t):
-        """The process of a gateway that a connection which ended at `t` was of: the last that had begun to serve."""
+    def _incarnation_at(self, gateway, t):
+        """The incarnation that a connection which ended at `t` belonged to: the last one that had begun to serve."""
         served = [
-            life for life in self.evidence.lives[gateway]
-            if life.ready_s is not None and life.began + life.ready_s * 1e9 <= t
+            incarnation for incarnation in self.evidence.incarnations[gateway]
+            if incarnation.ready_s is not None and incarnation.began + incarnation.ready_s * 1e9 <= t
         ]  # fmt: skip
         return served[-1] if served else None
 
@@ -510,26 +519,32 @@
         closed = self.closed[sent["connection"]]
         if closed["by"] != "client" or number in self.answers:
             return
-        for t in self.came_for[number]:
-            if t > closed["t"] + GONE_S * 1e9 + self.lateness(closed["t"]):
+        for t in self.arrivals_by_request[number]:
+            if t > closed["t"] + ATTEMPT_GRACE_S * 1e9 + self.lateness(closed["t"]):
                 self.breach(
                     f"an attempt of {number} began {(t - closed['t']) / 1e6:.0f} ms after its client left"
                 )
 
     def _processes(self):
         ready = []
-        for index, lives in enumerate(self.evidence.lives):
-            for life in lives:
+        for index, incarnations in enumerate(self.evidence.incarnations):
+            for incarnation in incarnations:
                 self.counts["starts"] += 1
-                self.counts["SIGTERM"] += bool(life.term)
-                self.counts["SIGKILL"] += bool(life.killed)
-                if life.term and life.code == -signal.SIGTERM and not life.lines:
+                self.counts["SIGTERM"] += bool(incarnation.term)
+                self.counts["SIGKILL"] += bool(incarnation.killed)
+                if incarnation.term and incarnation.code == -signal.SIGTERM and not incarnation.lines:
                     self.counts["ended by SIGTERM before the program's first statement"] += 1
-                elif life.code is not None and not life.killed and (life.code != 0 or not life.term):
-                    self.breach(f"n{index} ended by itself with code {life.code}: {life.lines[-3:]}")
-                if not life.term and not life.killed:
-                    ready.append(life.ready_s is not None and life.ready_s <= READY_S)
-                for line in life.lines:
+                elif (
+                    incarnation.code is not None
+                    and not incarnation.killed
+                    and (incarnation.code != 0 or not incarnation.term)
+                ):
+                    self.breach(
+                        f"n{index} ended by itself with code {incarnation.code}: {incarnation.lines[-3:]}"
+                    )
+                if not incarnation.term and not incarnation.killed:
+                    ready.append(incarnation.ready_s is not None and incarnation.ready_s <= READY_S)
+                for line in incarnation.lines:
                     if "Traceback" in line or "unexpected" in line:
                         self.breach(f"n{index} logged {line[:300]}")
                     elif not KNOWN_LINES.match(line):
@@ -539,40 +554,40 @@
 
 
 def soak(seed):
-    """Plays and judges the run of a seed."""
+    """Executes the run of a seed and checks its evidence."""
     plan = draw(seed)
-    evidence = play(plan)
-    breaches, counts = Judge(evidence).verdict()
+    evidence = execute(plan)
+    breaches, counts = EvidenceChecker(evidence).check()
     counts["crowds"] = int(plan.crowd > 0)
     counts["SIGHUP"] = sum(4 if step.action == "hups" else step.action == "term" for step in plan.steps)
-    return Report(seed, breaches, counts, keep(plan, evidence, breaches) if breaches else None)
+    return Report(seed, breaches, counts, save_evidence(plan, evidence, breaches) if breaches else None)
 
 
-def keep(plan, evidence, breaches):
-    """Writes what a run left into a folder of its own."""
+def save_evidence(plan, evidence, breaches):
+    """Writes the evidence of a run into a new folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{plan.seed}-"))
-    left = {"plan": asdict(plan), "breaches": breaches, "came": evidence.came, "grown": evidence.grown}
-    lives = [[asdict(life) for life in each] for each in evidence.lives]
+    fields = {"plan": asdict(plan), "breaches": breaches, "came": evidence.arrivals, "grown": evidence.leaks}
+    incarnations = [[asdict(incarnation) for incarnation in each] for each in evidence.incarnations]
     (folder / "evidence.json").write_text(
-        json.dumps({**left, "lives": lives, "events": evidence.events}, indent=1)
+        json.dumps({**fields, "lives": incarnations, "events": evidence.events}, indent=1)
     )
     return folder
 
 
 def main():
     first, _, last = sys.argv[1].partition(":")
-    total, broke = Counter(), 0
+    total, failed_runs = Counter(), 0
     for seed in range(int(first), int(last or first) + 1):
         report = soak(seed)
         total += report.counts
-        broke += bool(report.breaches)
+        failed_runs += bool(report.breaches)
         print(f"seed {seed}: {'BROKE' if report.breaches else 'kept'}, {dict(report.counts)}", flush=True)
         for text in report.breaches[:10]:
             print(f"    {text}", flush=True)
         if report.folder:
             print(f"    {report.folder}; again: python tests/restart_soak.py {seed}", flush=True)
-    print(f"{broke} runs broke; {dict(total)}")
-    return 1 if broke else 0
+    print(f"{failed_runs} runs broke; {dict(total)}")
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak_clients.py
+++ b/tests/soak_clients.py
@@ -1,5 +1,6 @@
-"""The clients of a soak run, in a process of their own: `python soak_clients.py` reads a plan from standard input
-and writes what crossed its sockets, one JSON line each, with times in ns of the host's monotonic clock.
+"""The clients of a soak run, in a separate process: `python soak_clients.py` reads its configuration from standard
+input and writes an event for each request, response and connection, one JSON line each, with times in ns of the
+host's monotonic clock.
 """
 
 import asyncio
@@ -13,48 +14,48 @@
 
 from ochrecourse.resp import codec
 
-SAMPLE_S = 0.01  # between two looks at how late the loop itself is
+SAMPLE_S = 0.01  # interval at which the lateness of the event loop is measured
 NEGLIGIBLE_NS = 5_000_000
 REDIAL_S = 0.02
 DEADLINES_MS = (90, 300, 900)
-PIPELINED = 4  # requests that are sent at once
+PIPELINED = 4  # requests sent at once
 
 
 class Clients:
     """All clients of one run. `ports`: of the gateways, by index."""
 
     def __init__(self, seed, ports, length_s, kinds, crowd):
-        self.chance = random.Random(f"{seed} clients")
+        self.random_source = random.Random(f"{seed} clients")
         self.ports, self.kinds, self.crowd = ports, kinds, crowd
         self.ends_at = time.monotonic() + length_s
         self.numbers, self.connections = itertools.count(1), itertools.count(1)
         self.lines = []
 
-    def note(self, event, **fields):
+    def record(self, event, **fields):
         self.lines.append({"event": event, "t": time.monotonic_ns(), **fields})
 
-    def over(self):
+    def is_over(self):
         return time.monotonic() >= self.ends_at
 
     async def run(self):
-        watch = asyncio.create_task(self.watch_loop())
+        measurement = asyncio.create_task(self.measure_lateness())
         clients = [self.client(index, kind) for index, kind in enumerate(self.kinds)]
         await asyncio.gather(*clients, *(self.idle(index) for index in range(self.crowd)))
-        watch.cancel()
+        measurement.cancel()
         for line in self.lines:
             print(json.dumps(line))
 
-    async def watch_loop(self):
+    async def measure_lateness(self):
         while True:
             due = time.monotonic_ns() + round(SAMPLE_S * 1e9)
             await asyncio.sleep(SAMPLE_S)
             late = time.monotonic_ns() - due
             if late > NEGLIGIBLE_NS:
-                self.note("loop_late", late=late)
+                self.record("loop_late", late=late)
 
     async def dial(self, index):
-        """A connection to the gateway of a client; None once the run is over."""
-        while not self.over():
+        """Connects to the gateway of a client; returns None once the run is over."""
+        while not self.is_over():
             try:
                 return await asyncio.open_connection("127.0.0.1", self.ports[index % len(self.ports)])
             except OSError:
@@ -62,9 +63,9 @@
         return None
 
     async def idle(self, index):
-        """One of the crowd: it says hello and rests until its connection ends."""
-        while (ends := await self.dial(index)) is not None:
-            reader, writer = ends
+        """An idle client: sends a PING, then waits until its connection ends, and reconnects."""
+        while (streams := await self.dial(index)) is not None:
+            reader, writer = streams
             try:
                 writer.write(PING)
                 await asyncio.wait_for(reader.read(), max(0.1, self.ends_at - time.monotonic()))
@@ -73,74 +74,74 @@
             writer.close()
 
     async def client(self, index, kind):
-        while (ends := await self.dial(index)) is not None:
-            await Conversation(self, index % len(self.ports), kind, *ends).run()
+        while (streams := await self.dial(index)) is not None:
+            await ClientConnection(self, index % len(self.ports), kind, *streams).run()
 
 
-class Conversation:
-    """One connection of a client, up to its end. `kind`: one, pipeline, rest, slow or leave."""
+class ClientConnection:
+    """A connection of a client until its end. `kind`: one, pipeline, rest, slow or leave."""
 
     def __init__(self, clients, gateway, kind, reader, writer):
         self.clients, self.kind, self.reader, self.writer = clients, kind, reader, writer
         self.gateway, self.connection = gateway, next(clients.connections)
-        self.open = []  # ids of requests that wait for their answer, in their order
+        self.open = []  # ids of requests without a response, in order
 
     async def run(self):
-        why = "client"
+        closed_by = "client"
         try:
-            while not self.clients.over():
+            while not self.clients.is_over():
                 await self.send(PIPELINED if self.kind == "pipeline" else 1)
                 if self.kind == "leave":
                     await asyncio.sleep(0.02)
                     break
                 while self.open:
-                    await self.answer()
+                    await self.read_response()
                 if self.kind == "rest":
                     if await asyncio.wait_for(self.reader.read(1), self.left_s()):
-                        self.clients.note("stray", connection=self.connection)
-                    why = "gateway"
+                        self.clients.record("stray", connection=self.connection)
+                    closed_by = "gateway"
                     break
-                await asyncio.sleep(self.clients.chance.uniform(0.0, 0.05))
+                await asyncio.sleep(self.clients.random_source.uniform(0.0, 0.05))
         except (asyncio.IncompleteReadError, ConnectionError):
-            why = "gateway"
+            closed_by = "gateway"
         except TimeoutError:
             pass
-        self.clients.note("closed", connection=self.connection, gateway=self.gateway, by=why)
+        self.clients.record("closed", connection=self.connection, gateway=self.gateway, by=closed_by)
         self.writer.close()
 
     def left_s(self):
         return max(0.1, self.clients.ends_at - time.monotonic())
 
     async def send(self, count):
-        chance, said = self.clients.chance, b""
+        random_source, data = self.clients.random_source, b""
         for _ in range(count):
-            number, timeout_ms = next(self.clients.numbers), chance.choice(DEADLINES_MS)
-            effect = chance.choice(("safe", "safe", "keyed", "unsafe"))
-            said += command(number, timeout_ms, effect, chance.randrange(2))
+            number, timeout_ms = next(self.clients.numbers), random_source.choice(DEADLINES_MS)
+            effect = random_source.choice(("safe", "safe", "keyed", "unsafe"))
+            data += command(number, timeout_ms, effect, random_source.randrange(2))
             self.open.append(number)
             fields = {"id": number, "connection": self.connection, "gateway": self.gateway}
             if self.kind != "slow":
-                self.clients.note("sent", timeout_ms=timeout_ms, effect=effect, **fields)
+                self.clients.record("sent", timeout_ms=timeout_ms, effect=effect, **fields)
         if self.kind == "slow":
-            for at in range(0, len(said), 40):
+            for at in range(0, len(data), 40):
                 if at:
                     await asyncio.sleep(0.03)
-                if at + 40 >= len(said):  # its time counts from the last byte
-                    self.clients.note("sent", timeout_ms=timeout_ms, effect=effect, **fields)
-                self.writer.write(said[at : at + 40])
+                if at + 40 >= len(data):  # its timeout starts with the last byte
+                    self.clients.record("sent", timeout_ms=timeout_ms, effect=effect, **fields)
+                self.writer.write(data[at : at + 40])
         else:
-            self.writer.write(said)
+            self.writer.write(data)
 
-    async def answer(self):
+    async def read_response(self):
         line = await self.reader.readuntil(b"\r\n")
         if line.startswith(b"$"):
             await self.reader.readexactly(int(line[1:]) + 2)
         how = {b"$": "value", b"+": "value"}.get(line[:1], line[1:].split(b" ")[0].decode().strip())
-        self.clients.note("answer", id=self.open.pop(0), how=how)
+        self.clients.record("answer", id=self.open.pop(0), how=how)
 
 
 def command(number, timeout_ms, effect, shard):
-    """A client's command; each keyed request has a key of its own."""
+    """Returns a client's command; each keyed request has a unique key."""
     if effect == "safe":
         return read(number, d=timeout_ms, shard=shard)
     product, key = ("mark", f",k={number:016x}") if effect == "keyed" else ("bind", "")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,21 +1,21 @@
-"""The process's descriptors on real sockets: idle clients fill them while the list's agent is silent."""
+"""The process's file descriptors on real sockets: idle clients use them up while the list's agent is silent."""
 
 import os
 import resource
 import socket
 
 import pytest
-from relay_process import PATIENCE, Relay, ask
+from relay_process import TIMEOUT_S, RelayProcess, send_and_receive
 from test_service import PING, listed, read, value
 
 from ochrecourse.service.gateway_service import share_descriptors
 
 
-TRIES = 100_000  # of one client; a bound for what never comes
+MAX_ATTEMPTS = 100_000  # bound on the attempts of one client
 
 
-def limited(files):
-    """Runs in the child before the program: its own limit of descriptors, soft and hard."""
+def limit_descriptors(files):
+    """Returns a function for the child that sets its soft and hard limits of descriptors."""
 
     def limit():
         resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
@@ -23,54 +23,58 @@
     return limit
 
 
-def held(process):
+def open_descriptors(process):
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
-def served(relay, port, number):
-    """A request is served, if not at once: the list may not have come, and a new connection may be shut while all
-    others are newer than the quarter of a second after which they make room."""
-    for attempt in range(TRIES):
+def wait_until_served(relay, port, number):
+    """Repeats a request until it is served: the list may not have arrived, and a new connection may be closed while
+    all others are newer than the quarter of a second after which they may be evicted."""
+    for attempt in range(MAX_ATTEMPTS):
         with relay.connect(port) as client:
-            got = ask(client, read(number * TRIES + attempt), value(number * TRIES + attempt))
-        if got == value(number * TRIES + attempt):
+            received = send_and_receive(
+                client, read(number * MAX_ATTEMPTS + attempt), value(number * MAX_ATTEMPTS + attempt)
+            )
+        if received == value(number * MAX_ATTEMPTS + attempt):
             return
-    raise AssertionError(f"never served: {got}")
+    raise AssertionError(f"never served: {received}")
 
 
-@pytest.mark.parametrize("said", [b"", PING], ids=["silent", "resting"])
+@pytest.mark.parametrize("greeting", [b"", PING], ids=["silent", "resting"])
 @pytest.mark.parametrize(("files", "sockets"), [(512, 512), (512, 4096), (1024, 128)])
 def test_idle_clients_that_fill_the_descriptors_shut_out_neither_nodes_nor_the_list(
-    tmp_path, files, sockets, said
+    tmp_path, files, sockets, greeting
 ):
-    """Guards against a process with no descriptor left for its nodes and its list when discovery comes back."""
-    most = min(files, sockets)
-    most -= share_descriptors(most)[1]  # what is kept for nodes stays free
-    known = listed(1)  # nobody listens there: requests are served once the list has come
-    with Relay(tmp_path, sockets=sockets, preexec=limited(files), agent_speaks=False, known=known) as relay:
+    """Guards against a process with no descriptor left for its nodes and its list when discovery responds again."""
+    limit_of_clients = min(files, sockets)
+    limit_of_clients -= share_descriptors(limit_of_clients)[1]  # the share of nodes stays free
+    known = listed(1)  # nothing listens there: requests are served once the list has arrived
+    with RelayProcess(
+        tmp_path, sockets=sockets, preexec=limit_descriptors(files), agent_responds=False, known=known
+    ) as relay:
         port = relay.port()
-        assert relay.agent.asked.get(timeout=PATIENCE)
+        assert relay.agent.asked.get(timeout=TIMEOUT_S)
         relay.agent.first = listed(relay.node_port, version=9)
-        crowd = []
+        idle_clients = []
         for _ in range(min(files, sockets) + 100):
-            client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
-            crowd.append(client)
-            client.sendall(said)
-            assert held(relay.process) <= most
-        relay.agent.speaks.set()
+            client = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
+            idle_clients.append(client)
+            client.sendall(greeting)
+            assert open_descriptors(relay.process) <= limit_of_clients
+        relay.agent.responds.set()
         for number in range(20):
-            served(relay, port, number)
-            assert held(relay.process) <= most
-        assert not any("unexpected" in line for line in relay.seen)
-        for client in crowd:
+            wait_until_served(relay, port, number)
+            assert open_descriptors(relay.process) <= limit_of_clients
+        assert not any("unexpected" in line for line in relay.log_lines)
+        for client in idle_clients:
             client.close()
         relay.send()
-        assert relay.end() == 0
-        assert not any("unexpected" in line for line in relay.seen)
+        assert relay.wait_for_exit() == 0
+        assert not any("unexpected" in line for line in relay.log_lines)
 
 
-def test_the_lower_of_the_files_limit_and_the_processs_own_is_shared_out(tmp_path):
-    with Relay(tmp_path, sockets=4096, preexec=limited(512)) as relay:
-        assert "; 512 descriptors of 512" in relay.until(" serves at ")
+def test_the_lower_of_the_start_files_limit_and_the_processs_own_applies(tmp_path):
+    with RelayProcess(tmp_path, sockets=4096, preexec=limit_descriptors(512)) as relay:
+        assert "; 512 descriptors of 512" in relay.wait_for_line(" serves at ")
         relay.send()
-        assert relay.end() == 0
+        assert relay.wait_for_exit() == 0
--- a/tests/test_restart_soak.py
+++ b/tests/test_restart_soak.py
@@ -1,11 +1,11 @@
-"""A short seeded soak of restarts, and its judge against mistakes made on purpose (`make soak` is the long one)."""
+"""A short soak test of restarts, and its checker against seeded mistakes (`make soak` is the long one)."""
 
 import copy
 import signal
 from collections import Counter
 
 import pytest
-from restart_soak import Evidence, Judge, Life, draw, soak
+from restart_soak import Evidence, EvidenceChecker, Incarnation, draw, soak
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -13,14 +13,14 @@
 
 @pytest.mark.real_time
 @pytest.mark.parametrize("seed", [1, 3])
-def test_a_soak_of_restarts_keeps_the_rules(seed):
+def test_a_soak_of_restarts_has_no_breach(seed):
     report = soak(seed)
     print(dict(report.counts))
     assert not report.breaches, (report.breaches, report.folder)
     assert report.counts["answered value"] > 50 and report.counts["SIGTERM"]
 
 
-def test_a_seed_draws_one_run_and_runs_use_all_that_strikes():
+def test_a_seed_determines_its_plan_and_plans_use_all_actions():
     assert draw(5) == draw(5)
     plans = [draw(seed) for seed in range(1, 51)]
     assert {step.action for plan in plans for step in plan.steps} == {"hups", "term", "kill", "early_term"}
@@ -29,7 +29,7 @@
     assert sum(plan.crowd > 0 for plan in plans) == len(plans) // 3
 
 
-# --- evidence worked by hand: one gateway told to end at 10 s and killed at 11.6 s, one request a connection ---
+# --- evidence made by hand: one gateway gets SIGTERM at 10 s and SIGKILL at 11.6 s, one request per connection ---
 
 TERM, KILLED = 10 * SECOND, 11_600 * MS
 
@@ -49,25 +49,25 @@
     return {"event": "closed", "t": t, "connection": number, "gateway": 0, "by": by}
 
 
-def right():
-    """A run in which all is as it should be."""
-    lives = [
-        Life(SECOND, term=TERM, killed=KILLED, ended=KILLED, code=-signal.SIGKILL, ready_s=0.5),
-        Life(KILLED, code=None, ready_s=0.5, lines=["1.0 n0 serves at 127.0.0.1:1; 256 descriptors"]),
+def correct_evidence():
+    """The evidence of a run without breaches."""
+    incarnations = [
+        Incarnation(SECOND, term=TERM, killed=KILLED, ended=KILLED, code=-signal.SIGKILL, ready_s=0.5),
+        Incarnation(KILLED, code=None, ready_s=0.5, lines=["1.0 n0 serves at 127.0.0.1:1; 256 descriptors"]),
     ]
     events = [
         sent(1, 9 * SECOND), answer(1, 9100 * MS), closed(1, 12 * SECOND, "client"),
-        sent(2, 10_900 * MS, "unsafe"), closed(2, KILLED + MS),  # late after SIGTERM: the kill found it
-        sent(3, 9 * SECOND), closed(3, 9020 * MS, "client"),  # it left
-        sent(4, 10_500 * MS), closed(4, 10_510 * MS),  # it crossed the close, unread
+        sent(2, 10_900 * MS, "unsafe"), closed(2, KILLED + MS),  # sent late after SIGTERM: lost with the kill
+        sent(3, 9 * SECOND), closed(3, 9020 * MS, "client"),  # its client closed the connection
+        sent(4, 10_500 * MS), closed(4, 10_510 * MS),  # crossed the gateway's close, unread
     ]  # fmt: skip
-    return Evidence(events, [(9010 * MS, 1), (9015 * MS, 3)], Counter({1: 1}), [lives])
+    return Evidence(events, [(9010 * MS, 1), (9015 * MS, 3)], Counter({1: 1}), [incarnations])
 
 
-def judged(change):
-    evidence = copy.deepcopy(right())
+def breaches_after(change):
+    evidence = copy.deepcopy(correct_evidence())
     change(evidence)
-    return Judge(evidence).verdict()[0]
+    return EvidenceChecker(evidence).check()[0]
 
 
 def lost_answer(evidence):
@@ -75,7 +75,7 @@
     evidence.events[1] = closed(1, 12 * SECOND)
 
 
-def lost_with_the_kill_though_early(evidence):
+def lost_with_the_kill_although_early(evidence):
     evidence.events[3]["t"] = TERM + 100 * MS
 
 
@@ -88,66 +88,66 @@
 
 
 def second_effect(evidence):
-    evidence.ran[2] = 2
+    evidence.executions[2] = 2
 
 
 def attempt_after_a_close(evidence):
-    evidence.came.append((9200 * MS, 3))
+    evidence.arrivals.append((9200 * MS, 3))
 
 
 def forwarded_and_closed(evidence):
-    evidence.came.append((10_505 * MS, 4))
+    evidence.arrivals.append((10_505 * MS, 4))
 
 
 def unread_for_long(evidence):
     evidence.events[-1]["t"] = 10_600 * MS
 
 
-def lock_that_stays(evidence):
-    evidence.lives[0][1].code = 2
+def start_refused_by_lock(evidence):
+    evidence.incarnations[0][1].code = 2
 
 
 def unknown_line(evidence):
-    evidence.lives[0][1].lines.append("1.0 something nobody knows")
+    evidence.incarnations[0][1].lines.append("1.0 something nobody knows")
 
 
 def traceback(evidence):
-    evidence.lives[0][1].lines.append("1.0 unexpected: Traceback (most recent call last)")
+    evidence.incarnations[0][1].lines.append("1.0 unexpected: Traceback (most recent call last)")
 
 
 def slow_start(evidence):
-    evidence.lives[0][1].ready_s = 11.0
+    evidence.incarnations[0][1].ready_s = 11.0
 
 
 def stray_bytes(evidence):
     evidence.events.append({"event": "stray", "t": 0, "connection": 1})
 
 
-def descriptors_that_stay(evidence):
-    evidence.grown.append("n0 has 100 descriptors more")
+def leaked_descriptors(evidence):
+    evidence.leaks.append("n0 has 100 descriptors more")
 
 
 MISTAKES = [
-    lost_answer, lost_with_the_kill_though_early, two_answers, late_answer, second_effect, attempt_after_a_close,
-    forwarded_and_closed, unread_for_long, lock_that_stays, unknown_line, traceback, slow_start, stray_bytes,
-    descriptors_that_stay,
+    lost_answer, lost_with_the_kill_although_early, two_answers, late_answer, second_effect, attempt_after_a_close,
+    forwarded_and_closed, unread_for_long, start_refused_by_lock, unknown_line, traceback, slow_start, stray_bytes,
+    leaked_descriptors,
 ]  # fmt: skip
 
 
-def test_a_right_run_has_no_breach():
-    assert judged(lambda evidence: None) == []
+def test_correct_evidence_has_no_breach():
+    assert breaches_after(lambda evidence: None) == []
 
 
 @pytest.mark.parametrize("mistake", MISTAKES, ids=lambda mistake: mistake.__name__)
-def test_each_mistake_made_on_purpose_is_found(mistake):
-    assert judged(mistake)
+def test_each_seeded_mistake_is_found(mistake):
+    assert breaches_after(mistake)
 
 
 @pytest.mark.parametrize("late_ms, excused", [(10, False), (600, True)])
-def test_a_late_answer_is_excused_only_by_the_clients_own_record(late_ms, excused):
+def test_a_late_answer_is_excused_only_by_the_clients_measured_lateness(late_ms, excused):
     def change(evidence):
         late_answer(evidence)
         read_at = evidence.events[1]["t"]
         evidence.events.append({"event": "loop_late", "t": read_at + MS, "late": late_ms * MS})
 
-    assert (judged(change) == []) is excused
+    assert (breaches_after(change) == []) is excused
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The gateway in service, both ends of the protocol on a virtual network, and once as a process on real sockets."""
+"""The gateway service with its clients, node and agent on a virtual network, and once as a process on real sockets."""
 
 import gc
 import json
@@ -55,7 +55,7 @@
 
 
 class Client:
-    """A client's raw connection: what it got so far, and whether it was ended."""
+    """A client's raw connection: the bytes received so far, and whether it has ended."""
 
     def __init__(self, network, port):
         client = self
@@ -87,12 +87,12 @@
         self.node_port = self.network.listenTCP(0, self.node).getHost().port
         self.agent_port = self.network.listenTCP(0, self.agent).getHost().port
         self.log, self.over = [], []
-        told = {
+        start_file = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{self.agent_port}", "seed": "0f",
             "limits": {"sockets": sockets}, "settings": {**FLAT, **changes}, "known": listed(self.node_port),
         }  # fmt: skip
         self.service = GatewayService(
-            parse_start_settings(told),
+            parse_start_settings(start_file),
             "none",
             ServiceEnvironment(self.network, 10**18, self.log.append, lambda: self.over.append(1)),
         )
@@ -106,24 +106,24 @@
         self.network.advance(seconds)
 
 
-def test_reads_and_writes_pass_and_the_node_gets_what_the_client_sent_but_the_time():
+def test_commands_reach_the_node_unchanged_except_for_the_remaining_time():
     shop = Shop()
     client = shop.client()
     client.say(PING + read(1) + write(2))
     shop.run()
     assert client.got == b"+PONG\r\n" + value(1) + value(2) and not client.ended
     sent = {words[2]: words for words in shop.node.commands}
-    for number, whole in ((1, read(1)), (2, write(2))):
+    for number, command in ((1, read(1)), (2, write(2))):
         reader = codec.CommandParser()
-        reader.feed(whole)
+        reader.feed(command)
         want, got = reader.next(), sent[b"%016x" % number]
-        fields, told = want[3].split(b"d=900"), got[3].split(b",d=")
-        assert got[:3] + got[4:] == want[:3] + want[4:] and told[0] + b"," == fields[0]
-        assert 0 < int(told[1].split(b",")[0]) <= 900 and told[1].endswith(fields[1])
+        fields, parts = want[3].split(b"d=900"), got[3].split(b",d=")
+        assert got[:3] + got[4:] == want[:3] + want[4:] and parts[0] + b"," == fields[0]
+        assert 0 < int(parts[1].split(b",")[0]) <= 900 and parts[1].endswith(fields[1])
 
 
 def test_the_last_of_a_thousand_tenants_and_nodes_is_served():
-    """Guards against a bound on either that a fleet passes."""
+    """Guards against a bound on either number that a fleet exceeds."""
     names = {f"Policies.{i}.Name": f"p{i}" for i in range(1024)}
     shop = Shop(**names, **{"Policies.count": "1024"})
     more = listed(*[1] * 1023, shop.node_port, version=6)
@@ -135,7 +135,7 @@
 
 
 def test_values_of_nodes_may_be_longer_than_those_of_clients():
-    # Guards against taking a long answer for a spoilt one: nodes send several hundred kB for some reads.
+    # Guards against treating a long response as malformed: nodes send several hundred kB for some reads.
     long = bytes(range(256)) * 1600
     shop = Shop(reply=lambda words: b"*3\r\n" + codec.encode_bulk_string(long) + b"$-1\r\n$-1\r\n")
     client = shop.client()
@@ -158,7 +158,7 @@
     assert client.got == value(1) + b"+PONG\r\n" + value(2)
 
 
-def test_hundreds_of_commands_at_once_are_answered_in_order():
+def test_hundreds_of_pipelined_commands_are_answered_in_order():
     shop = Shop()
     client = shop.client()
     client.say(b"".join(PING + read(i, d=60_000) for i in range(1, 301)))
@@ -175,14 +175,14 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\x00\xff\x00noise", b"+" + b"x" * 5000, b"*3\r\n$3221225472\r\nxxxx", b"*3\r\n$2\r\nlonger\r\n$-1\r\n$-1\r\n",
         b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"-BUSY \xff\r\n", b"*9\r\n", b"$4\r\nbare\r\n",
     ],
 )  # fmt: skip
-def test_malformed_reply_ends_its_attempt_and_its_connection_and_reaches_no_client(spoilt):
-    shop = Shop(reply=lambda words: spoilt)
+def test_malformed_reply_ends_its_attempt_and_its_connection_and_reaches_no_client(malformed):
+    shop = Shop(reply=lambda words: malformed)
     client = shop.client()
     client.say(read(1) + write(2))
     shop.run()
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("pause", [None, 0.0, 0.001])
-def test_what_arrives_behind_a_reply_is_nobodys_reply(pause):
+def test_bytes_behind_a_reply_are_not_taken_for_another_reply(pause):
     shop = Shop()
 
     def reply(words):
@@ -216,7 +216,7 @@
     client = shop.client()
     client.say(write(1))
     shop.run()
-    assert client.got == b"-ERR failed\r\n"  # its node can't be told from one that ran it
+    assert client.got == b"-ERR failed\r\n"  # it is unknown whether the node executed the write
 
 
 BAD = {
@@ -235,21 +235,21 @@
 
 
 @pytest.mark.parametrize("code", BAD)
-def test_bad_input_ends_its_own_connection_with_one_error_and_costs_nobody_else(code):
+def test_bad_input_ends_only_its_own_connection_with_one_error(code):
     shop = Shop()
-    usual, bad = shop.client(), shop.client()
-    usual.say(PING)
+    other, bad = shop.client(), shop.client()
+    other.say(PING)
     if BAD[code]:
         bad.say(BAD[code])
     shop.run(2.9)
     assert bad.got.startswith(b"-ERR " + code.encode()) and bad.got.count(b"\r\n") == 1 and bad.ended
     assert not shop.node.commands and not shop.service.gateway.request_log.requests
-    usual.say(read(5))
+    other.say(read(5))
     shop.run(0.5)
-    assert usual.got == b"+PONG\r\n" + value(5)
+    assert other.got == b"+PONG\r\n" + value(5)
 
 
-def test_error_line_stands_behind_the_replies_that_are_due():
+def test_error_line_follows_the_replies_that_are_due():
     shop = Shop()
     client = shop.client()
     client.say(read(1) + b"nonsense")
@@ -257,7 +257,7 @@
     assert client.got.startswith(value(1) + b"-ERR not_a_command") and client.ended
 
 
-def test_id_of_an_open_request_is_an_error_and_free_again_after_its_reply():
+def test_id_of_an_open_request_is_rejected_until_its_reply():
     shop = Shop(reply=lambda words: None)
     first, second = shop.client(), shop.client()
     first.say(read(1))
@@ -269,36 +269,36 @@
     shop.run(0.1)
     assert not shop.service.server.totals.open_request_ids
     shop.node.reply = good
-    shop.run(10.0)  # until the leg that was out is forgotten
+    shop.run(10.0)  # until the attempt that was in flight is dropped
     third = shop.client()
     third.say(read(1))
     shop.run(0.2)
     assert third.got == value(1)
 
 
-def test_connections_over_the_cap_take_the_place_of_silent_ones_first():
+def test_connections_over_the_limit_evict_silent_ones_first():
     shop = Shop(sockets=72)
-    most = share_descriptors(72)[0]
-    usual = shop.client()
-    usual.say(PING)
-    silent = [shop.client() for _ in range(most - 1)]
+    limit = share_descriptors(72)[0]
+    other = shop.client()
+    other.say(PING)
+    silent = [shop.client() for _ in range(limit - 1)]
     shop.run(0.5)
     assert not any(each.ended for each in silent)
     late = [shop.client() for _ in range(5)]
     for number, client in enumerate(late):
         client.say(read(number))
     shop.run(0.2)
-    assert [client.got for client in late] == [value(number) for number in range(5)] and not usual.ended
+    assert [client.got for client in late] == [value(number) for number in range(5)] and not other.ended
     assert [each.ended for each in silent] == [True] * 5 + [False] * (len(silent) - 5)
     assert silent[0].got.startswith(b"-ERR too_many_connections")
-    assert len(shop.service.server.connections) <= most
+    assert len(shop.service.server.connections) <= limit
 
 
-def test_crowd_that_asked_once_and_stays_does_not_shut_out_those_who_come():
-    # Guards against a cap that turned new clients away while connections that had been served held every place.
+def test_idle_connections_that_were_served_do_not_block_new_clients():
+    # Guards against a cap that rejected new clients while idle connections took up every place.
     shop = Shop(sockets=72)
-    crowd = [shop.client() for _ in range(share_descriptors(72)[0])]
-    for client in crowd:
+    idle_clients = [shop.client() for _ in range(share_descriptors(72)[0])]
+    for client in idle_clients:
         client.say(PING)
     shop.run(0.4)
     late = [shop.client() for _ in range(10)]
@@ -306,16 +306,16 @@
         client.say(read(number))
         shop.run(0.05)
     assert [client.got for client in late] == [value(number) for number in range(10)]
-    assert sum(client.ended for client in crowd) == 10 and not shop.service.server.counts
+    assert sum(client.ended for client in idle_clients) == 10 and not shop.service.server.counts
 
 
-def test_request_whose_deadline_passed_in_a_standstill_gets_one_error_and_its_connection_goes_on():
-    """Guards against requests lost with a connection that is closed for one that came late."""
+def test_request_that_expired_during_a_blocked_loop_gets_one_error_and_its_connection_stays_open():
+    """Guards against losing all requests of a connection that is closed because one of them was late."""
     shop = Shop(reply=lambda words: None)
     client = shop.client()
     client.say(read(1) + read(2))
     shop.run(0.1)
-    # As a loop that stood still leaves it: time has passed and no timer was called.
+    # As after an event loop was blocked: time has passed and no timer was called.
     shop.network.now += 30
     shop.run(0.1)
     assert client.got == b"-ERR failed\r\n" * 2 and not client.ended
@@ -325,8 +325,8 @@
     assert client.got.endswith(b"+PONG\r\n")
 
 
-def test_request_leaves_no_reference_cycle_behind():
-    # Guards against jobs that stay in memory until a collection, which a busy gateway puts off.
+def test_request_leaves_no_reference_cycle():
+    # Guards against requests that stay in memory until a garbage collection, which a busy gateway postpones.
     reader = codec.CommandParser()
     reader.feed(read(1))
     gc.collect()
@@ -341,7 +341,7 @@
         gc.enable()
 
 
-def test_list_is_followed_from_the_known_version_and_survives_what_can_not_be_read():
+def test_list_is_watched_from_the_known_version_and_survives_malformed_lines():
     shop = Shop()
     assert shop.agent.asked == ["/discovery/hosts?follow=1&since=5"]
     shop.agent.watches[0].say(
@@ -359,7 +359,7 @@
     assert len(shop.agent.asked) == 4
 
 
-def test_lines_of_the_list_may_come_in_any_pieces():
+def test_lines_of_the_list_may_arrive_in_chunks_of_any_size():
     shop = Shop()
     line = json.dumps(listed(shop.node_port, version=6, state="Terminating")).encode() + b"\n"
     for i in range(len(line)):
@@ -377,25 +377,27 @@
     assert shop.service.watch.address[1] == shop.agent_port and len(shop.log) == 1
     other = ListAgent(listed(shop.node_port, version=9))
     port = shop.network.listenTCP(0, other).getHost().port
-    told = {
+    start_file = {
         "name": "n0",
         "listen": "h:1",
         "discovery": f"127.0.0.1:{port}",
         "seed": "1",
         "settings": {"Period": 2},
     }
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(start_file))
     shop.service.reload()
     shop.run(0.5)
     assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
-    assert not shop.agent.watches and len(other.watches) == 1  # the old one ends once the new one spoke
+    assert (
+        not shop.agent.watches and len(other.watches) == 1
+    )  # the old watch ends once the new one has received a line
 
 
-def test_planned_end_serves_those_who_still_come_and_answers_all():
+def test_graceful_shutdown_serves_late_clients_and_answers_all_requests():
     shop = Shop(reply=lambda words: None)
     busy, idle = shop.client(), shop.client()
     idle.say(PING)
-    busy.say(write(1))  # its leg waits until the client gives up
+    busy.say(write(1))  # its attempt gets no response until the client's timeout
     shop.run(0.1)
     shop.service.shut_down()
     late = shop.client()
@@ -408,7 +410,7 @@
     assert busy.got == b"-ERR failed\r\n" and busy.ended and shop.over == [1]
 
 
-def test_a_process_serves_reloads_and_ends_in_order_on_real_sockets(tmp_path):
+def test_a_process_serves_reloads_and_shuts_down_on_real_sockets(tmp_path):
     class Node(socketserver.BaseRequestHandler):
         def handle(self):
             reader = codec.CommandParser()
@@ -431,12 +433,12 @@
         threading.Thread(target=server.serve_forever, daemon=True).start()
         servers.append(server)
     ports = [server.server_address[1] for server in servers]
-    told = {
+    start_file = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{ports[1]}", "seed": "0f",
         "limits": {"sockets": 256, "memory_mb": 64}, "settings": FLAT, "known": listed(ports[0]),
     }  # fmt: skip
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(start_file))
     process = subprocess.Popen(
         [sys.executable, "-m", "ochrecourse.relay"], env={**os.environ, "RELAY_CONFIG": str(path)},
         stderr=subprocess.PIPE, text=True,
@@ -453,7 +455,7 @@
             path.write_text("not JSON")
             process.send_signal(signal.SIGHUP)
             assert "not taken over" in process.stderr.readline()
-            path.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{ports[2]}"}))
+            path.write_text(json.dumps({**start_file, "discovery": f"127.0.0.1:{ports[2]}"}))
             process.send_signal(signal.SIGHUP)
             assert f"127.0.0.1:{ports[2]}" in process.stderr.readline()
             process.send_signal(signal.SIGTERM)
@@ -473,24 +475,26 @@
             server.server_close()
 
 
-def test_start_without_its_file_ends_in_one_sentence():
+def test_start_without_its_file_reports_one_sentence():
     env = {name: each for name, each in os.environ.items() if name != "RELAY_CONFIG"}
-    done = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "ochrecourse.relay"], env=env, capture_output=True, text=True, timeout=120
     )
     assert (
-        done.returncode == 2 and "RELAY_CONFIG is not set" in done.stderr and "Traceback" not in done.stderr
+        finished.returncode == 2
+        and "RELAY_CONFIG is not set" in finished.stderr
+        and "Traceback" not in finished.stderr
     )
 
 
-def test_descriptors_are_shared_out_within_the_limit():
+def test_shares_of_descriptors_are_within_the_limit():
     for sockets in (256, 384, 1024):
         clients, nodes = share_descriptors(sockets)
         assert clients >= sockets // 3 and nodes >= sockets // 4 and clients + nodes <= sockets - 30
 
 
-def test_requests_accepted_after_sigterm_have_their_reply_before_the_kill():
-    # The kill comes 2.7 s after SIGTERM at the earliest; a client that would wait longer is told before.
+def test_requests_accepted_after_sigterm_are_answered_before_the_kill():
+    # The kill comes 2.7 s after SIGTERM at the earliest; a client with a longer timeout gets an error before that.
     shop = Shop(reply=lambda words: None, **{"Classes.0.Deadline": "2000", "Classes.1.Deadline": "1000"})
     client = shop.client()
     shop.service.shut_down()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what resolves, what is told about each mistake, and that nothing else ever comes out."""
+"""Settings files: resolution, the message for each error, and that any text gives one of the two."""
 
 from pathlib import Path
 
@@ -38,14 +38,14 @@
     assert record["clients"]["open_jobs"] == 20000 and record["zones"] == ["here"]
 
 
-def test_what_is_written_resolves_to_the_same():
+def test_a_written_record_resolves_to_the_same_record():
     record = resolve(GOOD, "g.cue")
     assert resolve(write(record), "again.cue") == record
 
 
 def test_a_days_record_and_its_text_give_the_same_map():
     record = gateway_record(built_in("bad-evening"), 1, "127.0.0.1:0", "127.0.0.1:7000", "")
-    said, read = plain_map(record), plain_map(resolve(write(record), "day.cue"))
+    expected, actual = plain_map(record), plain_map(resolve(write(record), "day.cue"))
 
     def number(text):
         try:
@@ -53,10 +53,12 @@
         except ValueError:
             return text
 
-    assert {name: number(text) for name, text in said.items()} == {name: number(read[name]) for name in said}
+    assert {name: number(text) for name, text in expected.items()} == {
+        name: number(actual[name]) for name in expected
+    }
 
 
-def test_without_a_budget_the_map_names_none():
+def test_without_a_budget_the_map_has_none():
     text = GOOD.replace("budget:", "// budget:")
     assert "Safety.ExtraRatio" not in plain_map(resolve(text, "g.cue"))
     assert plain_map(resolve(GOOD, "g.cue"))["Safety.ExtraRatio"] == "0.25"
@@ -68,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ('name: "g0"', 'nam: "g0"', "g.cue:3:11: there is no field 'gateway.nam'; did you mean 'name'?"),
         ("travel: 15ms", "travel: 15", "g.cue:3:31: gateway.travel is 15; it is a duration, as in 150ms"),
@@ -98,28 +100,28 @@
         ("window: gateway.travel}", "window: gateway.travel", "the file ends with 1 '{' not closed"),
     ],
 )  # fmt: skip
-def test_each_mistake_is_told_with_its_place(old, new, told):
+def test_each_error_is_reported_with_its_location(old, new, message):
     assert old in GOOD
-    with pytest.raises(SettingsError) as refused:
+    with pytest.raises(SettingsError) as raised:
         resolve(GOOD.replace(old, new, 1), "g.cue")
-    assert told in str(refused.value)
-    assert all(line.startswith("g.cue:") for line in str(refused.value).split("\n"))
+    assert message in str(raised.value)
+    assert all(line.startswith("g.cue:") for line in str(raised.value).split("\n"))
 
 
-def test_several_mistakes_are_told_at_once_in_order_of_place():
+def test_several_errors_are_reported_together_in_order_of_location():
     text = GOOD.replace("travel: 15ms", "travel: 15").replace("payoff: 2", "payof: 2").replace("25%", "7")
-    with pytest.raises(SettingsError) as refused:
+    with pytest.raises(SettingsError) as raised:
         resolve(text, "g.cue")
-    assert [error.location.line for error in refused.value.errors] == [3, 7, 11]
-    assert refused.value.troubles == refused.value.errors  # the name that programs of library surface 1 use
+    assert [error.location.line for error in raised.value.errors] == [3, 7, 11]
+    assert raised.value.troubles == raised.value.errors  # the alias for programs of library surface 1
 
 
-def test_a_record_that_contains_itself_is_told():
+def test_a_record_that_contains_itself_is_an_error():
     with pytest.raises(SettingsError):
         resolve(GOOD + "#A: #B\n#B: #A\nlog: level: #A\n", "g.cue")
 
 
-def test_a_file_that_is_not_there_or_not_text_is_told(tmp_path):
+def test_a_missing_file_and_a_binary_file_are_errors(tmp_path):
     with pytest.raises(SettingsError, match="No such file"):
         load(tmp_path / "none.cue")
     (tmp_path / "bad.cue").write_bytes(b"\xff\xfe\x00")
@@ -149,11 +151,11 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(tokens, max_size=25).map(" ".join) | st.text(max_size=40))
-def test_any_text_resolves_or_is_refused(text):
+def test_any_text_resolves_or_is_rejected(text):
     try:
         resolve(text, "any.cue")
-    except SettingsError as refused:
-        assert str(refused)
+    except SettingsError as raised:
+        assert str(raised)
 
 
 @settings(max_examples=150, deadline=None)
@@ -162,14 +164,14 @@
     st.integers(0, 12),
     st.sampled_from(["", "{", "}", '"', "[", ":", " 3 ", "null"]),
 )
-def test_any_damage_to_a_good_file_resolves_or_is_refused(at, length, put):
+def test_any_damage_to_a_valid_file_resolves_or_is_rejected(at, length, inserted):
     try:
-        resolve(GOOD[:at] + put + GOOD[at + length :], "g.cue")
-    except SettingsError as refused:
-        assert all(line.startswith("g.cue:") for line in str(refused).split("\n") if line[:1] == "g")
+        resolve(GOOD[:at] + inserted + GOOD[at + length :], "g.cue")
+    except SettingsError as raised:
+        assert all(line.startswith("g.cue:") for line in str(raised).split("\n") if line[:1] == "g")
 
 
-SPEAKER = (
+BGP_SETTINGS = (
     GOOD
     + """
 bgp: {
@@ -181,14 +183,14 @@
 )
 
 
-def test_a_speakers_settings_resolve_with_defaults_and_are_written_the_same():
-    record = resolve(SPEAKER, "g.cue")
+def test_bgp_settings_resolve_with_defaults_and_are_written_back():
+    record = resolve(BGP_SETTINGS, "g.cue")
     assert record["bgp"]["peers"][0]["hold_time"] == 9000.0 and record["bgp"]["fitness"]["rest"] == 3000.0
     assert resolve(write(record), "again.cue") == record and "bgp" not in resolve(GOOD, "g.cue")
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ("192.0.2.10/32", "192.0.2.10/31/3", "bgp.addresses[0].network is no prefix"),
         ('"192.0.2.1"', '"2001:db8::1"', "next_hop is not of the network's address family"),
@@ -200,18 +202,18 @@
         ("127.0.0.1:179", "127.0.0.1", "bgp.peers[0].address is no HOST:PORT"),
     ],
 )
-def test_each_mistake_of_a_speakers_settings_is_told(old, new, told):
-    assert old in SPEAKER
-    with pytest.raises(SettingsError) as refused:
-        resolve(SPEAKER.replace(old, new, 1), "g.cue")
-    assert told in str(refused.value)
+def test_each_error_in_bgp_settings_is_reported(old, new, message):
+    assert old in BGP_SETTINGS
+    with pytest.raises(SettingsError) as raised:
+        resolve(BGP_SETTINGS.replace(old, new, 1), "g.cue")
+    assert message in str(raised.value)
 
 
-@pytest.mark.parametrize(("more", "told"), [
+@pytest.mark.parametrize(("more", "message"), [
     ("registry: {servers: []}\n", "registry.servers names none"), ('registry: servers: ["x"]\n', "registry.servers[0] is 'x'; an address is HOST:PORT"),
     ('registry: servers: ["127.0.0.1:1"]\n', "list.address and registry both tell of nodes"),
 ])  # fmt: skip
-def test_a_registry_that_can_not_be_is_told(more, told):
-    with pytest.raises(SettingsError) as trouble:
+def test_an_invalid_registry_is_reported(more, message):
+    with pytest.raises(SettingsError) as raised:
         resolve(GOOD + more, "g.cue")
-    assert told in str(trouble.value)
+    assert message in str(raised.value)
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -1,4 +1,4 @@
-"""Settings unlike ours: short days on a virtual network, judged from what passed on the sockets alone."""
+"""Arbitrary settings: short simulated days on a virtual network, checked only from the traffic on the sockets."""
 
 import json
 import os
@@ -20,37 +20,36 @@
 from ochrecourse.standins.respnode import VALUE, ListAgent, RespNode, RespPeer, good
 
 HEARTBEAT = 2.0  # s between empty lines of a watch
-BETWEEN = (
-    0.001  # s by which two moments seen at the far ends may be nearer than they were sent; twice the way
-)
-LAST_REQUEST = 800  # ms after the start in which the last client may ask
-GRANTED = 0.15  # s of a limit's rate by which the protocol page lets its store go lower
-GONE = 0.1  # s after a client's close in which an attempt on its way may still begin
+# s by which two events observed at the peers may be closer than when sent; twice the network delay
+ORDER_TOLERANCE = 0.001
+LAST_REQUEST = 800  # ms after the start until which clients send requests
+LIMIT_TOLERANCE = 0.15  # s of a limit's rate by which the protocol page lets its bucket go lower
+ATTEMPT_GRACE = 0.1  # s after a client's close within which an attempt in flight may still start
 MAY_HAVE_RUN = ("good", "late", "error", "reset", "hang")
 BEHAVIOURS = (*MAY_HAVE_RUN, "busy", "late busy")
-FEW = settings(max_examples=60, deadline=None, suppress_health_check=list(HealthCheck))
+EXAMPLES = settings(max_examples=60, deadline=None, suppress_health_check=list(HealthCheck))
 
 
-# --- the settings, drawn ---
+# --- random settings ---
 
 
 @st.composite
 def classes(draw):
-    """One class as the settings tell it. Times in ms."""
+    """A request class in the settings. Times in ms."""
     deadline = draw(st.sampled_from([2500, 900, 10_000, 60_000, 200, 90, 60, 40]))
-    told = {
+    values = {
         "Aim": float(max(40, round(deadline * draw(st.sampled_from([1.0, 0.7, 0.3, 0.1]))))),
         "Deadline": float(deadline),
         "Effect": draw(st.sampled_from(["keyed", "safe", "keyed", "unsafe"])),
     }
-    if told["Effect"] == "keyed" or draw(st.booleans()):
-        told["KeyScope"] = draw(st.sampled_from(["all", "zone", "cell"]))
-        told["Window"] = float(draw(st.sampled_from([1000, 300, 5000, 120, 50])))
-    told |= draw(st.fixed_dictionaries({}, optional={
+    if values["Effect"] == "keyed" or draw(st.booleans()):
+        values["KeyScope"] = draw(st.sampled_from(["all", "zone", "cell"]))
+        values["Window"] = float(draw(st.sampled_from([1000, 300, 5000, 120, 50])))
+    values |= draw(st.fixed_dictionaries({}, optional={
         "Points": st.sampled_from([0.5, 1.0, 7.0]), "LateShare": st.sampled_from([0.0, 0.4]),
         "Stream": st.just(False), "SerialByKey": st.just(False), "AimStretch": st.just(2.0),
     }))  # fmt: skip
-    return told
+    return values
 
 
 plans = st.fixed_dictionaries(
@@ -89,7 +88,7 @@
 
 @st.composite
 def days(draw):
-    """A site, its storage nodes and a short day: settings, cell and zone of each node, requests, behaviours."""
+    """A site with its storage nodes and a short day: settings, cell and zone of each node, requests, behaviours."""
     kinds = draw(st.lists(classes(), min_size=1, max_size=12))
     tenants = draw(st.lists(st.tuples(plans, limits), min_size=1, max_size=4))
     count = draw(st.sampled_from([1, 2, 3, 40, 1200]))
@@ -97,12 +96,12 @@
     values = {"Classes.count": len(kinds), "Policies.count": count, **draw(site)}
     for i, kind in enumerate(kinds):
         values |= {f"Classes.{i}.Name": f"class-{i}"} | {
-            f"Classes.{i}.{name}": told for name, told in kind.items()
+            f"Classes.{i}.{name}": value for name, value in kind.items()
         }
     for i in range(count):
         usual, limit = tenants[i % len(tenants)]
         values |= {f"Policies.{i}.Name": f"plan-{i}"}
-        values |= {f"Policies.{i}.{name}": told for name, told in (usual | (limit or {})).items()}
+        values |= {f"Policies.{i}.{name}": value for name, value in (usual | (limit or {})).items()}
     if zones:
         values["Zones"] = zones
     cells = draw(st.integers(1, 4))
@@ -121,98 +120,96 @@
     }  # fmt: skip
 
 
-# --- the world ---
+# --- the simulation ---
 
 
-class PlayedPeer(RespPeer):
-    """A node's end of a connection: each command is an attempt, played as the day says."""
+class ScriptedPeer(RespPeer):
+    """A node's end of a connection: each command is an attempt, answered as the day's behaviours specify."""
 
     def dataReceived(self, data):
         self.rest += data
         while (words := self._command()) is not None:
-            self.node.world.attempt_came(self, words)
+            self.node.simulation.attempt_received(self, words)
 
     def closed(self):
         """Whether either end of the connection has been closed."""
         return self.transport.lost or self.transport.disconnecting or self.transport.peer.lost
 
 
-class PlayedNode(RespNode):
-    def __init__(self, world, cell, zone):
+class ScriptedNode(RespNode):
+    def __init__(self, simulation, cell, zone):
         super().__init__()
-        self.world, self.cell, self.zone = world, cell, zone
+        self.simulation, self.cell, self.zone = simulation, cell, zone
 
     def buildProtocol(self, addr):
-        return PlayedPeer(self)
+        return ScriptedPeer(self)
 
 
 class Attempt:
-    """An attempt whose last byte came to a node."""
+    """An attempt whose last byte has arrived at a node."""
 
     def __init__(self, at, peer, kind):
         self.at, self.peer, self.node = at, peer, peer.node
         self.kind = kind
         self.answered = False
 
-    def out(self):
+    def is_in_flight(self):
         return not self.answered and not self.peer.closed()
 
-    def proven_unrun(self):
+    def is_known_unexecuted(self):
         return self.answered and "busy" in self.kind
 
 
-class Asked(Protocol):
-    """A client with one request on one connection, and all that it saw."""
+class RequestClient(Protocol):
+    """A client with one request on one connection, and all that it received."""
 
-    def __init__(self, world, number, told):
-        self.world, self.number, self.told = world, number, told
+    def __init__(self, simulation, number, request):
+        self.simulation, self.number, self.request = simulation, number, request
         self.sent_at = self.left_at = self.got_at = None
         self.got, self.ended, self.attempts = b"", False, []
-        kind = world.kinds[told["class"]]
+        kind = simulation.kinds[request["class"]]
         self.effect, self.scope = kind["Effect"], kind.get("KeyScope", "all")
         self.window = float(kind.get("Window", 0)) / 1000
-        self.waits = max(1, round(kind["Deadline"] * told["part"]))  # ms
+        self.waits = max(1, round(kind["Deadline"] * request["part"]))  # ms
 
     def connectionMade(self):
-        told = self.told
+        request = self.request
         writes = self.effect != "safe"
-        fields = f"c=class-{told['class']},t=plan-{told['plan']},d={self.waits}"
+        fields = f"c=class-{request['class']},t=plan-{request['plan']},d={self.waits}"
         fields += ",k=5c0f6e1a2b3d4c59" if self.effect == "keyed" else ""
-        fields += (
-            f",volume={self.volume():016x},units={told['units']},shard={told['cell']},hosts={told['hosts']}"
-        )
+        fields += f",volume={self.volume():016x},units={request['units']},shard={request['cell']},hosts={request['hosts']}"
         words = [
             b"BLK.WRITE" if writes else b"BLK.READ",
             b"%016x" % (self.number + 7),
             b"%016x" % self.number,
         ]
         self.transport.write(codec.encode_command([*words, fields.encode(), *([b"body"] if writes else [])]))
-        self.sent_at = self.world.network.seconds()
-        if told["leaves"] is not None:
-            self.world.network.callLater(told["leaves"] / 1000, self.leave)
+        self.sent_at = self.simulation.network.seconds()
+        if request["leaves"] is not None:
+            self.simulation.network.callLater(request["leaves"] / 1000, self.leave)
 
     def volume(self):
-        """Of one plan, as volumes are."""
-        return self.told["plan"] * 3 + self.told["volume"] + 1
+        """The volume's number; a volume belongs to one plan."""
+        return self.request["plan"] * 3 + self.request["volume"] + 1
 
     def leave(self):
         if not self.got and not self.ended:
-            self.left_at = self.world.network.seconds()
+            self.left_at = self.simulation.network.seconds()
             self.transport.abortConnection()
 
     def dataReceived(self, data):
         self.got += data
-        self.got_at = self.got_at or self.world.network.seconds()
+        self.got_at = self.got_at or self.simulation.network.seconds()
 
     def connectionLost(self, reason=None):
         self.ended = True
 
 
 class LateDials:
-    """The network as the gateway sees it when some of its connections to nodes come up late."""
+    """A network in which some of the gateway's connections to nodes are established late."""
 
     def __init__(self, network, ports, late):
-        """`late`: seconds for one dial after another, again from the first at the end."""
+        """`late`: delays of successive dials in s, repeated cyclically."""
         self.network, self.ports, self.late, self.count = network, ports, late, 0
 
     def __getattr__(self, name):
@@ -224,8 +221,8 @@
         self.network.callLater(wait, self.network.connectTCP, host, port, factory, timeout)
 
 
-class World:
-    """A gateway with its nodes, its list and its clients through a short day."""
+class Simulation:
+    """A gateway with its nodes, its list and its clients over a short day."""
 
     def __init__(self, day, late=(0.0,)):
         self.network = VirtualNetwork(day["seed"])
@@ -234,7 +231,7 @@
         writes = [values[f"Classes.{i}.Effect"] != "safe" for i in range(values["Classes.count"])]
         values["FamilyInfo.Writes"] = writes
         self.kinds = [self._class(day["values"], i) for i in range(len(writes))]
-        self.nodes = [PlayedNode(self, cell, zone) for cell, zone in day["nodes"]]
+        self.nodes = [ScriptedNode(self, cell, zone) for cell, zone in day["nodes"]]
         ports = [self.network.listenTCP(0, node).getHost().port for node in self.nodes]
         listed = [
             {"instanceId": f"s-{i}", "hostPort": f"127.0.0.1:{port}", "zone": node.zone, "cell": node.cell,
@@ -243,8 +240,8 @@
         ]  # fmt: skip
         self.agent = ListAgent()
         agent_port = self.network.listenTCP(0, self.agent).getHost().port
-        self._beat()
-        told = {
+        self._send_empty_lines()
+        start_file = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{agent_port}", "seed": f"{day['seed']:x}",
             "limits": {"sockets": 1024}, "settings": values,
             "known": {"generation": 1, "reset": True, "instances": listed},
@@ -252,96 +249,105 @@
         self.log = []
         dials = LateDials(self.network, set(ports), list(late))
         self.service = GatewayService(
-            parse_start_settings(told),
+            parse_start_settings(start_file),
             "none",
             ServiceEnvironment(dials, 10**18, self.log.append, lambda: None),
         )
         port = self.service.serve()[1]
         self.clients = {}
         for number, request in enumerate(day["requests"], 1):
-            self.clients[number] = client = Asked(self, number, request)
+            self.clients[number] = client = RequestClient(self, number, request)
             factory = ClientFactory()
             factory.noisy = False
             factory.buildProtocol = lambda addr, client=client: client
             self.network.callLater(request["at"] / 1000, self.network.connectTCP, "127.0.0.1", port, factory)
         self.slack = float(values["Safety.AnswerSlack"]) / 1000
-        self.faults = []
+        self.violations = []
 
     @staticmethod
     def _class(values, i):
         at = f"Classes.{i}."
-        return {name.removeprefix(at): told for name, told in values.items() if name.startswith(at)}
+        return {name.removeprefix(at): value for name, value in values.items() if name.startswith(at)}
 
-    def _beat(self):
+    def _send_empty_lines(self):
         for watch in self.agent.watches:
             watch.say(b"\n")
-        self.network.callLater(HEARTBEAT, self._beat)
+        self.network.callLater(HEARTBEAT, self._send_empty_lines)
 
     def run(self):
         longest = max(client.waits for client in self.clients.values()) / 1000
         self.network.advance(LAST_REQUEST / 1000 + longest + 1.0)
         return self
 
-    def attempt_came(self, peer, words):
+    def attempt_received(self, peer, words):
         kind, after = self.behaviours[self.count % len(self.behaviours)]
         self.count += 1
         attempt = Attempt(self.network.seconds(), peer, kind)
         client = self.clients[int(words[2], 16)]
-        self.judge_attempt(client, attempt)
+        self.check_attempt(client, attempt)
         client.attempts.append(attempt)
-        said = {"good": good(words), "late": good(words), "error": b"-ERR failed\r\n"}.get(kind, b"-BUSY\r\n")
+        response = {"good": good(words), "late": good(words), "error": b"-ERR failed\r\n"}.get(
+            kind, b"-BUSY\r\n"
+        )
         if kind == "reset":
             self.network.callLater(after / 1000, peer.transport.abortConnection)
         elif kind in ("late", "late busy"):
-            self.network.callLater(after / 1000, self._answer, attempt, said)
+            self.network.callLater(after / 1000, self._answer, attempt, response)
         elif kind != "hang":
-            self._answer(attempt, said)
+            self._answer(attempt, response)
 
-    def _answer(self, attempt, said):
+    def _answer(self, attempt, response):
         if not attempt.peer.closed():
             attempt.answered = True
-            attempt.peer.transport.write(said)
+            attempt.peer.transport.write(response)
 
-    # --- the judge ---
+    # --- checks ---
 
-    def fault(self, client, text):
+    def report_violation(self, client, text):
         seen = [
             (round(each.at - client.sent_at, 4), each.kind, each.node.cell, each.node.zone)
             for each in client.attempts
         ]
-        self.faults.append(
+        self.violations.append(
             f"request {client.number} ({client.effect}, {client.scope}): {text}; attempts before: {seen}"
         )
 
-    def judge_attempt(self, client, attempt):
-        """An attempt against those before it, at the moment when its last byte comes to its node."""
+    def check_attempt(self, client, attempt):
+        """Checks an attempt against the earlier ones, when its last byte arrives at its node."""
         before, node = client.attempts, attempt.node
-        if client.told["cell"] not in (-1, node.cell):
-            self.fault(client, f"sent to cell {node.cell}, its data is in {client.told['cell']}")
-        if client.got_at is not None and attempt.at > client.got_at + BETWEEN:
-            self.fault(client, "an attempt after its final answer")
-        if client.left_at is not None and attempt.at > client.left_at + GONE:
-            self.fault(client, f"an attempt {attempt.at - client.left_at:.3f} s after its client left")
-        if any(each.out() for each in before) and self.values.get("Limits.ParallelTries") is not True:
-            self.fault(client, "an attempt beside one that is still out")
+        if client.request["cell"] not in (-1, node.cell):
+            self.report_violation(
+                client, f"sent to cell {node.cell}, its data is in {client.request['cell']}"
+            )
+        if client.got_at is not None and attempt.at > client.got_at + ORDER_TOLERANCE:
+            self.report_violation(client, "an attempt after its final answer")
+        if client.left_at is not None and attempt.at > client.left_at + ATTEMPT_GRACE:
+            self.report_violation(
+                client, f"an attempt {attempt.at - client.left_at:.3f} s after its client left"
+            )
+        if (
+            any(each.is_in_flight() for each in before)
+            and self.values.get("Limits.ParallelTries") is not True
+        ):
+            self.report_violation(client, "an attempt beside one that is still out")
         if len(before) + 1 > int(self.values["Limits.MaxAttempts"]):
-            self.fault(client, f"attempt {len(before) + 1} is over the most")
-        ran = next((each for each in before if not each.proven_unrun()), None)
-        if ran is None or client.effect == "safe":
+            self.report_violation(client, f"attempt {len(before) + 1} is over the most")
+        executed = next((each for each in before if not each.is_known_unexecuted()), None)
+        if executed is None or client.effect == "safe":
             return
         if client.effect == "unsafe":
-            self.fault(client, "a further attempt where one may have run")
+            self.report_violation(client, "a further attempt where one may have run")
             return
-        if client.scope != "all" and getattr(ran.node, client.scope) != getattr(node, client.scope):
-            self.fault(client, f"a further attempt left its {client.scope}")
-        if attempt.at - ran.at > client.window:
-            self.fault(
+        if client.scope != "all" and getattr(executed.node, client.scope) != getattr(node, client.scope):
+            self.report_violation(client, f"a further attempt left its {client.scope}")
+        if attempt.at - executed.at > client.window:
+            self.report_violation(
                 client,
-                f"a further attempt {attempt.at - ran.at:.4f} s after the first, window {client.window} s",
+                f"a further attempt {attempt.at - executed.at:.4f} s after the first, window {client.window} s",
             )
 
-    def judge_answer(self, client):
-        """Exactly one final answer, in time and of a kind that what passed before it allows."""
+    def check_answer(self, client):
+        """Checks for exactly one final response, in time and of a kind that the attempts allow."""
         reader, replies = codec.ReplyParser(), []
         reader.feed(client.got)
         while (one := reader.next()) is not None:
@@ -349,48 +355,50 @@
         if client.left_at is not None:
             return
         if len(replies) != 1 or reader.has_unparsed_bytes():
-            self.fault(client, f"{len(replies)} answers, {client.got[:80]!r}")
+            self.report_violation(client, f"{len(replies)} answers, {client.got[:80]!r}")
             return
         if client.got_at > client.sent_at + client.waits / 1000 + self.slack:
-            self.fault(client, f"answered after {client.got_at - client.sent_at:.4f} s of {client.waits} ms")
+            self.report_violation(
+                client, f"answered after {client.got_at - client.sent_at:.4f} s of {client.waits} ms"
+            )
         before = [each for each in client.attempts if each.at <= client.got_at]
         if isinstance(replies[0], bytes):
             made = any(each.answered and each.kind in ("good", "late") for each in before)
             if not made or replies[0] != VALUE + b"%016x" % client.number:
-                self.fault(client, f"served with {replies[0]!r}, which no node gave for it")
+                self.report_violation(client, f"served with {replies[0]!r}, which no node gave for it")
         elif client.got.startswith(b"-BUSY"):
-            ran = [each for each in before if not each.proven_unrun()]
-            if ran and client.effect != "safe" and (client.effect, client.scope) != ("keyed", "all"):
-                self.fault(client, "refused though an attempt may have run")
+            executed = [each for each in before if not each.is_known_unexecuted()]
+            if executed and client.effect != "safe" and (client.effect, client.scope) != ("keyed", "all"):
+                self.report_violation(client, "refused though an attempt may have run")
 
-    def judge_limits(self, granted=BETWEEN):
-        """Each volume's store: full at first; the first attempt of a request takes its units. `granted`: seconds of
-        the limit's rate by which it may go below its slack.
+    def check_limits(self, granted=ORDER_TOLERANCE):
+        """Checks each volume's token bucket: full at first; the first attempt of a request takes its units.
+        `granted`: seconds of the limit's rate by which it may go below its slack.
         """
         taken = defaultdict(list)
         for client in self.clients.values():
             if client.attempts:
-                taken[client.told["plan"], client.volume()].append((client.attempts[0].at, client))
+                taken[client.request["plan"], client.volume()].append((client.attempts[0].at, client))
         for (plan, _), drawn in taken.items():
             at = f"Policies.{plan}."
             rate, depth = float(self.values.get(at + "Limit", 0)), float(self.values.get(at + "CapDepth", 0))
             slack = float(self.values.get(at + "LimitSlack", 0)) + rate * granted
-            store, last = depth, None
+            level, last = depth, None
             for when, client in sorted(drawn, key=lambda each: each[0]) if rate else ():
-                store = min(depth, store + rate * (when - (last if last is not None else when)))
-                store, last = store - client.told["units"], when
-                if store < -slack:
-                    self.fault(client, f"its volume's store is at {store:.3f}")
+                level = min(depth, level + rate * (when - (last if last is not None else when)))
+                level, last = level - client.request["units"], when
+                if level < -slack:
+                    self.report_violation(client, f"its volume's store is at {level:.3f}")
 
-    def judged(self):
+    def violations_found(self):
         for client in self.clients.values():
-            self.judge_answer(client)
-        self.judge_limits()
-        return self.faults
+            self.check_answer(client)
+        self.check_limits()
+        return self.violations
 
 
 def long_waits(day, effect="keyed"):
-    """Makes every class one whose requests there is time to repeat, and no client leave."""
+    """Gives every class time to repeat its requests, and makes no client leave."""
     for i in range(day["values"]["Classes.count"]):
         at = f"Classes.{i}."
         day["values"] |= {at + "Aim": 2500.0, at + "Deadline": 5000.0, at + "Effect": effect}
@@ -400,7 +408,7 @@
 
 @st.composite
 def days_of_repeats(draw):
-    """Days of keyed requests that any storage node takes at first, on nodes that mostly fail."""
+    """Days of keyed requests that any storage node may execute first, on nodes that mostly fail."""
     day = draw(days())
     long_waits(day)
     for i in range(day["values"]["Classes.count"]):
@@ -423,7 +431,7 @@
 
 @st.composite
 def days_of_limits(draw):
-    """Days on which one volume, all of which comes through this gateway, asks for more than its limit."""
+    """Days on which a volume, all of whose requests come through this gateway, exceeds its limit."""
     day = draw(days())
     day["requests"] = [dict(draw(st.sampled_from(day["requests"])), at=20 * i) for i in range(40)]
     long_waits(day, draw(st.sampled_from(["safe", "keyed"])))
@@ -434,69 +442,81 @@
     return day
 
 
-@FEW
+@EXAMPLES
 @given(day=days())
 def test_rules_hold_under_any_settings(day):
-    assert not World(day).run().judged()
+    assert not Simulation(day).run().violations_found()
 
 
-@FEW
+@EXAMPLES
 @given(day=days_of_repeats())
-def test_repeats_keep_to_their_window_and_group(day):
-    assert not World(day).run().judged()
+def test_repeats_stay_within_their_window_and_group(day):
+    assert not Simulation(day).run().violations_found()
 
 
-@FEW
+@EXAMPLES
 @given(day=days_of_limits())
-def test_limits_hold_where_one_gateway_has_all_of_a_volume(day):
-    assert not World(day).run().judged()
+def test_limits_hold_if_one_gateway_has_all_requests_of_a_volume(day):
+    assert not Simulation(day).run().violations_found()
 
 
-@FEW
+@EXAMPLES
 @given(
     day=days_of_repeats(),
     late=st.lists(st.sampled_from([0.0, 0.02, 0.1, 0.3, 1.0, 1.5]), min_size=1, max_size=6),
 )
-def test_rules_hold_when_connections_to_nodes_come_up_late(day, late):
-    """Guards against an attempt decided in time and written once its connection is up, when it is too late."""
-    assert not World(day, late).run().judged()
+def test_rules_hold_when_connections_to_nodes_are_established_late(day, late):
+    """Guards against an attempt that is decided in time but sent too late, once its connection is established."""
+    assert not Simulation(day, late).run().violations_found()
 
 
-@FEW
+@EXAMPLES
 @given(day=days(), late=st.lists(st.sampled_from([0.0, 0.02, 0.1, 0.3, 1.0, 1.5]), min_size=1, max_size=6))
-def test_rules_hold_under_any_settings_when_connections_come_up_late(day, late):
-    assert not World(day, late).run().judged()
+def test_rules_hold_under_any_settings_when_connections_are_established_late(day, late):
+    assert not Simulation(day, late).run().violations_found()
 
 
-def test_limit_holds_when_the_first_connections_come_up_late():
-    """Guards against first attempts that take their units when decided and all come to the node at one moment."""
+def test_limit_holds_when_the_first_connections_are_established_late():
+    """Guards against first attempts that take their units when decided and then all arrive at the node at once."""
     at = "Classes.0."
     kind = {at + "Aim": 2500.0, at + "Deadline": 5000.0, at + "Effect": "safe", at + "Name": "class-0"}
     plan = {"Rate": 4.0, "Limit": 40.0, "CapDepth": 20.0, "LimitSlack": 2.0, "Name": "plan-0"}
     values = {
-        **kind, "Classes.count": 1, "Policies.count": 1, **{f"Policies.0.{name}": told for name, told in plan.items()},
+        **kind, "Classes.count": 1, "Policies.count": 1, **{f"Policies.0.{name}": value for name, value in plan.items()},
         "FamilyInfo.UnitsTop": 8, "FamilyInfo.UsualUnits": 2.0, "Instances": 1, "Limits.MaxAttempts": 3,
         "Period": 1.0, "Safety.AnswerSlack": 4.0,
     }  # fmt: skip
     request = {"class": 0, "plan": 0, "volume": 0, "cell": 0, "part": 1.0, "hosts": 1, "leaves": None}
     requests = [dict(request, at=20 * i, units=8) for i in range(40)]
     day = {"values": values, "nodes": [(0, "")], "seed": 0, "requests": requests, "behaviours": [("good", 1)]}
-    world = World(day, late=[1.0]).run()
-    world.judge_limits(GRANTED)
-    assert not world.faults
+    simulation = Simulation(day, late=[1.0]).run()
+    simulation.check_limits(LIMIT_TOLERANCE)
+    assert not simulation.violations
 
 
-# --- start settings that are odd ---
+# --- invalid start settings ---
 
 
-FIGURES = [
+NUMBERS = [
     "Classes.0.Aim", "Classes.1.Window", "Classes.1.Points", "Classes.0.Deadline", "Limits.DialTimeout",
     "Limits.IdleClose", "Limits.MaxOpen", "Limits.MaxAttempts", "Limits.MaxRetryAfter", "Instances", "Period",
     "Safety.Cold", "Safety.Fall", "Safety.StartCapacity", "Safety.ExtraRatio", "FamilyInfo.UsualUnits",
     "FamilyInfo.ColdUnits", "FamilyInfo.FairWorth", "Policies.0.Rate", "Policies.1.Limit", "Policies.1.CapDepth",
 ]  # fmt: skip
-NO_FIGURE = [-5, -0.1, 1e300, 1e308, 10**400, float("nan"), float("inf"), float("-inf"), "abc", True, [1, 2]]
-ODD = {
+NOT_NUMBERS = [
+    -5,
+    -0.1,
+    1e300,
+    1e308,
+    10**400,
+    float("nan"),
+    float("inf"),
+    float("-inf"),
+    "abc",
+    True,
+    [1, 2],
+]
+INVALID = {
     "no aim": ({"Classes.1.Aim": ...}, "Classes.1.Aim"), "no count": ({"Classes.count": ...}, "Classes.count"),
     "no effect": ({"Classes.0.Effect": ...}, "Classes.0.Effect"),
     "a count of words": ({"Classes.count": "abc"}, "Classes.count"),
@@ -510,19 +530,19 @@
 
 
 def start_file(changes):
-    """A start file's object with some settings changed; `...` takes one out. It goes through JSON as a file does."""
-    changed = {name: told for name, told in {**FLAT, **changes}.items() if told is not ...}
-    told = {
+    """A start file's object with some settings changed; `...` removes one. It is passed through JSON like a file."""
+    changed = {name: value for name, value in {**FLAT, **changes}.items() if value is not ...}
+    document = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
         "seed": "0f",
         "settings": changed,
     }
-    return json.loads(json.dumps(told))
+    return json.loads(json.dumps(document))
 
 
-def begin(changes):
+def start_service(changes):
     network = VirtualNetwork(1)
     GatewayService(
         parse_start_settings(start_file(changes)),
@@ -532,31 +552,33 @@
     network.advance(0.1)
 
 
-@pytest.mark.parametrize("odd", ODD)
-def test_settings_without_sense_are_refused_by_their_name(odd):
-    changes, name = ODD[odd]
-    with pytest.raises((StartSettingsError, MissingSettingError)) as refused:
-        begin(changes)
-    assert name in str(refused.value) and "\n" not in str(refused.value) and len(str(refused.value)) < 200
+@pytest.mark.parametrize("case", INVALID)
+def test_invalid_settings_are_rejected_with_their_name(case):
+    changes, name = INVALID[case]
+    with pytest.raises((StartSettingsError, MissingSettingError)) as raised:
+        start_service(changes)
+    assert name in str(raised.value) and "\n" not in str(raised.value) and len(str(raised.value)) < 200
 
 
-@pytest.mark.parametrize("name", FIGURES)
-def test_figures_that_are_none_are_refused_by_their_name(name):
-    for told in NO_FIGURE:
-        with pytest.raises((StartSettingsError, MissingSettingError)) as refused:
-            begin({name: told})
-        assert name in str(refused.value) and "\n" not in str(refused.value) and len(str(refused.value)) < 200
+@pytest.mark.parametrize("name", NUMBERS)
+def test_values_that_are_not_numbers_are_rejected_with_their_name(name):
+    for value in NOT_NUMBERS:
+        with pytest.raises((StartSettingsError, MissingSettingError)) as raised:
+            start_service({name: value})
+        assert name in str(raised.value) and "\n" not in str(raised.value) and len(str(raised.value)) < 200
 
 
-@pytest.mark.parametrize("name", FIGURES)
-def test_figures_of_zero_are_taken(name):
-    # Guards against a check that refuses what the protocol page allows: a zero often says that there is none.
-    begin({name: 0})
-    begin({name: 0.0})
+@pytest.mark.parametrize("name", NUMBERS)
+def test_zeros_are_accepted(name):
+    # Guards against a check that rejects what the protocol page allows: a zero often means that there is none.
+    start_service({name: 0})
+    start_service({name: 0.0})
 
 
-def test_what_a_gateway_does_not_read_is_not_looked_at():
-    begin({"Classes.0.Novelty": -7, "Limits.NewOne": float("nan"), "Later": "x", "Classes.0.Name": "nan"})
+def test_settings_that_a_gateway_does_not_read_are_ignored():
+    start_service(
+        {"Classes.0.Novelty": -7, "Limits.NewOne": float("nan"), "Later": "x", "Classes.0.Name": "nan"}
+    )
 
 
 @pytest.mark.parametrize(
@@ -570,5 +592,5 @@
         capture_output=True, text=True, timeout=60,
     )  # fmt: skip
     assert ended.returncode == 2 and ended.stdout == ""
-    said = ended.stderr.splitlines()
-    assert len(said) == 1 and "settings" in said[0] and next(iter(changes)) in said[0]
+    lines = ended.stderr.splitlines()
+    assert len(lines) == 1 and "settings" in lines[0] and next(iter(changes)) in lines[0]
--- a/tests/test_slow_disk.py
+++ b/tests/test_slow_disk.py
@@ -1,4 +1,4 @@
-"""A gateway of a fleet whose disk is slow, as processes: who waits for the disk, and who must not."""
+"""A fleet of gateway processes, one with a slow disk: only operations that need the disk may wait for it."""
 
 import os
 import time
@@ -9,16 +9,16 @@
 from test_fleet_part import Process, free_ports, until
 
 HOOK = Path(__file__).parent / "disk_hook"
-SYNC_S = 1.2  # what a sync takes beside a disk that is written to all the time
-LOST_S = 0.5  # so long after its time an answer is lost (STANDING: half a second)
-PLAY_S = 8.0
+SYNC_S = 1.2  # duration of a sync on a disk that is busy with other writes
+LOST_S = 0.5  # delay after which a response counts as lost (STANDING: half a second)
+RUN_S = 8.0
 
 pytestmark = pytest.mark.real_time
 
 
 @pytest.fixture
 def fleet(tmp_path, monkeypatch):
-    """Three members; the disk of `a` is slow once `slow` is there."""
+    """Three members; the disk of `a` is slow once the file `slow` exists."""
     ports, running = free_ports("abc"), {}
     monkeypatch.setenv("SYNC_SECONDS", str(SYNC_S))
     monkeypatch.setenv("SLOW_FROM", str(tmp_path / "slow"))
@@ -39,27 +39,27 @@
             each.process.stdout.close()
 
 
-def timed(call):
+def measure(call):
     began = time.monotonic()
     return call(), time.monotonic() - began
 
 
-def test_a_sync_that_takes_a_second_holds_up_only_who_asked_for_it(fleet, tmp_path):
-    """Guards against a sync of the fleet's journal that blocks the event loop: answers late or never, members silent."""
+def test_a_sync_of_a_second_delays_only_the_requests_that_need_it(fleet, tmp_path):
+    """Guards against a sync of the fleet's journal that blocks the event loop: late or lost responses, silent members."""
     (tmp_path / "slow").touch()
-    ends_at = time.monotonic() + PLAY_S
+    ends_at = time.monotonic() + RUN_S
     waits, reached, appended = [], [], []
 
     def ask():
         while time.monotonic() < ends_at:
-            report, took = timed(lambda: fleet["a"].ask(do="fleet"))
+            report, took = measure(lambda: fleet["a"].ask(do="fleet"))
             waits.append(took)
             reached.append(sum(each["reached"] for each in report["members"]))
             time.sleep(0.02)
 
     def append(name):
         while time.monotonic() < ends_at:
-            appended.append((name, *timed(lambda: fleet[name].ask(do="append", channel="c", value=name))))
+            appended.append((name, *measure(lambda: fleet[name].ask(do="append", channel="c", value=name))))
             time.sleep(0.05)
 
     with ThreadPoolExecutor() as pool:
@@ -68,22 +68,22 @@
     assert max(waits) < LOST_S, f"the longest of {len(waits)} waits was {max(waits):.2f} s"
     assert min(reached) == 3 and fleet["b"].reached() == 3
     own = [took for name, _, took in appended if name == "a"]
-    assert min(own) > SYNC_S and len(own) >= 2  # each is answered once it is on disk
+    assert min(own) > SYNC_S and len(own) >= 2  # each is confirmed once it is on disk
     assert all(answer["done"] for _, answer, _ in appended)
 
 
-def test_what_was_answered_beside_a_slow_disk_outlives_kill_9(fleet, tmp_path):
+def test_appends_confirmed_on_a_slow_disk_survive_kill_9(fleet, tmp_path):
     """Guards against an append that is answered before it is durable."""
     (tmp_path / "slow").touch()
     answers = [fleet["a"].ask(do="append", channel="c", value=i) for i in range(3)]
     fleet["a"].process.kill()
     fleet["a"].process.wait()
     (tmp_path / "slow").unlink()
-    # What nobody else has must be on the disk alone.
+    # The other members are killed too, so that the entries can only come from this member's disk.
     for name in "bc":
         fleet[name].process.kill()
         fleet[name].process.wait()
     ports = free_ports("abc")
-    again = fleet["a"] = Process(tmp_path, "a", ports)
-    dump = again.ask(do="dump", channel="c")["dump"]
+    restarted = fleet["a"] = Process(tmp_path, "a", ports)
+    dump = restarted.ask(do="dump", channel="c")["dump"]
     assert all(f'["c","a",{answer["life"]},{answer["seq"]},' in dump for answer in answers)
