--- a/ochrecourse/service/discovery_watch.py
+++ b/ochrecourse/service/discovery_watch.py
@@ -30,9 +30,7 @@
 )
 from ochrecourse.service.watch_connection import WatchConnection, WatchDial
 
-ATTEMPT_GAP_SECONDS = (
-    1.0  # from a dial to the next attempt, without a response's head; the agent is on this host
-)
+ATTEMPT_GAP_SECONDS = 1.0  # from a dial without a response's head to the next attempt; the agent is local
 FIRST_LINE_GAP_SECONDS = 4.25  # from a response's head to the next attempt; by then two empty lines were due
 MOVED_GAP_SECONDS = 2.5  # the same at a new address, until its first line; by then one empty line was due
 SILENT_GAP_SECONDS = 3.0  # from a line to the next attempt; the agent sends an empty line every 2 s
--- a/ochrecourse/service/start_settings.py
+++ b/ochrecourse/service/start_settings.py
@@ -19,7 +19,7 @@
 
 # The numbers that a gateway reads. Each may be absent; unknown keys are ignored, so that the platform can add
 # new ones.
-FIGURE_PATHS = re.compile(
+NUMBER_PATHS = re.compile(
     r"Classes\.\d+\.(Aim|Deadline|Points|Window)"
     r"|Policies\.\d+\.(CapDepth|Limit|Rate|Reserve|ValueFactor|Weight)"
     r"|FamilyInfo\.(BeyondShare|ColdUnits|FairWorth|UnitsTop|UsualUnits)"
@@ -30,7 +30,7 @@
 COUNT_PATHS = re.compile(r"(Classes|Policies)\.count")
 CHOICES = {"Effect": ("safe", "keyed", "unsafe"), "KeyScope": ("all", "zone", "cell")}
 CHOICE_PATHS = re.compile(r"Classes\.\d+\.(Effect|KeyScope)")
-MAX_FIGURE = 1e12  # 30 years in ms; in ns it still fits the clock's 64-bit range
+MAX_NUMBER = 1e12  # 30 years in ms; in ns it still fits the clock's 64-bit range
 MAX_COUNT = 65_536  # request classes or tenants, which have 16-bit numbers on the wire
 PORTS = 65_536
 DEFAULT_MAX_OPEN_FILES = 1024  # if the file sets no limit
@@ -88,8 +88,8 @@
 def check_values(values: Mapping[str, str]) -> None:
     """Checks numbers and choices that would otherwise fail only while serving. Raises StartSettingsError."""
     for path, text in values.items():
-        if FIGURE_PATHS.fullmatch(path):
-            _check_figure(path, text)
+        if NUMBER_PATHS.fullmatch(path):
+            _check_number(path, text)
         elif COUNT_PATHS.fullmatch(path):
             _check_count(path, text)
         elif found := CHOICE_PATHS.fullmatch(path):
@@ -98,13 +98,13 @@
                 raise StartSettingsError(f"settings.{path} is none of {', '.join(choices)}: {text[:40]!r}")
 
 
-def _check_figure(path: str, text: str) -> None:
+def _check_number(path: str, text: str) -> None:
     try:
-        figure = float(text)
+        number = float(text)
     except ValueError:
-        figure = math.nan
-    if not 0 <= figure <= MAX_FIGURE:  # no comparison is true for NaN
-        raise StartSettingsError(f"settings.{path} is not a number from 0 to {MAX_FIGURE:.0e}: {text[:40]!r}")
+        number = math.nan
+    if not 0 <= number <= MAX_NUMBER:  # no comparison is true for NaN
+        raise StartSettingsError(f"settings.{path} is not a number from 0 to {MAX_NUMBER:.0e}: {text[:40]!r}")
 
 
 def _check_count(path: str, text: str) -> None:
--- a/tests/test_list_watch.py
+++ b/tests/test_list_watch.py
@@ -781,12 +781,12 @@
 agent = ListAgent({"generation": 7, "reset": True, "instances": []})
 port = reactor.listenTCP(0, agent, interface="127.0.0.1")
 resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
-taken = []
+duplicates = []
 endpoints = DiscoveredEndpoints([], 0)
-def told(news):
+def on_update(update):
     print("told", endpoints.version, flush=True)
     reactor.stop()
-watch = DiscoveryWatch(reactor, endpoints, ("127.0.0.1", port.getHost().port), told, print)
+watch = DiscoveryWatch(reactor, endpoints, ("127.0.0.1", port.getHost().port), on_update, print)
 failed = [0]
 attempt_ended = watch.attempt_ended
 def count(attempt):
@@ -794,13 +794,13 @@
     attempt_ended(attempt)
     if failed[0] == 4:
         print("failed", watch.last_attempt_number, flush=True)
-        while taken:
-            os.close(taken.pop())
+        while duplicates:
+            os.close(duplicates.pop())
 watch.attempt_ended = count
 def begin():
     try:
         while True:
-            taken.append(os.dup(0))
+            duplicates.append(os.dup(0))
     except OSError:
         watch.start()
 reactor.callWhenRunning(begin)
@@ -837,11 +837,11 @@
 port = reactor.listenTCP(0, agent, interface="127.0.0.1").getHost().port
 files = lambda: len(os.listdir("/proc/self/fd"))
 endpoints = DiscoveredEndpoints([], 0)
-def told(news):
+def on_update(update):
     # The connection at either end; the dials to the old address are closed.
     print("told", endpoints.version, watch.last_attempt_number, files() - before, flush=True)
     reactor.stop()
-watch = DiscoveryWatch(reactor, endpoints, full.getsockname(), told, print)
+watch = DiscoveryWatch(reactor, endpoints, full.getsockname(), on_update, print)
 begin = watch._start_attempt
 def count():
     begin()
