--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -46,8 +46,8 @@
     tmp_path, files, sockets, greeting
 ):
     """Guards against a process with no descriptor left for its nodes and its list when discovery responds again."""
-    limit_of_clients = min(files, sockets)
-    limit_of_clients -= share_descriptors(limit_of_clients)[1]  # the share of nodes stays free
+    max_descriptors = min(files, sockets)
+    max_descriptors -= share_descriptors(max_descriptors)[1]  # the share of nodes stays free
     known = listed(1)  # nothing listens there: requests are served once the list has arrived
     with RelayProcess(
         tmp_path, sockets=sockets, preexec=limit_descriptors(files), agent_responds=False, known=known
@@ -60,11 +60,11 @@
             client = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
             idle_clients.append(client)
             client.sendall(greeting)
-            assert open_descriptors(relay.process) <= limit_of_clients
+            assert open_descriptors(relay.process) <= max_descriptors
         relay.agent.responds.set()
         for number in range(20):
             wait_until_served(relay, port, number)
-            assert open_descriptors(relay.process) <= limit_of_clients
+            assert open_descriptors(relay.process) <= max_descriptors
         assert not any("unexpected" in line for line in relay.log_lines)
         for client in idle_clients:
             client.close()
--- a/tests/test_predecessor.py
+++ b/tests/test_predecessor.py
@@ -106,9 +106,8 @@
     with subprocess.Popen(
         ochrecourse("serve", host.path), stdout=subprocess.PIPE, stderr=subprocess.PIPE
     ) as process:
-        assert (
-            b"waits up to" in process.stderr.readline()
-        )  # only now does the predecessor's remaining second begin
+        # Only now does the predecessor's remaining second begin.
+        assert b"waits up to" in process.stderr.readline()
         for each in ends:
             each.start()
         assert process.stdout.readline().decode() == f"listening {address}\n"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -388,9 +388,8 @@
     shop.service.reload()
     shop.run(0.5)
     assert other.asked == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
-    assert (
-        not shop.agent.watches and len(other.watches) == 1
-    )  # the old watch ends once the new one has received a line
+    # The old watch ends once the new one has received a line.
+    assert not shop.agent.watches and len(other.watches) == 1
 
 
 def test_graceful_shutdown_serves_late_clients_and_answers_all_requests():
