--- a/ochrecourse/membership/endpoint_list_store.py
+++ b/ochrecourse/membership/endpoint_list_store.py
@@ -74,7 +74,7 @@
             return snapshot
         except (DamagedFileError, OSError, BadEndpointListError) as error:
             self.counts["kept lists not read"] += 1
-            self.warn(f"the cached list of nodes is ignored: {error}")
+            self.warn(f"the kept list of nodes is ignored: {error}")
             return None
 
     def apply_update(self, kind: str, epoch: int, entries: list[EndpointEntry]) -> bool:
--- a/ochrecourse/membership/registry_watcher.py
+++ b/ochrecourse/membership/registry_watcher.py
@@ -125,7 +125,7 @@
     def _server_distrusted(self, reason: str) -> None:
         """Switches from an untrusted server; warns an operator, who must decide, if no server is trusted."""
         if self.selector.server_distrusted():
-            self.warn(f"the registry is not trusted: {reason}; if it was restored, accept it")
+            self.warn(f"the registry is not believed: {reason}; if it was restored, accept it")
         self._leave_server("not believed")
 
     # --- ranges ---
@@ -256,7 +256,7 @@
             self.apply_update("full", self.registry.known_revision, entries)
         except BadEndpointListError as error:
             self.counts["bad lists"] += 1
-            self.warn(f"the registry's list is rejected: {error}")
+            self.warn(f"the registry's list is not taken: {error}")
 
 
 def unix_clock(network: Network, epoch: int) -> Callable[[], int]:
--- a/ochrecourse/storage/journal.py
+++ b/ochrecourse/storage/journal.py
@@ -171,8 +171,8 @@
             os.link(self.path, preserved)  # a hard link keeps the file when `path` is replaced
         damaged_at = header_size + reader.bytes_read
         self.damage_reports.append(
-            f"{self.path}: record {reader.records_read + 1} at byte {damaged_at} is truncated or damaged; "
-            f"the last {file_size - damaged_at} bytes are ignored, the file is preserved as {preserved.name}"
+            f"{self.path}: record {reader.records_read + 1} at byte {damaged_at} is cut short or damaged; "
+            f"the last {file_size - damaged_at} bytes are left out, the file is kept as {preserved.name}"
         )
 
     # --- writing ---
