--- a/ochrecourse/webdav/server.py
+++ b/ochrecourse/webdav/server.py
@@ -98,7 +98,7 @@
     digest: Any = hashlib.sha256()  # of the body so far; shared by requests without a body
     multistatus: Iterator[str] | None = None  # the responses that are still to be written
     epilogue = b""  # follows the last byte range
-    read_identity: RequestIdentity | None = None  # set while duplicates wait for this GET
+    read_identity: RequestIdentity | None = None  # set while this GET runs and duplicates of it must wait
     wait_timer: Timer | None = None  # runs while this GET waits for a duplicate of it
 
     # --- receiving ---
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -42,7 +42,7 @@
     "cli/day_run.py": ["jobs", "legs", "people", "verdict"],  # lab/, audit/, and fields of its output
     "cli/fleet_answers.py": ["life"],  # fleet/entries.py
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
-    "cli/load.py": ["PEOPLE", "People", "came", "doors", "jobs", "people"],  # lab/, webdav/
+    "cli/load.py": ["PEOPLE", "People", "came", "doors", "jobs", "people"],  # lab/
     "cli/members.py": ["went"],  # a word of its output
     "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # of the help, which is for users
     "cli/serve.py": ["held"],  # in the command's help
