--- a/ochrecourse/gateway/daemon_parts.py
+++ b/ochrecourse/gateway/daemon_parts.py
@@ -35,7 +35,7 @@
 from ochrecourse.storage.disk_worker import DiskWorker, InlineWorker
 from ochrecourse.storage.journal import FileJournal, Journal, MemoryJournal
 from ochrecourse.storage.process_lock import ProcessLock
-from ochrecourse.webdav.door import Door
+from ochrecourse.webdav.server import WebDavServer
 
 # Each component with its own random generator gets a different seed, so that no sequences are equal.
 WATCHER_SEED = 0x5DEECE66D
@@ -91,7 +91,7 @@
     def __init__(self, record: Mapping[str, Any], host: HostProgram, join_later: bool = False) -> None:
         """`join_later`: the fleet member is created later by `join_fleet`, when its journal is available.
 
-        Raises JournalError, Unreadable, OSError.
+        Raises JournalError, InvalidRecordError, OSError.
         """
         self.record = record
         self.host = host
@@ -205,7 +205,7 @@
         if self.fleet_member is not None:  # not while another process takes over
             self.fleet_member.registry_entries_received(entries.values())
 
-    def _make_webdav(self) -> Door:
+    def _make_webdav(self) -> WebDavServer:
         host = self.host
         journal = host.names_journal
         if journal is None:
--- a/tests/test_fleet_held.py
+++ b/tests/test_fleet_held.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from test_door import House
+from test_door import WebDavHarness
 
 from ochrecourse.fleet.calendar_edition import Scope
 from ochrecourse.fleet.cached_objects import OBJECT_OVERHEAD_BYTES, ObjectKey
@@ -438,13 +438,13 @@
 
 
 def test_webdav_answers_whole_objects_and_ranges_from_the_cache_and_reads_what_was_put(make_gateway_harness):
-    house = House(make_gateway_harness)
-    gateway, attempts = house.yard.gateway, house.store.legs
+    house = WebDavHarness(make_gateway_harness)
+    gateway, attempts = house.gateway_harness.gateway, house.node.attempts
     cache = PurgeableObjectCache(
         gateway,
         ObjectCacheSettings(["read"], 1 << 20, 400_000),
         lambda volume, tenant: True,
-        lambda: now_ns(house.yard.network),
+        lambda: now_ns(house.gateway_harness.network),
     )
     gateway.object_cache = cache
     client, content = house.open(), bytes(range(256)) * 600  # longer than two frames
