--- a/ochrecourse/gateway/webdav_setup.py
+++ b/ochrecourse/gateway/webdav_setup.py
@@ -27,7 +27,9 @@
     return FileJournal(Path(own["state"]) / f"{own['name']}.tree", *NAMES_JOURNAL)
 
 
-def names_and_locks(journal: Journal, network: Network, clock_zero: int, warn: Callable[[str], None]) -> StateStore:
+def names_and_locks(
+    journal: Journal, network: Network, clock_zero: int, warn: Callable[[str], None]
+) -> StateStore:
     """Loads names and locks from a journal; `clock_zero`: Unix time in s at the clock's zero.
 
     Raises InvalidRecordError, OSError.
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -534,11 +534,11 @@
 
 def test_a_lost_lease_makes_the_address_the_last_choice_and_stops_nothing(registered_daemon):
     play, daemon = registered_daemon
-    assert daemon.status().enrolled
+    assert daemon.status().registered
     for server in play.mirror.ends:
         server.stop()
     play.network.advance(15)
-    assert not daemon.status().enrolled and daemon.ready() == (True, "ready")
+    assert not daemon.status().registered and daemon.ready() == (True, "ready")
 
 
 def test_backoff_doubles_has_jitter_and_is_reset_by_an_established_watch():
