--- a/ochrecourse/fleet/anti_entropy.py
+++ b/ochrecourse/fleet/anti_entropy.py
@@ -1,12 +1,13 @@
-"""Anti-entropy on one link: each side says how far it holds each stream of the log and is sent what it lacks.
+"""Anti-entropy on one link: each side reports its position in each stream and is sent the entries it lacks.
 
-Entries go to whoever has not said `enough` of their writer at once, and to the others if they still lack them
-two beats later. What a gateway lacks after a long absence is sent in slices; how much may be on its way to
-one peer depends on how soon it acknowledges. An entry that is not acknowledged is sent again.
+New entries are sent at once, unless the peer sent `enough` for their writer; then they are sent if the peer
+still lacks them two heartbeat intervals later. The backlog after a long absence is sent in slices; how many
+bytes may be in flight to a peer depends on how soon it acknowledges. Entries without acknowledgement are sent
+again.
 
-The newest events of channel `fleet`, decisions on zones among them, are sent although entries before them are
-still to come. Whoever gets such an early one shows it to what rests on the fleet, and hands it on; it becomes
-part of the log in its turn, and until then no `have` speaks of it.
+The newest events of channel `fleet`, which include decisions on zones, are sent even if the peer still lacks
+earlier entries of their streams. The receiver shows such an early entry to the subsystems and relays it. It
+enters the log only after the entries before it; until then no `have` includes it.
 """
 
 from __future__ import annotations
@@ -29,119 +30,138 @@
 from ochrecourse.fleet.exchange_context import SLICE_BYTES
 from ochrecourse.fleet.snapshot_transfer import SnapshotTransfer
 
-MIN_WINDOW_BYTES = 1024  # bytes of entries that may always be on their way to one peer, however slow the way
-BATCH = 65_536  # and at the most: what a way of 1 MiB/s takes up in a quarter of a beat
-MOST_STREAMS = 65_536  # streams that a peer may name; more are made up
-STREAMS = 2000  # streams in one frame of `have`
-AGAIN = 8  # beats after which an entry that was sent and not acknowledged is sent again; doubled each time
-LAG = 2  # beats after which an entry is sent to who should have had it from another
+MIN_WINDOW_BYTES = 1024  # bytes of entries that may be in flight to a peer on even the slowest link
+MAX_WINDOW_BYTES = (
+    65_536  # and on the fastest: what a link of 1 MiB/s carries in a quarter of a heartbeat interval
+)
+MAX_STREAMS = 65_536  # distinct streams that a peer may report; real fleets have fewer
+STREAMS_PER_FRAME = 2000  # streams per frame of `have`
+RESEND_INTERVALS = 8  # heartbeat intervals until unacknowledged entries are sent again; doubled each time
+LAG_INTERVALS = 2  # heartbeat intervals until entries are sent to a peer that should get them elsewhere
 
 
 class AntiEntropy:
-    """Equal logs on both sides of one link. `no_more`: writers of which the other side said enough."""
+    """Anti-entropy on one link. `relaying_stopped`: writers that the peer receives from elsewhere."""
 
-    def __init__(self, state: LinkState, no_more: Set[str]) -> None:
+    def __init__(self, state: LinkState, relaying_stopped: Set[str]) -> None:
         self.state = state
         self.context = state.context
-        self.relaying_stopped = no_more
+        self.relaying_stopped = relaying_stopped
         self.entries_in = 0
-        self.needs_acknowledgement = (
-            False  # the other side is to be told what is held here since it was last told
-        )
-        self.peer_positions: dict[
-            Stream, int
-        ] = {}  # how far the other side holds, or is about to hold, each stream
+        self.needs_acknowledgement = False  # positions that changed since the last ones sent are to be sent
+        # Last entry of each stream that the peer stores or that is in flight to it.
+        self.peer_positions: dict[Stream, int] = {}
         self.snapshots = SnapshotTransfer(state, self.peer_positions)
-        self._in_flight: dict[Stream, int] = {}  # sent and not acknowledged
+        self._in_flight: dict[Stream, int] = {}  # last entry sent, of streams not fully acknowledged
         self._acked: dict[Stream, int] = {}
-        self._flying: deque[tuple[Stream, int, int, int]] = deque()  # last entry, bytes, when it went
-        self._aloft = 0  # bytes of these
-        self._window = SLICE_BYTES  # bytes of entries that may be on their way
-        self._told: dict[Stream, int] = {}  # what it was told that this side holds
-        self._told_at = -1  # at which version of the log
-        self._first: deque[list[tuple[str, int, int]]] | None = None
-        self._whole = False  # its first telling is complete
-        self._lag: dict[Stream, tuple[int, int]] = {}  # behind where: since how many beats
-        self._lag_at = -1
-        self._anyway: set[Stream] = set()
-        self._over: dict[Stream, int] = {}  # entries that came of lives that are over, to be acknowledged
-        self._forgot = self.context.log.retirement_count  # lives that are over are forgotten here too
-        self._done_at = -1  # nothing was missing there at this version of the log
-        self._newest_at = 0  # how many of the newest events of channel `fleet` were looked at
-        self._still: dict[Stream, tuple[int, int, int]] = {}  # acknowledged, beats since, beats to wait
+        # Frames in flight: stream and number of the last entry, size in bytes, time sent in ns.
+        self._frames_in_flight: deque[tuple[Stream, int, int, int]] = deque()
+        self._bytes_in_flight = 0  # of these frames
+        self._window = SLICE_BYTES  # bytes of entries that may be in flight
+        self._sent_positions: dict[Stream, int] = {}  # own positions as last sent to the peer
+        self._sent_positions_at = -1  # version of the log of these
+        # The first list of positions, as far as it is still to be sent, one item per frame.
+        self._first_positions: deque[list[tuple[str, int, int]]] | None = None
+        self._has_peer_positions = False  # the peer's first list of positions is complete
+        # Streams in which the peer lags: its position, and for how many intervals it has not changed.
+        self._lagging: dict[Stream, tuple[int, int]] = {}
+        self._lag_checked_at = -1
+        self._send_anyway: set[Stream] = set()  # lagging streams to send although relaying was stopped
+        # Last entry received of streams of ended incarnations, to be acknowledged.
+        self._ended_to_acknowledge: dict[Stream, int] = {}
+        # The log's count when ended incarnations were last removed here.
+        self._retirement_count = self.context.log.retirement_count
+        self._nothing_missing_at = -1  # version of the log at which the peer lacked nothing
+        self._early_checked = 0  # events of channel `fleet` that were checked for sending early
+        # By stream: acknowledged number, intervals since it changed, intervals until entries are sent again.
+        self._unacknowledged: dict[Stream, tuple[int, int, int]] = {}
 
-    # --- what is reported ---
+    # --- events ---
 
     def beat_passed(self) -> None:
-        """A beat has passed."""
-        if self._forgot != self.context.log.retirement_count:
-            self._forgot = self.context.log.retirement_count
-            self._forget()
-        if self._lag_at != self.context.log_version or self._lag:
-            self._lag_at = self.context.log_version
-            self._look_at_lag()
-        if self._in_flight or self._still:
-            self._look_at_still()
+        """A heartbeat interval has passed."""
+        if self._retirement_count != self.context.log.retirement_count:
+            self._retirement_count = self.context.log.retirement_count
+            self._remove_ended()
+        if self._lag_checked_at != self.context.log_version or self._lagging:
+            self._lag_checked_at = self.context.log_version
+            self._check_lag()
+        if self._in_flight or self._unacknowledged:
+            self._resend_unacknowledged()
 
-    def _forget(self) -> None:
-        """Guards against a link that lasts for many restarts and counts all their lives."""
-        known: tuple[dict[Stream, Any], ...]
-        known = (self.peer_positions, self._in_flight, self._acked, self._told, self._lag, self._still)
-        for each in known:
-            for stream in [s for s in each if self.context.log.has_ended(s)]:
-                del each[stream]
-        self._none_flies()
-        self._anyway = {s for s in self._anyway if not self.context.log.has_ended(s)}
+    def _remove_ended(self) -> None:
+        """Removes ended incarnations, which would accumulate on a link that lasts for many restarts."""
+        tables: tuple[dict[Stream, Any], ...]
+        tables = (
+            self.peer_positions,
+            self._in_flight,
+            self._acked,
+            self._sent_positions,
+            self._lagging,
+            self._unacknowledged,
+        )
+        for table in tables:
+            for stream in [stream for stream in table if self.context.log.has_ended(stream)]:
+                del table[stream]
+        self._clear_in_flight()
+        self._send_anyway = {stream for stream in self._send_anyway if not self.context.log.has_ended(stream)}
 
-    def _look_at_lag(self) -> None:
+    def _check_lag(self) -> None:
         behind: dict[Stream, tuple[int, int]] = {}
         for stream, seq in self.context.vector().items():
-            there = self.peer_positions.get(stream, 0)
-            if there < seq and stream[0] in self.relaying_stopped:
-                at, beats = self._lag.get(stream, (there, 0))
-                behind[stream] = (there, beats + 1 if at == there else 0)
-                if behind[stream][1] >= LAG:
-                    self._anyway.add(stream)
-                    self._done_at = -1
-        self._lag = behind
+            peer_position = self.peer_positions.get(stream, 0)
+            if peer_position < seq and stream[0] in self.relaying_stopped:
+                previous, intervals = self._lagging.get(stream, (peer_position, 0))
+                behind[stream] = (peer_position, intervals + 1 if previous == peer_position else 0)
+                if behind[stream][1] >= LAG_INTERVALS:
+                    self._send_anyway.add(stream)
+                    self._nothing_missing_at = -1
+        self._lagging = behind
+
+    def _resend_unacknowledged(self) -> None:
+        """Sends entries again that the peer could not store when it received them.
 
-    def _look_at_still(self) -> None:
-        """Guards against entries that the other side could not take when they came: they would count as on
-        their way for ever."""
-        still: dict[Stream, tuple[int, int, int]] = {}
+        They would count as in flight forever.
+        """
+        unacknowledged: dict[Stream, tuple[int, int, int]] = {}
         for stream in list(self._in_flight):
             acked = self._acked.get(stream, 0)
-            at, beats, wait = self._still.get(stream, (acked, 0, AGAIN))
-            if at != acked:
-                beats, wait = -1, AGAIN
-            elif beats >= wait:
+            previous, intervals, wait = self._unacknowledged.get(stream, (acked, 0, RESEND_INTERVALS))
+            if previous != acked:
+                intervals, wait = -1, RESEND_INTERVALS
+            elif intervals >= wait:
                 self.peer_positions[stream] = acked
                 del self._in_flight[stream]
-                self._none_flies()
-                self._done_at, beats, wait = -1, -1, min(2 * wait, 64 * AGAIN)
-            still[stream] = (acked, beats + 1, wait)
-        self._still = still if self._in_flight or any(each[2] > AGAIN for each in still.values()) else {}
+                self._clear_in_flight()
+                self._nothing_missing_at, intervals, wait = -1, -1, min(2 * wait, 64 * RESEND_INTERVALS)
+            unacknowledged[stream] = (acked, intervals + 1, wait)
+        self._unacknowledged = (
+            unacknowledged
+            if self._in_flight or any(state[2] > RESEND_INTERVALS for state in unacknowledged.values())
+            else {}
+        )
 
     def restart(self) -> None:
-        """The other side misses a frame: all is told as on a new link."""
+        """The peer misses a frame: everything is sent again as on a new link."""
         self.peer_positions.clear()
         self.peer_positions.update(self._acked)
         self._in_flight.clear()
-        self._none_flies()
-        self._first = None
+        self._clear_in_flight()
+        self._first_positions = None
         self.snapshots.restart()
-        self._done_at = -1
-        self._newest_at = 0
+        self._nothing_missing_at = -1
+        self._early_checked = 0
 
     def recheck(self) -> None:
-        """The other side may lack entries although nothing is new here."""
-        self._done_at = -1
+        """The peer may lack entries although nothing is new here."""
+        self._nothing_missing_at = -1
 
-    # --- what comes ---
+    # --- received messages ---
 
-    def positions_received(self, told: list[tuple[str, int, int]], more: bool, now: int) -> None:
-        for writer, life, seq in told:
-            stream = (writer, life)
+    def positions_received(self, positions: list[tuple[str, int, int]], has_more: bool, now: int) -> None:
+        """Positions of the peer. `has_more`: its first list continues. Raises PeerProtocolError."""
+        for writer, incarnation, seq in positions:
+            stream = (writer, incarnation)
             if self.context.log.has_ended(stream):
                 continue
             if seq > self._acked.get(stream, 0):
@@ -150,141 +170,159 @@
                 self.peer_positions[stream] = seq
             if self._in_flight.get(stream, seq + 1) <= seq:
                 del self._in_flight[stream]
-        if len(self._acked) > MOST_STREAMS:
-            raise PeerProtocolError("oversize", f"names more than {MOST_STREAMS} streams")
-        self._whole = self._whole or not more
-        self._look_at_flight(now)
+        if len(self._acked) > MAX_STREAMS:
+            raise PeerProtocolError("oversize", f"names more than {MAX_STREAMS} streams")
+        self._has_peer_positions = self._has_peer_positions or not has_more
+        self._adapt_window(now)
+
+    def _adapt_window(self, now: int) -> None:
+        """Adapts the window to the speed of the link.
 
-    def _look_at_flight(self, now: int) -> None:
-        """Guards against a slow way, on which signs of life would stand behind more than a beat of the log:
-        what may be on its way halves where it takes longer, and doubles where it takes half as long."""
-        while self._flying:
-            stream, seq, size, at = self._flying[0]
+        On a slow link heartbeats would queue behind the log for more than a heartbeat interval. The window is
+        halved if an acknowledgement takes longer than an interval, and doubled if it takes less than half.
+        """
+        while self._frames_in_flight:
+            stream, seq, size, sent_at = self._frames_in_flight[0]
             if self._acked.get(stream, 0) < seq:
                 return
-            self._flying.popleft()
-            self._aloft -= size
-            if now - at > self.context.heartbeat_interval:
+            self._frames_in_flight.popleft()
+            self._bytes_in_flight -= size
+            if now - sent_at > self.context.heartbeat_interval:
                 self._window = max(MIN_WINDOW_BYTES, self._window // 2)
-            elif now - at < self.context.heartbeat_interval // 2:
-                self._window = min(BATCH, 2 * self._window)
+            elif now - sent_at < self.context.heartbeat_interval // 2:
+                self._window = min(MAX_WINDOW_BYTES, 2 * self._window)
 
-    def _none_flies(self) -> None:
-        self._flying.clear()
-        self._aloft = 0
+    def _clear_in_flight(self) -> None:
+        self._frames_in_flight.clear()
+        self._bytes_in_flight = 0
 
     def entries_received(self, entries: list[Entry], wall_ms: int) -> list[Entry]:
-        common, chains = self.context, self.context.log.chains
-        own = (common.members.name, common.members.incarnation)
+        """Merges entries into the log; returns those that are new. Raises PeerProtocolError."""
+        context, chains = self.context, self.context.log.chains
+        own = (context.members.name, context.members.incarnation)
         for entry in entries:
             if entry.stream == own and (own not in chains or entry.seq > chains[own].last):
                 raise PeerProtocolError(
                     "name", f"an entry in this gateway's name ({own[0]}, number {entry.seq})"
                 )
         try:
-            new = common.log_store.merge(entries, wall_ms)
-        except InvalidEntryError as trouble:
-            raise PeerProtocolError("bad_entry", str(trouble)) from None
+            new = context.log_store.merge(entries, wall_ms)
+        except InvalidEntryError as error:
+            raise PeerProtocolError("bad_entry", str(error)) from None
         self.entries_in += len(entries)
         for entry in entries:
             chain = chains.get(entry.stream)
-            if common.log.has_ended(entry.stream):
-                self._over[entry.stream] = max(entry.seq, self._over.get(entry.stream, 0))
+            if context.log.has_ended(entry.stream):
+                self._ended_to_acknowledge[entry.stream] = max(
+                    entry.seq, self._ended_to_acknowledge.get(entry.stream, 0)
+                )
             elif chain is not None and entry.seq <= chain.last:
                 if entry.seq > self.peer_positions.get(entry.stream, 0):
                     self.peer_positions[entry.stream] = entry.seq
-            elif entry.channel == FLEET_CHANNEL and entry.stream not in common.log.forks:
-                # Its sender may not hold what stands before it either.
-                common.add_early_entry(entry)
+            elif entry.channel == FLEET_CHANNEL and entry.stream not in context.log.forks:
+                # The sender itself may lack the entries before it.
+                context.add_early_entry(entry)
         self.needs_acknowledgement = True
         return new
 
-    # --- what is pulled ---
+    # --- frames to send ---
 
     def positions_to_send(self) -> bytes | None:
-        if self._first is None:
-            told = [(*stream, seq) for stream, seq in self.context.vector().items()]
-            self._told = {(writer, life): seq for writer, life, seq in told}
-            self._told_at = self.context.log_version
-            self._first = deque([told[i : i + STREAMS] for i in range(0, len(told), STREAMS)] or [[]])
-        if self._first:
-            part = self._first.popleft()
+        """The next frame of own positions: all of them first, then changes; None if there are none."""
+        if self._first_positions is None:
+            positions = [(*stream, seq) for stream, seq in self.context.vector().items()]
+            self._sent_positions = {(writer, incarnation): seq for writer, incarnation, seq in positions}
+            self._sent_positions_at = self.context.log_version
+            self._first_positions = deque(
+                [positions[i : i + STREAMS_PER_FRAME] for i in range(0, len(positions), STREAMS_PER_FRAME)]
+                or [[]]
+            )
+        if self._first_positions:
+            frame = self._first_positions.popleft()
             return self.state.next_frame(
-                StreamPositions(has_more=bool(self._first)), self.state.encode_body(part)
+                StreamPositions(has_more=bool(self._first_positions)), self.state.encode_body(frame)
+            )
+        if self._ended_to_acknowledge:  # nothing more of these is stored: the peer must not send them again
+            ended, self._ended_to_acknowledge = (
+                [(*stream, seq) for stream, seq in self._ended_to_acknowledge.items()],
+                {},
             )
-        if self._over:  # taken as far as it ever will be: not to be sent again
-            over, self._over = [(*stream, seq) for stream, seq in self._over.items()], {}
-            return self.state.next_frame(StreamPositions(), self.state.encode_body(over[:STREAMS]))
-        if not self.needs_acknowledgement or self._told_at == self.context.log_version:
+            return self.state.next_frame(StreamPositions(), self.state.encode_body(ended[:STREAMS_PER_FRAME]))
+        if not self.needs_acknowledgement or self._sent_positions_at == self.context.log_version:
             self.needs_acknowledgement = False
             return None
         vector = self.context.vector()
-        news = [(*at, seq) for at, seq in vector.items() if self._told.get(at) != seq][:STREAMS]
-        for writer, life, seq in news:
-            self._told[writer, life] = seq
-        if len(news) < STREAMS:
-            self.needs_acknowledgement, self._told_at = False, self.context.log_version
-        return self.state.next_frame(StreamPositions(), self.state.encode_body(news)) if news else None
+        changed = [(*at, seq) for at, seq in vector.items() if self._sent_positions.get(at) != seq][
+            :STREAMS_PER_FRAME
+        ]
+        for writer, incarnation, seq in changed:
+            self._sent_positions[writer, incarnation] = seq
+        if len(changed) < STREAMS_PER_FRAME:
+            self.needs_acknowledgement, self._sent_positions_at = False, self.context.log_version
+        return self.state.next_frame(StreamPositions(), self.state.encode_body(changed)) if changed else None
 
     def may_lack_entries(self) -> bool:
-        """Whether the other side may lack something, and has said all that it holds."""
-        return self._whole and self._done_at != self.context.log_version
+        """Whether the peer has reported all its positions and may lack entries."""
+        return self._has_peer_positions and self._nothing_missing_at != self.context.log_version
 
     def next_frame(self, now: int) -> bytes | None:
-        """The next frame of what the other side lacks. What waits for room, or for what is on its way, is
-        overtaken by the newest events of the fleet."""
-        may = self._aloft < self._window and self.context.has_budget(now)
-        return (self._entries_to_send(now) if may else None) or self._early_to_send()
+        """The next frame of what the peer lacks; None if there is none now.
+
+        While others wait for the budget or the window, the newest events of channel `fleet` are still sent.
+        """
+        may_send = self._bytes_in_flight < self._window and self.context.has_budget(now)
+        return (self._entries_to_send(now) if may_send else None) or self._early_to_send()
 
     def _entries_to_send(self, now: int) -> bytes | None:
         log = self.context.log
-        piece = self.snapshots.next_frame()
-        if piece is not None:
-            return piece
-        flying = sum(seq - self._acked.get(stream, 0) for stream, seq in self._in_flight.items())
-        most = self.context.max_entries_in_flight - flying
-        if most <= 0:
+        chunk = self.snapshots.next_frame()
+        if chunk is not None:
+            return chunk
+        in_flight = sum(seq - self._acked.get(stream, 0) for stream, seq in self._in_flight.items())
+        limit = self.context.max_entries_in_flight - in_flight
+        if limit <= 0:
             return None
-        there = self.peer_positions
+        positions = self.peer_positions
         if self.relaying_stopped:
-            held = {
+            excluded = {
                 stream: seq
                 for stream, seq in self.context.vector().items()
-                if stream[0] in self.relaying_stopped and stream not in self._anyway
+                if stream[0] in self.relaying_stopped and stream not in self._send_anyway
             }
-            there = {**there, **held}
-        entries = log.missing_entries(there, most, min(SLICE_BYTES, self._window))
+            positions = {**positions, **excluded}
+        entries = log.missing_entries(positions, limit, min(SLICE_BYTES, self._window))
         if not entries:
-            self._done_at = self.context.log_version
-            self._anyway.clear()
+            self._nothing_missing_at = self.context.log_version
+            self._send_anyway.clear()
             return None
-        # Guards against small entries with long causes, which no count of bodies bounds.
+        # Guards against small entries with many causes, whose size the limit on values does not bound.
         while len(body := self.state.encode_body(entries)) > MAX_BODY_BYTES and len(entries) > 1:
             entries = entries[: len(entries) // 2]
         for entry in entries:
             self.peer_positions[entry.stream] = self._in_flight[entry.stream] = entry.seq
         self.context.spend(len(body))
-        self._flying.append((entries[-1].stream, entries[-1].seq, len(body), now))
-        self._aloft += len(body)
+        self._frames_in_flight.append((entries[-1].stream, entries[-1].seq, len(body), now))
+        self._bytes_in_flight += len(body)
         return self.state.next_frame(Entries(), body)
 
     def _early_to_send(self) -> bytes | None:
-        """The newest events of channel `fleet` that the other side lacks, where others that it lacks stand
-        before them. What it holds counts up in order alone, so these change nothing of what is still to come.
+        """The newest events of channel `fleet` that the peer lacks along with entries before them.
+
+        Positions only advance in order, so sending these changes nothing about what is still to be sent.
         """
-        common = self.context
-        if self._newest_at == common.fleet_entry_count:
+        context = self.context
+        if self._early_checked == context.fleet_entry_count:
             return None
-        fresh = min(common.fleet_entry_count - self._newest_at, len(common.newest_fleet_entries))
-        self._newest_at = common.fleet_entry_count
+        unchecked = min(context.fleet_entry_count - self._early_checked, len(context.newest_fleet_entries))
+        self._early_checked = context.fleet_entry_count
         early, size = [], 0
-        for entry in list(common.newest_fleet_entries)[-fresh:] if fresh else ():
-            if common.log.has_ended(entry.stream):
+        for entry in list(context.newest_fleet_entries)[-unchecked:] if unchecked else ():
+            if context.log.has_ended(entry.stream):
                 continue
-            lacks = (
+            sends_early = (
                 entry.seq > self.peer_positions.get(entry.stream, 0) + 1 and entry.writer != self.state.peer
             )
-            if lacks and entry.writer not in self.relaying_stopped and size < MAX_BODY_BYTES // 2:
+            if sends_early and entry.writer not in self.relaying_stopped and size < MAX_BODY_BYTES // 2:
                 early.append(entry)
                 size += len(entry.body) + len(entry.cause) * MAX_NAME_BYTES
         while len(body := self.state.encode_body(early)) > MAX_BODY_BYTES:
--- a/ochrecourse/fleet/heartbeats.py
+++ b/ochrecourse/fleet/heartbeats.py
@@ -1,10 +1,11 @@
-"""Heartbeats on one link: which rows to tell the other side, and what to believe of those it tells.
+"""Heartbeats on one link: which ones to send to the peer, and the checks of those that it sends.
 
-A row is what a gateway says of itself at a heartbeat. Each beat brings one frame of rows, also an empty one:
-it is the sign of life of the link. A row goes as a step against the row before on the same link.
+A heartbeat is a gateway's report on itself. Each heartbeat interval one frame of heartbeats is sent, even if
+empty: it keeps the link alive. A heartbeat is encoded as the difference to the previous one of the same
+gateway on the same link.
 
-News of a gateway comes to each other one from a single neighbour: whoever gets its rows from one says
-`enough` of it to the others, and `again` to all when they stay out.
+Each gateway receives the heartbeats and entries of another from a single neighbour: it sends `enough` for
+that name to the other neighbours, and `again` to all of them when the heartbeats stop arriving.
 """
 
 from __future__ import annotations
@@ -28,251 +29,260 @@
     encode_list,
 )
 
-MAX_STATUS_BYTES = 131_072  # bytes that all parts of the program say in one row
-NO_STAMP = Timestamp(0, 0)
+MAX_STATUS_BYTES = 131_072  # bytes of all statuses of one heartbeat
+ZERO = Timestamp(0, 0)
 
 
 class Heartbeats:
-    """The rows told and heard on one link. `link`: what `ExchangeContext.source` has for it."""
+    """The heartbeats sent and received on one link. `link`: its value in `ExchangeContext.sources`."""
 
     def __init__(self, state: LinkState, link: object) -> None:
         self.state = state
         self.context = state.context
         self.link = link
         self.heartbeats_in = 0
-        self.is_due = False  # a beat has passed, and no frame of rows went since
-        self.relaying_stopped: set[str] = set()  # the other side said enough of these
-        self._asked: set[str] = set()  # names asked for again, told at once
-        self._theirs: dict[str, tuple[int, int]] = {}  # newest life and beat of each row the other side has
-        self._sent: dict[str, Heartbeat] = {}  # the row before, by name, each way
-        self._came: dict[str, Heartbeat] = {}
+        self.is_due = False  # no heartbeats were sent since the last interval passed
+        self.relaying_stopped: set[str] = set()  # writers that the peer receives from elsewhere
+        self._requested: set[str] = set()  # names that the peer asks for again, to be sent at once
+        self._peer_has: dict[str, tuple[int, int]] = {}  # newest (incarnation, number) that the peer has
+        # The previous heartbeat by name in each direction: the base of the next difference.
+        self._last_sent: dict[str, Heartbeat] = {}
+        self._last_received: dict[str, Heartbeat] = {}
         self._stopped_relaying: set[str] = set()
-        self._enough: set[str] = set()  # to be said
-        self._again: set[str] = set()
+        self._names_to_stop: set[str] = set()  # names of which StopRelaying is to be sent
+        self._names_to_resume: set[str] = set()  # names of which ResumeRelaying is to be sent
 
-    # --- what is reported ---
+    # --- events ---
 
     def beat_passed(self, stale: Set[str]) -> None:
-        """A beat has passed. `stale`: gateways whose news stay out."""
+        """A heartbeat interval has passed. `stale`: gateways whose heartbeats are overdue."""
         self.is_due = True
         if stale:
             for name in self._stopped_relaying & stale:
-                self._ask_again(name)
+                self._request_again(name)
 
-    def _ask_again(self, name: str) -> None:
+    def _request_again(self, name: str) -> None:
         self._stopped_relaying.discard(name)
-        self._enough.discard(name)
-        self._again.add(name)
+        self._names_to_stop.discard(name)
+        self._names_to_resume.add(name)
         self.context.sources.pop(name, None)
 
     def source_lost(self, names: Iterable[str]) -> None:
-        """The link that brought news of these gateways is gone."""
+        """The link that relayed the heartbeats of these gateways has ended."""
         for name in names:
             if name in self._stopped_relaying:
-                self._ask_again(name)
+                self._request_again(name)
 
     def frame_missing(self) -> None:
-        """What the other side was told may not have come."""
+        """A frame of the peer is missing: when it starts over, it relays every name again."""
         self._stopped_relaying.clear()
 
     def restart(self) -> None:
-        """The other side misses a frame: all is told as on a new link."""
-        self._sent.clear()
-        self._theirs.clear()
+        """The peer misses a frame: all heartbeats are sent again as on a new link."""
+        self._last_sent.clear()
+        self._peer_has.clear()
         self.relaying_stopped.clear()
         self.is_due = True
 
     def stop_relaying_received(self, names: list[str]) -> None:
-        self.relaying_stopped.update(self._known(names))
+        """The peer receives the heartbeats and entries of these gateways from elsewhere."""
+        self.relaying_stopped.update(self._known_names(names))
 
     def resume_relaying_received(self, names: list[str]) -> None:
+        """The peer asks for the heartbeats and entries of these gateways again."""
         self.relaying_stopped.difference_update(names)
-        self._asked.update(self._known(names))
+        self._requested.update(self._known_names(names))
 
-    def _known(self, names: list[str]) -> list[str]:
-        rows = self.context.members.heartbeats
-        return [name for name in names if name in rows]
+    def _known_names(self, names: list[str]) -> list[str]:
+        heartbeats = self.context.members.heartbeats
+        return [name for name in names if name in heartbeats]
 
-    def heartbeats_received(self, steps: list[HeartbeatDelta], now: int, wall_ms: int) -> None:
+    def heartbeats_received(self, deltas: list[HeartbeatDelta], now: int, wall_ms: int) -> None:
+        """Heartbeats of the peer and of gateways that it relays. Raises PeerProtocolError."""
         members, source = self.context.members, self.context.sources
-        rows = [self._whole_row(step, wall_ms) for step in steps]
-        before = {
-            row.name: (members.heartbeats.get(row.name), members.received_at.get(row.name)) for row in rows
+        heartbeats = [self._decode_delta(delta, wall_ms) for delta in deltas]
+        previous = {
+            heartbeat.name: (members.heartbeats.get(heartbeat.name), members.received_at.get(heartbeat.name))
+            for heartbeat in heartbeats
         }
-        news = []
+        are_new = []
         try:
-            for row in rows:
-                news.append(members.receive(row, now))
-        except InvalidHeartbeatError as trouble:
-            for name, (old, at) in before.items():  # nothing of a bad frame stays
-                _put_back(members.heartbeats, name, old)
-                _put_back(members.received_at, name, at)
-            raise PeerProtocolError("bad_row", str(trouble)) from None
-        self.heartbeats_in += len(rows)
-        for row, new in zip(rows, news, strict=True):
-            name = row.name
-            self._came[name] = row
-            if new:
-                self.context.on_heartbeat(row)
-            self._theirs[name] = max(self._theirs.get(name, (-1, -1)), (row.incarnation, row.number))
+            for heartbeat in heartbeats:
+                are_new.append(members.receive(heartbeat, now))
+        except InvalidHeartbeatError as error:
+            for name, (old, received_at) in previous.items():  # an invalid frame has no effect
+                _restore(members.heartbeats, name, old)
+                _restore(members.received_at, name, received_at)
+            raise PeerProtocolError("bad_row", str(error)) from None
+        self.heartbeats_in += len(heartbeats)
+        for heartbeat, is_new in zip(heartbeats, are_new, strict=True):
+            name = heartbeat.name
+            self._last_received[name] = heartbeat
+            if is_new:
+                self.context.on_heartbeat(heartbeat)
+            self._peer_has[name] = max(
+                self._peer_has.get(name, (-1, -1)), (heartbeat.incarnation, heartbeat.number)
+            )
             if name == members.name:
                 continue
-            if name == self.state.peer or (new and name not in source):
+            if name == self.state.peer or (is_new and name not in source):
                 source[name] = self.link
-                self._enough.discard(name)
+                self._names_to_stop.discard(name)
             elif source.get(name) is not self.link and name not in self._stopped_relaying:
-                self._enough.add(name)
+                self._names_to_stop.add(name)
 
-    def _whole_row(self, step: HeartbeatDelta, wall_ms: int) -> Heartbeat:
-        name, beats, ms, turn, floor_ms, floor_turn, more = step
-        base = self._came.get(name)
-        if more is not None and more.incarnation is not None:
+    def _decode_delta(self, delta: HeartbeatDelta, wall_ms: int) -> Heartbeat:
+        name, number_delta, promise_ms, promise_counter, watermark_ms, watermark_counter, changes = delta
+        base = self._last_received.get(name)
+        if changes is not None and changes.incarnation is not None:
             if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
                 raise PeerProtocolError("bad_row", "a row with a name that is none")
-            base = Heartbeat(name, more.incarnation, 0, 0, 0, b"", NO_STAMP, NO_STAMP)
+            base = Heartbeat(name, changes.incarnation, 0, 0, 0, b"", ZERO, ZERO)
         elif base is None:
             raise PeerProtocolError(
                 "bad_row", f"{name[:MAX_NAME_BYTES]}: a step of a row that was not told whole"
             )
-        promise = Timestamp(base.promise.ms + ms, turn)
-        floor = Timestamp(base.watermark.ms + floor_ms, floor_turn)
-        beat = base.number + beats
+        promise = Timestamp(base.promise.ms + promise_ms, promise_counter)
+        watermark = Timestamp(base.watermark.ms + watermark_ms, watermark_counter)
+        number = base.number + number_delta
         if (
-            beats < 0
-            or min(*promise, *floor, base.incarnation) < 0
-            or max(*promise, *floor, base.incarnation, beat) >> 63
+            number_delta < 0
+            or min(*promise, *watermark, base.incarnation) < 0
+            or max(*promise, *watermark, base.incarnation, number) >> 63
         ):
             raise PeerProtocolError("bad_row", f"{name}: figures out of bounds")
         if promise.ms > wall_ms + self.context.max_clock_ahead_ms:
             text = f"{name}: its clock is {(promise.ms - wall_ms) / 1000:g} s ahead"
             raise PeerProtocolError("ahead", text)
-        if more is None:
+        if changes is None:
             return Heartbeat(
                 name,
                 base.incarnation,
-                beat,
+                number,
                 base.zone,
                 base.seq,
                 base.head_hash,
                 promise,
-                floor,
+                watermark,
                 base.earlier_incarnations,
                 base.statuses,
             )
-        told = base.statuses
-        if more.statuses or more.removed_statuses:
-            told = {
-                part: text for part, text in told.items() if part not in more.removed_statuses
-            } | more.statuses
-            if sum(map(len, told.values())) > MAX_STATUS_BYTES:
+        statuses = base.statuses
+        if changes.statuses or changes.removed_statuses:
+            statuses = {
+                key: text for key, text in statuses.items() if key not in changes.removed_statuses
+            } | changes.statuses
+            if sum(map(len, statuses.values())) > MAX_STATUS_BYTES:
                 raise PeerProtocolError(
                     "oversize", f"{name}: a row that tells more than {MAX_STATUS_BYTES} bytes"
                 )
         return Heartbeat(
             name,
             base.incarnation,
-            beat,
-            base.zone if more.zone is None else more.zone,
-            base.seq if more.seq is None else more.seq,
-            base.head_hash if more.head_hash is None else more.head_hash,
+            number,
+            base.zone if changes.zone is None else changes.zone,
+            base.seq if changes.seq is None else changes.seq,
+            base.head_hash if changes.head_hash is None else changes.head_hash,
             promise,
-            floor,
-            base.earlier_incarnations if more.earlier_incarnations is None else more.earlier_incarnations,
-            told,
+            watermark,
+            base.earlier_incarnations
+            if changes.earlier_incarnations is None
+            else changes.earlier_incarnations,
+            statuses,
         )
 
-    # --- what is pulled ---
+    # --- frames to send ---
 
     def requests_to_send(self) -> bytes | None:
-        """What is said of the ways of news, and the rows that were asked for again; None if nothing is."""
-        if self._again:
-            names, self._again = self._again, set()
+        """The next request about relaying, or heartbeats that the peer asked for; None if there are none."""
+        if self._names_to_resume:
+            names, self._names_to_resume = self._names_to_resume, set()
             return self.state.next_frame(ResumeRelaying(), self.state.encode_body(sorted(names)))
-        if self._enough:
-            names, self._enough = self._enough, set()
+        if self._names_to_stop:
+            names, self._names_to_stop = self._names_to_stop, set()
             self._stopped_relaying |= names
             return self.state.next_frame(StopRelaying(), self.state.encode_body(sorted(names)))
-        if self._asked:
-            names, self._asked = self._asked, set()
-            return self._rows_to_send(sorted(names))
+        if self._requested:
+            names, self._requested = self._requested, set()
+            return self._make_batch(sorted(names))
         return None
 
     def heartbeats_to_send(self) -> bytes:
-        """The frame of rows of this beat."""
+        """The frame of heartbeats of this heartbeat interval."""
         self.is_due = False
         names = self.context.members.heartbeats.keys() - self.relaying_stopped
-        return self._rows_to_send(sorted(names)) or self.state.next_frame(
+        return self._make_batch(sorted(names)) or self.state.next_frame(
             HeartbeatBatch(), self.state.encode_body([])
         )
 
-    def _rows_to_send(self, names: Iterable[str]) -> bytes | None:
-        """A frame of the rows that the other side lacks; None if it lacks none."""
-        parts, size, form = [], 0, self.state.format_version
-        rows, hello = self.context.members.heartbeats, self.state.hello
+    def _make_batch(self, names: Iterable[str]) -> bytes | None:
+        """A frame of the heartbeats that the peer lacks; None if it lacks none."""
+        batch, size, format_version = [], 0, self.state.format_version
+        heartbeats, hello = self.context.members.heartbeats, self.state.hello
         for name in names:
-            row = rows.get(name)
-            if row is None:
+            heartbeat = heartbeats.get(name)
+            if heartbeat is None:
                 continue
-            at = (row.incarnation, row.number)
-            if name == self.state.peer and hello is not None and row.incarnation <= hello.incarnation:
-                continue  # but a life of its that it does not know of is told: it lost its disk
-            if at <= self._theirs.get(name, (-1, -1)):
+            version = (heartbeat.incarnation, heartbeat.number)
+            if name == self.state.peer and hello is not None and heartbeat.incarnation <= hello.incarnation:
+                continue  # a later incarnation is sent: the peer lost its disk and does not know it
+            if version <= self._peer_has.get(name, (-1, -1)):
                 continue
-            part = encode_body(_step(self._sent.get(name), row), form)
-            if size + len(part) > MAX_BODY_BYTES // 2:
-                break  # the next beat brings the rest
-            size += len(part) + 1
-            parts.append(part)
-            self._sent[name] = row
-            self._theirs[name] = at
-        return self.state.next_frame(HeartbeatBatch(), encode_list(parts, form)) if parts else None
+            encoded = encode_body(_encode_delta(self._last_sent.get(name), heartbeat), format_version)
+            if size + len(encoded) > MAX_BODY_BYTES // 2:
+                break  # the rest is sent after the next heartbeat interval
+            size += len(encoded) + 1
+            batch.append(encoded)
+            self._last_sent[name] = heartbeat
+            self._peer_has[name] = version
+        return self.state.next_frame(HeartbeatBatch(), encode_list(batch, format_version)) if batch else None
 
 
-def _step(base: Heartbeat | None, row: Heartbeat) -> HeartbeatDelta:
-    """What a row is against the one before on the same link."""
-    if base is None or base.incarnation != row.incarnation:
+def _encode_delta(base: Heartbeat | None, heartbeat: Heartbeat) -> HeartbeatDelta:
+    """Encodes a heartbeat relative to the previous one on the same link, or in full without one."""
+    if base is None or base.incarnation != heartbeat.incarnation:
         base = None
-    b_promise, b_floor = (base.promise, base.watermark) if base is not None else (NO_STAMP, NO_STAMP)
-    more: HeartbeatChanges | None = None
+    base_promise, base_watermark = (base.promise, base.watermark) if base is not None else (ZERO, ZERO)
+    changes: HeartbeatChanges | None = None
     if base is None:
-        more = HeartbeatChanges(
-            incarnation=row.incarnation,
-            zone=row.zone,
-            seq=row.seq,
-            head_hash=row.head_hash,
-            earlier_incarnations=row.earlier_incarnations,
-            statuses=row.statuses,
+        changes = HeartbeatChanges(
+            incarnation=heartbeat.incarnation,
+            zone=heartbeat.zone,
+            seq=heartbeat.seq,
+            head_hash=heartbeat.head_hash,
+            earlier_incarnations=heartbeat.earlier_incarnations,
+            statuses=heartbeat.statuses,
         )
     elif (base.zone, base.seq, base.earlier_incarnations, base.statuses) != (
-        row.zone,
-        row.seq,
-        row.earlier_incarnations,
-        row.statuses,
+        heartbeat.zone,
+        heartbeat.seq,
+        heartbeat.earlier_incarnations,
+        heartbeat.statuses,
     ):
-        told = {part: text for part, text in row.statuses.items() if base.statuses.get(part) != text}
-        more = HeartbeatChanges(
-            zone=row.zone if row.zone != base.zone else None,
-            seq=row.seq if row.seq != base.seq else None,
-            head_hash=row.head_hash if row.head_hash != base.head_hash else None,
-            earlier_incarnations=row.earlier_incarnations
-            if row.earlier_incarnations != base.earlier_incarnations
+        statuses = {key: text for key, text in heartbeat.statuses.items() if base.statuses.get(key) != text}
+        changes = HeartbeatChanges(
+            zone=heartbeat.zone if heartbeat.zone != base.zone else None,
+            seq=heartbeat.seq if heartbeat.seq != base.seq else None,
+            head_hash=heartbeat.head_hash if heartbeat.head_hash != base.head_hash else None,
+            earlier_incarnations=heartbeat.earlier_incarnations
+            if heartbeat.earlier_incarnations != base.earlier_incarnations
             else None,
-            statuses=told,
-            removed_statuses=tuple(part for part in base.statuses if part not in row.statuses),
+            statuses=statuses,
+            removed_statuses=tuple(key for key in base.statuses if key not in heartbeat.statuses),
         )
     return (
-        row.name,
-        row.number - (base.number if base is not None else 0),
-        row.promise.ms - b_promise.ms,
-        row.promise.counter,
-        row.watermark.ms - b_floor.ms,
-        row.watermark.counter,
-        more,
+        heartbeat.name,
+        heartbeat.number - (base.number if base is not None else 0),
+        heartbeat.promise.ms - base_promise.ms,
+        heartbeat.promise.counter,
+        heartbeat.watermark.ms - base_watermark.ms,
+        heartbeat.watermark.counter,
+        changes,
     )
 
 
-def _put_back(held: dict[str, Any], name: str, old: Any) -> None:
+def _restore(table: dict[str, Any], name: str, old: Any) -> None:
     if old is None:
-        held.pop(name, None)
+        table.pop(name, None)
     else:
-        held[name] = old
+        table[name] = old
--- a/ochrecourse/fleet/link.py
+++ b/ochrecourse/fleet/link.py
@@ -1,8 +1,8 @@
 """One connection between two gateways: header lines and bodies, bounded in size and in time.
 
-What a frame means is said in messages.py and exchange.py. This module hands on whole frames, sends what the
-exchange has while the transport takes it, and ends the connection with one sentence for the mistake that
-ended it.
+messages.py and exchange.py define what frames mean. This module passes complete frames to the exchange, sends
+the frames of the exchange while the transport accepts data, and ends the connection after a protocol
+violation with a notice that names it.
 """
 
 from __future__ import annotations
@@ -20,51 +20,51 @@
 from ochrecourse.fleet.messages import MAX_HEADER_BYTES, SLOW, PeerProtocolError
 from ochrecourse.common.runtime import Clock, Timer, now_ns, stop
 
-MESSAGE_TIME = 5.0  # s in which a begun frame must be whole; a slow sender holds nothing up
-LAST_WORDS = 1.0  # s for a peer to read why a link ends, then it is cut
+MESSAGE_TIMEOUT_S = 5.0  # for a partial header line or body; only its own connection waits for a slow sender
+CLOSE_TIMEOUT_S = 1.0  # for a peer to read why a link ends, before the connection is aborted
 
 
 class LinkOwner(Protocol):
-    """Who has the links, and hears what comes over them."""
+    """Owns links and is called about their events."""
 
     def greeted(self, link: Link) -> str:
-        """The other side said who it is; why the link is not wanted, or ''."""
+        """The peer sent its hello; returns why the link is rejected, or an empty text."""
 
     def frame_received(self, link: Link, entries: list[Entry]) -> None:
-        """A frame was taken; `entries` are new here."""
+        """A frame was processed; `entries` are new here."""
 
-    def ended(self, link: Link, why: str, mistake: PeerProtocolError | None) -> None:
-        """The link is gone; `mistake`: what the other side did wrong."""
+    def ended(self, link: Link, reason: str, violation: PeerProtocolError | None) -> None:
+        """The link has ended; `violation`: the protocol violation of the peer that ended it, if any."""
 
 
 @implementer(IPushProducer)
 class Link(LineReceiver):
-    """One connection. `dialled`: from here."""
+    """One connection to a peer. `dialled`: whether this gateway opened it. `wall_ms`: ms since 1970."""
 
     transport: Any
     delimiter = b"\r\n"
     MAX_LENGTH = MAX_HEADER_BYTES
 
     def __init__(
-        self, clock: Clock, exchange: Exchange, holder: LinkOwner, wall_ms: Callable[[], int], dialled: bool
+        self, clock: Clock, exchange: Exchange, owner: LinkOwner, wall_ms: Callable[[], int], dialled: bool
     ) -> None:
         self.clock = clock
         self.exchange = exchange
-        self.owner = holder
+        self.owner = owner
         self.wall_ms = wall_ms
         self.dialled = dialled
         self.is_connected = False
-        self.close_reason = ""  # what ended it
+        self.close_reason = ""  # why it ended or is about to
         self.violation: PeerProtocolError | None = None
         self.blocked = False
         self.bytes_out = 0
         self.frames_out = 0
         self._body: list[bytes] = []
-        self._need = -1  # bytes of a body that are still to come; below 0: a header is next
-        self._watch: Timer | None = None
+        self._missing_bytes = -1  # bytes of the body still to be received; below 0: a header is next
+        self._partial_timer: Timer | None = None
 
     def pump(self) -> None:
-        """Sends what there is to send, until the transport asks to wait."""
+        """Sends frames of the exchange until there are none or the transport pauses."""
         while self.is_connected and not self.close_reason and not self.blocked:
             data = self.exchange.next_frame(now_ns(self.clock))
             if data is None:
@@ -72,27 +72,27 @@
             self._write(data)
 
     def has_partial_frame(self) -> bool:
-        """Whether a frame was begun and is not whole."""
-        return self._watch is not None
+        """Whether a frame has been received in part."""
+        return self._partial_timer is not None
 
     def close(self, reason: str) -> None:
-        """Ends the link in good order."""
+        """Ends the link with a goodbye."""
         if self.is_connected and not self.close_reason:
             self.close_reason = reason
             self._write(self.exchange.goodbye_frame(reason))
             self._close()
 
-    def abort(self, why: str = "") -> None:
-        """Ends the link at once, without a word."""
-        self.close_reason = self.close_reason or why
+    def abort(self, reason: str = "") -> None:
+        """Aborts the connection without a goodbye."""
+        self.close_reason = self.close_reason or reason
         if self.is_connected:
             self.transport.abortConnection()
 
-    def fail(self, mistake: PeerProtocolError) -> None:
-        """The other side made a mistake: it is told which, and the link ends."""
+    def fail(self, violation: PeerProtocolError) -> None:
+        """The peer violated the protocol: sends an error notice and ends the link."""
         if not self.close_reason:
-            self.violation, self.close_reason = mistake, str(mistake)
-            self._write(self.exchange.error_frame(mistake))
+            self.violation, self.close_reason = violation, str(violation)
+            self._write(self.exchange.error_frame(violation))
             self._close()
 
     def _write(self, data: bytes) -> None:
@@ -104,122 +104,136 @@
     def _close(self) -> None:
         if self.is_connected:
             self.transport.loseConnection()
-            # Guards against a peer that never reads: what it left unread would keep the connection for ever.
-            self.clock.callLater(LAST_WORDS, self.abort)
+            # Guards against a peer that never reads: unsent data would keep the connection open forever.
+            self.clock.callLater(CLOSE_TIMEOUT_S, self.abort)
 
-    # --- Twisted's calls ---
+    # --- called by Twisted ---
 
     def pauseProducing(self) -> None:
+        """Twisted: the transport's buffer is full."""
         self.blocked = True
 
     def resumeProducing(self) -> None:
+        """Twisted: the transport accepts data again."""
         self.blocked = False
         self.pump()
 
     def stopProducing(self) -> None:
+        """Twisted: the transport is closing."""
         self.blocked = True
 
     def connectionMade(self) -> None:
+        """Twisted: the connection is open."""
         self.is_connected = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.pump()
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Twisted: the connection has ended."""
         self.is_connected = False
-        stop(self._watch)
-        self._watch = None
+        stop(self._partial_timer)
+        self._partial_timer = None
         self.owner.ended(self, self.close_reason or "the connection ended", self.violation)
 
     def dataReceived(self, data: bytes) -> None:
+        """Twisted: bytes were received; starts or stops the timer for partial frames."""
         if self.close_reason:
             return
         super().dataReceived(data)
-        partial = self._need >= 0 or bool(self._buffer)
-        if partial and self._watch is None:
-            self._watch = self.clock.callLater(MESSAGE_TIME, self._too_slow)
+        partial = self._missing_bytes >= 0 or bool(self._buffer)
+        if partial and self._partial_timer is None:
+            self._partial_timer = self.clock.callLater(MESSAGE_TIMEOUT_S, self._partial_timed_out)
         elif not partial:
-            self._stop_watch()
+            self._stop_partial_timer()
 
     def lineReceived(self, line: bytes) -> None:
+        """Twisted: a header line was received."""
         if self.close_reason:
             return
-        self._stop_watch()
+        self._stop_partial_timer()
         try:
-            need = self.exchange.header_received(line, now_ns(self.clock))
-        except PeerProtocolError as mistake:
-            self.fail(mistake)
+            body_size = self.exchange.header_received(line, now_ns(self.clock))
+        except PeerProtocolError as violation:
+            self.fail(violation)
             return
-        if need:
-            self._need = need
+        if body_size:
+            self._missing_bytes = body_size
             self.setRawMode()
         else:
-            self._whole(b"")
+            self._frame_complete(b"")
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Twisted: bytes of a body were received, and possibly of the next frame."""
         if self.close_reason:
             return
-        mine, rest = data[: self._need], data[self._need :]
-        self._body.append(mine)
-        self._need -= len(mine)
-        if self._need == 0:
-            body, self._body, self._need = b"".join(self._body), [], -1
-            self._stop_watch()
-            self._whole(body)
+        chunk, rest = data[: self._missing_bytes], data[self._missing_bytes :]
+        self._body.append(chunk)
+        self._missing_bytes -= len(chunk)
+        if self._missing_bytes == 0:
+            body, self._body, self._missing_bytes = b"".join(self._body), [], -1
+            self._stop_partial_timer()
+            self._frame_complete(body)
             self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:
+        """Twisted: a header line is too long."""
         self.fail(PeerProtocolError("oversize", f"a header line of more than {self.MAX_LENGTH} bytes"))
 
-    def _whole(self, body: bytes) -> None:
+    def _frame_complete(self, body: bytes) -> None:
         exchange = self.exchange
-        known = exchange.hello is not None
+        had_hello = exchange.hello is not None
         try:
             entries = exchange.body_received(body, now_ns(self.clock), self.wall_ms())
-        except PeerProtocolError as mistake:
-            self.fail(mistake)
+        except PeerProtocolError as violation:
+            self.fail(violation)
             return
-        if exchange.hello is not None and not known:
-            why = self.owner.greeted(self)
-            if why:
-                self.close(why)
+        if exchange.hello is not None and not had_hello:
+            reason = self.owner.greeted(self)
+            if reason:
+                self.close(reason)
                 return
         self.owner.frame_received(self, entries)
         if exchange.end_reason:
             self.abort(exchange.end_reason)
 
-    def _too_slow(self) -> None:
-        self._watch = None
-        self.fail(PeerProtocolError(SLOW, f"a frame that was begun was not whole after {MESSAGE_TIME:g} s"))
+    def _partial_timed_out(self) -> None:
+        self._partial_timer = None
+        self.fail(
+            PeerProtocolError(SLOW, f"a frame that was begun was not whole after {MESSAGE_TIMEOUT_S:g} s")
+        )
 
-    def _stop_watch(self) -> None:
-        watch, self._watch = self._watch, None
-        stop(watch)
+    def _stop_partial_timer(self) -> None:
+        timer, self._partial_timer = self._partial_timer, None
+        stop(timer)
 
 
 class PeerDialer(ClientFactory):
-    """One dial to a peer; `failed` hears of one that came to nothing."""
+    """Opens one connection to a peer; `on_failure` is called if that fails."""
 
     noisy = False
 
-    def __init__(self, make: Callable[[], Link], failed: Callable[[], None]) -> None:
-        self.make = make
-        self.failed = failed
+    def __init__(self, make_link: Callable[[], Link], on_failure: Callable[[], None]) -> None:
+        self.make_link = make_link
+        self.on_failure = on_failure
 
     def buildProtocol(self, addr: Any) -> Link:
-        return self.make()
+        """Twisted: the connection is open; makes its link."""
+        return self.make_link()
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.failed()
+        """Twisted: the connection could not be opened."""
+        self.on_failure()
 
 
 class PeerLinkListener(ServerFactory):
-    """Where other gateways dial in; `make` may turn a connection away with None."""
+    """Accepts connections of other gateways; `make_link` returns None to reject one."""
 
     noisy = False
 
-    def __init__(self, make: Callable[[], Link | None]) -> None:
-        self.make = make
+    def __init__(self, make_link: Callable[[], Link | None]) -> None:
+        self.make_link = make_link
 
     def buildProtocol(self, addr: Any) -> Link | None:
-        return self.make()
+        """Twisted: a connection was accepted; makes its link."""
+        return self.make_link()
--- a/ochrecourse/fleet/link_state.py
+++ b/ochrecourse/fleet/link_state.py
@@ -1,6 +1,6 @@
-"""The state of one link that all its parts need: who is on the other side, and the frames that go there.
+"""The state of one link that all parts of its exchange share: the peer, and the numbering of sent frames.
 
-Frames that are sent are numbered. Their bodies go in the form in force, if the other side speaks it.
+Bodies are sent in the format version in force, if the peer supports it.
 """
 
 from __future__ import annotations
@@ -14,29 +14,33 @@
 
 
 class LinkState:
-    """One link and its other side. `peer`: who is dialled, empty for whoever dials here until its hello."""
+    """One link and its peer. `peer`: the gateway's name; empty on an accepted link until its hello."""
 
-    def __init__(self, common: ExchangeContext, peer: str) -> None:
-        self.context = common
+    def __init__(self, context: ExchangeContext, peer: str) -> None:
+        self.context = context
         self.peer = peer
-        self.hello: Hello | None = None  # the other side's
-        self.peer_versions = VersionRange(FIRST_VERSION, FIRST_VERSION)  # the other side
-        self.starts_over = False  # the next frame is the first that rests on nothing
-        self._sent = 0  # number of the frame before
+        self.hello: Hello | None = None  # the peer's
+        self.peer_versions = VersionRange(FIRST_VERSION, FIRST_VERSION)  # that the peer supports
+        self.starts_over = False  # the next frame does not depend on earlier ones
+        self._last_frame_number = 0  # number of the last frame that was sent
 
     @property
     def format_version(self) -> int:
-        """In which bodies are sent."""
+        """The format version in which bodies are sent."""
         return self.context.format_versions.version_for(self.peer_versions)
 
     def encode_body(self, value: Any) -> bytes:
-        """The body of a frame that goes to the other side."""
+        """Encodes the body of a frame for the peer."""
         return encode_body(value, self.format_version)
 
     def next_frame(self, header: Header, body: bytes = b"") -> bytes:
-        """The next frame that goes to the other side; it must be sent, as numbers have no gaps."""
-        self._sent += 1
+        """Encodes the next frame for the peer. It must be sent: a gap in the numbers means a lost frame."""
+        self._last_frame_number += 1
         if body and self.format_version >= PACKED_VERSION:
             header.format_version, header.checksum = self.format_version, zlib.crc32(body)
-        header.frame_number, header.starts_over, self.starts_over = self._sent, self.starts_over, False
+        header.frame_number, header.starts_over, self.starts_over = (
+            self._last_frame_number,
+            self.starts_over,
+            False,
+        )
         return encode_frame(header, body)
--- a/ochrecourse/fleet/members.py
+++ b/ochrecourse/fleet/members.py
@@ -1,6 +1,6 @@
-"""Who is of the fleet as this gateway sees it: the newest row of each, who is reached, who is away.
+"""The members of the fleet as seen by one gateway: newest heartbeats, and who is reachable or departed.
 
-Knows nothing of the log. Time is a monotonic clock in whole ns, handed in with each call. Free of I/O.
+Independent of the log and free of I/O. Times are ns of a monotonic clock, passed in with each call.
 """
 
 from __future__ import annotations
@@ -12,122 +12,145 @@
 
 from ochrecourse.fleet.entries import Heartbeat, Timestamp
 
-NOBODY = Timestamp(0, 0)
-MAX_NAMES = 4096  # names; a peer that makes up more is refused rather than remembered
+ZERO = Timestamp(0, 0)
+MAX_NAMES = 4096  # heartbeats of more names are rejected, so a faulty peer cannot fill the memory
 
 
 class InvalidHeartbeatError(Exception):
-    """A row that is turned away; the text names the peer's mistake."""
+    """A heartbeat was rejected; the text says why."""
 
 
 class Members:
-    """Rows by name, the newest by (life, beat). `quiet`, `let_go`: ns without news until a name is not
-    reached, and until it is to be let go. `peers` are of the fleet before they are heard of."""
+    """The newest heartbeat of each gateway, by (incarnation, number).
+
+    `silence_timeout` and `eviction_time` are ns without a heartbeat until a gateway is not reachable, and
+    until it has departed. `peers` are members before their first heartbeat.
+    """
 
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         zone: int,
-        quiet: int,
-        let_go: int,
+        silence_timeout: int,
+        eviction_time: int,
         peers: Iterable[str] = (),
         now: int = 0,
     ) -> None:
         self.name = name
-        self.incarnation = life
+        self.incarnation = incarnation
         self.zone = zone
-        self.silence_timeout = quiet
-        self.eviction_time = let_go
-        self.heartbeats: dict[str, Heartbeat] = {name: Heartbeat(name, life, 0, zone, 0, b"", NOBODY, NOBODY)}
+        self.silence_timeout = silence_timeout
+        self.eviction_time = eviction_time
+        self.heartbeats: dict[str, Heartbeat] = {
+            name: Heartbeat(name, incarnation, 0, zone, 0, b"", ZERO, ZERO)
+        }
         self.received_at: dict[str, int] = {peer: now for peer in peers if peer != name}
-        self.highest_incarnation = 0  # the greatest life heard under this name that is not this process's
-        self.incarnations_renewed = 0  # lives begun because of it
+        self.highest_incarnation = 0  # highest other incarnation received under this gateway's name
+        self.incarnations_renewed = 0  # incarnations begun because of a higher one
 
     def next_heartbeat(self, now: int, **fields: Any) -> Heartbeat:
-        """This gateway's next row: the last one with one beat more and `fields` of it as they are now."""
+        """Returns and stores this gateway's next heartbeat: the last one with `fields` changed."""
         last = self.heartbeats[self.name]
-        row = msgspec.structs.replace(
+        heartbeat = msgspec.structs.replace(
             last, incarnation=self.incarnation, zone=self.zone, number=last.number + 1, **fields
         )
-        self.heartbeats[self.name] = row
-        return row
+        self.heartbeats[self.name] = heartbeat
+        return heartbeat
+
+    def begin_incarnation(
+        self, incarnation: int, earlier_incarnations: tuple[tuple[int, int], ...] | None = None
+    ) -> None:
+        """Continues under a new incarnation: the fleet has ended the old one, or knows a higher one.
 
-    def begin_incarnation(self, life: int, before: tuple[tuple[int, int], ...] | None = None) -> None:
-        """Goes on under a new life: the fleet has let the old one go, or knows of a greater one. `before`:
-        earlier lives, as `Heartbeat` has them."""
+        `earlier_incarnations`: the new `Heartbeat.earlier_incarnations`; None keeps them.
+        """
         self.incarnations_renewed += self.incarnation < self.highest_incarnation
-        self.incarnation = life
-        row = self.heartbeats[self.name]
-        before = row.earlier_incarnations if before is None else before
+        self.incarnation = incarnation
+        heartbeat = self.heartbeats[self.name]
+        earlier_incarnations = (
+            heartbeat.earlier_incarnations if earlier_incarnations is None else earlier_incarnations
+        )
         self.heartbeats[self.name] = msgspec.structs.replace(
-            row, incarnation=life, seq=0, head_hash=b"", earlier_incarnations=before
+            heartbeat,
+            incarnation=incarnation,
+            seq=0,
+            head_hash=b"",
+            earlier_incarnations=earlier_incarnations,
         )
 
-    def receive(self, row: Heartbeat, now: int) -> bool:
-        """Whether the row is news. Raises InvalidHeartbeatError, and then nothing is changed."""
-        if row.name == self.name:
-            return self._hear_of_self(row)
-        last = self.heartbeats.get(row.name)
+    def receive(self, heartbeat: Heartbeat, now: int) -> bool:
+        """Whether a heartbeat is new. Raises InvalidHeartbeatError, and then changes nothing."""
+        if heartbeat.name == self.name:
+            return self._receive_own(heartbeat)
+        last = self.heartbeats.get(heartbeat.name)
         if last is None:
             if len(self.heartbeats) >= MAX_NAMES:
-                raise InvalidHeartbeatError(f"{row.name}: more than {MAX_NAMES} names in this fleet")
-        elif (row.incarnation, row.number) <= (last.incarnation, last.number):
+                raise InvalidHeartbeatError(f"{heartbeat.name}: more than {MAX_NAMES} names in this fleet")
+        elif (heartbeat.incarnation, heartbeat.number) <= (last.incarnation, last.number):
             return False
-        elif row.incarnation == last.incarnation:
-            if row.promise < last.promise:
+        elif heartbeat.incarnation == last.incarnation:
+            if heartbeat.promise < last.promise:
                 raise InvalidHeartbeatError(
-                    f"{row.name}: promise goes back from {last.promise} to {row.promise}"
+                    f"{heartbeat.name}: promise goes back from {last.promise} to {heartbeat.promise}"
                 )
-            if row.seq < last.seq:
-                raise InvalidHeartbeatError(f"{row.name}: entries go back from {last.seq} to {row.seq}")
-        self.heartbeats[row.name] = row
-        self.received_at[row.name] = now
+            if heartbeat.seq < last.seq:
+                raise InvalidHeartbeatError(
+                    f"{heartbeat.name}: entries go back from {last.seq} to {heartbeat.seq}"
+                )
+        self.heartbeats[heartbeat.name] = heartbeat
+        self.received_at[heartbeat.name] = now
         return True
 
-    def _hear_of_self(self, row: Heartbeat) -> bool:
-        """Own rows come back from peers. One of a greater life may be from before a lost disk, the clock
-        since put back: then a life beyond it is begun (`outlived`). One more is of another process."""
+    def _receive_own(self, heartbeat: Heartbeat) -> bool:
+        """Own heartbeats come back from peers.
+
+        One of a higher incarnation may be from before this gateway lost its disk and its clock was set back:
+        then a still higher incarnation is begun (`highest_incarnation`). Any beyond that belongs to another
+        process under the same name.
+        """
         own = self.heartbeats[self.name]
-        if row.incarnation < own.incarnation or (
-            row.incarnation == own.incarnation and row.number <= own.number
+        if heartbeat.incarnation < own.incarnation or (
+            heartbeat.incarnation == own.incarnation and heartbeat.number <= own.number
         ):
             return False
-        if row.incarnation > own.incarnation and (
-            not self.incarnations_renewed or row.incarnation <= self.highest_incarnation
+        if heartbeat.incarnation > own.incarnation and (
+            not self.incarnations_renewed or heartbeat.incarnation <= self.highest_incarnation
         ):
-            self.highest_incarnation = max(self.highest_incarnation, row.incarnation)
+            self.highest_incarnation = max(self.highest_incarnation, heartbeat.incarnation)
             return False
         raise InvalidHeartbeatError(
-            f"{row.name}: another process runs under this name, life {row.incarnation}, "
+            f"{heartbeat.name}: another process runs under this name, life {heartbeat.incarnation}, "
             f"ours {own.incarnation}"
         )
 
-    def _since(self, name: str, now: int) -> int:
+    def _age(self, name: str, now: int) -> int:
         return 0 if name == self.name else now - self.received_at[name]
 
     def names(self) -> list[str]:
-        """All that are or should be of the fleet, sorted, self included."""
+        """All members of the fleet, heard from or not, this one included; sorted."""
         return sorted({self.name, *self.received_at})
 
     def reachable(self, now: int) -> list[str]:
-        """Names heard of, through anybody, within `quiet`; sorted, self included."""
+        """Members with a direct or relayed heartbeat within `silence_timeout`, this one included; sorted."""
         return [
-            n for n in self.names() if n in self.heartbeats and self._since(n, now) <= self.silence_timeout
+            name
+            for name in self.names()
+            if name in self.heartbeats and self._age(name, now) <= self.silence_timeout
         ]
 
     def suspected(self, now: int) -> list[str]:
-        """Names not heard of for `quiet`, sorted."""
-        return [n for n in self.names() if self._since(n, now) > self.silence_timeout]
+        """Members without a heartbeat for `silence_timeout`; sorted."""
+        return [name for name in self.names() if self._age(name, now) > self.silence_timeout]
 
     def departed(self, now: int) -> list[str]:
-        """Names not heard of for `let_go`, sorted."""
-        return [n for n in self.names() if self._since(n, now) > self.eviction_time]
+        """Members without a heartbeat for `eviction_time`; sorted."""
+        return [name for name in self.names() if self._age(name, now) > self.eviction_time]
 
     def not_departed(self, now: int) -> list[str]:
-        """Names that are not away, sorted."""
-        return [n for n in self.names() if self._since(n, now) <= self.eviction_time]
+        """Members that have not departed; sorted."""
+        return [name for name in self.names() if self._age(name, now) <= self.eviction_time]
 
     def zone_of(self, name: str) -> int:
-        """Raises KeyError for a name that was never heard of."""
+        """The zone of a member. Raises KeyError for one without a heartbeat."""
         return self.heartbeats[name].zone
--- a/ochrecourse/fleet/mesh.py
+++ b/ochrecourse/fleet/mesh.py
@@ -1,10 +1,10 @@
-"""Who dials whom, and when again: links between the gateways of a fleet. Free of I/O, clocks and chance.
+"""Which gateway dials which other one, and when it retries. Free of I/O, clocks and randomness.
 
-Up to `ALL` gateways everybody has a link to everybody. Above, the sorted names form a ring, and each has
-links to those 1, 2, 4, 8 ... places away to both sides, so news takes few steps and no gateway carries all.
-A pair has one link, which the lower name dials. Where the gateway at a distance can't be reached, the next
-names after it take its place until it can; so whoever can reach each other at all stays joined, through the
-link to the next place if through no other.
+Up to `FULL_MESH_SIZE` gateways form a full mesh. In larger fleets the sorted names form a ring, and each
+gateway has links to those at the distances 1, 2, 4, 8 ... in both directions: updates take few hops, and no
+gateway relays all of them. A pair has one link, which the gateway with the lower name dials. While the
+gateway at a distance cannot be reached, the next reachable one in the ring replaces it. So all gateways that
+can reach each other stay connected, by the links to the next gateway in the ring if by no others.
 """
 
 from __future__ import annotations
@@ -14,145 +14,152 @@
 
 from ochrecourse.common.time_units import MS, SECOND
 
-FULL_MESH_SIZE = (
-    16  # gateways up to which everybody is linked to everybody; more would cost more than they tell
-)
-INITIAL_BACKOFF = 100 * MS  # before a dial that failed is tried again; doubled each time
-MAX_BACKOFF = 2 * SECOND  # a fleet that can meet again does so within a few seconds
-INITIAL_PENALTY = (
-    1 * SECOND
-)  # after a mistake of the other side; doubled each time: a liar costs less and less
-MAX_PENALTY = 300 * SECOND  # a peer that was mended is met again within minutes without a restart here
-FORGIVEN = 60 * SECOND  # a link without a mistake for so long takes back what earlier ones cost
-SPARE = 4  # spans of silence that a link stands which no longer is wanted; a passing trouble moves no links
-LATE = 2  # spans of silence without a link until another gateway takes a place
-AFRESH = 8  # times that, after which one that could not be reached is looked for anew
+FULL_MESH_SIZE = 16  # gateways; in larger fleets a full mesh would cost more than it is worth
+INITIAL_BACKOFF = 100 * MS  # before a failed dial is retried; doubled each time
+MAX_BACKOFF = 2 * SECOND  # a fleet reconnects within a few seconds once it can
+INITIAL_PENALTY = 1 * SECOND  # after a violation; doubled each time: a faulty peer costs less and less
+MAX_PENALTY = 300 * SECOND  # a repaired peer is dialled again within minutes without a restart here
+PENALTY_RESET = 60 * SECOND  # a link without violations for this time resets the penalty
+SPARE_TIMEOUTS = 4  # silence timeouts that an unneeded link is kept, so short failures do not move links
+UNREACHABLE_TIMEOUTS = 2  # silence timeouts without a link until another gateway replaces one at a distance
+RETRY_FACTOR = 8  # multiple of that, after which an unreachable gateway is tried again
 
 
 @dataclass(slots=True)
 class PeerDialState:
-    """One other gateway as a link to it goes. Times in ns."""
+    """The state of the link and of dials to one peer. Times and durations in ns."""
 
     is_up: bool = False
     is_dialling: bool = False
-    is_outgoing: bool = False  # the link that is up was dialled from here
-    since: int = 0  # when `up` last changed
+    is_outgoing: bool = False  # whether this gateway dialled the current link
+    since: int = 0  # when `is_up` last changed
     next_dial_at: int = 0  # no dial before this
     backoff: int = INITIAL_BACKOFF
     penalty: int = INITIAL_PENALTY
-    violations: int = 0  # mistakes since they were last forgiven
-    wanted: int = 0  # when it last had a place
-    tried: int = -(1 << 62)  # when it was first looked for since a link to it stood
+    violations: int = 0  # since they were last reset
+    needed_at: int = 0  # when the link was last needed
+    trying_since: int = -(1 << 62)  # start of the attempts since the last link ended
 
 
 class Mesh:
-    """The links of one gateway. `chance` gives numbers from 0 to 1; `quiet` is the silence that ends a
-    link.
+    """Decides which links one gateway has.
+
+    `silence_timeout`: silence in ns that ends a link. `chance` returns random numbers from 0 to 1.
     """
 
-    def __init__(self, own: str, quiet: int, chance: Callable[[], float]) -> None:
+    def __init__(self, own: str, silence_timeout: int, chance: Callable[[], float]) -> None:
         self.own = own
-        self.silence_timeout = quiet
+        self.silence_timeout = silence_timeout
         self.chance = chance
         self.peers: dict[str, PeerDialState] = {}
         self.ring: list[str] = [own]
-        self.after: list[str] = []  # the others as they come in the ring
-        self.places: list[int] = []  # who comes there in the ring fills it, or the next within reach
-        self.fixed: list[str] = []  # and those who have a place that nobody else fills
-        self.paired: set[str] = set()  # who has a place by rank, whoever dials
+        self.successors: list[str] = []  # the peers in ring order, starting after this gateway
+        # Indices in `successors`; if a peer there is unreachable, a later one replaces it.
+        self.indices: list[int] = []
+        self.fixed_peers: list[str] = []  # peers that are dialled without a replacement
+        self.regular_peers: set[str] = set()  # peers with a regular link, whichever side dials
 
-    # --- what is reported ---
+    # --- events ---
 
     def set_peers(self, names: Iterable[str], now: int) -> None:
-        """All other gateways there are; who is left out is dialled no more."""
-        told = set(names) - {self.own}
-        self.peers = {name: self.peers.get(name) or PeerDialState(since=now) for name in sorted(told)}
-        self.ring = sorted(told | {self.own})
-        size, at = len(self.ring), self.ring.index(self.own)
-        self.after = self.ring[at + 1 :] + self.ring[:at]
-        self.places, self.fixed = [], list(self.peers)
+        """Sets the other gateways of the fleet; peers that are not listed are no longer dialled."""
+        peer_names = set(names) - {self.own}
+        self.peers = {name: self.peers.get(name) or PeerDialState(since=now) for name in sorted(peer_names)}
+        self.ring = sorted(peer_names | {self.own})
+        size, own_index = len(self.ring), self.ring.index(self.own)
+        self.successors = self.ring[own_index + 1 :] + self.ring[:own_index]
+        self.indices, self.fixed_peers = [], list(self.peers)
         if size > FULL_MESH_SIZE:
             steps = [1 << bit for bit in range(size.bit_length()) if 1 << bit < size]
-            self.places = [step - 1 for step in steps]
-            self.fixed = sorted({self.after[-step] for step in steps} - {self.after[i] for i in self.places})
-        self.paired = {*self.fixed, *(self.after[place] for place in self.places)}
-
-    def link_up(self, name: str, ours: bool, now: int) -> None:
-        """A link stands; `ours`: it was dialled from here."""
-        if (at := self.peers.get(name)) is not None:
-            at.is_up, at.is_dialling, at.is_outgoing, at.since, at.backoff = (
+            self.indices = [step - 1 for step in steps]
+            self.fixed_peers = sorted(
+                {self.successors[-step] for step in steps} - {self.successors[i] for i in self.indices}
+            )
+        self.regular_peers = {*self.fixed_peers, *(self.successors[index] for index in self.indices)}
+
+    def link_up(self, name: str, is_outgoing: bool, now: int) -> None:
+        """A link is up; `is_outgoing`: this gateway dialled it."""
+        if (state := self.peers.get(name)) is not None:
+            state.is_up, state.is_dialling, state.is_outgoing, state.since, state.backoff = (
                 True,
                 False,
-                ours,
+                is_outgoing,
                 now,
                 INITIAL_BACKOFF,
             )
 
-    def link_lost(self, name: str, now: int, mistake: bool = False) -> None:
-        """A link ended or a dial failed; `mistake`: the other side broke a rule, or says that this side
-        did.
+    def link_lost(self, name: str, now: int, violation: bool = False) -> None:
+        """A link ended or a dial failed.
+
+        `violation`: the peer violated the protocol, or reports a violation by this gateway.
         """
-        at = self.peers.get(name)
-        if at is None:
+        state = self.peers.get(name)
+        if state is None:
             return
-        if at.is_up:
-            at.since = at.tried = now
-        elif not mistake:
-            at.backoff = min(2 * at.backoff, MAX_BACKOFF)
-        at.is_up = at.is_dialling = False
-        at.next_dial_at = max(at.next_dial_at, now + round(at.backoff * (0.5 + 0.5 * self.chance())))
-        if mistake:
-            at.violations += 1
-            at.next_dial_at = now + round(at.penalty * (0.75 + 0.25 * self.chance()))
-            at.penalty = min(2 * at.penalty, MAX_PENALTY)
-
-    # --- what is asked ---
+        if state.is_up:
+            state.since = state.trying_since = now
+        elif not violation:
+            state.backoff = min(2 * state.backoff, MAX_BACKOFF)
+        state.is_up = state.is_dialling = False
+        state.next_dial_at = max(state.next_dial_at, now + round(state.backoff * (0.5 + 0.5 * self.chance())))
+        if violation:
+            state.violations += 1
+            state.next_dial_at = now + round(state.penalty * (0.75 + 0.25 * self.chance()))
+            state.penalty = min(2 * state.penalty, MAX_PENALTY)
+
+    # --- queries ---
 
     def is_penalized(self, name: str, now: int) -> bool:
-        """Whether a mistake is too recent to speak with this gateway again, whoever dials."""
-        at = self.peers.get(name)
-        return at is not None and at.violations > 0 and now < at.next_dial_at
+        """Whether a violation is too recent for a new link to this peer, whichever side dials."""
+        state = self.peers.get(name)
+        return state is not None and state.violations > 0 and now < state.next_dial_at
 
     def next_to_dial(self, now: int) -> str | None:
-        """Whom to dial now; asked until None."""
-        for place in self.places:
-            for name in {self.after[place]: None, self._fills(place, now): None}:
-                if self._dials(name, now):
+        """The next peer to dial now; to be called until it returns None."""
+        for index in self.indices:
+            for name in {self.successors[index]: None, self._reachable_from(index, now): None}:
+                if self._starts_dial(name, now):
                     return name
-        for name in self.fixed:
-            if self._dials(name, now):
+        for name in self.fixed_peers:
+            if self._starts_dial(name, now):
                 return name
         return None
 
-    def _dials(self, name: str, now: int) -> bool:
-        at = self.peers[name]
-        at.wanted = now
-        if at.is_up:
-            if at.violations and now - at.since > FORGIVEN:
-                at.violations, at.penalty = 0, INITIAL_PENALTY
-        elif not at.is_dialling and now >= at.next_dial_at and (self.own < name or name not in self.paired):
-            at.is_dialling = True
+    def _starts_dial(self, name: str, now: int) -> bool:
+        state = self.peers[name]
+        state.needed_at = now
+        if state.is_up:
+            if state.violations and now - state.since > PENALTY_RESET:
+                state.violations, state.penalty = 0, INITIAL_PENALTY
+        elif (
+            not state.is_dialling
+            and now >= state.next_dial_at
+            and (self.own < name or name not in self.regular_peers)
+        ):
+            state.is_dialling = True
             return True
         return False
 
     def next_spare(self, now: int) -> str | None:
-        """Whose link, dialled from here, has long had no place; asked until None."""
-        for name, at in self.peers.items():
-            if at.is_up and at.is_outgoing and name not in self.paired:
-                wanted = max(at.wanted, at.since)
-                if now - wanted > SPARE * self.silence_timeout:
-                    at.since = now  # asked once
+        """The next peer whose outgoing link is no longer needed; to be called until it returns None."""
+        for name, state in self.peers.items():
+            if state.is_up and state.is_outgoing and name not in self.regular_peers:
+                needed_at = max(state.needed_at, state.since)
+                if now - needed_at > SPARE_TIMEOUTS * self.silence_timeout:
+                    state.since = now  # returned only once
                     return name
         return None
 
-    def _fills(self, place: int, now: int) -> str:
-        """The first from there on that has a link, or is not known yet to be out of reach."""
-        late = LATE * self.silence_timeout
-        for i in range(place, len(self.after)):
-            name = self.after[i]
-            at = self.peers[name]
-            if not at.is_up and now - at.tried > AFRESH * late:
-                at.tried = now
-            if at.is_up or (now - at.tried <= late and not self.is_penalized(name, now)):
+    def _reachable_from(self, index: int, now: int) -> str:
+        """The first peer from that index on that has a link or is not yet known to be unreachable."""
+        unreachable_after = UNREACHABLE_TIMEOUTS * self.silence_timeout
+        for i in range(index, len(self.successors)):
+            name = self.successors[i]
+            state = self.peers[name]
+            if not state.is_up and now - state.trying_since > RETRY_FACTOR * unreachable_after:
+                state.trying_since = now
+            if state.is_up or (
+                now - state.trying_since <= unreachable_after and not self.is_penalized(name, now)
+            ):
                 return name
-        return self.after[place]
+        return self.successors[index]
--- a/ochrecourse/fleet/messages.py
+++ b/ochrecourse/fleet/messages.py
@@ -1,8 +1,8 @@
 """The messages of a link between two gateways: headers, bodies, limits, and how each is encoded and decoded.
 
-A frame is a header line of JSON and, where the header says so, a body behind it. In which form bodies go is
-said in format_versions.py; a decoder takes any form that is spoken here. What is no message raises
-`PeerProtocolError`, the exception for every mistake of the other side.
+A frame is a header line of JSON, followed by a body if the header gives a body size. format_versions.py
+decides in which format version bodies are sent; every version that this program supports is decoded. An
+invalid message raises `PeerProtocolError`, the exception for every protocol violation of a peer.
 """
 
 from __future__ import annotations
@@ -15,17 +15,19 @@
 from ochrecourse.fleet.entries import Entry
 from ochrecourse.fleet.format_versions import FIRST_VERSION, PACKED_VERSION
 
-MAX_HEADER_BYTES = 4096  # bytes of a header line; the largest, a fault, stays far below
-MAX_BODY_BYTES = 262_144  # bytes behind one header; one entry of the largest body that settings allow fits
-MAX_NAME_BYTES = 64  # bytes of a gateway's or fleet's name, as in the settings
-SLOW = "slow"  # the mistakes that may be the network's
+MAX_HEADER_BYTES = 4096  # bytes of a header line; the largest, an error notice, stays far below
+MAX_BODY_BYTES = 262_144  # bytes; an entry with the largest value that the settings allow fits in one
+MAX_NAME_BYTES = 64  # bytes of the name of a gateway or fleet, as in the settings
+SLOW = "slow"  # this and DAMAGED may be caused by the network
 DAMAGED = "damaged"
-FORMAT_VERSION = "form"  # the next program that is started there may speak the form in force
-NO_PENALTY_CODES = frozenset((SLOW, DAMAGED, FORMAT_VERSION))  # mistakes for which no rest is given
+FORMAT_VERSION = "form"  # a peer that is restarted with another release may support the version in force
+NO_PENALTY_CODES = frozenset(
+    (SLOW, DAMAGED, FORMAT_VERSION)
+)  # violations after which a peer is dialled again without a penalty
 
 
 class PeerProtocolError(Exception):
-    """A peer's mistake, which ends the link. `code` is for counters, the text for people."""
+    """A protocol violation by a peer, which ends the link. Counters use `code`; the text is for operators."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -33,9 +35,12 @@
 
 
 class Header(msgspec.Struct, tag_field="m", omit_defaults=True, kw_only=True, gc=False):
-    """What all headers have: how many bytes follow; its number among the frames of its side, from 1 (0: not
-    numbered); `starts_over`: nothing from here on rests on what was sent before. `format_version` of the
-    body (0: the first one), and its CRC-32 where the form has one."""
+    """Fields common to all headers.
+
+    `body_size` is in bytes. `frame_number` counts the frames of the sender from 1; 0 means not numbered.
+    `starts_over`: this frame and later ones do not depend on frames before it. `format_version` is that of
+    the body, 0 for the first one; `checksum` is the body's CRC-32 in versions that have one.
+    """
 
     body_size: int = msgspec.field(default=0, name="body")
     frame_number: int = msgspec.field(default=0, name="n")
@@ -45,8 +50,11 @@
 
 
 class Hello(Header, tag="hello"):
-    """The first frame of each side. `version`: the form in force there; `oldest`, `newest`: what it speaks,
-    0 where it is a program that speaks `version` alone."""
+    """The first frame of each side.
+
+    `version_in_force` is the format version that the sender has in force. It supports `oldest_version` to
+    `newest_version`; both are 0 if it supports `version_in_force` only.
+    """
 
     version_in_force: int = msgspec.field(name="version")
     fleet: str
@@ -58,47 +66,49 @@
 
 
 class StreamPositions(Header, tag="have"):
-    """Body: [[writer, life, seq], ...]: how far this side holds streams. `more`: there is a rest to
-    come of its first telling."""
+    """Body: [[writer, incarnation, seq], ...], the last entry of each stream that the sender stores.
+
+    `has_more`: the sender's first list of positions continues in another frame.
+    """
 
     has_more: bool = msgspec.field(default=False, name="more")
 
 
 class HeartbeatBatch(Header, tag="rows"):
-    """Body: a list of `HeartbeatDelta`. The sign of life of the link, sent every beat."""
+    """Body: a list of `HeartbeatDelta`. Sent every heartbeat interval, even if empty."""
 
 
 class Entries(Header, tag="entries"):
-    """Body: a list of entries, each stream in order and without a gap."""
+    """Body: a list of entries, in order and without gaps within each stream, except entries sent early."""
 
 
 class SnapshotChunk(Header, tag="piece"):
-    """Body: a part of the JSON of a snapshot, or of the holes that snapshots stand for, in order."""
+    """Body: the next chunk of the JSON of a snapshot, or of the holes that snapshots leave in streams."""
 
     is_last: bool = msgspec.field(default=True, name="last")
 
 
 class StopRelaying(Header, tag="enough"):
-    """Body: names of gateways whose news come from elsewhere."""
+    """Body: names of gateways whose heartbeats and entries the sender receives from another peer."""
 
 
 class ResumeRelaying(Header, tag="again"):
-    """Body: names of gateways whose news are to come again."""
+    """Body: names of gateways whose heartbeats and entries the sender wants to receive again."""
 
 
 class FrameMissing(Header, tag="lost"):
-    """A frame is missing: begin anew."""
+    """The sender missed a frame: the receiver must restart its side of the exchange."""
 
 
 class ErrorNotice(Header, tag="fault"):
-    """The other side made this mistake; the link ends."""
+    """The receiver violated the protocol; the link ends."""
 
     code: str
     text: str
 
 
 class Goodbye(Header, tag="bye"):
-    """The link ends, and nobody did anything wrong."""
+    """The link ends without an error."""
 
     reason: str = ""
 
@@ -115,7 +125,7 @@
         "removed_statuses": "gone",
     },
 ):
-    """What of a row changed beyond its beat and stamps; with `life` it is a whole row."""
+    """Changed fields of a heartbeat other than number and timestamps; all fields if `incarnation` is set."""
 
     incarnation: int | None = None
     zone: int | None = None
@@ -126,10 +136,11 @@
     removed_statuses: tuple[str, ...] = ()
 
 
-# A row against the one before on this link: name, beats, ms and turn of the promise, of the floor, the rest.
+# A heartbeat relative to the previous one of the same gateway on this link: name, difference of the numbers;
+# difference of ms and the counter of the promise; the same of the watermark; changes of other fields.
 HeartbeatDelta = tuple[str, int, int, int, int, int, HeartbeatChanges | None]
 
-_headers = msgspec.json.Decoder(
+_header_decoder = msgspec.json.Decoder(
     Hello
     | StreamPositions
     | HeartbeatBatch
@@ -141,18 +152,22 @@
     | ErrorNotice
     | Goodbye
 )
-_types: Mapping[type[Header], Any] = {
+_body_types: Mapping[type[Header], Any] = {
     StreamPositions: list[tuple[str, int, int]],
     HeartbeatBatch: list[HeartbeatDelta],
     Entries: list[Entry],
     StopRelaying: list[str],
     ResumeRelaying: list[str],
 }
-_bodies: Mapping[int, Mapping[type[Header], Any]] = {
-    FIRST_VERSION: {kind: msgspec.json.Decoder(of) for kind, of in _types.items()},
-    PACKED_VERSION: {kind: msgspec.msgpack.Decoder(of) for kind, of in _types.items()},
+_body_decoders: Mapping[int, Mapping[type[Header], Any]] = {
+    FIRST_VERSION: {
+        message_type: msgspec.json.Decoder(body_type) for message_type, body_type in _body_types.items()
+    },
+    PACKED_VERSION: {
+        message_type: msgspec.msgpack.Decoder(body_type) for message_type, body_type in _body_types.items()
+    },
 }
-_WITH_BODY = frozenset((*_types, SnapshotChunk))
+_TYPES_WITH_BODY = frozenset((*_body_types, SnapshotChunk))
 _encoders: Mapping[int, Callable[[Any], bytes]] = {
     FIRST_VERSION: msgspec.json.encode,
     PACKED_VERSION: msgspec.msgpack.encode,
@@ -160,47 +175,50 @@
 
 
 def encode_frame(header: Header, body: bytes = b"") -> bytes:
-    """A frame as it is sent."""
+    """Encodes a frame; sets the header's `body_size`."""
     header.body_size = len(body)
     return msgspec.json.encode(header) + b"\r\n" + body
 
 
-def encode_body(value: Any, form: int) -> bytes:
-    return _encoders[form](value)
+def encode_body(value: Any, format_version: int) -> bytes:
+    """Encodes a body in a format version."""
+    return _encoders[format_version](value)
 
 
-def encode_list(parts: Iterable[bytes], form: int) -> bytes:
-    """A list of what is encoded already."""
-    return _encoders[form]([msgspec.Raw(part) for part in parts])
+def encode_list(items: Iterable[bytes], format_version: int) -> bytes:
+    """Encodes a list of items that are already encoded in that format version."""
+    return _encoders[format_version]([msgspec.Raw(item) for item in items])
 
 
 def decode_header(line: bytes) -> Header:
-    """Raises PeerProtocolError, also where the header announces a body that may not be."""
+    """Decodes a header line. Raises PeerProtocolError for an invalid header or body size."""
     try:
-        header: Header = _headers.decode(line)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as trouble:
-        raise PeerProtocolError("bad_header", f"a header that is none: {trouble}") from None
+        header: Header = _header_decoder.decode(line)
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise PeerProtocolError("bad_header", f"a header that is none: {error}") from None
     if not 0 <= header.body_size <= MAX_BODY_BYTES:
         raise PeerProtocolError(
             "oversize", f"{tag_of(header)} with {header.body_size} bytes; at most {MAX_BODY_BYTES}"
         )
-    if header.body_size and type(header) not in _WITH_BODY:
+    if header.body_size and type(header) not in _TYPES_WITH_BODY:
         raise PeerProtocolError("bad_header", f"{tag_of(header)} has no body")
     return header
 
 
 def decode_body(header: Header, body: bytes) -> Any:
-    """What the body of a message says; None where it has none, or brings a piece. Raises
-    PeerProtocolError."""
-    decoder = _bodies[header.format_version or FIRST_VERSION].get(type(header))
+    """Decodes a body; returns None for messages without one and for snapshot chunks.
+
+    Raises PeerProtocolError.
+    """
+    decoder = _body_decoders[header.format_version or FIRST_VERSION].get(type(header))
     if decoder is None:
         return None
     try:
         return decoder.decode(body)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as trouble:
-        raise PeerProtocolError("bad_body", f"{tag_of(header)} whose body is none: {trouble}") from None
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise PeerProtocolError("bad_body", f"{tag_of(header)} whose body is none: {error}") from None
 
 
 def tag_of(header: Header) -> str:
-    """The name of a message on the wire."""
+    """Returns the name of a message on the wire."""
     return str(type(header).__struct_config__.tag)
--- a/ochrecourse/fleet/peer_links.py
+++ b/ochrecourse/fleet/peer_links.py
@@ -1,6 +1,6 @@
 """The links of one member: opened, accepted, greeted, checked and closed.
 
-There is one link to a peer at the most. Which peers are linked is decided in `mesh`.
+There is at most one link to each peer. `mesh` decides which peers are linked.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from ochrecourse.fleet.peer_addresses import PeerAddresses
 from ochrecourse.fleet.exchange_context import ExchangeContext
 
-CONNECT_TIMEOUT_S = 2.0  # a host that is gone does not refuse
-MAX_UNGREETED_LINKS = 64  # connections accepted whose peer has not introduced itself; more are rejected
+CONNECT_TIMEOUT_S = 2.0  # a host that is down does not refuse the connection
+MAX_UNGREETED_LINKS = 64  # accepted connections without a hello; more are rejected
 
 
 class LinkTraffic(NamedTuple):
@@ -34,7 +34,7 @@
     bytes_out: int = 0
 
     def plus(self, link: Link) -> LinkTraffic:
-        """With those of a link added."""
+        """The sum of this and the traffic of a link."""
         return LinkTraffic(
             self.frames_in + link.exchange.frames_in,
             self.frames_out + link.frames_out,
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class LinkContext:
-    """What a member gives to its links. `wall_ms`: ms since 1970. `on_pumped` is called after sending."""
+    """What a member provides to its links. `wall_ms`: ms since 1970. `on_pumped` is called after sending."""
 
     network: Network
     common: ExchangeContext
@@ -56,9 +56,9 @@
 
 
 class PeerLinks:
-    """All links of one member, and those by peer that were greeted; it implements `link.LinkOwner`.
+    """All links of one member, and by peer those that received a hello; implements `link.LinkOwner`.
 
-    `links` is in order of creation: the same run, the same order. `peer_errors`: mistakes of peers by code.
+    `links` is in order of creation, so runs are reproducible. `peer_errors`: protocol violations by code.
     """
 
     def __init__(self, context: LinkContext, mesh: Mesh, peer_errors: Counter[str]) -> None:
@@ -79,21 +79,21 @@
         self._pump_rotation = 0
 
     def traffic(self) -> LinkTraffic:
-        """Of all links since the start."""
+        """The traffic of all links since the start."""
         total = self._closed_traffic
         for link in self.links:
             total = total.plus(link)
         return total
 
     def close_all(self, close: Callable[[Link], None]) -> None:
-        """Closes all links."""
+        """Calls `close` with each link."""
         for link in list(self.links):
             close(link)
 
     # --- sending ---
 
     def pump_all(self) -> None:
-        """Sends on all links what may be sent. Each is the first in its turn: the rate is for all of them."""
+        """Sends on all links what may be sent. The first one rotates, as all share one budget."""
         links = list(self.links)
         first = self._pump_rotation % max(1, len(links))
         for link in links[first:] + links[:first]:
@@ -101,21 +101,21 @@
         self.on_pumped()
 
     def rotate(self) -> None:
-        """The next link is the first to be pumped."""
+        """Makes the next link the first to be pumped."""
         self._pump_rotation += 1
 
     def beat(self, now: int, stale: set[str]) -> None:
-        """A beat has passed; `stale`: gateways of which nothing was received lately."""
+        """A heartbeat interval has passed; `stale`: gateways whose heartbeats are overdue."""
         for link in list(self.links):
             link.exchange.beat_passed(now, stale)
 
     # --- link.LinkOwner ---
 
     def greeted(self, link: Link) -> str:
-        """A peer introduced itself; returns why the link is not wanted, or an empty text.
+        """A peer sent its hello; returns why the link is rejected, or an empty text.
 
-        One link a pair: that of a new incarnation replaces an old one's; of two at once the one that the
-        lower name opened stays.
+        A pair has one link: that of a newer incarnation replaces an older one's. Of two links opened at the
+        same time, the one that the gateway with the lower name opened is kept.
         """
         name, now = link.exchange.peer, now_ns(self.network)
         hello = _hello(link)
@@ -137,37 +137,37 @@
         return is_newer or previous.dialled == link.dialled or is_preferred
 
     def frame_received(self, link: Link, entries: list[Entry]) -> None:
-        """A frame was received; `entries` are new here."""
+        """A frame was processed; `entries` are new here."""
         if entries:
             self.pump_all()
         else:
             link.pump()
             self.on_pumped()
 
-    def ended(self, link: Link, why: str, mistake: PeerProtocolError | None) -> None:
-        """A link is gone; `mistake`: what the peer did wrong, if that ended it."""
+    def ended(self, link: Link, reason: str, violation: PeerProtocolError | None) -> None:
+        """A link has ended; `violation`: the protocol violation of the peer that ended it, if any."""
         self.links.pop(link, None)
         exchange, now = link.exchange, now_ns(self.network)
         self._closed_traffic = self._closed_traffic.plus(link)
         name = exchange.peer
-        is_blamed = exchange.is_blamed or (mistake is not None and mistake.code not in NO_PENALTY_CODES)
-        if mistake is not None:
-            self._count_peer_error(name or "unnamed", mistake)
+        is_blamed = exchange.is_blamed or (violation is not None and violation.code not in NO_PENALTY_CODES)
+        if violation is not None:
+            self._count_peer_error(name or "unnamed", violation)
         self._forget_source(exchange)
         if self.by_peer.get(name) is link:
             del self.by_peer[name]
-            if mistake is None and not self.stopped:
-                self.operator_log.write("fleet link down", peer=name, why=why)
+            if violation is None and not self.stopped:
+                self.operator_log.write("fleet link down", peer=name, why=reason)
             self.mesh.link_lost(name, now, is_blamed)
         elif name and name not in self.by_peer and (link.dialled or is_blamed):
             self.mesh.link_lost(name, now, is_blamed)
 
-    def _count_peer_error(self, peer: str, mistake: PeerProtocolError) -> None:
-        self.peer_errors[mistake.code] += 1
-        self.operator_log.write_once_per_beat(peer, "fleet link refused", peer=peer, why=str(mistake))
+    def _count_peer_error(self, peer: str, violation: PeerProtocolError) -> None:
+        self.peer_errors[violation.code] += 1
+        self.operator_log.write_once_per_beat(peer, "fleet link refused", peer=peer, why=str(violation))
 
     def _forget_source(self, exchange: Exchange) -> None:
-        """Gateways whose heartbeats came by this link are no longer received by it."""
+        """Asks other peers to relay the heartbeats that this link relayed."""
         orphans = [name for name, source in self.common.sources.items() if source is exchange]
         for name in orphans:
             del self.common.sources[name]
@@ -178,7 +178,7 @@
     # --- opening ---
 
     def accept(self) -> Link | None:
-        """A link for a connection that was accepted; None rejects it."""
+        """Makes the link of an accepted connection; None rejects it."""
         ungreeted = sum(1 for link in self.links if link.exchange.hello is None and not link.dialled)
         if self.stopped or ungreeted >= MAX_UNGREETED_LINKS:
             self.rejected_connections += 1
@@ -205,7 +205,7 @@
     # --- checking ---
 
     def check(self, now: int) -> None:
-        """Closes links that failed or are spare, and opens those that are missing."""
+        """Closes links that failed or are not needed, and opens those that are missing."""
         for link in list(self.links):
             self._check_link(link, now)
         while (name := self.mesh.next_to_dial(now)) is not None:
@@ -221,12 +221,12 @@
         elif exchange.hello is not None and (
             mismatch := self.common.format_versions.mismatch(exchange.peer_versions)
         ):
-            link.fail(PeerProtocolError(FORMAT_VERSION, mismatch))  # a form was raised while the link stood
+            link.fail(PeerProtocolError(FORMAT_VERSION, mismatch))  # it was raised while the link was up
         elif exchange.is_silent(now) and link.has_partial_frame():
             text = f"a frame that was begun was not whole after {self.common.silence_timeout / SECOND:g} s"
             link.fail(PeerProtocolError(SLOW, text))
         elif exchange.is_silent(now):
-            # Guards against half-open connections: the peer may be gone without a close.
+            # Guards against half-open connections: the peer may have vanished without a close.
             link.abort("nothing was heard for too long")
 
 
--- a/ochrecourse/fleet/stall_detector.py
+++ b/ochrecourse/fleet/stall_detector.py
@@ -1,8 +1,8 @@
-"""The clock that a gateway of a fleet reads: a process that was stalled notices before it decides anything.
+"""The clock of a gateway of a fleet, which detects a stall of the process before any decision is made.
 
-After a stall the event loop serves the sockets that are ready first and its timers then, so the beat, at
-which rate limits are renewed, may run after the first request. Whoever reads this clock past the time at
-which the beat was due has the limits renewed first: a quota that was lent to this gateway may have expired.
+After a stall the event loop serves ready sockets before timers, so the first request may run before the
+heartbeat timer, which renews rate limits. Reading this clock after the timer was due renews the limits first:
+a quota that was lent to this gateway may have expired during the stall.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class BeatingProcess(Protocol):
-    """What beats by a timer."""
+    """A process with a periodic heartbeat timer."""
 
     @property
     def beat_overdue_at_s(self) -> float:
-        """s of the clock from which on its beat is missing."""
+        """Time of the clock in s after which the heartbeat is overdue."""
 
     def stall_detected(self) -> None:
-        """The clock was read past `beat_overdue_at_s`, which is to be set anew before anything else."""
+        """The clock was read after `beat_overdue_at_s`; must update that property before anything else."""
 
 
 class StallDetector:
-    """A clock that checks at each reading whether the beat is missing."""
+    """A clock that checks at each reading whether the heartbeat is overdue."""
 
     def __init__(self, clock: Clock, process: BeatingProcess) -> None:
         self.clock = clock
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -389,7 +389,7 @@
 class Trusts(Exchange):
     """A mistake on purpose: takes every frame for the next one."""
 
-    def _number(self, header):
+    def _check_frame_number(self, header):
         pass
 
 
@@ -556,7 +556,7 @@
     # Back again, the links by rank stand, and the others go.
     made.update({name: mesh for name, mesh in meshes(190).items() if name in down})
     dial_all(made, (), 400 * SECOND, beats=20)
-    assert all(mesh.peers[name].is_up for mesh in made.values() for name in mesh.paired)
+    assert all(mesh.peers[name].is_up for mesh in made.values() for name in mesh.regular_peers)
     assert any(mesh.next_spare(500 * SECOND) for mesh in made.values())
 
 
@@ -567,7 +567,7 @@
     for _ in range(12):
         assert mesh.next_to_dial(now) == "b" and mesh.next_to_dial(now) is None
         mesh.link_up("b", True, now)
-        mesh.link_lost("b", now, mistake=True)
+        mesh.link_lost("b", now, violation=True)
         assert mesh.is_penalized("b", now) and mesh.next_to_dial(now) is None
         rests.append(mesh.peers["b"].next_dial_at - now)
         now = mesh.peers["b"].next_dial_at
@@ -575,5 +575,5 @@
     mesh.next_to_dial(now)
     mesh.link_up("b", True, now)
     mesh.next_to_dial(now + 61 * SECOND)
-    mesh.link_lost("b", now + 61 * SECOND, mistake=True)
+    mesh.link_lost("b", now + 61 * SECOND, violation=True)
     assert mesh.peers["b"].next_dial_at == now + 62 * SECOND
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -14,9 +14,8 @@
 PACKAGES = [
     "bgp", "cli", "common", "gateway", "membership", "nodes", "relay", "resp", "scheduler", "service", "settings", "simulator", "storage", "wire",
 ]  # fmt: skip
-FLEET_TO_COME = {  # modules of fleet/ that are not done: the log, its exchange between gateways
-    "anti_entropy", "channel", "entries", "exchange", "exchange_context", "format_versions", "frontier", "heartbeats", "link", "link_state", "log", "log_store",
-    "members", "membership_view", "mesh", "messages", "snapshot_transfer", "streams",
+FLEET_TO_COME = {  # modules of fleet/ that are not done: the log
+    "channel", "entries", "format_versions", "frontier", "log", "log_store", "membership_view", "streams",
 }  # fmt: skip
 FLEET = [path for path in sorted((ROOT / "fleet").glob("*.py")) if path.stem not in FLEET_TO_COME]
 FILES = [
@@ -50,7 +49,7 @@
     "fleet/log_state.py": ["life"],  # a field of log lines
     "fleet/member.py": ["life"],  # a field of a log line
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
-    "fleet/peer_links.py": ["came", "life"],  # a field of a log line
+    "fleet/peer_links.py": ["life"],  # a field of a log line
 }
 
 
