--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""The table of members: newest row of each name, who is reached, who is away, and rows that are turned away."""
+"""The members of a fleet: newest heartbeats, reachable and departed members, and rejected heartbeats."""
 
 from __future__ import annotations
 
@@ -8,50 +8,52 @@
 from ochrecourse.fleet.entries import Heartbeat, Timestamp
 from ochrecourse.fleet.members import MAX_NAMES, InvalidHeartbeatError, Members
 
-QUIET, LET_GO = 2_000, 600_000
+SILENCE_TIMEOUT, EVICTION_TIME = 2_000, 600_000
 
 
-def table(**more):
-    return Members("a", 7, 1, QUIET, LET_GO, **more)
+def make_members(**options):
+    return Members("a", 7, 1, SILENCE_TIMEOUT, EVICTION_TIME, **options)
 
 
-def row(name="b", life=5, beat=1, zone=2, seq=0, promise=10):
-    return Heartbeat(name, life, beat, zone, seq, b"", Timestamp(promise, 0), Timestamp(0, 0))
+def heartbeat(name="b", incarnation=5, number=1, zone=2, seq=0, promise=10):
+    return Heartbeat(name, incarnation, number, zone, seq, b"", Timestamp(promise, 0), Timestamp(0, 0))
 
 
-def test_the_newest_row_by_life_and_beat_stands():
-    members = table()
-    assert members.receive(row(beat=2), 0)
-    assert not members.receive(row(beat=1), 1)
-    assert not members.receive(row(beat=2), 1)
-    assert members.receive(row(life=6, beat=1, promise=1), 2)  # a new life promises anew
+def test_the_newest_heartbeat_by_incarnation_and_number_is_kept():
+    members = make_members()
+    assert members.receive(heartbeat(number=2), 0)
+    assert not members.receive(heartbeat(number=1), 1)
+    assert not members.receive(heartbeat(number=2), 1)
+    assert members.receive(
+        heartbeat(incarnation=6, number=1, promise=1), 2
+    )  # a new incarnation starts its promises again
     assert members.heartbeats["b"].incarnation == 6 and members.zone_of("b") == 2
     assert members.received_at["b"] == 2
 
 
-def test_a_name_is_reached_suspected_and_away_by_when_news_of_it_came():
-    members = table(peers=["a", "b", "c"], now=0)
-    members.receive(row(), 1_000)
+def test_members_are_reachable_suspected_or_departed_by_the_age_of_their_heartbeat():
+    members = make_members(peers=["a", "b", "c"], now=0)
+    members.receive(heartbeat(), 1_000)
     assert members.reachable(3_000) == ["a", "b"]
     assert members.suspected(3_000) == ["c"]
     assert members.reachable(3_001) == ["a"]
     assert members.not_departed(600_000) == ["a", "b", "c"]
     assert members.departed(600_001) == ["c"]
     assert members.departed(601_001) == ["b", "c"]
-    members.receive(row(beat=2), 601_500)
+    members.receive(heartbeat(number=2), 601_500)
     assert members.departed(601_500) == ["c"]
 
 
-def test_a_repeated_row_is_no_news_of_its_sender():
-    """Guards against rows that go round among the others and keep a dead gateway reached."""
-    members = table()
-    members.receive(row(), 0)
-    members.receive(row(), 50_000)
+def test_a_repeated_heartbeat_does_not_make_its_sender_reachable():
+    """Guards against heartbeats that circulate among the others and keep a stopped gateway reachable."""
+    members = make_members()
+    members.receive(heartbeat(), 0)
+    members.receive(heartbeat(), 50_000)
     assert members.reachable(50_000) == ["a"]
 
 
-def test_own_rows_count_beats_on_and_keep_what_is_not_told_anew():
-    members = table()
+def test_own_heartbeats_are_numbered_and_keep_fields_that_are_not_given():
+    members = make_members()
     first = members.next_heartbeat(0, seq=3, head_hash=b"x")
     second = members.next_heartbeat(1, promise=Timestamp(5, 0))
     assert (first.number, second.number, second.seq, second.zone) == (1, 2, 3, 1)
@@ -59,50 +61,50 @@
     assert (members.heartbeats["a"].incarnation, members.heartbeats["a"].seq) == (9, 0)
 
 
-@pytest.mark.parametrize("bad, why", [
-    (row(beat=2, promise=9), "promise goes back"),
-    (row(beat=2, seq=2), "entries go back"),
+@pytest.mark.parametrize("invalid, reason", [
+    (heartbeat(number=2, promise=9), "promise goes back"),
+    (heartbeat(number=2, seq=2), "entries go back"),
 ])  # fmt: skip
-def test_a_row_that_takes_something_back_is_refused_and_changes_nothing(bad, why):
-    members = table()
-    members.receive(row(seq=3), 0)
+def test_a_heartbeat_with_a_lower_promise_or_seq_is_rejected_and_changes_nothing(invalid, reason):
+    members = make_members()
+    members.receive(heartbeat(seq=3), 0)
     before = msgspec.structs.replace(members.heartbeats["b"])
-    with pytest.raises(InvalidHeartbeatError, match=why):
-        members.receive(bad, 5)
+    with pytest.raises(InvalidHeartbeatError, match=reason):
+        members.receive(invalid, 5)
     assert members.heartbeats["b"] == before and members.received_at["b"] == 0
 
 
-def test_more_names_than_any_fleet_has_are_refused():
-    members = table()
+def test_heartbeats_of_too_many_names_are_rejected():
+    members = make_members()
     for i in range(MAX_NAMES - 1):
-        members.receive(row(name=f"n{i}"), 0)
+        members.receive(heartbeat(name=f"n{i}"), 0)
     with pytest.raises(InvalidHeartbeatError, match="more than"):
-        members.receive(row(name="one more"), 0)
+        members.receive(heartbeat(name="one more"), 0)
     assert len(members.heartbeats) == MAX_NAMES
 
 
-def test_own_rows_that_come_back_are_nothing_new():
-    members = table()
+def test_own_heartbeats_that_come_back_are_not_new():
+    members = make_members()
     own = members.next_heartbeat(0)
     assert not members.receive(own, 0)
-    assert not members.receive(row("a", life=3), 0)
+    assert not members.receive(heartbeat("a", incarnation=3), 0)
     assert members.highest_incarnation == 0
 
 
-def test_a_greater_life_under_the_own_name_is_gone_beyond_once_and_then_named():
-    """A disk was lost and the clock put back: the life before is greater. A process that goes beyond ours in turn is
-    another one that runs under this name."""
-    members = table()
-    assert not members.receive(row("a", life=12, beat=40), 0)
+def test_a_higher_incarnation_of_the_own_name_is_passed_once_and_then_rejected():
+    """After a lost disk and a clock that was set back, the previous incarnation is the higher one. An incarnation beyond
+    the one begun then belongs to another process under this name."""
+    members = make_members()
+    assert not members.receive(heartbeat("a", incarnation=12, number=40), 0)
     assert members.highest_incarnation == 12
     members.begin_incarnation(13)
-    assert not members.receive(row("a", life=12, beat=41), 0)
+    assert not members.receive(heartbeat("a", incarnation=12, number=41), 0)
     with pytest.raises(InvalidHeartbeatError, match="another process runs under this name"):
-        members.receive(row("a", life=14), 0)
+        members.receive(heartbeat("a", incarnation=14), 0)
 
 
-def test_a_beat_of_the_own_life_that_was_never_made_is_named():
-    members = table()
+def test_an_unknown_heartbeat_of_the_own_incarnation_is_rejected():
+    members = make_members()
     members.next_heartbeat(0)
     with pytest.raises(InvalidHeartbeatError, match="another process"):
-        members.receive(row("a", life=7, beat=2), 0)
+        members.receive(heartbeat("a", incarnation=7, number=2), 0)
