--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -6,7 +6,16 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from test_fleet_exchange import BEAT, QUIET, WALL, End, hand, kinds, meet, talk
+from test_fleet_exchange import (
+    BEAT,
+    QUIET,
+    WALL,
+    FleetGateway,
+    deliver,
+    message_types,
+    connect_all,
+    exchange_frames,
+)
 from test_fleet_part import Fleet
 
 from ochrecourse.storage.journal import FileJournal, MemoryJournal
@@ -28,34 +37,34 @@
 PACE = 32_768  # bytes a second
 
 
-class Away(End):
+class Away(FleetGateway):
     """An end that was away; `ahead`: early events that its tenants were shown."""
 
     def __init__(self, name, life=1000, journal=None, pace=PACE, **more):
         super().__init__(name, life, **more)
         self.journal = journal if journal is not None else MemoryJournal()
-        self.kept = LogStore(self.journal, name, LogLimits(), WALL, life)
-        self.log = self.kept.log
+        self.log_store = LogStore(self.journal, name, LogLimits(), WALL, life)
+        self.log = self.log_store.log
         self.members.begin_incarnation(self.log.incarnation)
         self.ahead = []
         common = self.common
         self.common = type(common)(
-            common.fleet, self.kept, self.members, BEAT, QUIET, common.max_entries_in_flight, 3_600_000, common.admit,
+            common.fleet, self.log_store, self.members, BEAT, QUIET, common.max_entries_in_flight, 3_600_000, common.admit,
             common.on_heartbeat, common.on_snapshot, 1 << 22, pace, self.ahead.append,
         )  # fmt: skip
 
     def fill(self, count, channel="c", body="x" * 60):
         for i in range(count):
-            self.kept.append(channel, f"{self.members.name}{i}{body}", WALL + i)
+            self.log_store.append(channel, f"{self.members.name}{i}{body}", WALL + i)
 
 
-def live(pairs, ends, start, until, carry=talk):
+def live(pairs, ends, start, until, carry=exchange_frames):
     """Beats, and ten pulls between two of them."""
     for step in range(round((until - start) / BEAT * 10)):
         now = start + step * BEAT // 10
         if step % 10 == 0:
             for end in ends:
-                end.turn(now)
+                end.pass_interval(now)
         carry(pairs, now)
     return until
 
@@ -66,15 +75,15 @@
 def test_a_backlog_goes_in_slices_at_the_pace_of_the_settings_and_signs_of_life_between():
     a, b = Away("a"), Away("b")
     a.fill(3000)
-    (pair,) = meet(a, b)
+    (pair,) = connect_all(a, b)
     sent, longest, beats = 0, 0, []
     for step in range(1, 401):
         now = step * BEAT // 10
         if step % 10 == 0:
-            a.turn(now)
-            b.turn(now)
-        told = [data for link, data in talk([pair], now) if link is pair[0]]
-        entries = [len(data) for data in told if kinds([(0, data)]) == ["entries"]]
+            a.pass_interval(now)
+            b.pass_interval(now)
+        told = [data for link, data in exchange_frames([pair], now) if link is pair[0]]
+        entries = [len(data) for data in told if message_types([(0, data)]) == ["entries"]]
         assert sum(entries) <= MAX_BUDGET_BYTES + 2 * SLICE_BYTES  # at one moment
         sent += sum(entries)
         longest = max([longest, *entries])
@@ -107,7 +116,7 @@
     a.fill(3000)
     pairs = [(a.link("b"), b.link()), (b.link("c"), c.link())]
     live(pairs, [a, b, c], 0, SECOND)
-    a.kept.append(FLEET_CHANNEL, {"what": "zone"}, WALL + 5000)
+    a.log_store.append(FLEET_CHANNEL, {"what": "zone"}, WALL + 5000)
     decision = a.log.events(FLEET_CHANNEL)[-1]
     live(pairs, [a, b, c], SECOND, 2 * SECOND)
     assert b.ahead == c.ahead == [decision]  # once each
@@ -120,9 +129,9 @@
 
 def test_where_nothing_waits_nothing_comes_twice():
     a, b = Away("a"), Away("b")
-    (pair,) = meet(a, b)
+    (pair,) = connect_all(a, b)
     for i in range(20):
-        a.kept.append(FLEET_CHANNEL, i, WALL)
+        a.log_store.append(FLEET_CHANNEL, i, WALL)
     live([pair], [a, b], 0, SECOND)
     assert pair[1].entries_in == 20 and not b.ahead
 
@@ -131,25 +140,25 @@
     """A way of 20 kB/s, and a pace of a hundred times as much."""
     a, b = Away("a", pace=1 << 21), Away("b", pace=1 << 21)
     a.fill(2000)
-    (pair,) = meet(a, b)
+    (pair,) = connect_all(a, b)
     way, free, delays, sent = deque(), [0], [], {}
     now = 0
     for step in range(1, 801):
         now = step * BEAT // 10
         if step % 10 == 0:
-            a.turn(now)
-            b.turn(now)
+            a.pass_interval(now)
+            b.pass_interval(now)
             sent[a.members.heartbeats["a"].number] = now
         while (data := pair[0].next_frame(now)) is not None:
             free[0] = max(free[0], now) + len(data) * SECOND // 20_000
             way.append((free[0], data))
         while way and way[0][0] <= now:
-            hand(pair[1], way.popleft()[1], now)
+            deliver(pair[1], way.popleft()[1], now)
             beat = b.members.heartbeats["a"].number
             if beat in sent:
                 delays.append(now - sent.pop(beat))
         while (data := pair[1].next_frame(now)) is not None:
-            hand(pair[0], data, now)
+            deliver(pair[0], data, now)
     assert MIN_WINDOW_BYTES <= pair[0].anti_entropy._window < SLICE_BYTES
     assert max(delays[8:]) <= 2 * BEAT
     assert a.log.vector() == b.log.vector()
@@ -198,14 +207,14 @@
                 data = pair[0].next_frame(now)
                 if data is None:
                     return
-                hand(pair[1], data, now)
+                deliver(pair[1], data, now)
         except PeerProtocolError:
             cut(which)
 
     def compact(upto):
         for end in ends:
             end.log.advance_frontier(upto)
-            end.kept.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
+            end.log_store.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
             end.common.compaction_version += 1
 
     for what, which, count in moves:
@@ -216,7 +225,7 @@
         elif what == "cut":
             cut(which)
         elif what == "turn":
-            ends[which].turn(now)
+            ends[which].pass_interval(now)
         elif what in ("kill", "lose") and (what == "kill" or settled):
             for index, pair in enumerate(pairs_of):
                 if which in pair:
@@ -238,7 +247,7 @@
             if len(held) == 1 and upto > settled:
                 settled = upto
                 ends[which].log.advance_frontier(upto)
-                ends[which].kept.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
+                ends[which].log_store.compact("c", upto, {"upto": list(upto), "of": "x" * 900})
                 ends[which].common.compaction_version += 1
         else:
             carry(which, what == "there", count)
@@ -246,7 +255,7 @@
     for _ in range(400):
         now += BEAT // 4
         for end in ends:
-            end.turn(now)
+            end.pass_interval(now)
         for which in range(3):
             carry(which, True, 8)
             carry(which, False, 8)
@@ -315,9 +324,9 @@
     a.log.advance_frontier(upto)
     a.log.limits.channel_bytes = 50_000
     with pytest.raises(AppendRejectedError, match=r"channel c: a snapshot of 60002 bytes, more than 50000"):
-        a.kept.compact("c", upto, "x" * 60_000)
+        a.log_store.compact("c", upto, "x" * 60_000)
     assert a.log.snapshot("c") is None and len(a.log.events("c")) == 20
-    a.kept.compact("c", upto, "x" * 40_000)
+    a.log_store.compact("c", upto, "x" * 40_000)
     a.common.compaction_version += 1
     b.common.max_snapshot_bytes = 30_000
     with pytest.raises(
@@ -330,19 +339,19 @@
 def test_many_holes_come_in_pieces_and_out_of_the_journal_again():
     a, b = Away("a"), Away("b", journal=MemoryJournal())
     for i in range(6000):
-        a.kept.append("cd"[i % 2], i, WALL + i)
+        a.log_store.append("cd"[i % 2], i, WALL + i)
     a.log.advance_frontier(Timestamp(1 << 60, 0))
-    a.kept.compact("c", Timestamp(WALL + 9999, 0), "all")
+    a.log_store.compact("c", Timestamp(WALL + 9999, 0), "all")
     assert (
-        a.kept.needs_maintenance and len(a.log.snapshots_for({})[1].holes) < 3000
+        a.log_store.needs_maintenance and len(a.log.snapshots_for({})[1].holes) < 3000
     )  # a long channel goes by and by
-    while a.kept.needs_maintenance:
-        a.kept.maintain(1 << 20)
+    while a.log_store.needs_maintenance:
+        a.log_store.maintain(1 << 20)
     pieces = a.log.snapshots_for({})
     assert [type(p) for p in pieces[1:]] == [Holes] * 2 and sum(len(p.holes) for p in pieces[1:]) == 3000
     for piece in pieces:
-        b.kept.take_snapshot(piece)
-    b.kept.merge(a.log.missing_entries({}, 10_000, 1 << 30), WALL + 6000)
+        b.log_store.take_snapshot(piece)
+    b.log_store.merge(a.log.missing_entries({}, 10_000, 1 << 30), WALL + 6000)
     assert b.log.vector() == a.log.vector() and b.log.dump("d") == a.log.dump("d")
     for journal in (a.journal, b.journal):
         journal.rewrite(list(LogStore(journal, "z", LogLimits(), WALL, 1)._all_records()))
@@ -567,7 +576,7 @@
     a = Away("a")
     a.fill(3000)
     a.log.advance_frontier(Timestamp(1 << 60, 0))
-    a.kept.compact("c", Timestamp(WALL + 9999, 0), "all")
+    a.log_store.compact("c", Timestamp(WALL + 9999, 0), "all")
     assert a.log.compacting and a.log.read("c", "", 9)[0][0].snapshot is not None
     assert json.loads(a.log.dump("c"))[1] == [] and not a.log.compacting
 
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -30,17 +30,17 @@
 AT = Timestamp(WALL, 0)
 
 
-class End:
+class FleetGateway:
     """One gateway as its links see it, its beats made by hand."""
 
     def __init__(self, name, life=1000, flight=256, fleet="f", kind=Exchange, admit=lambda hello: ""):
         self.kind = kind
-        self.kept = LogStore(MemoryJournal(), name, LogLimits(max_clock_ahead_ms=3_600_000), WALL, life)
-        self.log = self.kept.log
+        self.log_store = LogStore(MemoryJournal(), name, LogLimits(max_clock_ahead_ms=3_600_000), WALL, life)
+        self.log = self.log_store.log
         self.members = Members(name, self.log.incarnation, 0, QUIET, 600 * SECOND)
-        self.heard = []
+        self.received = []
         self.common = ExchangeContext(
-            fleet, self.kept, self.members, BEAT, QUIET, flight, 3_600_000, admit, self.heard.append,
+            fleet, self.log_store, self.members, BEAT, QUIET, flight, 3_600_000, admit, self.received.append,
             lambda piece: None, 1 << 22
         )  # fmt: skip
         self.links = []
@@ -50,9 +50,9 @@
         return self.links[-1]
 
     def append(self, value=0, channel="c"):
-        return self.kept.append(channel, value, WALL)
+        return self.log_store.append(channel, value, WALL)
 
-    def turn(self, now):
+    def pass_interval(self, now):
         name = self.members.name
         chain = self.log.chains.get((name, self.log.incarnation))
         self.members.next_heartbeat(
@@ -62,7 +62,7 @@
             link.beat_passed(now, self.common.stale_members(now))
 
 
-def hand(link, data, now=0):
+def deliver(link, data, now=0):
     """Gives one frame to a link as the framing would; returns the new entries."""
     line, _, body = data.partition(b"\r\n")
     need = link.header_received(line, now)
@@ -70,7 +70,7 @@
     return link.body_received(body, now, WALL + now // MS)
 
 
-def talk(pairs, now=0, most=100_000):
+def exchange_frames(pairs, now=0, most=100_000):
     """Carries all frames there are over links, which are pairs of ends; returns the frames in order."""
     told = []
     busy = True
@@ -80,21 +80,21 @@
             for one, other in ((a, b), (b, a)):
                 while (data := one.next_frame(now)) is not None:
                     told.append((one, data))
-                    hand(other, data, now)
+                    deliver(other, data, now)
                     busy = True
     return told
 
 
-def meet(*ends, now=0):
+def connect_all(*ends, now=0):
     """All ends linked with each other; returns the pairs of links."""
     pairs = [
         (a.link(b.members.name, now), b.link("", now)) for i, a in enumerate(ends) for b in ends[i + 1 :]
     ]
-    talk(pairs, now)
+    exchange_frames(pairs, now)
     return pairs
 
 
-def kinds(told):
+def message_types(told):
     return [json.loads(data.partition(b"\r\n")[0])["m"] for _, data in told]
 
 
@@ -124,36 +124,36 @@
 
 
 def test_what_one_lacks_comes_once_and_never_back():
-    a, b, c = End("a"), End("b"), End("c")
+    a, b, c = FleetGateway("a"), FleetGateway("b"), FleetGateway("c")
     for i in range(5):
         a.append(i)
-    pairs = meet(a, b, c)
+    pairs = connect_all(a, b, c)
     assert a.log.vector() == b.log.vector() == c.log.vector()
     sent = sum(link.entries_in for pair in pairs for link in pair)
     assert 10 <= sent <= 15  # each crosses a link once at the most
     assert all(link.entries_in == 0 for link in a.links)  # nothing went back to its writer
     for beat in range(1, 4):
         for end in (a, b, c):
-            end.turn(beat * BEAT)
-        talk(pairs, beat * BEAT)
+            end.pass_interval(beat * BEAT)
+        exchange_frames(pairs, beat * BEAT)
     # At rest a beat is one frame each way, and its row is a step of some thirty bytes.
     for end in (a, b, c):
-        end.turn(4 * BEAT)
-    told = talk(pairs, 4 * BEAT)
-    assert kinds(told) == ["rows"] * 6
+        end.pass_interval(4 * BEAT)
+    told = exchange_frames(pairs, 4 * BEAT)
+    assert message_types(told) == ["rows"] * 6
     assert max(len(data) for _, data in told) < 70
 
 
 def test_news_of_one_come_from_one_neighbour_and_from_another_when_that_one_is_gone():
-    a, b, c, d = (End(name) for name in "abcd")  # a square: a to d goes by b or by c
+    a, b, c, d = (FleetGateway(name) for name in "abcd")  # a square: a to d goes by b or by c
     ab, ac = (a.link("b"), b.link()), (a.link("c"), c.link())
     bd, cd = (b.link("d"), d.link()), (c.link("d"), d.link())
     pairs = [ab, ac, bd, cd]
-    talk(pairs)
+    exchange_frames(pairs)
     for beat in range(1, 8):
         for end in (a, b, c, d):
-            end.turn(beat * BEAT)
-            talk(pairs, beat * BEAT)
+            end.pass_interval(beat * BEAT)
+            exchange_frames(pairs, beat * BEAT)
     assert d.members.heartbeats["a"].number >= 6
     assert {len([x for x in d.links if "a" in x.heartbeats._stopped_relaying])} == {1}
     source = d.common.sources["a"]
@@ -169,74 +169,74 @@
     before = d.members.heartbeats["a"].number
     for beat in range(8, 11):
         for end in (a, b, c, d):
-            end.turn(beat * BEAT)
-            talk(pairs, beat * BEAT)
+            end.pass_interval(beat * BEAT)
+            exchange_frames(pairs, beat * BEAT)
     assert d.members.heartbeats["a"].number > before + 1
 
 
 def test_an_entry_reaches_who_said_enough_of_its_writer_when_the_other_way_stays_out():
-    a, b = End("a"), End("b")
-    (pair,) = meet(a, b)
+    a, b = FleetGateway("a"), FleetGateway("b")
+    (pair,) = connect_all(a, b)
     for beat in (1, 2):
-        a.turn(beat * BEAT)
-        b.turn(beat * BEAT)
-        talk([pair], beat * BEAT)
+        a.pass_interval(beat * BEAT)
+        b.pass_interval(beat * BEAT)
+        exchange_frames([pair], beat * BEAT)
     pair[0].heartbeats.relaying_stopped.add(
         "a"
     )  # as if b got the news of a from somebody who then fell silent
     a.append(7)
-    assert "entries" not in kinds(talk([pair], 2 * BEAT))
+    assert "entries" not in message_types(exchange_frames([pair], 2 * BEAT))
     for beat in (3, 4, 5, 6):
-        a.turn(beat * BEAT)
-        b.turn(beat * BEAT)
-        talk([pair], beat * BEAT)
+        a.pass_interval(beat * BEAT)
+        b.pass_interval(beat * BEAT)
+        exchange_frames([pair], beat * BEAT)
     assert b.log.vector() == a.log.vector()
 
 
 def test_no_more_entries_are_on_the_way_than_settings_allow():
-    a, b = End("a", flight=10), End("b", flight=10)
+    a, b = FleetGateway("a", flight=10), FleetGateway("b", flight=10)
     for i in range(95):
         a.append(i)
-    meet(a, b)
+    connect_all(a, b)
     assert a.log.vector() == b.log.vector()
     link = a.link("b")
-    talk([(link, b.link())], most=3)
+    exchange_frames([(link, b.link())], most=3)
     while link.next_frame(0) is not None:  # nothing is acknowledged any more
         pass
     assert sum(link.anti_entropy._in_flight.values()) <= 10
 
 
 def test_an_entry_that_could_not_be_taken_is_sent_again_later():
-    a, b = End("a"), End("b")
-    (pair,) = meet(a, b)
-    took, b.kept.merge = b.kept.merge, lambda entries, wall: []  # no room there for now
+    a, b = FleetGateway("a"), FleetGateway("b")
+    (pair,) = connect_all(a, b)
+    took, b.log_store.merge = b.log_store.merge, lambda entries, wall: []  # no room there for now
     a.append(1)
-    talk([pair])
-    b.kept.merge = took
+    exchange_frames([pair])
+    b.log_store.merge = took
     assert not b.log.vector()
     for beat in range(1, 12):
-        a.turn(beat * BEAT)
-        b.turn(beat * BEAT)
-        talk([pair], beat * BEAT)
+        a.pass_interval(beat * BEAT)
+        b.pass_interval(beat * BEAT)
+        exchange_frames([pair], beat * BEAT)
     assert a.log.vector() == b.log.vector()
 
 
 def test_who_is_below_a_compaction_gets_the_snapshot_in_pieces_and_a_reader_its_mark():
-    a, b = End("a"), End("b")
+    a, b = FleetGateway("a"), FleetGateway("b")
     for i in range(20):
         a.append(i)
     upto = a.log.events("c")[14].at
     a.log.advance_frontier(upto)
-    a.kept.compact("c", upto, {"sum": "x" * 200_000})
+    a.log_store.compact("c", upto, {"sum": "x" * 200_000})
     a.common.compaction_version += 1
-    (pair,) = meet(a, b)
+    (pair,) = connect_all(a, b)
     assert a.log.vector() == b.log.vector()
     assert b.log.dump("c") == a.log.dump("c")
     told, _ = b.log.read("c", "", 10)
     assert told[0].snapshot is not None and told[0].entry is None
     # A link that is up when the log is compacted goes on with what it has.
     a.append(21)
-    talk([pair])
+    exchange_frames([pair])
     assert b.log.dump("c") == a.log.dump("c")
 
 
@@ -282,7 +282,7 @@
 @pytest.mark.parametrize("what", MISTAKES)
 def test_a_mistake_ends_the_link_and_leaves_nothing(what):
     data, code = MISTAKES[what]
-    a = End("a")
+    a = FleetGateway("a")
     data = data.replace(b'"OWN"', str(a.log.incarnation).encode())
     if what.startswith("row in our name"):
         data = rows(step("x", more=WHOLE), step("a", 9, more={**WHOLE, "life": a.log.incarnation}))
@@ -292,14 +292,19 @@
         body = data.partition(b"\r\n")[2]
         data = b'{"m":"piece","body":%d}\r\n%s' % (len(body), body)
     link = a.link()
-    hand(link, encode_frame(Hello(**HELLO)))
-    hand(link, rows(step("b", more=WHOLE)))
-    before = (a.log.vector(), dict(a.members.heartbeats), dict(a.members.received_at), len(a.heard))
+    deliver(link, encode_frame(Hello(**HELLO)))
+    deliver(link, rows(step("b", more=WHOLE)))
+    before = (a.log.vector(), dict(a.members.heartbeats), dict(a.members.received_at), len(a.received))
     with pytest.raises(PeerProtocolError) as told:
-        hand(link, data)
+        deliver(link, data)
     assert told.value.code == code
     assert len(str(told.value)) < 1000 and "\n" not in str(told.value)[:-1]
-    assert (a.log.vector(), dict(a.members.heartbeats), dict(a.members.received_at), len(a.heard)) == before
+    assert (
+        a.log.vector(),
+        dict(a.members.heartbeats),
+        dict(a.members.received_at),
+        len(a.received),
+    ) == before
 
 
 @pytest.mark.parametrize(
@@ -312,61 +317,61 @@
 )  # fmt: skip
 def test_a_greeting_that_is_not_the_one_expected_is_refused(change, code):
     with pytest.raises(PeerProtocolError) as told:
-        hand(End("a").link("b"), encode_frame(Hello(**{**HELLO, **change})))
+        deliver(FleetGateway("a").link("b"), encode_frame(Hello(**{**HELLO, **change})))
     assert told.value.code == code
 
 
 def test_nothing_but_hello_comes_first():
     with pytest.raises(PeerProtocolError) as told:
-        hand(End("a").link(), entries(entry()))
+        deliver(FleetGateway("a").link(), entries(entry()))
     assert told.value.code == "no_hello"
 
 
 def test_who_is_not_admitted_is_told_why():
     with pytest.raises(PeerProtocolError, match="not today"):
-        hand(End("a", admit=lambda hello: "not today").link(), encode_frame(Hello(**HELLO)))
+        deliver(FleetGateway("a", admit=lambda hello: "not today").link(), encode_frame(Hello(**HELLO)))
 
 
 def test_a_flood_ends_the_link_and_what_ours_send_is_none():
-    a = End("a")
+    a = FleetGateway("a")
     link = a.link()
-    hand(link, encode_frame(Hello(**HELLO)))
+    deliver(link, encode_frame(Hello(**HELLO)))
     with pytest.raises(PeerProtocolError, match=f"more than {MAX_FRAMES_PER_SECOND} frames a second"):
         for _ in range(MAX_FRAME_BURST + 2):
-            hand(link, rows())
+            deliver(link, rows())
     # Guards against a catching-up that looks like a flood: one entry a frame, and nothing but frames.
-    a, b = End("a", flight=1), End("b", flight=1)
+    a, b = FleetGateway("a", flight=1), FleetGateway("b", flight=1)
     for i in range(1500):
         a.append(i)
     pairs = [(a.link("b"), b.link())]
     for beat in range(1, 40):
-        talk(pairs, beat * BEAT)
+        exchange_frames(pairs, beat * BEAT)
     assert a.log.vector() == b.log.vector()
 
 
 def test_a_peer_that_makes_up_streams_or_a_snapshot_without_end_is_stopped():
-    a = End("a")
+    a = FleetGateway("a")
     link = a.link()
-    hand(link, encode_frame(Hello(**HELLO)))
+    deliver(link, encode_frame(Hello(**HELLO)))
     with pytest.raises(PeerProtocolError, match="streams"):
         for i in range(60):
             told = [["w", i * 2000 + j, 1] for j in range(2000)]
-            hand(link, b'{"m":"have","body":%d}\r\n%s' % (len(body := json.dumps(told).encode()), body))
+            deliver(link, b'{"m":"have","body":%d}\r\n%s' % (len(body := json.dumps(told).encode()), body))
     link = a.link()
-    hand(link, encode_frame(Hello(**HELLO)))
+    deliver(link, encode_frame(Hello(**HELLO)))
     with pytest.raises(PeerProtocolError, match="snapshot of more than"):
         for _ in range(100):
-            hand(link, b'{"m":"piece","last":false,"body":65536}\r\n' + b" " * 65_536)
+            deliver(link, b'{"m":"piece","last":false,"body":65536}\r\n' + b" " * 65_536)
 
 
 def test_a_gateway_that_lost_its_disk_is_told_of_its_life_before():
-    a, b = End("a"), End("b")
-    hand(link := b.link(), encode_frame(Hello(**{**HELLO, "name": "x"})))
-    hand(link, rows(step("a", more={**WHOLE, "life": a.log.incarnation + 5})))
+    a, b = FleetGateway("a"), FleetGateway("b")
+    deliver(link := b.link(), encode_frame(Hello(**{**HELLO, "name": "x"})))
+    deliver(link, rows(step("a", more={**WHOLE, "life": a.log.incarnation + 5})))
     pairs = [(a.link("b"), b.link())]
-    talk(pairs)
-    b.turn(BEAT)
-    talk(pairs, BEAT)
+    exchange_frames(pairs)
+    b.pass_interval(BEAT)
+    exchange_frames(pairs, BEAT)
     assert a.members.highest_incarnation == a.log.incarnation + 5
 
 
@@ -400,7 +405,7 @@
     """Three gateways that append, and whose links carry, lose, repeat, break and come back as `moves` say; then all
     meet. Returns whether all hold the same, and nobody believes more of another than it said."""
     Forgets.remembered = {}
-    ends = [End(name, life=7 + i, flight=3, kind=kind) for i, name in enumerate("abc")]
+    ends = [FleetGateway(name, life=7 + i, flight=3, kind=kind) for i, name in enumerate("abc")]
     links = {}
     now = 0
     for what, which in moves:
@@ -414,21 +419,21 @@
             for link, end in zip(links.pop((a, b), ()), (ends[a], ends[b]), strict=False):
                 end.links.remove(link)
         elif what == "turn":
-            ends[which].turn(now)
+            ends[which].pass_interval(now)
         elif what == "lose":
             if (a, b) in links:
                 links[a, b][0].next_frame(now)
         elif what == "twice":
             if (a, b) in links and (data := links[a, b][0].next_frame(now)) is not None:
-                hand(links[a, b][1], data, now)
-                hand(links[a, b][1], data, now)
+                deliver(links[a, b][1], data, now)
+                deliver(links[a, b][1], data, now)
         else:
             if (a, b) not in links:
                 links[a, b] = (ends[a].link(ends[b].members.name, now), ends[b].link("", now))
             pair = links[a, b]
             one, other = pair if what == "there" else pair[::-1]
             if (data := one.next_frame(now)) is not None:
-                hand(other, data, now)
+                deliver(other, data, now)
         for end in ends:
             for other in ends:
                 own, known = (
@@ -450,8 +455,8 @@
                 for end in ends:
                     end.links = [link for pair in pairs for link in pair if link.context is end.common]
         for end in ends:
-            end.turn(now)
-        talk(pairs, now)
+            end.pass_interval(now)
+        exchange_frames(pairs, now)
     return len({end.log.dump("c") for end in ends}) == 1
 
 
--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from test_fleet_exchange import HELLO, QUIET, WALL, End, hand, meet, talk
+from test_fleet_exchange import HELLO, QUIET, WALL, FleetGateway, deliver, connect_all, exchange_frames
 from test_fleet_part import EPOCH, GOOD, SAID, Fleet
 
 from ochrecourse.cli.control_answers import answer
@@ -95,17 +95,17 @@
 
 
 def test_what_is_sent_is_in_the_form_in_force_and_what_the_other_speaks():
-    a, b, c = End("a"), End("b"), End("c")
+    a, b, c = FleetGateway("a"), FleetGateway("b"), FleetGateway("c")
     c.common.format_versions = FormatVersions(newest=1)
     for end in (a, b):
         end.append("x")
-    pairs = meet(a, b) + meet(b, c)
+    pairs = connect_all(a, b) + connect_all(b, c)
     for one, other in pairs:
         assert one.format_version == other.format_version == 1
     for end in (a, b):
         end.common.format_versions.in_force = 2  # the event comes to one after the other
         end.append("y")
-        sent = talk(pairs)
+        sent = exchange_frames(pairs)
         assert {
             json.loads(d.partition(b"\r\n")[0]).get("form") for link, d in sent if link is pairs[0][0]
         } <= {2}
@@ -114,33 +114,33 @@
     assert a.log.vector() == b.log.vector() == c.log.vector() and a.log.dump("c") == c.log.dump("c")
     for end in (a, b):
         for now in range(0, 5 * SECOND, SECOND):
-            end.turn(now)
-            talk(pairs[:1], now)
+            end.pass_interval(now)
+            exchange_frames(pairs[:1], now)
     assert b.members.heartbeats["a"] == a.members.heartbeats["a"]  # rows too are the same in either form
 
 
 @pytest.mark.parametrize("form", [1, 2])
 def test_a_body_that_was_changed_on_its_way_is_no_second_history_in_the_newer_form(form):
-    a, b = End("a"), End("b")
+    a, b = FleetGateway("a"), FleetGateway("b")
     for end in (a, b):
         end.common.format_versions.in_force = form
-    ((one, other),) = meet(a, b)
+    ((one, other),) = connect_all(a, b)
     body = "x" * 50
     a.append(body)
     data = one.next_frame(0)
     while b'"entries"' not in data:
-        hand(other, data)
+        deliver(other, data)
         data = one.next_frame(0)
     changed = data.replace(b"xxxx", b"xyxx", 1) if form == 2 else data.replace(b"eHh4", b"eHl4", 1)
     assert changed != data
     if form == 1:  # it is merged as a's word, and a's next row makes it a fork
-        assert hand(other, changed)
+        assert deliver(other, changed)
         b.log.compare_head_hash("a", a.log.incarnation, 1, a.log.chains["a", a.log.incarnation].hash_at(1))
         assert b.log.forks
         return
     before = b.log.vector()
     with pytest.raises(PeerProtocolError, match="changed on its way") as told:
-        hand(other, changed)
+        deliver(other, changed)
     assert told.value.code == "damaged" and b.log.vector() == before and not b.log.forks
 
 
@@ -156,14 +156,14 @@
     ],
 )  # fmt: skip
 def test_who_can_not_read_what_is_in_force_is_told_what_to_do(hello, own, in_force, why):
-    end = End("a")
+    end = FleetGateway("a")
     end.common.format_versions = FormatVersions(own, in_force)
     greets = encode_frame(Hello(**{**HELLO, **hello}))
     if not why:
-        hand(end.link(), greets)
+        deliver(end.link(), greets)
         return
     with pytest.raises(PeerProtocolError, match=why) as told:
-        hand(end.link(), greets)
+        deliver(end.link(), greets)
     assert told.value.code == "form"
 
 
@@ -178,17 +178,17 @@
 )
 def test_a_span_that_is_none_is_a_mistake(span):
     with pytest.raises(PeerProtocolError) as told:
-        hand(End("a").link(), encode_frame(Hello(**{**HELLO, **span})))
+        deliver(FleetGateway("a").link(), encode_frame(Hello(**{**HELLO, **span})))
     assert told.value.code == "bad_hello"
 
 
 def test_a_frame_in_a_form_that_is_not_spoken_here_merges_nothing():
-    end = End("a")
+    end = FleetGateway("a")
     end.common.format_versions = FormatVersions(newest=1)
     link = end.link()
-    hand(link, encode_frame(Hello(**HELLO)))
+    deliver(link, encode_frame(Hello(**HELLO)))
     with pytest.raises(PeerProtocolError) as told:
-        hand(
+        deliver(
             link,
             encode_frame(
                 Entries(format_version=2),
@@ -493,7 +493,7 @@
     elif which == "sent in the form in force to whoever":
 
         def check():
-            end = End("a")
+            end = FleetGateway("a")
             end.common.format_versions.in_force = 2
             assert end.link().format_version == 1  # nothing is known of the other side yet
     else:
