--- a/tests/transcripts/test_lives.py
+++ b/tests/transcripts/test_lives.py
@@ -1,4 +1,4 @@
-"""A fleet that begins anew without a gateway that does not come back, as approved text."""
+"""Transcript of a fleet that restarts without a gateway that does not return."""
 
 import json
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
         part.kill()
     fleet.run(1)
     tap.events.clear()
-    tap.place(fleet.ports["b"], "b", "a", Fleet)
+    tap.name_port(fleet.ports["b"], "b", "a", Fleet)
     tap.note(fleet.network, "a and b start anew")
     del fleet.parts["c"]
     for name in "ab":
@@ -35,10 +35,10 @@
     fleet.run(2)
     tap.note(fleet.network, f"a's readers have {len(bodies(fleet.parts['a'], 'notes'))} notes")
     for name in ("b", "c"):
-        asked = {"do": "give up", "name": name}
-        told = answer(SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps(asked).encode())
-        said = told.get("error") or "done"
-        tap.note(fleet.network, f"a is asked {json.dumps(asked)}: {said}")
+        request = {"do": "give up", "name": name}
+        result = answer(SimpleNamespace(fleet_member=fleet.parts["a"]), json.dumps(request).encode())
+        text = result.get("error") or "done"
+        tap.note(fleet.network, f"a is asked {json.dumps(request)}: {text}")
     fleet.run(4)
     tap.note(fleet.network, f"a's readers have {len(bodies(fleet.parts['a'], 'notes'))} notes")
     assert tap.text(
--- a/tests/transcripts/test_timing.py
+++ b/tests/transcripts/test_timing.py
@@ -1,7 +1,7 @@
-"""Reads of one object around a site's close, as approved text (test_transcripts.py)."""
+"""Transcript of reads of one object around the closing time of a site."""
 
 import pytest
-from test_transcripts import building_of
+from test_transcripts import named_building
 from transcript import Approved, Tap
 
 
@@ -12,7 +12,7 @@
 
 def test_reads_around_a_close_share_the_next_fetch(tap, snapshot):
     """Around the close no copy may be used: whoever asks while a leg is out waits for the one after it."""
-    building = building_of(tap)
+    building = named_building(tap)
     building.until(8000)
     building.read("g0")
     building.until(29_950)
