--- a/ochrecourse/fleet/messages.py
+++ b/ochrecourse/fleet/messages.py
@@ -75,7 +75,7 @@
 
 
 class HeartbeatBatch(Header, tag="rows"):
-    """Body: a list of `HeartbeatDelta`. Sent every heartbeat interval, even if empty."""
+    """Body: a list of `HeartbeatDelta`. Sent every interval, even if empty: it keeps the link alive."""
 
 
 class Entries(Header, tag="entries"):
--- a/ochrecourse/fleet/snapshot_transfer.py
+++ b/ochrecourse/fleet/snapshot_transfer.py
@@ -105,8 +105,8 @@
 def _chunks_of(item: Snapshot | Holes) -> Iterator[bytes]:
     """The JSON of a snapshot or of holes in chunks; joined they equal what `_encode` returns."""
     if isinstance(item, Holes):
-        whole = _encode(item)
-        yield from (whole[i : i + SLICE_BYTES] for i in range(0, len(whole), SLICE_BYTES))
+        encoded = _encode(item)
+        yield from (encoded[i : i + SLICE_BYTES] for i in range(0, len(encoded), SLICE_BYTES))
         return
     head, _, tail = _encode(Snapshot(item.channel, item.upto, b"")).rpartition(b'""')
     yield head + b'"'
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -419,7 +419,7 @@
         first.append("c", f"old {i}" * 9, WALL + i)
     first.log.advance_frontier(Timestamp(1 << 60, 0))
     first.compact("c", Timestamp(WALL + 40, 0), "most")
-    size, steps, whole = path.stat().st_size, 0, True
+    size, steps, complete = path.stat().st_size, 0, True
     assert first.needs_maintenance
     while first.needs_maintenance and steps < 99:
         steps += 1
@@ -431,10 +431,10 @@
         (tmp_path / "b.log").write_bytes(path.read_bytes())
         again = LogStore(FileJournal(tmp_path / "b.log", "fleet", 1), "a", LogLimits(), WALL, 2)
         vector = {s: n for s, n in again.log.vector().items() if n}
-        whole = whole and vector == first.log.vector() and again.notes == []
-        whole = whole and again.append("e", 1, WALL).at > first.log.clock
+        complete = complete and vector == first.log.vector() and again.notes == []
+        complete = complete and again.append("e", 1, WALL).at > first.log.clock
     assert steps > 5 and path.stat().st_size < size
-    return whole
+    return complete
 
 
 def test_a_journal_is_rewritten_in_steps_and_complete_at_each_one(tmp_path, monkeypatch):
@@ -511,15 +511,15 @@
         (here, round(fleet.network.seconds() * 1000), size)
     )
     decision = fleet.parts["a"].append(FLEET_CHANNEL, {"what": "told"})
-    heard = []
-    fleet.parts["d"].common.on_early_entry = lambda entry: heard.append((entry, fleet.network.seconds()))
+    early = []
+    fleet.parts["d"].common.on_early_entry = lambda entry: early.append((entry, fleet.network.seconds()))
     while len(fleet.dumps("c7")) > 1 or len({len(p.log.vector()) for p in fleet.parts.values()}) > 1:
         fleet.run(0.25)
         assert fleet.network.seconds() < now + 60
     took = fleet.network.seconds() - now
     fleet.run(5)
     assert all(len(fleet.dumps(f"c{i}")) == 1 for i in range(40))
-    assert took >= 3 and [entry for entry, _ in heard] == [decision] and heard[0][1] < now + 0.6 * took
+    assert took >= 3 and [entry for entry, _ in early] == [decision] and early[0][1] < now + 0.6 * took
     at: dict = {}
     for here, ms, size in sizes:
         at[here, ms // 10] = at.get((here, ms // 10), 0) + size
@@ -597,5 +597,5 @@
     )
     fleet.run(12)
     assert len(fleet.dumps()) == 1
-    whole = sum(size for _, size in sent)
-    assert whole > 40 * MAX_BUDGET_BYTES and sent[-1][0] - sent[0][0] < 1.2 * whole / (1 << 20)
+    total = sum(size for _, size in sent)
+    assert total > 40 * MAX_BUDGET_BYTES and sent[-1][0] - sent[0][0] < 1.2 * total / (1 << 20)
