--- a/tests/transcripts/test_transcripts.py
+++ b/tests/transcripts/test_transcripts.py
@@ -548,7 +548,7 @@
 def registry_lease(tap, make_gateway_harness):
     """A gateway's own entry stands by a lease that it renews; a lease that was revoked is taken anew."""
     registry = named_registry(tap, gateways=0)
-    enrolled(registry)
+    register_gateway(registry)
     registry.run(3)
     tap.note(registry.network, "the registry revokes the lease")
     registry.store.revoke(next(iter(registry.store.leases)))
