--- a/ochrecourse/fleet/channel.py
+++ b/ochrecourse/fleet/channel.py
@@ -1,6 +1,7 @@
-"""One channel as a reader meets it: entries in order, a snapshot in place of older ones, cursors.
+"""One channel of the event log: its entries in order, the snapshot that replaces older ones, and cursors.
 
-Free of I/O. A cursor tells how far its reader came in the order, and by stream up to which late entry.
+A cursor holds the position up to which its reader has read, and by stream the last late entry that it has
+read. Free of I/O.
 """
 
 from __future__ import annotations
@@ -16,17 +17,15 @@
 from ochrecourse.fleet.streams import accounted_bytes
 
 ORDINARY, LATE, PENDING = "ordinary", "late", "pending"
-MAX_BLOCK_ENTRIES = (
-    1024  # entries that stand in one list; what comes between others moves half as many, not a million
-)
+MAX_BLOCK_ENTRIES = 1024  # so that an insertion in the middle moves some 512 entries, not a whole channel
 
 
 class AppendRejectedError(Exception):
-    """An append that is turned away; the text is the reason."""
+    """Raised when an append is rejected; the text is the reason."""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag="snapshot"):
-    """What a channel's owner made of all ordinary entries up to `upto`. `value`: JSON."""
+    """The value that a channel's owner derived from all ordinary entries up to `upto`. `value`: JSON."""
 
     channel: str
     upto: Timestamp
@@ -34,7 +33,7 @@
 
 
 class Delivery(NamedTuple):
-    """What a reader gets: an entry, `late` or in its order, or a snapshot in place of what was before it."""
+    """One item for a reader: an entry, in order or `late`, or a snapshot that replaces all before it."""
 
     entry: Entry | None
     late: bool = False
@@ -42,45 +41,47 @@
 
 
 class Channel:
-    """Entries of one channel in order, in blocks: after a long absence most come between others."""
+    """The entries of one channel in order, in blocks: after an absence most are inserted between others."""
 
     def __init__(self) -> None:
+        """An empty channel."""
         self.positions: list[list[LogPosition]] = [[]]
         self.blocks: list[list[Entry]] = [[]]
-        self.first_positions: list[LogPosition] = []  # of each block but the first
+        self.first_positions: list[LogPosition] = []  # of every block but the first
         self.count = 0
         self.bytes = 0
         self.snapshot: Snapshot | None = None
-        self._late: list[Entry] = []  # of those that `_late_of` is for
-        self._late_of: object = None
-        self._fresh: list[Entry] = []  # came since
-        self._shrunk = 0  # blocks that `remove_compacted` has looked at
+        self._late: list[Entry] = []  # the late entries found for `_late_cached_for`
+        self._late_cached_for: object = None
+        self._added_since: list[Entry] = []  # added since they were found
+        self._next_to_compact = 0  # index of the first block that `remove_compacted` has not checked
 
     @property
     def entries(self) -> list[Entry]:
-        """All of them."""
+        """All stored entries, in order."""
         return [entry for block in self.blocks for entry in block]
 
     def add(self, entry: Entry) -> None:
-        place = entry.position
-        at = bisect_right(self.first_positions, place)
-        places, block = self.positions[at], self.blocks[at]
-        if not places or places[-1] < place:  # by far the most
-            places.append(place)
+        """Inserts an entry at its position."""
+        position = entry.position
+        at = bisect_right(self.first_positions, position)
+        positions, block = self.positions[at], self.blocks[at]
+        if not positions or positions[-1] < position:  # the usual case
+            positions.append(position)
             block.append(entry)
         else:
-            i = bisect_left(places, place)
-            places.insert(i, place)
+            i = bisect_left(positions, position)
+            positions.insert(i, position)
             block.insert(i, entry)
         if len(block) > MAX_BLOCK_ENTRIES:
-            self._part(at)
+            self._split(at)
         self.count += 1
         self.bytes += accounted_bytes(entry)
-        if self._late_of is not None:
-            self._fresh.append(entry)
+        if self._late_cached_for is not None:
+            self._added_since.append(entry)
 
-    def _part(self, at: int) -> None:
-        """Two blocks of one. The last one's are parted at its end: what is appended in order fills them."""
+    def _split(self, at: int) -> None:
+        """Splits a block in two; the last one at its end, so that appends in order leave full blocks."""
         half = MAX_BLOCK_ENTRIES if at == len(self.blocks) - 1 else MAX_BLOCK_ENTRIES // 2
         self.positions.insert(at + 1, self.positions[at][half:])
         self.blocks.insert(at + 1, self.blocks[at][half:])
@@ -88,53 +89,56 @@
         self.first_positions.insert(at, self.positions[at + 1][0])
 
     def remove_compacted(
-        self, upto: Timestamp, goes: Callable[[Entry], bool], most: int
+        self, upto: Timestamp, is_removed: Callable[[Entry], bool], limit: int
     ) -> tuple[list[Entry], bool]:
-        """Takes out what goes of all that stands at or before `upto`, from where the last call ended, after a
-        look at some `most` entries. Returns those, and whether it came to the end."""
-        gone: list[Entry] = []
-        at = self._shrunk
-        while at < len(self.blocks) and self.blocks[at] and self.blocks[at][0].at <= upto and most > 0:
+        """Removes entries at or before `upto` for which `is_removed` is true.
+
+        Continues where the last call stopped and checks about `limit` entries. Returns the removed entries,
+        and whether all were checked.
+        """
+        removed: list[Entry] = []
+        at = self._next_to_compact
+        while at < len(self.blocks) and self.blocks[at] and self.blocks[at][0].at <= upto and limit > 0:
             block = self.blocks[at]
-            most -= len(block)
-            out = [e for e in block if e.at <= upto and goes(e)]
-            gone += out
-            if len(out) == len(block) and len(self.blocks) > 1:
+            limit -= len(block)
+            selected = [e for e in block if e.at <= upto and is_removed(e)]
+            removed += selected
+            if len(selected) == len(block) and len(self.blocks) > 1:
                 del self.blocks[at], self.positions[at]
                 continue
-            if out:
-                left = {e.position for e in out}
-                self.blocks[at] = [e for e in block if e.position not in left]
+            if selected:
+                removed_positions = {e.position for e in selected}
+                self.blocks[at] = [e for e in block if e.position not in removed_positions]
                 self.positions[at] = [e.position for e in self.blocks[at]]
             at += 1
-        self.first_positions = [places[0] for places in self.positions[1:]]
-        self._shrunk = at
-        self.count -= len(gone)
-        self.bytes -= sum(map(accounted_bytes, gone))
-        if gone:
-            self._late_of, self._fresh = None, []
+        self.first_positions = [positions[0] for positions in self.positions[1:]]
+        self._next_to_compact = at
+        self.count -= len(removed)
+        self.bytes -= sum(map(accounted_bytes, removed))
+        if removed:
+            self._late_cached_for, self._added_since = None, []
         done = at >= len(self.blocks) or not self.blocks[at] or self.blocks[at][0].at > upto
-        return gone, done
-
-    def retain(self, stays: Callable[[Entry], bool]) -> None:
-        """Leaves only what stays, of all that is held."""
-        left = [entry for entry in self.entries if stays(entry)]
-        self.blocks = [left[i : i + MAX_BLOCK_ENTRIES] for i in range(0, len(left), MAX_BLOCK_ENTRIES)] or [
-            []
-        ]
+        return removed, done
+
+    def retain(self, is_retained: Callable[[Entry], bool]) -> None:
+        """Removes all entries but those for which `is_retained` is true."""
+        retained = [entry for entry in self.entries if is_retained(entry)]
+        self.blocks = [
+            retained[i : i + MAX_BLOCK_ENTRIES] for i in range(0, len(retained), MAX_BLOCK_ENTRIES)
+        ] or [[]]
         self.positions = [[entry.position for entry in block] for block in self.blocks]
-        self.first_positions = [places[0] for places in self.positions[1:]]
-        self.count, self.bytes = len(left), sum(map(accounted_bytes, left))
-        self._late_of, self._fresh, self._shrunk = None, [], 0
+        self.first_positions = [positions[0] for positions in self.positions[1:]]
+        self.count, self.bytes = len(retained), sum(map(accounted_bytes, retained))
+        self._late_cached_for, self._added_since, self._next_to_compact = None, [], 0
 
     def restart_removal(self) -> None:
-        """The next call of `remove_compacted` begins at the first entry."""
-        self._shrunk = 0
+        """Makes the next call of `remove_compacted` start at the first entry."""
+        self._next_to_compact = 0
 
-    def entries_after(self, mark: LogPosition) -> Iterator[Entry]:
-        """Those that stand behind a place, in order."""
-        at = bisect_right(self.first_positions, mark)
-        first = bisect_right(self.positions[at], mark)
+    def entries_after(self, position: LogPosition) -> Iterator[Entry]:
+        """The entries after a position, in order."""
+        at = bisect_right(self.first_positions, position)
+        first = bisect_right(self.positions[at], position)
         for block in self.blocks[at:]:
             yield from block[first:] if first else block
             first = 0
@@ -142,52 +146,58 @@
     def read(
         self,
         cursor: str,
-        most: int,
+        limit: int,
         stable: Timestamp,
-        judge: Callable[[Entry], str],
-        lates: set[Stream],
-        views: int = 0,
+        classify: Callable[[Entry], str],
+        late_streams: set[Stream],
+        view_version: int = 0,
     ) -> tuple[list[Delivery], str]:
-        """As `log.Log.read` has it. `view_version` counts up when `classify` may judge otherwise."""
-        mark, late = _read_cursor(cursor)
-        told: list[Delivery] = []
-        if self.snapshot is not None and mark.at < self.snapshot.upto:
-            told.append(Delivery(None, False, self.snapshot))
-            mark = _end_of(self.snapshot.upto)
-        for entry in self._tardy(judge, lates, views) if lates else ():
-            if len(told) < most and entry.seq > late.get(entry.stream, 0):
+        """See `log.Log.read`. `view_version` increases whenever `classify` may give other results."""
+        position, late = _read_cursor(cursor)
+        deliveries: list[Delivery] = []
+        if self.snapshot is not None and position.at < self.snapshot.upto:
+            deliveries.append(Delivery(None, False, self.snapshot))
+            position = _end_of(self.snapshot.upto)
+        for entry in self._late_entries(classify, late_streams, view_version) if late_streams else ():
+            if len(deliveries) < limit and entry.seq > late.get(entry.stream, 0):
                 late[entry.stream] = entry.seq
-                told.append(Delivery(entry, True))
-        for entry in self.entries_after(mark):
-            if entry.at > stable or len(told) >= most:
+                deliveries.append(Delivery(entry, True))
+        for entry in self.entries_after(position):
+            if entry.at > stable or len(deliveries) >= limit:
                 break
-            if judge(entry) == ORDINARY:
-                told.append(Delivery(entry))
-                mark = entry.position
-        return told, _write_cursor(mark, late)
-
-    def _tardy(self, judge: Callable[[Entry], str], lates: set[Stream], views: int) -> list[Entry]:
-        """The late ones, by stream. All are looked at only where what is late may have changed: readers ask
-        at each beat."""
-        of = (judge, frozenset(lates), views)
-        fresh: list[Entry] = self._fresh
-        if self._late_of != of:
-            self._late, self._late_of, fresh = [], of, self.entries
-        found = [e for e in fresh if e.stream in lates and judge(e) == LATE]
-        self._fresh = []
+            if classify(entry) == ORDINARY:
+                deliveries.append(Delivery(entry))
+                position = entry.position
+        return deliveries, _write_cursor(position, late)
+
+    def _late_entries(
+        self, classify: Callable[[Entry], str], late_streams: set[Stream], view_version: int
+    ) -> list[Entry]:
+        """The late entries, by stream. All entries are checked only when the classification may have changed,
+        because readers ask at every heartbeat.
+        """
+        cache_key = (classify, frozenset(late_streams), view_version)
+        unchecked: list[Entry] = self._added_since
+        if self._late_cached_for != cache_key:
+            self._late, self._late_cached_for, unchecked = [], cache_key, self.entries
+        found = [e for e in unchecked if e.stream in late_streams and classify(e) == LATE]
+        self._added_since = []
         if found:
             self._late = sorted([*self._late, *found], key=lambda e: (e.writer, e.incarnation, e.seq))
         return self._late
 
 
 def _end_of(at: Timestamp) -> LogPosition:
-    """Behind all that stands at `at`."""
+    """A position after all entries with timestamp `at`."""
     return LogPosition(Timestamp(at.ms, at.counter + 1), "", 0, 0)
 
 
-def _write_cursor(mark: LogPosition, late: Mapping[Stream, int]) -> str:
-    lates = sorted([*stream, seq] for stream, seq in late.items())
-    return json.dumps([*mark.at, mark.writer, mark.incarnation, mark.seq, lates], separators=(",", ":"))
+def _write_cursor(position: LogPosition, late: Mapping[Stream, int]) -> str:
+    late_seqs = sorted([*stream, seq] for stream, seq in late.items())
+    return json.dumps(
+        [*position.at, position.writer, position.incarnation, position.seq, late_seqs],
+        separators=(",", ":"),
+    )
 
 
 _CURSOR: Any = msgspec.json.Decoder(tuple[int, int, str, int, int, list[tuple[str, int, int]]])
@@ -197,7 +207,9 @@
     if not cursor:
         return LogPosition(Timestamp(0, 0), "", 0, 0), {}
     try:
-        ms, turn, writer, life, seq, lates = _CURSOR.decode(cursor)
+        ms, counter, writer, incarnation, seq, late_seqs = _CURSOR.decode(cursor)
     except (msgspec.DecodeError, UnicodeError):
         raise AppendRejectedError(f"not a cursor: {cursor[:80]!r}") from None
-    return LogPosition(Timestamp(ms, turn), writer, life, seq), {(w, li): s for w, li, s in lates}
+    return LogPosition(Timestamp(ms, counter), writer, incarnation, seq), {
+        (w, li): s for w, li, s in late_seqs
+    }
--- a/ochrecourse/fleet/entries.py
+++ b/ochrecourse/fleet/entries.py
@@ -1,7 +1,7 @@
-"""What gateways of one fleet tell each other: entries of the log, and one row for each gateway.
+"""The values that gateways of one fleet exchange: log entries and heartbeats.
 
-An entry is for ever and the same everywhere. A row is what a gateway says of itself now; a newer one takes
-the place of the one before. Both are plain values that travel as JSON arrays. Free of I/O.
+An entry never changes and is the same on every gateway. A heartbeat is the current state of one gateway; a
+newer heartbeat replaces the previous one. Both are encoded as arrays. Free of I/O.
 """
 
 from __future__ import annotations
@@ -10,22 +10,24 @@
 
 import msgspec
 
-Stream = tuple[str, int]  # a writer and its life; no two lives of one name are equal
+Stream = tuple[str, int]  # a writer and its incarnation; a name never uses an incarnation number twice
 
 
 class Timestamp(NamedTuple):
-    """A hybrid logical clock: ms since 1970 as its writer had or had seen them, and a turn within one ms."""
+    """A hybrid logical clock: ms since 1970, the greatest that its writer had read or received, and a counter
+    that orders timestamps of the same ms.
+    """
 
     ms: int
     counter: int
 
     def __repr__(self) -> str:
-        """The form that texts of errors show to peers and operators."""
+        """The text that error messages show to peers and operators."""
         return f"Stamp(ms={self.ms!r}, turn={self.counter!r})"
 
 
 class LogPosition(NamedTuple):
-    """Where an entry stands in the one order, which entries of one stream and causes and effects keep."""
+    """An entry's position in the total order, which preserves the order of each stream and of causality."""
 
     at: Timestamp
     writer: str
@@ -36,8 +38,8 @@
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One event of a channel.
 
-    `seq` counts the entries of one writer's life over all channels, from 1, without a gap. `cause`: what the
-    writer had seen beyond what its entry before had told, as (writer, life, sequence). `body`: JSON.
+    `seq` numbers the entries of one writer's incarnation over all channels, from 1, without gaps. `cause`:
+    what the writer had seen since its previous entry, as (writer, incarnation, seq). `body`: JSON.
     """
 
     channel: str
@@ -50,20 +52,22 @@
 
     @property
     def stream(self) -> Stream:
+        """The stream that the entry belongs to."""
         return (self.writer, self.incarnation)
 
     @property
     def position(self) -> LogPosition:
+        """The entry's position in the total order."""
         return LogPosition(self.at, self.writer, self.incarnation, self.seq)
 
 
 class Heartbeat(msgspec.Struct, array_like=True, gc=False):
-    """A gateway as it says it is now. The newest by (life, beat) stands.
+    """The state that a gateway reports of itself. The newest by (incarnation, number) is valid.
 
-    `promise`: whatever this gateway appends from now on stands behind it. `seq`, `head`: the last entry of
-    its life and the chain of hashes up to it. `before`: its earlier lives and how far each went. `floor`: it
-    holds every entry that ever stands at or before this stamp. `told`: what parts of the program say, JSON by
-    the part's name.
+    `promise`: every entry that this gateway appends later has a greater timestamp. `seq`, `head_hash`: the
+    last entry of its incarnation and the hash chain up to it. `earlier_incarnations`: its earlier
+    incarnations and the last entry of each. `watermark`: the gateway stores every entry that can ever have a
+    timestamp at or before this one. `statuses`: the statuses of its subsystems, JSON by the subsystem's name.
     """
 
     name: str
--- a/ochrecourse/fleet/log.py
+++ b/ochrecourse/fleet/log.py
@@ -1,8 +1,8 @@
-"""The event log: entries of all channels by writer and in the one order, merge, readers, compaction.
+"""The event log: the entries of all channels by stream and in total order, merging, reading, compaction.
 
-The log holds what it is given and says what a peer lacks. How far the order can no longer change, and which
-entries came late, is `frontier`'s to find; how entries outlive the process is `log_store`'s. Free of I/O,
-clock and chance: the wall clock comes with each call, ms since 1970.
+The log stores entries and finds those that a peer lacks. `frontier` determines up to where the order is final
+and which entries are late; `log_store` makes entries durable. Free of I/O, clock and chance: the wall clock
+is passed with each call, in ms since 1970.
 """
 
 from __future__ import annotations
@@ -32,25 +32,24 @@
     has_ended,
 )
 
-HARD_LIMIT_FACTOR = (
-    8  # times a channel's bytes: what others wrote is merged up to there, own appends end at one
-)
-COMPACTION_BATCH = 2048  # entries that a compaction looks at before it returns; a thousand take some 1.5 ms
-MAX_HOLES_PER_MESSAGE = 2048  # in one piece; where channels are compacted one by one, a stream has many
+HARD_LIMIT_FACTOR = 8  # times the limits: peers' entries are merged up to there, own appends only up to one
+COMPACTION_BATCH = 2048  # entries that a compaction checks before it returns; a thousand take some 1.5 ms
+MAX_HOLES_PER_MESSAGE = 2048  # a stream has many holes when its channels are compacted one by one
 MAX_SNAPSHOT_BYTES = 32 << 20  # bytes of a snapshot's value; a record of the journal takes 64 MiB
-SKEW_MS = 2000  # a clock so far ahead of ours is named
-NOTES = 256  # lines kept for whoever asks; the newest ones
+CLOCK_SKEW_MS = 2000  # clocks that differ by more are noted
+MAX_NOTES = 256  # newest notes that are kept
 START = Timestamp(0, 0)
 
 
 class InvalidEntryError(Exception):
-    """A merge that is turned away; the text names the peer's mistake."""
+    """Raised when a merge is rejected; the text names the peer's error."""
 
 
 @dataclass(slots=True)
 class LogLimits:
-    """Bytes of one entry's body, bytes that a channel holds, channels, and ms by which a merged clock may be
-    ahead of the wall clock here."""
+    """Limits: bytes of an entry's body, bytes of a channel, number of channels, and ms by which a merged
+    entry may be ahead of the local wall clock.
+    """
 
     entry_bytes: int = 64 << 10
     channel_bytes: int = 16 << 20
@@ -59,78 +58,79 @@
 
 
 class Holes(msgspec.Struct, frozen=True, array_like=True, tag="holes"):
-    """Sequence numbers whose entries are no longer held; the snapshots of `channels` stand for them."""
+    """Holes left by compaction; the snapshots of `channels` replace their entries."""
 
     channels: tuple[tuple[str, Timestamp], ...]
     holes: tuple[Hole, ...]
 
 
 def encode_value(value: object) -> bytes:
-    """A value as an entry has it. Raises TypeError, ValueError, RecursionError where it is not JSON."""
+    """A value encoded as an entry's body. Raises TypeError, ValueError, RecursionError if it is not JSON."""
     return json.dumps(value, separators=(",", ":"), sort_keys=True, allow_nan=False).encode()
 
 
 def next_timestamp(clock: Timestamp, wall_ms: int) -> Timestamp:
-    """The next stamp after `clock`, of the wall clock if that is further."""
+    """The next timestamp after `clock`: the wall clock's if that is later."""
     return Timestamp(wall_ms, 0) if wall_ms > clock.ms else Timestamp(clock.ms, clock.counter + 1)
 
 
 def previous_timestamp(at: Timestamp) -> Timestamp:
-    """A stamp before `at`, as near to it as is known."""
+    """A timestamp before `at`, the closest that can be computed."""
     return Timestamp(at.ms, at.counter - 1) if at.counter else Timestamp(at.ms - 1, 0)
 
 
 class Log:
-    """One gateway's copy of the fleet's log. `incarnation` is the stream that this process appends to.
+    """One gateway's copy of the fleet's log. `incarnation`: that of the stream that this process appends to.
 
-    `listeners` are told of each entry that is appended or merged, in the order in which it came. `classify`
-    says of an entry whether it is ordinary, late, or can't be told yet; `late_streams`: streams that hold
-    late ones, once it is for good that they are. `notes` are lines on clocks and forks.
+    `listeners` are called with each entry that is appended or merged, in that order. `classify` returns
+    whether an entry is ordinary, late or pending. `late_streams`: streams with late entries, once that
+    classification is final. `notes`: lines on clocks, forks and full channels.
     """
 
-    def __init__(self, name: str, life: int, bounds: LogLimits) -> None:
+    def __init__(self, name: str, incarnation: int, limits: LogLimits) -> None:
+        """An empty log of the gateway `name`."""
         self.name = name
-        self.incarnation = life
-        self.limits = bounds
+        self.incarnation = incarnation
+        self.limits = limits
         self.clock = START
         self.stable = START
         self.listeners: list[Callable[[Entry], None]] = []
         self.classify: Callable[[Entry], str] = lambda entry: ORDINARY
         self.late_streams: set[Stream] = set()
-        self.compacting: dict[
-            str, None
-        ] = {}  # channels whose snapshot stands for entries that are still held
-        self._back: list[str] = []  # channels in which such entries were read back from the journal
-        self.freed_bytes = 0  # bytes of entries that gave way to snapshots
-        self.view_version = 0  # counts up when `classify` may judge otherwise
+        self.compacting: dict[str, None] = {}  # channels with entries that their snapshot replaces
+        self._recompact_after_recovery: list[str] = []  # channels in which the journal restored such entries
+        self.freed_bytes = 0  # bytes of entries that compaction removed
+        self.view_version = 0  # increases when `classify` may give other results
         self.chains: dict[Stream, Chain] = {}
         self.notes: list[str] = []
-        self.clock_ahead_ms: dict[str, int] = {}  # ms by writer: farthest ahead of the wall clock here
+        self.clock_ahead_ms: dict[str, int] = {}  # ms by writer: its maximum over the local wall clock
         self.forks: dict[Stream, str] = {}
-        self.fork_points: dict[
-            Stream, int
-        ] = {}  # the entry up to which all gateways are known to hold the same
-        self.ended_incarnations: EndedIncarnations = {}  # lives that are forgotten
-        self.compaction_count = 0  # counts up when entries gave way to a snapshot
-        self.retirement_count = 0  # counts up when lives were forgotten
-        self.highest_incarnation = 0  # the greatest life of our name that wrote something held here
+        self.fork_points: dict[Stream, int] = {}  # the last entry that both histories are known to share
+        self.ended_incarnations: EndedIncarnations = {}  # retired incarnations
+        self.compaction_count = 0  # increases when entries are removed in favour of a snapshot
+        self.retirement_count = 0  # increases when incarnations are retired
+        self.highest_incarnation = 0  # the greatest one of the own name with a stored entry
         self._channels: dict[str, Channel] = {}
-        self._agreed: dict[Stream, int] = {}  # up to where a writer's row told the hashes that are held here
-        self._unsaid: dict[Stream, int] = {}  # seen since the last own entry
-        self._awaited: dict[Stream, list[Hole]] = {}  # taken, but entries before them are still to come
-        self._wall = 0
+        self._verified_hashes: dict[Stream, int] = {}  # last seq at which a heartbeat confirmed the own hash
+        self._uncaused: dict[Stream, int] = {}  # merged since the last own entry: causes of the next
+        self._pending_holes: dict[Stream, list[Hole]] = {}  # received holes; entries before them are missing
+        self._last_wall_ms = 0
         self.drafts: deque[Entry] = deque()  # own entries that are not durable yet, in order
 
     def add_note(self, line: str) -> None:
+        """Adds a line to `notes` unless it is there already; drops the oldest beyond the limit."""
         if line not in self.notes:
             self.notes.append(line)
-            del self.notes[:-NOTES]
+            del self.notes[:-MAX_NOTES]
 
     # appending
 
     def draft(self, channel: str, value: object, wall_ms: int, must: bool = False) -> Entry:
-        """The entry that an append would make; nothing is changed. `must`: also where the channel is full,
-        for events without which the fleet could not go on. Raises AppendRejectedError."""
+        """The entry that an append would write; the log is not changed.
+
+        `must`: also if the channel is full, for events that the fleet needs in order to continue.
+        Raises AppendRejectedError.
+        """
         if not 0 < len(channel) <= MAX_NAME_LENGTH:
             raise AppendRejectedError(
                 f"channel name of {len(channel)} characters, not 1 to {MAX_NAME_LENGTH}"
@@ -145,18 +145,18 @@
             raise AppendRejectedError(
                 f"life {self.incarnation} of {self.name} is over for the fleet; the next beat begins one"
             )
-        self._look_at_clock(wall_ms)
+        self._check_wall_clock(wall_ms)
         entry = self._next_entry(channel, body, wall_ms)
         if must:
             return entry
-        drafted = [accounted_bytes(draft) for draft in self.drafts if draft.channel == channel]
-        held = self._channels.get(channel)
-        if held is None and not drafted:
-            begun = {draft.channel for draft in self.drafts} - self._channels.keys()
-            if len(self._channels) + len(begun) >= self.limits.channels:
+        draft_sizes = [accounted_bytes(draft) for draft in self.drafts if draft.channel == channel]
+        stored = self._channels.get(channel)
+        if stored is None and not draft_sizes:
+            new_channels = {draft.channel for draft in self.drafts} - self._channels.keys()
+            if len(self._channels) + len(new_channels) >= self.limits.channels:
                 raise AppendRejectedError(f"{len(self._channels)} channels are held, no more are begun")
             return entry
-        size = (held.bytes if held is not None else 0) + sum(drafted)
+        size = (stored.bytes if stored is not None else 0) + sum(draft_sizes)
         if size + accounted_bytes(entry) > self.limits.channel_bytes:
             raise AppendRejectedError(
                 f"channel {channel} is full: {size} of {self.limits.channel_bytes} bytes"
@@ -164,151 +164,161 @@
         return entry
 
     def _next_entry(self, channel: str, body: bytes, wall_ms: int) -> Entry:
-        """The next own entry, behind those that are only drafted."""
+        """The next own entry, after all drafts."""
         chain = self.chains.get((self.name, self.incarnation))
         last, clock = chain.last if chain else 0, self.clock
         if self.drafts:
             last, clock = self.drafts[-1].seq, max(clock, self.drafts[-1].at)
-        said = {(writer, life): seq for draft in self.drafts for writer, life, seq in draft.cause}
-        unsaid = [(*stream, seq) for stream, seq in self._unsaid.items() if said.get(stream) != seq]
-        cause = tuple(sorted(unsaid)[:MAX_CAUSES])
+        drafted_causes = {
+            (writer, incarnation): seq for draft in self.drafts for writer, incarnation, seq in draft.cause
+        }
+        uncaused = [
+            (*stream, seq) for stream, seq in self._uncaused.items() if drafted_causes.get(stream) != seq
+        ]
+        cause = tuple(sorted(uncaused)[:MAX_CAUSES])
         return Entry(
             channel, self.name, self.incarnation, last + 1, next_timestamp(clock, wall_ms), cause, body
         )
 
     def add_draft(self, entry: Entry) -> None:
-        """A draft is being made durable: later drafts stand behind it, and no promise goes past it."""
+        """Registers a draft that is being made durable: later drafts follow it, and no promise exceeds it."""
         self.drafts.append(entry)
 
     def discard_draft(self, entry: Entry) -> None:
-        """A draft could not be made durable; those behind it can't either."""
+        """Removes a draft that could not be made durable, and all drafts after it."""
         if entry in self.drafts:
             while self.drafts.pop() != entry:
                 pass
 
     def discard_drafts(self) -> None:
-        """No draft could be made durable."""
+        """Removes all drafts, as none could be made durable."""
         self.drafts.clear()
 
     def accept_draft(self, entry: Entry) -> None:
-        """Makes the draft part of the log, the first of those that are expected."""
+        """Adds the draft, which is the first of the registered ones, to the log."""
         if self.drafts and self.drafts[0] == entry:
             self.drafts.popleft()
-        for writer, life, seq in entry.cause:
-            if self._unsaid.get((writer, life)) == seq:
-                del self._unsaid[writer, life]
+        for writer, incarnation, seq in entry.cause:
+            if self._uncaused.get((writer, incarnation)) == seq:
+                del self._uncaused[writer, incarnation]
         self._add(entry)
 
-    def begin_incarnation(self, life: int) -> None:
-        """Appends go to a new stream from here on."""
+    def begin_incarnation(self, incarnation: int) -> None:
+        """Starts a new stream, to which later appends go."""
         own = self.chains.get((self.name, self.incarnation))
         if own is not None:
-            self._unsaid[self.name, self.incarnation] = own.last
-        self.incarnation = life
+            self._uncaused[self.name, self.incarnation] = own.last
+        self.incarnation = incarnation
 
     def restore(self, entry: Entry) -> bool:
-        """Takes an entry that was part of this log before; False if what stands before it is not here."""
+        """Adds an entry read from the journal; returns False if its predecessor is missing."""
         chain = self.chains.get(entry.stream)
-        held = chain.last if chain else 0
-        if entry.seq > held:
-            if entry.seq != self._next(entry.stream, held):
+        stored = chain.last if chain else 0
+        if entry.seq > stored:
+            if entry.seq != self._next(entry.stream, stored):
                 return False
-            self._unsaid[entry.stream] = entry.seq
+            self._uncaused[entry.stream] = entry.seq
             self._add(entry)
         return True
 
     def append(self, channel: str, value: object, wall_ms: int) -> Entry:
-        """Not yet durable: whoever answers for it takes `log_store.LogStore.append`, which writes between
-        draft and accept. Raises AppendRejectedError."""
+        """Appends an entry without making it durable; `log_store.LogStore.append` does both. Raises
+        AppendRejectedError.
+        """
         entry = self.draft(channel, value, wall_ms)
         self.accept_draft(entry)
         return entry
 
-    def _look_at_clock(self, wall_ms: int) -> None:
-        if self._wall - wall_ms > SKEW_MS:
-            self.add_note(f"{self.name}: the wall clock here stepped back by {self._wall - wall_ms} ms")
-        self._wall = wall_ms
+    def _check_wall_clock(self, wall_ms: int) -> None:
+        if self._last_wall_ms - wall_ms > CLOCK_SKEW_MS:
+            self.add_note(
+                f"{self.name}: the wall clock here stepped back by {self._last_wall_ms - wall_ms} ms"
+            )
+        self._last_wall_ms = wall_ms
 
     def promise(self, wall_ms: int) -> Timestamp:
-        """A stamp that all that is appended here from now on stands behind."""
-        self._look_at_clock(wall_ms)
+        """A timestamp that all later appends of this gateway exceed."""
+        self._check_wall_clock(wall_ms)
         self.clock = max(self.clock, Timestamp(wall_ms, 0))
         return self.clock
 
     # merging
 
     def merge(self, entries: Sequence[Entry], wall_ms: int) -> list[Entry]:
-        """Those that are new, merged. What stands behind a gap or a fork is left out and comes again. Raises
-        InvalidEntryError and then merged nothing."""
-        self._look_at_clock(wall_ms)
+        """Merges entries from a peer and returns the new ones.
+
+        Entries after a gap or a fork are skipped; peers send them again. Raises InvalidEntryError, and then
+        nothing is merged.
+        """
+        self._check_wall_clock(wall_ms)
         new: list[Entry] = []
-        staged: dict[Stream, Entry] = {}  # the last new one by stream
+        staged: dict[Stream, Entry] = {}  # the last new entry by stream
         sizes: dict[str, int] = {}
         for entry in entries:
             stream = entry.stream
-            flaw = entry_error(
+            error_text = entry_error(
                 entry, self.limits.entry_bytes, wall_ms + self.limits.max_clock_ahead_ms, self.chains
             )
-            if flaw is not None:
-                raise InvalidEntryError(flaw)
+            if error_text is not None:
+                raise InvalidEntryError(error_text)
             if stream in self.forks or self.has_ended(stream):
-                continue  # guards against a number with two bodies; who holds it forgets it too, and says so
+                continue  # accepting it could give one seq two bodies
             last = staged.get(stream)
             chain = self.chains.get(stream)
-            held = last.seq if last else chain.last if chain else 0
-            if entry.seq <= held:
-                known = chain.entry(entry.seq) if chain else None
-                if known is None and last is not None:
-                    known = next((e for e in new if e.stream == stream and e.seq == entry.seq), None)
-                if known is not None and known != entry:
+            stored = last.seq if last else chain.last if chain else 0
+            if entry.seq <= stored:
+                existing = chain.entry(entry.seq) if chain else None
+                if existing is None and last is not None:
+                    existing = next((e for e in new if e.stream == stream and e.seq == entry.seq), None)
+                if existing is not None and existing != entry:
                     self.report_fork(stream, entry.seq - 1, f"entry {entry.seq} came with two bodies")
                 continue
             if stream == (self.name, self.incarnation):
                 raise InvalidEntryError(
                     f"{entry.writer}: entry {entry.seq} of our own life, which we never wrote"
                 )
-            if entry.seq != self._next(stream, held):
-                continue  # a gap: what is between is on its way or is asked for again
-            before = last.at if last else chain.at if chain else START
-            if entry.at <= before:
+            if entry.seq != self._next(stream, stored):
+                continue  # a gap: the entries before it are in flight or requested again
+            previous = last.at if last else chain.at if chain else START
+            if entry.at <= previous:
                 raise InvalidEntryError(
-                    f"{entry.writer}: entry {entry.seq} at {entry.at}, not after {before}"
+                    f"{entry.writer}: entry {entry.seq} at {entry.at}, not after {previous}"
                 )
             size = sizes.get(entry.channel)
             if size is None:
-                size = self._size(entry.channel, sizes)
-            grown = size + accounted_bytes(entry)
-            if size < 0 or grown > HARD_LIMIT_FACTOR * self.limits.channel_bytes:
+                size = self._channel_size(entry.channel, sizes)
+            new_size = size + accounted_bytes(entry)
+            if size < 0 or new_size > HARD_LIMIT_FACTOR * self.limits.channel_bytes:
                 self.add_note(f"channel {entry.channel}: no room for {entry.writer} until it is compacted")
                 continue
-            sizes[entry.channel] = grown
+            sizes[entry.channel] = new_size
             staged[stream] = entry
             new.append(entry)
         for entry in new:
             if entry.stream not in self.forks:
-                self._see_clock(entry, wall_ms)
-                self._unsaid[entry.stream] = entry.seq
+                self._note_clock_ahead(entry, wall_ms)
+                self._uncaused[entry.stream] = entry.seq
                 self._add(entry)
         return new if not self.forks else [e for e in new if e.stream not in self.forks]
 
-    def _size(self, channel: str, sizes: Mapping[str, int]) -> int:
-        """Bytes held of a channel; below 0 if it would be one too many."""
-        held = self._channels.get(channel)
-        if held is not None:
-            return held.bytes
-        begun = sum(1 for c in sizes if c not in self._channels)
-        return 0 if len(self._channels) + begun < HARD_LIMIT_FACTOR * self.limits.channels else -1
-
-    def _next(self, stream: Stream, held: int) -> int:
-        """The sequence number that comes after `held`, past holes that were taken."""
-        for hole in self._awaited.get(stream, ()):
-            if hole.first <= held + 1 <= hole.last:
-                held = hole.last
-        return held + 1
-
-    def _see_clock(self, entry: Entry, wall_ms: int) -> None:
+    def _channel_size(self, channel: str, sizes: Mapping[str, int]) -> int:
+        """Stored bytes of a channel; negative if it would exceed the limit on channels."""
+        stored = self._channels.get(channel)
+        if stored is not None:
+            return stored.bytes
+        new_channels = sum(1 for c in sizes if c not in self._channels)
+        return 0 if len(self._channels) + new_channels < HARD_LIMIT_FACTOR * self.limits.channels else -1
+
+    def _next(self, stream: Stream, stored: int) -> int:
+        """The sequence number that follows `stored`, past holes received from peers."""
+        for hole in self._pending_holes.get(stream, ()):
+            if hole.first <= stored + 1 <= hole.last:
+                stored = hole.last
+        return stored + 1
+
+    def _note_clock_ahead(self, entry: Entry, wall_ms: int) -> None:
         ahead = entry.at.ms - max(wall_ms, self.clock.ms)
-        if ahead > SKEW_MS and ahead > self.clock_ahead_ms.get(entry.writer, 0):
+        if ahead > CLOCK_SKEW_MS and ahead > self.clock_ahead_ms.get(entry.writer, 0):
             if entry.writer not in self.clock_ahead_ms:
                 self.add_note(
                     f"{entry.writer}: its clock, or one that it has seen, is {ahead} ms ahead of ours"
@@ -322,11 +332,11 @@
             chain = self.chains[stream] = Chain()
         if entry.writer == self.name:
             self.highest_incarnation = max(self.highest_incarnation, entry.incarnation)
-        if stream in self._awaited:
-            self._fill(stream, chain)
+        if stream in self._pending_holes:
+            self._skip_pending_holes(stream, chain)
         chain.add(entry)
-        if stream in self._awaited:
-            self._fill(stream, chain)
+        if stream in self._pending_holes:
+            self._skip_pending_holes(stream, chain)
         channel = self._channels.get(entry.channel)
         if channel is None:
             channel = self._channels[entry.channel] = Channel()
@@ -336,91 +346,97 @@
         for listener in self.listeners:
             listener(entry)
 
-    def report_fork(self, stream: Stream, same: int, what: str) -> None:
-        """Two histories go under one name and life, alike up to entry `same`: both are named, none spread."""
-        self.fork_points[stream] = min(same, self.fork_points.get(stream, same))
+    def report_fork(self, stream: Stream, common_seq: int, reason: str) -> None:
+        """Notes that a stream has two histories, equal up to `common_seq`; neither is sent on."""
+        self.fork_points[stream] = min(common_seq, self.fork_points.get(stream, common_seq))
         if stream not in self.forks:
-            writer, life = stream
-            self.forks[stream] = f"{writer}: {what} in life {life}; {self.name} holds it where it was"
+            writer, incarnation = stream
+            self.forks[stream] = (
+                f"{writer}: {reason} in life {incarnation}; {self.name} holds it where it was"
+            )
             self.add_note(self.forks[stream])
 
-    def compare_head_hash(self, writer: str, life: int, seq: int, head: bytes) -> None:
-        """Looks at what a row says of its stream: another chain of hashes up to the same entry is a fork."""
-        chain = self.chains.get((writer, life))
-        known = chain.hash_at(seq) if chain else b""
-        if known and head and known != head:
-            same = self._agreed.get((writer, life), 0)
-            self.report_fork((writer, life), same, f"another history up to entry {seq}")
-        elif known and head:
-            self._agreed[writer, life] = max(seq, self._agreed.get((writer, life), 0))
+    def compare_head_hash(self, writer: str, incarnation: int, seq: int, head_hash: bytes) -> None:
+        """Compares the hash chain that a heartbeat states with the own one: a different hash is a fork."""
+        chain = self.chains.get((writer, incarnation))
+        existing = chain.hash_at(seq) if chain else b""
+        if existing and head_hash and existing != head_hash:
+            common_seq = self._verified_hashes.get((writer, incarnation), 0)
+            self.report_fork((writer, incarnation), common_seq, f"another history up to entry {seq}")
+        elif existing and head_hash:
+            self._verified_hashes[writer, incarnation] = max(
+                seq, self._verified_hashes.get((writer, incarnation), 0)
+            )
 
-    # what peers lack
+    # differences to peers
 
     def vector(self) -> dict[Stream, int]:
-        """The last entry of each stream that is held with all before it."""
+        """The last stored entry of each stream, by stream."""
         return {stream: chain.last for stream, chain in self.chains.items()}
 
-    def missing_entries(self, vector: Mapping[Stream, int], most: int, most_bytes: int) -> list[Entry]:
-        """What a peer that holds `vector` lacks, first in the order first, by streams without gaps but for
-        holes; at least one entry however long, if there is one."""
-        lacking = []
+    def missing_entries(self, vector: Mapping[Stream, int], max_entries: int, max_bytes: int) -> list[Entry]:
+        """Entries that a peer with `vector` lacks, in order, and without gaps in a stream except for holes.
+
+        At least one entry, whatever its size, if there is any.
+        """
+        missing = []
         for stream, chain in self.chains.items():
-            held = vector.get(stream, 0)
+            stored = vector.get(stream, 0)
             if stream in self.fork_points:
                 last = self.fork_points[stream]
-                lacking.append(iter([e for e in chain.entries_after(held) if e.seq <= last]))
-            elif chain.last > held:
-                lacking.append(chain.entries_after(held))
+                missing.append(iter([e for e in chain.entries_after(stored) if e.seq <= last]))
+            elif chain.last > stored:
+                missing.append(chain.entries_after(stored))
         found: list[Entry] = []
         size = 0
-        for entry in heapq.merge(*lacking, key=lambda e: e.position):
+        for entry in heapq.merge(*missing, key=lambda e: e.position):
             size += accounted_bytes(entry)
-            if found and (size > most_bytes or len(found) >= most):
+            if found and (size > max_bytes or len(found) >= max_entries):
                 break
             found.append(entry)
         return found
 
     def snapshots_for(self, vector: Mapping[Stream, int]) -> list[Snapshot | Holes]:
-        """What a peer must take before `missing` is of use to it: nothing, or snapshots and then holes."""
+        """What a peer needs before it can merge `missing_entries`: nothing, or snapshots and then holes."""
         holes: list[Hole] = []
-        for (writer, life), chain in sorted(self.chains.items()):
-            if chain.last > vector.get((writer, life), 0):
-                holes += chain.holes(writer, life, vector.get((writer, life), 0))
+        for (writer, incarnation), chain in sorted(self.chains.items()):
+            if chain.last > vector.get((writer, incarnation), 0):
+                holes += chain.holes(writer, incarnation, vector.get((writer, incarnation), 0))
         if not holes:
             return []
         snapshots = self.snapshots()
-        stand = tuple((s.channel, s.upto) for s in snapshots)
-        cut = [
-            Holes(stand, tuple(holes[i : i + MAX_HOLES_PER_MESSAGE]))
+        snapshot_positions = tuple((s.channel, s.upto) for s in snapshots)
+        batches = [
+            Holes(snapshot_positions, tuple(holes[i : i + MAX_HOLES_PER_MESSAGE]))
             for i in range(0, len(holes), MAX_HOLES_PER_MESSAGE)
         ]
-        return [*snapshots, *cut]
+        return [*snapshots, *batches]
 
     def snapshots(self) -> list[Snapshot]:
-        """The newest of each channel, by name."""
+        """The newest snapshot of each channel, by name of the channel."""
         return [c.snapshot for _, c in sorted(self._channels.items()) if c.snapshot is not None]
 
-    def take_snapshot(self, piece: Snapshot | Holes) -> bool:
-        """Takes one piece of a peer's `snapshots_for`; whether it was news. Raises InvalidEntryError."""
-        if isinstance(piece, Snapshot):
-            if len(piece.value) > min(HARD_LIMIT_FACTOR * self.limits.channel_bytes, MAX_SNAPSHOT_BYTES):
-                raise InvalidEntryError(f"snapshot of {piece.channel}: {len(piece.value)} bytes")
+    def take_snapshot(self, item: Snapshot | Holes) -> bool:
+        """Applies one part of a peer's `snapshots_for`; whether it was new. Raises InvalidEntryError."""
+        if isinstance(item, Snapshot):
+            if len(item.value) > min(HARD_LIMIT_FACTOR * self.limits.channel_bytes, MAX_SNAPSHOT_BYTES):
+                raise InvalidEntryError(f"snapshot of {item.channel}: {len(item.value)} bytes")
             if (
-                piece.channel not in self._channels
+                item.channel not in self._channels
                 and len(self._channels) >= HARD_LIMIT_FACTOR * self.limits.channels
             ):
-                raise InvalidEntryError(f"snapshot of {piece.channel}: one channel too many")
-            channel = self._channels.setdefault(piece.channel, Channel())
-            if channel.snapshot is not None and channel.snapshot.upto >= piece.upto:
+                raise InvalidEntryError(f"snapshot of {item.channel}: one channel too many")
+            channel = self._channels.setdefault(item.channel, Channel())
+            if channel.snapshot is not None and channel.snapshot.upto >= item.upto:
                 return False
-            channel.snapshot = piece
+            channel.snapshot = item
             return True
-        for name, upto in piece.channels:
+        for name, upto in item.channels:
             own = self.snapshot(name)
             if own is None or own.upto < upto:
                 raise InvalidEntryError(f"holes without the snapshot of {name}")
-        news = False
-        for hole in piece.holes:
+        changed = False
+        for hole in item.holes:
             stream = (hole.writer, hole.incarnation)
             if stream == (self.name, self.incarnation) or stream in self.forks or hole.last < hole.first:
                 continue
@@ -428,189 +444,218 @@
                 continue
             chain = self.chains.setdefault(stream, Chain())
             if hole.last > chain.last:
-                awaited = self._awaited.setdefault(stream, [])
-                if hole not in awaited:
-                    awaited.append(hole)
-                    awaited.sort(key=lambda h: h.first)
-                    news = True
-                self._fill(stream, chain)
-        return news
-
-    def _fill(self, stream: Stream, chain: Chain) -> None:
-        """Goes over holes that the stream has come to."""
-        awaited = self._awaited.get(stream)
-        while awaited and awaited[0].first <= chain.last + 1:
-            hole = awaited.pop(0)
+                pending = self._pending_holes.setdefault(stream, [])
+                if hole not in pending:
+                    pending.append(hole)
+                    pending.sort(key=lambda h: h.first)
+                    changed = True
+                self._skip_pending_holes(stream, chain)
+        return changed
+
+    def _skip_pending_holes(self, stream: Stream, chain: Chain) -> None:
+        """Skips the pending holes that the stream has reached."""
+        pending = self._pending_holes.get(stream)
+        while pending and pending[0].first <= chain.last + 1:
+            hole = pending.pop(0)
             if hole.last > chain.last:
                 chain.skip_hole(hole)
-                self._unsaid[stream] = hole.last
+                self._uncaused[stream] = hole.last
                 self.clock = max(self.clock, hole.at)
-        if awaited is not None and not awaited:
-            del self._awaited[stream]
+        if pending is not None and not pending:
+            del self._pending_holes[stream]
 
     # reading
 
     def events(self, channel: str) -> list[Entry]:
-        """All that are held, in order, those too that others may still come before."""
-        held = self._channels.get(channel)
-        return list(held.entries) if held else []
+        """All stored entries of a channel in order, including those past the stability frontier."""
+        stored = self._channels.get(channel)
+        return list(stored.entries) if stored else []
 
     def channels(self) -> list[str]:
+        """The names of all channels, sorted."""
         return sorted(self._channels)
 
     def entry_count(self, channel: str) -> int:
-        held = self._channels.get(channel)
-        return held.count if held else 0
+        """The number of stored entries of a channel."""
+        stored = self._channels.get(channel)
+        return stored.count if stored else 0
 
     def channel_bytes(self, channel: str) -> int:
-        held = self._channels.get(channel)
-        return held.bytes if held else 0
+        """The accounted bytes of a channel's stored entries."""
+        stored = self._channels.get(channel)
+        return stored.bytes if stored else 0
 
     def total_bytes(self) -> int:
-        """Of all channels."""
-        return sum(held.bytes for held in self._channels.values())
+        """The accounted bytes of all stored entries."""
+        return sum(stored.bytes for stored in self._channels.values())
 
     def snapshot(self, channel: str) -> Snapshot | None:
-        held = self._channels.get(channel)
-        return held.snapshot if held else None
+        """The newest snapshot of a channel, if it has one."""
+        stored = self._channels.get(channel)
+        return stored.snapshot if stored else None
 
     def frontier(self) -> Timestamp:
-        """Nothing ordinary can come at or before this stamp any more, and all of it is held."""
+        """The stability frontier: all ordinary entries at or before it are stored, and no more can appear."""
         return self.stable
 
     def advance_frontier(self, stable: Timestamp) -> None:
-        """The frontier, as `frontier` found it; it never goes back."""
+        """Moves the stability frontier forward, as `frontier` computed it; it never moves back."""
         self.stable = max(self.stable, stable)
-        self._let_go_again()
-
-    def read(self, channel: str, cursor: str, most: int) -> tuple[list[Delivery], str]:
-        """Up to `most` of what a reader at `cursor` has not had, and the next cursor; "" is the beginning.
-        The cursor is text, good for ever and on every gateway. Raises AppendRejectedError where it is
-        none."""
-        held = self._channels.get(channel)
-        if held is None:
+        self._resume_compaction()
+
+    def read(self, channel: str, cursor: str, max_entries: int) -> tuple[list[Delivery], str]:
+        """Up to `max_entries` deliveries that a reader at `cursor` has not read, and the next cursor.
+
+        A cursor is text that stays valid and works on every gateway; "" is the beginning. Raises
+        AppendRejectedError if it is malformed.
+        """
+        stored = self._channels.get(channel)
+        if stored is None:
             return [], cursor
-        return held.read(cursor, most, self.stable, self.classify, self.late_streams, self.view_version)
+        return stored.read(
+            cursor, max_entries, self.stable, self.classify, self.late_streams, self.view_version
+        )
 
     def compact(self, channel: str, upto: Timestamp, snapshot: object) -> Snapshot:
-        """Puts a value in place of the channel's ordinary entries at or before `upto`. Late ones stay:
-        whoever has read past them is not told of them by the value. Raises AppendRejectedError past the
-        frontier."""
+        """Replaces the channel's ordinary entries at or before `upto` by a snapshot.
+
+        Late entries are retained, because a reader that is past them does not read the snapshot. Raises
+        AppendRejectedError if `upto` is past the stability frontier or the snapshot is too long.
+        """
         if upto > self.stable:
             raise AppendRejectedError(f"channel {channel}: {upto} is past the frontier, {self.stable}")
-        held = self._channels.setdefault(channel, Channel())
-        if held.snapshot is None or held.snapshot.upto < upto:
+        stored = self._channels.setdefault(channel, Channel())
+        if stored.snapshot is None or stored.snapshot.upto < upto:
             value = json.dumps(snapshot, separators=(",", ":"), sort_keys=True).encode()
-            most = min(self.limits.channel_bytes, MAX_SNAPSHOT_BYTES)
-            if len(value) > most:
+            max_bytes = min(self.limits.channel_bytes, MAX_SNAPSHOT_BYTES)
+            if len(value) > max_bytes:
                 raise AppendRejectedError(
-                    f"channel {channel}: a snapshot of {len(value)} bytes, more than {most}"
+                    f"channel {channel}: a snapshot of {len(value)} bytes, more than {max_bytes}"
                 )
-            held.snapshot = Snapshot(channel, upto, value)
-        held.restart_removal()
+            stored.snapshot = Snapshot(channel, upto, value)
+        stored.restart_removal()
         self.compacting[channel] = None
         self.remove_compacted(COMPACTION_BATCH)
-        return held.snapshot
+        return stored.snapshot
 
     def journal_recovered(self) -> None:
-        """The journal was read: entries that a compaction let go of are held again. They give way once the
-        frontier is past their snapshot; before that what looks ordinary here may be late by an event that
-        this gateway has yet to hear of, and no snapshot would stand for it."""
-        self._back = [name for name, held in sorted(self._channels.items()) if held.snapshot is not None]
-        self._let_go_again()
-
-    def _let_go_again(self) -> None:
-        still = []
-        for name in self._back:
-            held = self._channels[name]
-            if held.snapshot is not None and held.snapshot.upto <= self.stable:
-                held.restart_removal()
+        """Schedules the removal of compacted entries that the journal has restored.
+
+        They are removed once the stability frontier has passed their snapshot. Before that, an entry that
+        looks ordinary may be late by an event that this gateway has not received yet, and then no snapshot
+        contains it.
+        """
+        self._recompact_after_recovery = [
+            name for name, stored in sorted(self._channels.items()) if stored.snapshot is not None
+        ]
+        self._resume_compaction()
+
+    def _resume_compaction(self) -> None:
+        remaining = []
+        for name in self._recompact_after_recovery:
+            stored = self._channels[name]
+            if stored.snapshot is not None and stored.snapshot.upto <= self.stable:
+                stored.restart_removal()
                 self.compacting[name] = None
             else:
-                still.append(name)
-        if len(still) < len(self._back):
-            self._back = still
+                remaining.append(name)
+        if len(remaining) < len(self._recompact_after_recovery):
+            self._recompact_after_recovery = remaining
             self.remove_compacted(COMPACTION_BATCH)
 
-    def remove_compacted(self, most: int) -> None:
-        """Lets go of entries that snapshots stand for, after a look at some `most`. Readers pass over the
-        rest already; guards against a long channel whose compaction would hold all else up."""
-        while self.compacting and most > 0:
+    def remove_compacted(self, max_entries: int) -> None:
+        """Removes entries that snapshots replace, checking about `max_entries`.
+
+        Readers skip the rest already. The limit keeps the compaction of a long channel from blocking the
+        gateway.
+        """
+        while self.compacting and max_entries > 0:
             name = next(iter(self.compacting))
-            held = self._channels[name]
-            assert held.snapshot is not None
-            before, size = held.count, held.bytes
-            out, done = held.remove_compacted(
-                held.snapshot.upto, lambda e: self.classify(e) == ORDINARY, most
+            stored = self._channels[name]
+            assert stored.snapshot is not None
+            count_before, size = stored.count, stored.bytes
+            removed, done = stored.remove_compacted(
+                stored.snapshot.upto, lambda e: self.classify(e) == ORDINARY, max_entries
             )
-            most -= max(MAX_BLOCK_ENTRIES, before - held.count)
-            self.freed_bytes += size - held.bytes
+            max_entries -= max(MAX_BLOCK_ENTRIES, count_before - stored.count)
+            self.freed_bytes += size - stored.bytes
             seqs: dict[Stream, list[int]] = {}
-            for entry in out:
+            for entry in removed:
                 seqs.setdefault(entry.stream, []).append(entry.seq)
-            for stream, dropped in seqs.items():
-                self.chains[stream].remove(dropped)
+            for stream, removed_seqs in seqs.items():
+                self.chains[stream].remove(removed_seqs)
             self.compaction_count += 1
             if done:
                 del self.compacting[name]
 
     def apply_snapshots(self, upto: Timestamp) -> None:
-        """Entries give way to snapshots that came from a peer, or from the journal, which has them still.
-        `upto`: that of channel `fleet`; what is ordinary up to there is so for good."""
-        for name, held in sorted(self._channels.items()):
-            first = next(held.entries_after(LogPosition(START, "", 0, 0)), None)
-            if first is not None and held.snapshot is not None and first.at <= held.snapshot.upto <= upto:
-                held.restart_removal()
+        """Removes entries replaced by snapshots received from a peer or read from the journal.
+
+        `upto`: that of the snapshot of channel `fleet`, up to which the classification is final.
+        """
+        for name, stored in sorted(self._channels.items()):
+            first = next(stored.entries_after(LogPosition(START, "", 0, 0)), None)
+            if first is not None and stored.snapshot is not None and first.at <= stored.snapshot.upto <= upto:
+                stored.restart_removal()
                 self.compacting[name] = None
         self.remove_compacted(COMPACTION_BATCH)
 
-    # lives that are over
+    # retired incarnations
 
     def has_ended(self, stream: Stream) -> bool:
-        """Whether the life was forgotten: nothing of it is taken again."""
+        """Whether the incarnation is retired: none of its entries is accepted again."""
         return has_ended(self.ended_incarnations, stream)
 
-    def retire(self, over: EndedIncarnations) -> None:
-        """Forgets lives. Entries of them that are still held go too; where this log can't tell that a
-        snapshot stands for them, they are named."""
-        self.ended_incarnations = over
-        lives = sorted(stream for stream in self.chains if self.has_ended(stream))
-        if not lives:
+    def retire(self, ended: EndedIncarnations) -> None:
+        """Retires incarnations and removes their stored entries.
+
+        Entries that are not known to be contained in a snapshot are noted.
+        """
+        self.ended_incarnations = ended
+        ended_streams = sorted(stream for stream in self.chains if self.has_ended(stream))
+        if not ended_streams:
             return
         self.retirement_count += 1
-        told = False
-        for stream in lives:
+        has_entries = False
+        for stream in ended_streams:
             chain = self.chains.pop(stream)
-            held = list(chain.entries_after(0))
-            told = told or bool(held)
-            lacking = [str(e.seq) for e in held if not self._stands_for(e)]
-            if lacking:
-                first, last = lacking[0], lacking[-1]
+            stored = list(chain.entries_after(0))
+            has_entries = has_entries or bool(stored)
+            missing = [str(e.seq) for e in stored if not self._is_in_snapshot(e)]
+            if missing:
+                first, last = missing[0], missing[-1]
                 self.add_note(
                     f"{stream[0]}: life {stream[1]} is over for the fleet; of entries {first} to {last}, "
                     f"held here until now, it has what its snapshots tell, and the others are not taken"
                 )
-            for known in (self._unsaid, self._agreed, self._awaited, self.forks, self.fork_points):
-                known.pop(stream, None)
-        self.late_streams -= set(lives)
-        for channel in self._channels.values() if told else ():
+            for by_stream in (
+                self._uncaused,
+                self._verified_hashes,
+                self._pending_holes,
+                self.forks,
+                self.fork_points,
+            ):
+                by_stream.pop(stream, None)
+        self.late_streams -= set(ended_streams)
+        for channel in self._channels.values() if has_entries else ():
             channel.retain(lambda e: not self.has_ended(e.stream))
 
-    def _stands_for(self, entry: Entry) -> bool:
+    def _is_in_snapshot(self, entry: Entry) -> bool:
+        """Whether a snapshot is known to contain the entry."""
         snapshot = self.snapshot(entry.channel)
-        settled = entry.at <= self.stable and self.classify(entry) == ORDINARY
-        return settled and snapshot is not None and entry.at <= snapshot.upto
+        is_final = entry.at <= self.stable and self.classify(entry) == ORDINARY
+        return is_final and snapshot is not None and entry.at <= snapshot.upto
 
     def dump(self, channel: str) -> bytes:
-        """Equal, byte for byte, on all gateways that hold the same and compacted up to the same stamp."""
-        held = self._channels.get(channel)
-        if held is None:
+        """The channel as bytes, equal on all gateways with the same entries and equal `upto` of snapshots."""
+        stored = self._channels.get(channel)
+        if stored is None:
             return b"[]"
         while channel in self.compacting:
             self.remove_compacted(COMPACTION_BATCH)
-        return msgspec.json.encode([held.snapshot, held.entries])
+        return msgspec.json.encode([stored.snapshot, stored.entries])
 
     def all_entries(self) -> Iterable[Entry]:
-        """All that are held, by stream."""
+        """All stored entries, by stream."""
         for _, chain in sorted(self.chains.items()):
             yield from chain.entries_after(0)
--- a/ochrecourse/fleet/membership_view.py
+++ b/ochrecourse/fleet/membership_view.py
@@ -1,6 +1,7 @@
-"""Which lives of which names count, by the events that say so: a function of the set of events alone.
+"""The membership of the fleet: which incarnation of each name is active.
 
-Free of I/O, clock and chance.
+It is a function of the set of events alone, not of the order in which they are received. Free of I/O, clock
+and chance.
 """
 
 from __future__ import annotations
@@ -17,12 +18,15 @@
 from ochrecourse.fleet.streams import EndedIncarnations, has_ended
 
 START = Timestamp(0, 0)
-ROUNDS = 16  # of finding events that came late and so say nothing; more than two were never seen
+MAX_ROUNDS = 16  # for finding late events, which have no effect; more than two were never needed
 
 
 class Admitted(msgspec.Struct, array_like=True, frozen=True):
-    """A life that counts: its entries are ordinary behind `start` (none: behind the event). `before`: where
-    the name's earlier lives end; one that is neither there nor ended before ends before its first entry."""
+    """An incarnation that becomes active: its entries after `start` are ordinary (None: after the event).
+
+    `earlier_incarnations`: the last ordinary entry of each earlier incarnation of the name. One that is not
+    listed and has not ended yet ends before its first entry.
+    """
 
     name: str
     incarnation: int
@@ -31,57 +35,64 @@
 
 
 class Admit(msgspec.Struct, tag="admit", tag_field="what", frozen=True, rename={"incarnations": "lives"}):
-    """`first`: of a fleet that has begun, so its writer need not count yet."""
+    """Admits incarnations. `first`: the event that starts the fleet, so its writer need not be active yet."""
 
     incarnations: list[Admitted]
     first: bool = False
 
     def value(self) -> object:
+        """The event's body as a JSON value."""
         return msgspec.to_builtins(self)
 
 
 class Close(msgspec.Struct, tag="close", tag_field="what", frozen=True, rename={"incarnation": "life"}):
-    """A life is over; what it wrote beyond entry `through` is late."""
+    """Ends an incarnation; its entries after number `through` are late."""
 
     name: str
     incarnation: int
     through: int
 
     def value(self) -> object:
+        """The event's body as a JSON value."""
         return msgspec.to_builtins(self)
 
 
 class Retire(msgspec.Struct, tag="retire", tag_field="what", frozen=True, rename={"incarnations": "lives"}):
-    """`lives`: name, life, lives that stay. All lives of the name up to that one but for those are over for
-    good: whoever counted said that it held nothing of them but in snapshots."""
+    """Retires incarnations, listed as (name, incarnation, retained incarnations).
+
+    All incarnations of the name up to that one are removed for good, except the retained ones: every active
+    member has stated that it stores nothing of them outside snapshots.
+    """
 
     incarnations: list[tuple[str, int, list[int]]]
 
     def value(self) -> object:
+        """The event's body as a JSON value."""
         return msgspec.to_builtins(self)
 
 
 class DeclareDeparted(
     msgspec.Struct, tag="give up", tag_field="what", frozen=True, rename={"incarnation": "life"}
 ):
-    """Whoever runs the fleet says that a name does not come back. A life beyond `life` takes it back."""
+    """The operator declares that a name does not return. A later incarnation of the name revokes this."""
 
     name: str
     incarnation: int
 
     def value(self) -> object:
+        """The event's body as a JSON value."""
         return msgspec.to_builtins(self)
 
 
 Body = Admit | Close | Retire | DeclareDeparted
 _decode = msgspec.json.Decoder(Body).decode
-_ours = re.compile(rb'"what":"(?:admit|close|retire|give up)"').search
+_has_event_tag = re.compile(rb'"what":"(?:admit|close|retire|give up)"').search
 
 
 def decode_event(entry: Entry) -> Body | None:
-    """None for events that are somebody else's."""
-    if _ours(entry.body) is None:
-        return None  # by far the most
+    """The membership event in an entry; None for other events."""
+    if _has_event_tag(entry.body) is None:
+        return None  # the usual case
     try:
         return _decode(entry.body)
     except (msgspec.DecodeError, UnicodeError):
@@ -89,11 +100,16 @@
 
 
 class MembershipView:
-    """`counting`: the life that counts by name, `since` where it was admitted. `newest`: the last life
-    admitted by name, also if it ended. `starts`, `ends`: what is ordinary of a life. `over`: lives of which
-    nothing is left but this. `given`: by name the last life that whoever runs the fleet gave up."""
+    """The membership that follows from the events up to some point.
+
+    `active`: the active incarnation by name. `active_since`: when it was admitted. `newest_incarnations`: the
+    last incarnation admitted by name, ended or not. `starts`, `ends`: the bounds of the ordinary entries of a
+    stream. `ended_incarnations`: retired incarnations. `departed`: by name, the last incarnation that the
+    operator declared departed.
+    """
 
     def __init__(self, upto: Timestamp = START) -> None:
+        """An empty membership, as of `upto`."""
         self.upto = upto
         self.active: dict[str, int] = {}
         self.active_since: dict[str, Timestamp] = {}
@@ -103,10 +119,10 @@
         self.ended_incarnations: EndedIncarnations = {}
         self.departed: dict[str, int] = {}
         self.digest = b""
-        self.last = upto  # where the last event stands
+        self.last = upto  # the timestamp of the last event
 
     def classify(self, stream: Stream, seq: int, at: Timestamp) -> str:
-        """Whether that entry is ordinary, late, or of a life that nothing is said of yet."""
+        """Whether that entry is ordinary, late or pending (no event has admitted its incarnation yet)."""
         if seq > self.ends.get(stream, seq):
             return LATE
         start = self.starts.get(stream)
@@ -114,51 +130,70 @@
             return ORDINARY if at > start else LATE
         return LATE if self.newest_incarnations.get(stream[0], 0) > stream[1] else PENDING
 
-    def _counts(self, entry: Entry) -> bool:
+    def _is_active_writer(self, entry: Entry) -> bool:
         return self.active.get(entry.writer) == entry.incarnation
 
     def voters(self) -> dict[str, int]:
-        """Those that count, less names that were given up in that life or a later one."""
-        return {name: life for name, life in self.active.items() if life > self.departed.get(name, -1)}
+        """The active incarnations by name, without those declared departed."""
+        return {
+            name: incarnation
+            for name, incarnation in self.active.items()
+            if incarnation > self.departed.get(name, -1)
+        }
 
     def retirable(self) -> dict[str, list[int]]:
-        """By name, lives before its newest that no retirement has looked at, in order. One of them may have
-        to stay."""
+        """By name, the incarnations before its newest that no retirement has covered yet, in order.
+
+        One of them may have to be retained.
+        """
         found: dict[str, list[int]] = {}
-        for name, life in sorted({**self.starts, **self.ends}):
+        for name, incarnation in sorted({**self.starts, **self.ends}):
             upto, _ = self.ended_incarnations.get(name, (0, ()))
-            if upto < life < self.newest_incarnations.get(name, 0):
-                found.setdefault(name, []).append(life)
+            if upto < incarnation < self.newest_incarnations.get(name, 0):
+                found.setdefault(name, []).append(incarnation)
         return found
 
     def apply(self, entry: Entry, body: Admit | Close | Retire) -> None:
-        """The next event in the log's order."""
+        """Applies the next event in the log's order."""
         self.last = max(self.last, entry.at)
         if isinstance(body, Close):
             stream = (body.name, body.incarnation)
-            if self._counts(entry) and self.newest_incarnations.get(body.name, 0) >= body.incarnation:
+            if (
+                self._is_active_writer(entry)
+                and self.newest_incarnations.get(body.name, 0) >= body.incarnation
+            ):
                 self._end(stream, body.through)
         elif isinstance(body, Retire):
-            for each in body.incarnations if self._counts(entry) else ():
+            for each in body.incarnations if self._is_active_writer(entry) else ():
                 self._retire(*each)
-        elif self._counts(entry) or (body.first and entry.incarnation > self.departed.get(entry.writer, -1)):
+        elif self._is_active_writer(entry) or (
+            body.first and entry.incarnation > self.departed.get(entry.writer, -1)
+        ):
             for admitted in body.incarnations:
                 self._admit(admitted, entry.at)
 
-    def _retire(self, name: str, life: int, stay: Iterable[int]) -> None:
-        """A life that has no end stays, and so does the last that wrote: whoever lacks it is sent the hole
-        that it is, and with it the snapshots that stand for all of them."""
-        life = min(life, self.newest_incarnations.get(name, 0) - 1)
-        if life < self.ended_incarnations.get(name, (0, ()))[0]:
+    def _retire(self, name: str, incarnation: int, retained: Iterable[int]) -> None:
+        """Retires a name's incarnations up to one.
+
+        Those without an end are retained, and so is the last one that wrote entries: a peer that lacks it is
+        sent its hole, and with it the snapshots that replace the entries of all of them.
+        """
+        incarnation = min(incarnation, self.newest_incarnations.get(name, 0) - 1)
+        if incarnation < self.ended_incarnations.get(name, (0, ()))[0]:
             return
-        here = [s for s in {**self.starts, **self.ends} if s[0] == name and s[1] <= life]
-        here = [s for s in here if not has_ended(self.ended_incarnations, s)]
-        stays = {
-            each for each in stay if each <= life and not has_ended(self.ended_incarnations, (name, each))
+        streams = [s for s in {**self.starts, **self.ends} if s[0] == name and s[1] <= incarnation]
+        streams = [s for s in streams if not has_ended(self.ended_incarnations, s)]
+        retained_incarnations = {
+            each
+            for each in retained
+            if each <= incarnation and not has_ended(self.ended_incarnations, (name, each))
         }
-        stays |= {s[1] for s in here if s not in self.ends}
-        wrote = [s[1] for s in here if self.ends.get(s, 0) > 0]
-        self.ended_incarnations[name] = (life, tuple(sorted(stays | set(wrote and [max(wrote)]))))
+        retained_incarnations |= {s[1] for s in streams if s not in self.ends}
+        wrote = [s[1] for s in streams if self.ends.get(s, 0) > 0]
+        self.ended_incarnations[name] = (
+            incarnation,
+            tuple(sorted(retained_incarnations | set(wrote and [max(wrote)]))),
+        )
 
     def _end(self, stream: Stream, through: int) -> None:
         if has_ended(self.ended_incarnations, stream):
@@ -168,34 +203,35 @@
             del self.active[stream[0]], self.active_since[stream[0]]
 
     def _admit(self, admitted: Admitted, at: Timestamp) -> None:
-        name, life = admitted.name, admitted.incarnation
-        if has_ended(self.ended_incarnations, (name, life)):
+        name, incarnation = admitted.name, admitted.incarnation
+        if has_ended(self.ended_incarnations, (name, incarnation)):
             return
         start = at if admitted.start is None else admitted.start
-        told = dict(admitted.earlier_incarnations)
-        last = self.active.get(name)
-        if last is not None and last < life:
-            told.setdefault(last, 0)
-        known = self.newest_incarnations.get(name, 0)
-        for earlier, through in told.items():
-            if earlier < known and (name, earlier) not in self.ends:
-                continue  # passed over when a greater life was admitted, so all of it is late, for good
-            if earlier < life and not has_ended(self.ended_incarnations, (name, earlier)):
+        earlier_ends = dict(admitted.earlier_incarnations)
+        previous = self.active.get(name)
+        if previous is not None and previous < incarnation:
+            earlier_ends.setdefault(previous, 0)
+        newest = self.newest_incarnations.get(name, 0)
+        for earlier, through in earlier_ends.items():
+            if earlier < newest and (name, earlier) not in self.ends:
+                continue  # skipped when a later incarnation was admitted, so all its entries stay late
+            if earlier < incarnation and not has_ended(self.ended_incarnations, (name, earlier)):
                 self.starts.setdefault((name, earlier), start)
                 self._end((name, earlier), through)
-        self.starts[name, life] = max(start, self.starts.get((name, life), start))
-        if life > self.newest_incarnations.get(name, 0):
-            self.newest_incarnations[name] = life
-            if (name, life) not in self.ends:
-                self.active[name], self.active_since[name] = life, at
+        self.starts[name, incarnation] = max(start, self.starts.get((name, incarnation), start))
+        if incarnation > self.newest_incarnations.get(name, 0):
+            self.newest_incarnations[name] = incarnation
+            if (name, incarnation) not in self.ends:
+                self.active[name], self.active_since[name] = incarnation, at
 
     def value(self) -> dict[str, Any]:
-        """As JSON has it; what is over for good is left out."""
+        """The membership as a JSON value, without the details of retired incarnations."""
         value: dict[str, Any] = {
             "counting": [
-                [name, life, *self.active_since[name]] for name, life in sorted(self.active.items())
+                [name, incarnation, *self.active_since[name]]
+                for name, incarnation in sorted(self.active.items())
             ],
-            "newest": sorted([name, life] for name, life in self.newest_incarnations.items()),
+            "newest": sorted([name, incarnation] for name, incarnation in self.newest_incarnations.items()),
             "starts": sorted(
                 [*s, *start] for s, start in self.starts.items() if not has_ended(self.ended_incarnations, s)
             ),
@@ -203,10 +239,11 @@
                 [*s, end] for s, end in self.ends.items() if not has_ended(self.ended_incarnations, s)
             ),
         }
-        # Left out where there is none: a version that knows of neither has the same digest until then.
+        # Left out when empty: versions without these fields compute the same digest until they are used.
         if self.ended_incarnations:
             value["over"] = [
-                [name, life, stay] for name, (life, stay) in sorted(self.ended_incarnations.items())
+                [name, incarnation, retained]
+                for name, (incarnation, retained) in sorted(self.ended_incarnations.items())
             ]
         if self.departed:
             value["given"] = sorted(self.departed.items())
@@ -214,42 +251,48 @@
 
     @classmethod
     def of(cls, value: Any, upto: Timestamp) -> MembershipView:
-        """The view that `value` made. Raises KeyError, TypeError, ValueError where it is none."""
+        """The membership that `value` returned. Raises KeyError, TypeError, ValueError if it is malformed."""
         view = cls(upto)
-        for name, life, ms, turn in value["counting"]:
-            view.active[name], view.active_since[name] = life, Timestamp(ms, turn)
+        for name, incarnation, ms, counter in value["counting"]:
+            view.active[name], view.active_since[name] = incarnation, Timestamp(ms, counter)
         view.newest_incarnations = dict(value["newest"])
-        view.starts = {(n, life): Timestamp(ms, turn) for n, life, ms, turn in value["starts"]}
-        view.ends = {(n, life): end for n, life, end in value["ends"]}
-        view.ended_incarnations = {name: (life, tuple(stay)) for name, life, stay in value.get("over", ())}
+        view.starts = {
+            (n, incarnation): Timestamp(ms, counter) for n, incarnation, ms, counter in value["starts"]
+        }
+        view.ends = {(n, incarnation): end for n, incarnation, end in value["ends"]}
+        view.ended_incarnations = {
+            name: (incarnation, tuple(retained)) for name, incarnation, retained in value.get("over", ())
+        }
         view.departed = dict(value.get("given", ()))
         return view
 
     def copy(self) -> MembershipView:
+        """A copy that can be changed independently, without the digest."""
         return MembershipView.of(self.value(), self.upto)
 
 
 def membership_view(base: MembershipView, events: Iterable[Entry]) -> MembershipView:
-    """What follows from events, in whatever order they came. An event that is itself late says nothing."""
-    read = []
-    given = dict(base.departed)
+    """The membership that follows from events received in any order; events that are late are ignored."""
+    events_in_order = []
+    departed = dict(base.departed)
     for entry in events:
         body = decode_event(entry)
-        if isinstance(body, DeclareDeparted):  # wherever it stands: no beginning by that life counts
-            given[body.name] = max(body.incarnation, given.get(body.name, -1))
+        if isinstance(body, DeclareDeparted):
+            # Whatever its position: no first admission written by that incarnation is valid.
+            departed[body.name] = max(body.incarnation, departed.get(body.name, -1))
         elif body is not None:
-            read.append((entry.position, entry, body))
-    read.sort(key=lambda each: each[0])
-    void: set[Any] = set()
-    for _ in range(ROUNDS):
+            events_in_order.append((entry.position, entry, body))
+    events_in_order.sort(key=lambda each: each[0])
+    ignored: set[Any] = set()
+    for _ in range(MAX_ROUNDS):
         view = base.copy()
-        view.departed = dict(given)
-        for place, entry, body in read:
-            if place not in void:
+        view.departed = dict(departed)
+        for position, entry, body in events_in_order:
+            if position not in ignored:
                 view.apply(entry, body)
-        late = {p for p, e, _ in read if view.classify(e.stream, e.seq, e.at) == LATE}
-        if late == void:
+        late = {p for p, e, _ in events_in_order if view.classify(e.stream, e.seq, e.at) == LATE}
+        if late == ignored:
             break
-        void = late
+        ignored = late
     view.digest = blake2b(msgspec.json.encode(view.value()), digest_size=8).digest()
     return view
