--- a/ochrecourse/fleet/channel_readers.py
+++ b/ochrecourse/fleet/channel_readers.py
@@ -1,4 +1,4 @@
-"""Who follows channels of the log: each reader gets what is new for it, in order, from its cursor on."""
+"""Readers of the log's channels: each receives new entries in order, starting at its cursor."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from ochrecourse.fleet.channel import Delivery
 from ochrecourse.fleet.log import Log
 
-MAX_BATCH = 256  # entries that a reader gets at once
+MAX_BATCH = 256  # deliveries to a reader in one call
 
 OnEntries = Callable[[list[Delivery], str], None]
 
 
 class ChannelReader:
-    """One who follows a channel from `cursor` on. `on_entries` gets entries and the next cursor."""
+    """A reader of a channel. `on_entries` is called with deliveries and the cursor after them."""
 
     def __init__(self, channel: str, cursor: str, on_entries: OnEntries) -> None:
         self.channel = channel
@@ -24,7 +24,7 @@
         self.stopped = False
 
     def stop(self) -> None:
-        """The reader gets nothing more."""
+        """Ends the deliveries to this reader."""
         self.stopped = True
 
 
@@ -36,8 +36,9 @@
         self.readers: list[ChannelReader] = []
 
     def follow(self, channel: str, cursor: str, on_entries: OnEntries) -> Callable[[], None]:
-        """Adds a reader and delivers what is new for it; returns what stops it. Raises AppendRejectedError
-        for a bad cursor.
+        """Adds a reader, delivers the entries after its cursor, and returns the function that stops it.
+
+        Raises AppendRejectedError if the cursor is malformed.
         """
         self.log.read(channel, cursor, 1)
         reader = ChannelReader(channel, cursor, on_entries)
@@ -46,7 +47,7 @@
         return reader.stop
 
     def deliver(self) -> None:
-        """Delivers what is new to all readers, and forgets those that stopped."""
+        """Delivers new entries to all readers, and removes stopped ones."""
         self.readers = [reader for reader in self.readers if not reader.stopped]
         for reader in self.readers:
             self._deliver_to(reader)
@@ -61,7 +62,7 @@
 
 
 def delivery_as_json(delivery: Delivery) -> dict[str, Any]:
-    """What a reader got, as values for JSON."""
+    """A delivery as a value for JSON."""
     entry, snapshot = delivery.entry, delivery.snapshot
     if entry is not None:
         return {
--- a/ochrecourse/fleet/durable_claim.py
+++ b/ochrecourse/fleet/durable_claim.py
@@ -1,7 +1,7 @@
-"""What a heartbeat claims of the log: only what survives a power failure here.
+"""The claims about the log in a heartbeat: only of entries that survive a power failure of this gateway.
 
-While a sync is under way a heartbeat goes on with what was durable last: a slow disk makes a gateway's
-claims older, not the gateway silent. Free of I/O, clock and chance.
+While a sync is under way, heartbeats repeat the last durable claim: with a slow disk a gateway's claims get
+older, but its heartbeats continue. Free of I/O, clock and chance.
 """
 
 from __future__ import annotations
@@ -15,9 +15,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LogClaim:
-    """What rests on the entries of others here. `incarnation`: of this gateway; `status`: the frontier's in
-    the heartbeat, with the digest of its view; `floor`: all entries up to there are here, as long as that
-    view stands.
+    """The claims that depend on stored entries. `incarnation`: of this gateway. `status`: the frontier's
+    status for the heartbeat, with the digest of its view. `floor`: the watermark with that view.
     """
 
     incarnation: int
@@ -29,13 +28,14 @@
     """The newest claim that is durable. One sync is requested at a time."""
 
     def __init__(self, log_store: LogStore) -> None:
+        """Without a claim until the first sync has ended."""
         self.log_store = log_store
         self._claim: LogClaim | None = None
         self._is_syncing = False
 
     def update(self, current: LogClaim) -> LogClaim | None:
-        """The claim that may be made now, where `current` would be true of what is in memory; None if nothing
-        may be claimed in this incarnation yet.
+        """The newest durable claim; None if there is none of this incarnation yet. `current`: the claim that
+        is true of the entries in memory.
         """
         if not self._is_syncing:
             self._is_syncing = True
@@ -45,6 +45,6 @@
         return self._claim
 
     def _synced(self, claim: LogClaim) -> None:
-        # Also after an error: a gateway whose disk has failed must not hold up the whole fleet's order.
+        # Also after an error: a gateway with a failed disk must not stop the stability frontier.
         self._is_syncing = False
         self._claim = claim
--- a/ochrecourse/fleet/event_appender.py
+++ b/ochrecourse/fleet/event_appender.py
@@ -1,4 +1,4 @@
-"""Appends of a fleet member to its event log, with their counts and refusals."""
+"""Appends of a fleet member to its event log, with their counts and rejections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 
 
 class EventAppender:
-    """`wall_ms`: ms since 1970. `on_appended` is called after one or more appends, to send them to peers."""
+    """Appends entries. `wall_ms`: ms since 1970. `on_appended` is called after one or more appends, to send
+    them to peers.
+    """
 
     def __init__(
         self,
@@ -33,8 +35,8 @@
         log_store.on_reported = self._send_appended
 
     def append(self, channel: str, value: object, must: bool) -> Entry:
-        """Appends an entry, and blocks until it is durable; with `must` a full channel takes it too. Raises
-        log.AppendRejectedError, OSError; then nothing was appended.
+        """Appends an entry and blocks until it is durable; with `must`, even if the channel is full. Raises
+        log.AppendRejectedError or OSError if nothing was appended.
         """
         try:
             self._check(channel)
@@ -47,8 +49,8 @@
         return entry
 
     def request_append(self, channel: str, value: object, must: bool, on_result: OnAppended) -> None:
-        """Appends an entry, and calls `on_result` once it is durable, or could not be made so; possibly
-        before this returns. Raises AppendRejectedError, OSError; then nothing is under way.
+        """Appends an entry and calls `on_result` once it is durable or has failed, possibly before this
+        method returns. Raises AppendRejectedError or OSError if nothing was started.
         """
 
         def ended(result: AppendResult) -> None:
@@ -66,8 +68,9 @@
             raise
 
     def append_wanted(self, wanted: WantedEntry, on_ended: OnEnded) -> None:
-        """Appends what the member itself wants; `on_ended` learns whether it is in the log. A refusal is
-        counted and logged.
+        """Appends an entry of the member itself; `on_ended` is called with whether it is in the log.
+
+        Rejections are counted and logged.
         """
         try:
             self.request_append(*wanted, lambda result: on_ended(result.error is None))
@@ -75,10 +78,10 @@
             on_ended(False)
 
     def _check(self, channel: str) -> None:
-        """Raises AppendRejectedError."""
+        """Raises AppendRejectedError if no entry may be appended to the channel."""
         if self.stopped:
-            # Guards against an answer for an entry that no peer receives, and whose journal the next process
-            # may have replaced.
+            # The entry would be confirmed, but no peer would receive it, and the next process may have
+            # replaced the journal.
             raise AppendRejectedError("this gateway has left its fleet")
         if channel.encode("utf-8", "replace").decode() != channel:
             raise AppendRejectedError("a channel's name that is no text")
@@ -89,7 +92,7 @@
         self._is_sending_due = True
 
     def _send_appended(self) -> None:
-        """Sends what was appended; what one sync made durable goes together."""
+        """Sends appended entries; those of one sync are sent together."""
         if self._is_sending_due:
             self._is_sending_due = False
             self.on_appended()
--- a/ochrecourse/fleet/event_compaction.py
+++ b/ochrecourse/fleet/event_compaction.py
@@ -1,6 +1,6 @@
-"""Compaction of channel `fleet`: events that others have superseded are replaced by a snapshot.
+"""Compaction of channel `fleet`: a snapshot replaces events that later ones have superseded.
 
-All gateways compact up to the same timestamps, so that they go on storing the same.
+All gateways compact up to the same timestamps, so that their stored channels stay equal.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 
 class _EventKind(msgspec.Struct):
-    """What an event says it is."""
+    """The kind of an event."""
 
     what: str = ""
 
 
 class EventCompaction:
-    """Compacts channel `fleet` of one member. `write_log` takes a line of the log."""
+    """Compacts channel `fleet` of one member. `write_log` writes a line to the operator's log."""
 
-    def __init__(self, common: ExchangeContext, frontier: Frontier, write_log: Callable[..., None]) -> None:
-        self.common = common
+    def __init__(self, context: ExchangeContext, frontier: Frontier, write_log: Callable[..., None]) -> None:
+        self.context = context
         self.frontier = frontier
         self.write_log = write_log
         self._last_refusal = ""
 
     def compact_if_due(self, subsystems: Sequence[Subsystem]) -> None:
         """Compacts up to the last step, if the channel is full enough."""
-        log = self.common.log
+        log = self.context.log
         upto = Timestamp(log.frontier().ms // COMPACTION_STEP_MS * COMPACTION_STEP_MS, 0)
         previous = log.snapshot(FLEET_CHANNEL)
         if previous is not None and previous.upto >= upto:
@@ -50,7 +50,7 @@
             return
         value = self._snapshot_value(previous, upto, subsystems)
         try:
-            compact(self.common, FLEET_CHANNEL, upto, value)
+            compact(self.context, FLEET_CHANNEL, upto, value)
         except AppendRejectedError as error:
             if str(error) != self._last_refusal:
                 self._last_refusal = str(error)
@@ -67,7 +67,7 @@
     def _snapshot_value(
         self, previous: Snapshot | None, upto: Timestamp, subsystems: Sequence[Subsystem]
     ) -> dict[str, Any]:
-        """What replaces the events, by the name of who needs it."""
+        """The snapshot's value: the replacement of the events, by the name of the subsystem."""
         events = self._events_since(previous, upto)
         not_understood = retained_events(previous, UNKNOWN_EVENTS)
         value: dict[str, Any] = {STATUS_KEY: self.frontier.snapshot_value(upto)}
@@ -77,14 +77,14 @@
                 continue
             candidates = [*retained_events(previous, subsystem.name), *not_understood, *events]
             retained = _as_json(keeps(candidates, upto))
-            # Programs that know of no forms write the same.
-            if retained or subsystem is not self.common.format_versions:
+            # Left out if empty: programs without format versions write the same value.
+            if retained or subsystem is not self.context.format_versions:
                 value[subsystem.name] = retained
         unknown = [
             entry for entry in (*not_understood, *events) if event_kind(entry) not in KNOWN_EVENT_KINDS
         ]
         if unknown:
-            # Guards against the loss of events of a newer program, which this one does not understand.
+            # Keeps events of newer programs, which this one does not understand.
             value[UNKNOWN_EVENTS] = _as_json(unknown)
         known_names = {STATUS_KEY, UNKNOWN_EVENTS, *(subsystem.name for subsystem in subsystems)}
         for name, section in unknown_sections(previous, known_names):
@@ -92,10 +92,10 @@
         return value
 
     def _events_since(self, previous: Snapshot | None, upto: Timestamp) -> list[Entry]:
-        """The events that the snapshot replaces. What the last one replaced may be here still, after a
-        restart.
+        """The events that the snapshot replaces, without those that the previous one replaced, which may be
+        stored again after a restart.
         """
-        log = self.common.log
+        log = self.context.log
         since = previous.upto if previous is not None else Timestamp(0, 0)
         return [
             entry
@@ -104,14 +104,14 @@
         ]
 
 
-def compact(common: ExchangeContext, channel: str, upto: Timestamp, value: object) -> None:
+def compact(context: ExchangeContext, channel: str, upto: Timestamp, value: object) -> None:
     """Replaces the entries of a channel up to a timestamp by a value. Raises AppendRejectedError."""
-    common.log_store.compact(channel, upto, value)
-    common.compaction_version += 1
+    context.log_store.compact(channel, upto, value)
+    context.compaction_version += 1
 
 
 def event_kind(entry: Entry) -> str:
-    """What an event of channel `fleet` says it is; empty if it says nothing."""
+    """The kind of an event of channel `fleet`; empty if it has none."""
     try:
         return msgspec.json.decode(entry.body, type=_EventKind).what
     except (msgspec.MsgspecError, UnicodeError, RecursionError):
@@ -119,7 +119,7 @@
 
 
 def unknown_sections(snapshot: Snapshot | None, known: Collection[str]) -> list[tuple[str, Any]]:
-    """Names and values in a snapshot of channel `fleet` that are none of the known ones."""
+    """Names and values in a snapshot of channel `fleet` whose names are not known."""
     if snapshot is None:
         return []
     try:
--- a/ochrecourse/fleet/journal_writer.py
+++ b/ochrecourse/fleet/journal_writer.py
@@ -1,8 +1,8 @@
-"""Writes the journal of a fleet member: records in order, synced in groups, and rewritten by and by.
+"""Writes the journal of a fleet member: appends records in order, syncs them in groups, rewrites in steps.
 
-Operations run one at a time on a `storage.disk_worker.DiskWorker`, and what is to be written meanwhile goes
-into the next: one sync covers all of it. After an operation that failed the journal is rewritten before
-anything more is appended. Free of I/O, clock and chance: all three are handed in.
+Operations run one at a time on a `storage.disk_worker.DiskWorker`. Records written meanwhile are appended by
+the next operation, with one sync for all. After a failed operation the journal is rewritten before any
+further append. Free of I/O, clock and chance: all three are passed in.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 from ochrecourse.storage.journal_interface import Journal, JournalRewrite
 
 MAX_WAITING_RECORDS = 4096
-MAX_WAITING_BYTES = 8 << 20  # a hundred of the longest entries
-STALLED_AFTER_S = 10  # that one operation takes: a busy disk takes 1 s, a dead one never answers
-SYNC_STEP_BYTES = 1 << 20  # of a rewrite, after which it is synced: its commit then has little left to do
+MAX_WAITING_BYTES = 8 << 20  # about 100 entries of maximum size
+STALLED_AFTER_S = 10  # of one operation: a busy disk takes 1 s, a failed one never responds
+SYNC_STEP_BYTES = 1 << 20  # of a rewrite between syncs, so that its commit has little left to sync
 
 
 class Renewal:
-    """A rewrite in steps. `rest`: the records when it began; `since`: what was written to the
-    old journal meanwhile.
+    """A rewrite of the journal in steps. `records_left`: records of the state at its begin that are not
+    written yet. `since`: records appended to the old journal after its begin.
     """
 
-    def __init__(self, anew: JournalRewrite, rest: Iterator[bytes]) -> None:
+    def __init__(self, anew: JournalRewrite, records_left: Iterator[bytes]) -> None:
+        """Copies `records_left` into `anew`, the new file of the journal."""
         self.anew = anew
-        self.rest = rest
+        self.records_left = records_left
         self.since: list[bytes] = []
         self.unsynced = 0
 
-    def go_on(self, most: int) -> bool:
-        """Writes up to `most` bytes, one record at the least; whether that was all. Raises OSError."""
-        while most > 0:
-            record = next(self.rest, None)
+    def go_on(self, max_bytes: int) -> bool:
+        """Writes up to `max_bytes`, at least one record; whether the rewrite is complete. Raises OSError."""
+        while max_bytes > 0:
+            record = next(self.records_left, None)
             if record is None:
-                for late in self.since:
-                    self.anew.append(late)
+                for appended in self.since:
+                    self.anew.append(appended)
                 self.anew.commit()
                 return True
             size = self.anew.append(record)
-            most -= size
+            max_bytes -= size
             self.unsynced += size
         if self.unsynced > SYNC_STEP_BYTES:
             self.anew.sync()
@@ -52,10 +53,12 @@
 
 @dataclass(frozen=True)
 class JournalContent:
-    """What the writer asks its owner. `records`: all that stays, captured as the call is made;
-    `renewal` makes a rewrite in steps; `failed` is called with an error after which nothing that waited is
-    durable, `noted` with one that harms nothing; `rewritten`: the journal has just `records` again;
-    `reported`: all who waited for an operation were notified.
+    """The owner's callbacks.
+
+    `records` returns all records of the current state, captured at the call. `renewal` creates a rewrite in
+    steps. `failed` is called with an error after which no waiting record is durable, `noted` with an error
+    that loses nothing. `rewritten` is called when the journal has exactly `records` again, `reported` after
+    all requests of an operation were notified.
     """
 
     records: Callable[[], Iterator[bytes]]
@@ -67,8 +70,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
-    """A record that is to be written. `in_content`: it is part of `JournalContent.records` already."""
+class _WaitingRecord:
+    """A record to be written. `in_content`: `JournalContent.records` includes it already."""
 
     data: bytes
     in_content: bool
@@ -76,21 +79,21 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """One operation under way, and who is notified of its end. `writes`: records, or their sync; `since`:
-    when the first of what it writes was given, in ns.
+    """An operation and the requests to notify of its end. `writes`: whether it writes or syncs records.
+    `since`: when the first of its records was passed in, in ns. `started_at`: ns.
     """
 
     execute: Operation
-    ended: OnDone
+    finished: OnDone
     requests: list[OnDone] = field(default_factory=list)
     writes: bool = False
     since: int = 0
-    began: int = 0
+    started_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingFigures:
-    """What waits for the disk now, the operation under way included. `oldest_ns`: the longest wait."""
+    """Records that wait for the disk, and their bytes. `oldest_ns`: the longest wait, operation included."""
 
     records: int
     size: int
@@ -98,8 +101,8 @@
 
 
 class JournalWriter:
-    """`clock`: ns. `intact`: the journal has, or will have by what waits, all records of the content, and
-    nothing else. `rewrite`: the one under way. `closed`: why nothing more is written.
+    """Writes one journal. `clock`: ns. `intact`: with the waiting records, the journal has exactly the
+    records of the content. `rewrite`: the one under way. `closed`: the reason why the writer is closed.
     """
 
     def __init__(self, journal: Journal, content: JournalContent, clock: Callable[[], int]) -> None:
@@ -112,41 +115,41 @@
         self.intact = True
         self.rewrite: Renewal | None = None
         self.closed = ""
-        self._waiting: deque[_Waiting] = deque()
+        self._waiting: deque[_WaitingRecord] = deque()
         self._waiting_bytes = 0
         self._waiting_since = 0
         self._requests: list[OnDone] = []
         self._unsynced = False  # records were written since the last sync
-        self._repair_wanted = False
-        self._rewrite_wanted = False
-        self._step_bytes = 0  # of the step of the rewrite that is wanted
+        self._is_repair_requested = False
+        self._is_rewrite_requested = False
+        self._step_bytes = 0  # of the requested step of the rewrite
         self._batch: _Batch | None = None
-        self._abandoned = False  # who waited for the operation under way was notified that it failed
+        self._abandoned = False  # the requests of the operation under way were notified of a failure
         self._unreported: deque[tuple[OnDone, OSError | None]] = deque()
 
-    # --- what is asked ---
+    # --- queries and requests ---
 
     @property
     def is_durable(self) -> bool:
-        """Whether nothing waits for the disk: all that was written is synced, or the journal failed."""
+        """Whether no write or sync is outstanding: all records are synced, or the journal has failed."""
         if self._abandoned:
             return True
-        is_waiting = bool(self._waiting) or self._repair_wanted
+        is_waiting = bool(self._waiting) or self._is_repair_requested
         is_writing = self._batch is not None and self._batch.writes
         return not (is_waiting or is_writing or (self._unsynced and self.intact))
 
     @property
     def is_rewriting(self) -> bool:
-        """Whether `step` has something to do."""
-        return self.rewrite is not None or self._rewrite_wanted
+        """Whether there is work for `step`."""
+        return self.rewrite is not None or self._is_rewrite_requested
 
     @property
     def is_stalled(self) -> bool:
-        """Whether the operation under way takes so long that the disk counts as dead."""
-        return self._batch is not None and self.clock() - self._batch.began >= STALLED_AFTER_S * SECOND
+        """Whether the operation under way takes so long that the disk is considered failed."""
+        return self._batch is not None and self.clock() - self._batch.started_at >= STALLED_AFTER_S * SECOND
 
     def waiting(self) -> WaitingFigures:
-        """What waits for the disk now."""
+        """The records that wait for the disk now."""
         oldest_ns = 0
         if self._batch is not None:
             oldest_ns = self.clock() - self._batch.since
@@ -155,7 +158,7 @@
         return WaitingFigures(len(self._waiting), self._waiting_bytes, oldest_ns)
 
     def check_accepts(self) -> None:
-        """Raises OSError if a record that must become durable can't be taken now."""
+        """Raises OSError if no record that must become durable is accepted now."""
         if self.closed:
             raise OSError(self.closed)
         if self._abandoned or self.is_stalled:
@@ -165,7 +168,7 @@
 
     def write(self, records: Sequence[bytes], in_content: bool, on_durable: OnDone | None = None) -> None:
         """Appends records, in order, and calls `on_durable` once they are durable, or could not be made so.
-        `in_content`: they are part of `JournalContent.records` already.
+        `in_content`: `JournalContent.records` includes them already.
         """
         requests = [on_durable] if on_durable is not None else []
         if self.closed:
@@ -175,54 +178,54 @@
         if self._abandoned:
             self._report(requests, _stalled_error())
             return
-        self._note_wait()
+        self._start_wait()
         self._requests += requests
         if in_content and self._waiting_bytes >= MAX_WAITING_BYTES:
-            # Guards against memory that grows while a disk is slow: the rewrite will have them.
-            self.intact, self._repair_wanted = False, True
+            # Bounds memory while the disk is slow: a rewrite will include these records.
+            self.intact, self._is_repair_requested = False, True
         else:
-            self._waiting.extend(_Waiting(data, in_content) for data in records)
+            self._waiting.extend(_WaitingRecord(data, in_content) for data in records)
             self._waiting_bytes += sum(map(len, records))
-        self._go_on()
+        self._start_next()
 
     def sync(self, on_synced: OnDone) -> None:
-        """Calls `on_synced` once all that was written so far is durable, or could not be made so."""
+        """Calls `on_synced` once all records so far are durable, or could not be made so."""
         if self.is_durable:
             on_synced(None)
             return
-        self._note_wait()
+        self._start_wait()
         self._requests.append(on_synced)
-        self._go_on()
+        self._start_next()
 
-    def _note_wait(self) -> None:
+    def _start_wait(self) -> None:
         if not (self._waiting or self._requests):
             self._waiting_since = self.clock()
 
     def repair(self) -> None:
         """Rewrites the journal as a whole, in `version`."""
-        self.intact, self._repair_wanted = False, True
-        self._go_on()
+        self.intact, self._is_repair_requested = False, True
+        self._start_next()
 
     def begin_rewrite(self) -> None:
-        """Begins a rewrite in steps, if none is under way; the journal goes on meanwhile."""
+        """Begins a rewrite in steps, if none is under way. Appends to the old journal continue."""
         if not self.closed and not self.is_rewriting:
-            self._rewrite_wanted = True
-            self._go_on()
+            self._is_rewrite_requested = True
+            self._start_next()
 
-    def step(self, most: int) -> None:
-        """Goes on with the rewrite, `most` bytes of it, as soon as the disk is free."""
+    def step(self, max_bytes: int) -> None:
+        """Requests the next `max_bytes` of the rewrite, written as soon as the disk is free."""
         if self.rewrite is not None and not self._step_bytes:
-            self._step_bytes = most
-            self._go_on()
+            self._step_bytes = max_bytes
+            self._start_next()
 
     def check_stalled(self) -> None:
-        """Notifies who waits for a disk that has stopped answering. To be called now and then."""
+        """Fails requests if the disk has stopped responding. To be called periodically."""
         if self.is_stalled:
             self.abandon()
 
     def close(self, reason: str, on_closed: Callable[[], None]) -> None:
-        """Writes no more: what waits is refused with `reason`. Calls `on_closed` once the operation under way
-        has ended and the journal is closed.
+        """Stops writing and fails waiting requests with `reason`. Calls `on_closed` once the operation under
+        way has ended and the journal is closed.
         """
         if self.closed:
             return
@@ -240,7 +243,7 @@
         self.worker.run(release, lambda error: on_closed())
 
     def abandon(self) -> None:
-        """Does not wait for the operation under way: who waits for it is notified that it failed."""
+        """Fails the requests of the operation under way without waiting for its end."""
         if self._batch is not None and not self._abandoned:
             self._abandoned = True
             requests, self._batch.requests = self._batch.requests, []
@@ -248,37 +251,37 @@
 
     # --- operations ---
 
-    def _go_on(self) -> None:
-        """Begins the next operation if none is under way."""
+    def _start_next(self) -> None:
+        """Starts the next operation if none is under way."""
         while self._batch is None and not self.closed:
             batch = self._next()
             if batch is None:
                 return
-            batch.began = self.clock()
+            batch.started_at = self.clock()
             if not batch.writes:
-                batch.since = batch.began
+                batch.since = batch.started_at
             self._batch = batch
-            self.worker.run(batch.execute, self._ended)
+            self.worker.run(batch.execute, self._operation_finished)
 
-    def _ended(self, error: OSError | None) -> None:
+    def _operation_finished(self, error: OSError | None) -> None:
         batch, self._batch = self._batch, None
         assert batch is not None
         if self._abandoned:
-            # Guards against a record that is durable after all though its writer was notified that it failed.
+            # A record whose request was failed may be durable after all: the rewrite removes it.
             self._abandoned = False
-            self.intact, self._repair_wanted = False, True
-        batch.ended(error)
-        self._go_on()
+            self.intact, self._is_repair_requested = False, True
+        batch.finished(error)
+        self._start_next()
 
     def _next(self) -> _Batch | None:
         if not self.intact:
-            is_due = self._repair_wanted or self._waiting or self._requests
+            is_due = self._is_repair_requested or self._waiting or self._requests
             return self._repair_operation() if is_due else None
         if self._step_bytes and self.rewrite is not None:
             return self._step_operation(self.rewrite)
         if self._waiting or self._requests:
             return self._append_operation()
-        if self._rewrite_wanted and self.rewrite is None:
+        if self._is_rewrite_requested and self.rewrite is None:
             return self._begin_rewrite_operation()
         return None
 
@@ -296,14 +299,14 @@
             if is_synced:
                 journal.sync()
 
-        def ended(error: OSError | None) -> None:
+        def finished(error: OSError | None) -> None:
             if error is None:
                 self._unsynced = not is_synced
                 self._report(batch.requests, None)
             else:
                 self._fail(error, batch.requests)
 
-        batch = _Batch(execute, ended, requests, writes=True, since=self._waiting_since)
+        batch = _Batch(execute, finished, requests, writes=True, since=self._waiting_since)
         return batch
 
     def _repair_operation(self) -> _Batch:
@@ -311,11 +314,11 @@
         records = [each.data for each in self._waiting if not each.in_content]
         requests, self._requests = self._requests, []
         self._drop_waiting()
-        self._repair_wanted = self._rewrite_wanted = False
+        self._is_repair_requested = self._is_rewrite_requested = False
         self._step_bytes = 0
         journal, version = self.journal, self.version
         abandoned, self.rewrite = self.rewrite, None
-        self.intact = True  # what comes from now on is written behind it
+        self.intact = True  # later records are appended after the rewrite
 
         def execute() -> None:
             if abandoned is not None:
@@ -326,7 +329,7 @@
                 journal.append_all(records)
                 journal.sync()
 
-        def ended(error: OSError | None) -> None:
+        def finished(error: OSError | None) -> None:
             if error is None:
                 self._unsynced = False
                 self.content.rewritten()
@@ -334,49 +337,49 @@
             else:
                 self._fail(error, batch.requests)
 
-        batch = _Batch(execute, ended, requests, writes=True, since=self._waiting_since)
+        batch = _Batch(execute, finished, requests, writes=True, since=self._waiting_since)
         return batch
 
     def _begin_rewrite_operation(self) -> _Batch:
         content = self.content.records()
         journal, version = self.journal, self.version
-        made: list[JournalRewrite] = []
+        begun: list[JournalRewrite] = []
 
         def execute() -> None:
             journal.version = version
-            made.append(journal.begin_rewrite())
+            begun.append(journal.begin_rewrite())
 
-        def ended(error: OSError | None) -> None:
-            self._rewrite_wanted = False
+        def finished(error: OSError | None) -> None:
+            self._is_rewrite_requested = False
             if error is not None:
                 self.content.noted(error)
             else:
-                self.rewrite = self.content.renewal(made[0], content)
+                self.rewrite = self.content.renewal(begun[0], content)
 
-        return _Batch(execute, ended)
+        return _Batch(execute, finished)
 
     def _step_operation(self, rewrite: Renewal) -> _Batch:
-        most, self._step_bytes = self._step_bytes, 0
+        max_bytes, self._step_bytes = self._step_bytes, 0
         is_complete: list[bool] = []
 
         def execute() -> None:
             try:
-                is_complete.append(rewrite.go_on(most))
+                is_complete.append(rewrite.go_on(max_bytes))
             except OSError:
                 rewrite.anew.abort()
                 raise
 
-        def ended(error: OSError | None) -> None:
+        def finished(error: OSError | None) -> None:
             if error is not None:
-                self._rewrite_ended()  # the old journal goes on
+                self._rewrite_ended()  # the old journal stays in use
                 self.content.noted(error)
             elif is_complete[0]:
                 self._rewrite_ended()
                 self._unsynced = False
 
-        return _Batch(execute, ended)
+        return _Batch(execute, finished)
 
-    # --- ends ---
+    # --- results ---
 
     def _rewrite_ended(self) -> None:
         self.rewrite, self._step_bytes = None, 0
@@ -386,7 +389,7 @@
         self._waiting_bytes = 0
 
     def _fail(self, error: OSError, requests: list[OnDone]) -> None:
-        """Nothing that waited is durable, and no record may follow before a rewrite."""
+        """Fails all waiting requests; no record may be appended before a rewrite."""
         later, self._requests = self._requests, []
         self._drop_waiting()
         self.intact, self._unsynced = False, False
@@ -394,7 +397,7 @@
         self._report([*requests, *later], error)
 
     def _report(self, requests: Iterable[OnDone], error: OSError | None) -> None:
-        """Calls in the order of the requests, also where a call brings about further ends."""
+        """Calls the requests in order, even if a call makes further operations finish."""
         self._unreported.extend((request, error) for request in requests)
         while self._unreported:
             request, error = self._unreported.popleft()
--- a/ochrecourse/fleet/log_state.py
+++ b/ochrecourse/fleet/log_state.py
@@ -1,6 +1,6 @@
-"""What a fleet member restores from its journal: the event log, who is a member, and its incarnation.
+"""The state that a fleet member restores from its journal: the event log, the membership, its incarnation.
 
-Each start of a gateway with its journal is a new incarnation; so is a return after the fleet has released it.
+Each start of a gateway is a new incarnation, and so is its return after the fleet has ended the previous one.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ochrecourse.fleet.operator_log import OperatorLog
 
 INCARNATION_RANDOM_BITS = 16
-JOURNAL_BYTES_PER_PULL = 16_384  # that are rewritten at a pull; some 100 records, a millisecond
+JOURNAL_BYTES_PER_PULL = 16_384  # rewritten per call; some 100 records, which take 1 ms
 
 
 class LogState:
-    """The log as it is stored, and what follows from it."""
+    """The log store and the state that is derived from it."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         return self.environment.unix_time_ms() + self.clock_shift_ms
 
     def begin_incarnation_if_due(self) -> None:
-        """Begins one if the fleet has released the present one, or has received a greater one."""
+        """Begins one if the fleet has ended the present one, or if a greater one of this name is known."""
         is_due = self.frontier.has_ended or self.members.highest_incarnation > self.log.incarnation
         if is_due and not self.log_store.is_beginning_incarnation:
             self.log_store.request_incarnation(
@@ -78,8 +78,8 @@
         self.operator_log.write("fleet life begun", life=result.incarnation, before=result.previous)
 
     def update_journal_form(self) -> None:
-        """Puts the journal in the form in force, as far as this program writes it: a program that does not
-        speak it notices at the first line, and not after half of the records.
+        """Raises the journal to the version in force, if this program supports it. A program that does not
+        support it then notices at the first line, and not after half of the records.
         """
         form = min(self.forms.in_force, self.forms.supported.newest)
         if form > self.log_store.format_version:
@@ -90,10 +90,10 @@
             )
 
     def continue_rewrite(self) -> bool:
-        """Rewrites the next piece of the journal; True if that ended a compaction of the log."""
-        was_shrinking = bool(self.log.compacting)
+        """Continues the maintenance of the journal; True if that completed a compaction of the log."""
+        was_compacting = bool(self.log.compacting)
         self.log_store.maintain(JOURNAL_BYTES_PER_PULL)
-        return was_shrinking and not self.log.compacting
+        return was_compacting and not self.log.compacting
 
     def _random_bits(self) -> int:
         return self.random_source.getrandbits(INCARNATION_RANDOM_BITS)
--- a/ochrecourse/fleet/wanted_appends.py
+++ b/ochrecourse/fleet/wanted_appends.py
@@ -1,15 +1,15 @@
-"""Appends what one source wants, entry after entry: the next is asked for once the last one is in the log."""
+"""Appends the entries that one source wants, one at a time: the next after the previous one is in the log."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-MAX_ENTRIES_PER_BEAT = 64  # that one source may append: a mistake of it floods nobody
+MAX_ENTRIES_PER_BEAT = 64  # of one source, so that an error in it cannot flood the log
 
 
 class WantedEntry(NamedTuple):
-    """An entry that a source wants appended. `must`: a full channel takes it too."""
+    """An entry that a source wants appended. `must`: even if the channel is full."""
 
     channel: str
     value: object
@@ -21,19 +21,21 @@
 
 
 class WantedAppends:
-    """One source's appends. `next_entry`: what it wants appended, None for nothing; a source that is asked
-    again before its entry is in the log would want it twice.
+    """One source's appends. `next_entry` returns the next entry that it wants, or None.
+
+    A source that is asked again before its entry is in the log would want it a second time.
     """
 
     def __init__(self, next_entry: Callable[[], WantedEntry | None], request_append: RequestAppend) -> None:
+        """Appends nothing before the first heartbeat interval has passed."""
         self.next_entry = next_entry
         self.request_append = request_append
-        self._left = 0  # entries that may still be appended in this beat
+        self._left = 0  # entries that may still be appended in this heartbeat interval
         self._is_waiting = False  # for the end of an append
         self._is_asking = False
 
     def beat(self) -> None:
-        """A beat has passed: appends what is wanted now."""
+        """Called at each heartbeat interval: appends the wanted entries."""
         self._left = MAX_ENTRIES_PER_BEAT
         self._go_on()
 
