--- a/ochrecourse/fleet/journal_writer.py
+++ b/ochrecourse/fleet/journal_writer.py
@@ -23,30 +23,30 @@
 
 class Renewal:
     """A rewrite of the journal in steps. `records_left`: records of the state at its begin that are not
-    written yet. `since`: records appended to the old journal after its begin.
+    written yet. `appended_since`: records appended to the old journal after its begin.
     """
 
-    def __init__(self, anew: JournalRewrite, records_left: Iterator[bytes]) -> None:
-        """Copies `records_left` into `anew`, the new file of the journal."""
-        self.anew = anew
+    def __init__(self, rewrite_file: JournalRewrite, records_left: Iterator[bytes]) -> None:
+        """Copies `records_left` into `rewrite_file`, the new file of the journal."""
+        self.rewrite_file = rewrite_file
         self.records_left = records_left
-        self.since: list[bytes] = []
+        self.appended_since: list[bytes] = []
         self.unsynced = 0
 
-    def go_on(self, max_bytes: int) -> bool:
+    def step(self, max_bytes: int) -> bool:
         """Writes up to `max_bytes`, at least one record; whether the rewrite is complete. Raises OSError."""
         while max_bytes > 0:
             record = next(self.records_left, None)
             if record is None:
-                for appended in self.since:
-                    self.anew.append(appended)
-                self.anew.commit()
+                for appended in self.appended_since:
+                    self.rewrite_file.append(appended)
+                self.rewrite_file.commit()
                 return True
-            size = self.anew.append(record)
+            size = self.rewrite_file.append(record)
             max_bytes -= size
             self.unsynced += size
         if self.unsynced > SYNC_STEP_BYTES:
-            self.anew.sync()
+            self.rewrite_file.sync()
             self.unsynced = 0
         return False
 
@@ -237,7 +237,7 @@
 
         def release() -> None:
             if rewrite is not None:
-                rewrite.anew.abort()
+                rewrite.rewrite_file.abort()
             self.journal.close()
 
         self.worker.run(release, lambda error: on_closed())
@@ -295,7 +295,7 @@
             if records:
                 journal.append_all(records)
             if rewrite is not None:
-                rewrite.since += records
+                rewrite.appended_since += records
             if is_synced:
                 journal.sync()
 
@@ -322,7 +322,7 @@
 
         def execute() -> None:
             if abandoned is not None:
-                abandoned.anew.abort()
+                abandoned.rewrite_file.abort()
             journal.version = version
             journal.rewrite(content)
             if records:
@@ -364,9 +364,9 @@
 
         def execute() -> None:
             try:
-                is_complete.append(rewrite.go_on(max_bytes))
+                is_complete.append(rewrite.step(max_bytes))
             except OSError:
-                rewrite.anew.abort()
+                rewrite.rewrite_file.abort()
                 raise
 
         def finished(error: OSError | None) -> None:
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -392,7 +392,7 @@
         claim = self._durable_claim.update(LogClaim(self.log.incarnation, status, fields["watermark"]))
         if claim is None:
             claim = LogClaim(self.log.incarnation, self.frontier.empty_status())
-        fields["watermark"] = claim.floor
+        fields["watermark"] = claim.watermark
         self.members.next_heartbeat(now, statuses={STATUS_KEY: claim.status, **statuses}, **fields)
 
     def _update_rate_limits(self, now: int) -> None:
--- a/ochrecourse/lab/mistakes.py
+++ b/ochrecourse/lab/mistakes.py
@@ -181,13 +181,13 @@
 
 def drops_since(patch: Patch) -> None:
     """What is written while the journal is rewritten is in the old one alone."""
-    go_on = Renewal.go_on
+    step = Renewal.step
 
     def forgets(self: Renewal, most: int) -> bool:
-        self.since.clear()
-        return go_on(self, most)
+        self.appended_since.clear()
+        return step(self, most)
 
-    patch(Renewal, "go_on", forgets)
+    patch(Renewal, "step", forgets)
 
 
 def snapshot_in_part(patch: Patch) -> None:
--- a/tests/test_fleet_absence.py
+++ b/tests/test_fleet_absence.py
@@ -391,9 +391,9 @@
 class Forgetful(log_store_module.Renewal):
     """A mistake on purpose: what comes while the journal is written anew is in the old one alone."""
 
-    def go_on(self, most):
-        self.since.clear()
-        return super().go_on(most)
+    def step(self, most):
+        self.appended_since.clear()
+        return super().step(most)
 
 
 def renewed(tmp_path, kind, monkeypatch):
@@ -446,7 +446,7 @@
     def full(record):
         raise OSError(28, "No space left on device")
 
-    first._renewal.anew.append = full
+    first._renewal.rewrite_file.append = full
     first.maintain(100)
     assert not first.needs_maintenance and first.notes == [
         "journal of the fleet can't be written: [Errno 28] No space left on device"
--- a/tests/test_journal_writer.py
+++ b/tests/test_journal_writer.py
@@ -306,9 +306,9 @@
 class Drops(log_store_module.Renewal):
     """A mistake on purpose: what comes while the journal is rewritten is in the old one alone."""
 
-    def go_on(self, most):
-        self.since.clear()
-        return super().go_on(most)
+    def step(self, most):
+        self.appended_since.clear()
+        return super().step(most)
 
 
 moves = st.lists(
