--- a/tests/fleet_worlds.py
+++ b/tests/fleet_worlds.py
@@ -1,6 +1,6 @@
-"""A small fleet in one process: gateways with log, members and frontier, messages that get lost or come in part,
-cuts, kills, journals lost or put back to an older copy, clocks that step. After each step the properties of the
-event log are looked at from outside; `Broken` says which one failed.
+"""A small fleet in one process: gateways with log, members and stability frontier, and faults: messages lost or
+delivered in part, partitions, kills, journals lost or restored from an older copy, clock steps. The properties of
+the event log are checked from outside after each step; `Broken` names the one that failed.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from ochrecourse.fleet.members import InvalidHeartbeatError, Members
 
 SECOND = 1_000_000_000
-QUIET, LET_GO = 2 * SECOND, 600 * SECOND
+SILENCE_TIMEOUT, EVICTION_TIME = 2 * SECOND, 600 * SECOND
 
 
 class Broken(AssertionError):
-    """A property does not hold."""
+    """A property was violated."""
 
 
 class Reader:
-    """Follows channel `x` of one gateway's log, over all its lives; what it was given is kept."""
+    """Follows channel `x` of one gateway's log over all its incarnations and records what it reads."""
 
     def __init__(self) -> None:
         self.cursor = ""
         self.given: list[Entry] = []
         self.late: list[Entry] = []
 
-    def read(self, log, most=1000):
-        told, self.cursor = log.read("x", self.cursor, most)
-        for one in told:
+    def read(self, log, max_entries=1000):
+        delivered, self.cursor = log.read("x", self.cursor, max_entries)
+        for one in delivered:
             if one.snapshot is not None:
                 self.given = [msgspec.json.decode(e, type=Entry) for e in json.loads(one.snapshot.value)]
             else:
@@ -44,25 +44,27 @@
 
 
 class Gateway:
-    kept, frontier_of = LogStore, Frontier
+    """One gateway of a world, with its journal and a reader."""
+
+    log_store_class, frontier_class = LogStore, Frontier
 
     def __init__(self, world, name, founders):
         self.world, self.name, self.founders = world, name, founders
         self.journal = MemoryJournal()
-        self.shift = 0
+        self.clock_shift_ms = 0
         self.reader = Reader()
         self.up = False
         self.start()
 
     def wall(self):
-        return self.world.now // 1_000_000 + 10_000_000 + self.shift
+        return self.world.now // 1_000_000 + 10_000_000 + self.clock_shift_ms
 
     def start(self):
         chance = self.world.chance()
-        self.log_kept = self.world.kept(self.journal, self.name, LogLimits(), self.wall(), chance)
+        self.log_kept = self.world.log_store_class(self.journal, self.name, LogLimits(), self.wall(), chance)
         self.log = self.log_kept.log
         self.members = Members(
-            self.name, self.log.incarnation, 0, QUIET, LET_GO, self.founders, self.world.now
+            self.name, self.log.incarnation, 0, SILENCE_TIMEOUT, EVICTION_TIME, self.founders, self.world.now
         )
         self.frontier = self.world.frontier(self.log, self.founders)
         self.up = True
@@ -84,17 +86,19 @@
             self.log_kept.append(FLEET_CHANNEL, wanted, self.wall(), must=True)
 
     def append(self):
-        held = [
-            place
+        positions = [
+            position
             for channel in self.log.channels()
-            for place in (e.position for e in self.log.events(channel))
+            for position in (e.position for e in self.log.events(channel))
         ]
         entry = self.log_kept.append("x", self.world.count, self.wall())
-        if held and entry.position <= max(held):
-            raise Broken(f"{self.name} appended {entry.position} before {max(held)}, which it had seen")
+        if positions and entry.position <= max(positions):
+            raise Broken(
+                f"{self.name} appended {entry.position} before {max(positions)}, which it had stored"
+            )
         earlier = self.world.written.setdefault((entry.stream, entry.seq), entry)
         if earlier != entry:
-            raise Broken(f"{earlier} and {entry} are one number")
+            raise Broken(f"{earlier} and {entry} have the same number")
         self.world.answered[entry.stream, entry.seq] = entry
 
     def compact(self, upto):
@@ -102,33 +106,35 @@
         self.log_kept.compact("x", upto, given)
         self.log_kept.compact(FLEET_CHANNEL, upto, {STATUS_KEY: self.frontier.snapshot_value(upto)})
 
-    def tell(self, other, most=1000):
-        """Rows, then up to so many entries."""
-        for row in list(self.members.heartbeats.values()):
+    def tell(self, other, max_entries=1000):
+        """Sends heartbeats, snapshots and up to `max_entries` entries to another gateway."""
+        for heartbeat in list(self.members.heartbeats.values()):
             with contextlib.suppress(InvalidHeartbeatError):
-                if row.number and other.members.receive(row, self.world.now):
-                    other.frontier.receive(row)
-        for piece in self.log.snapshots_for(other.log.vector()):
-            if other.log_kept.take_snapshot(piece):
+                if heartbeat.number and other.members.receive(heartbeat, self.world.now):
+                    other.frontier.receive(heartbeat)
+        for item in self.log.snapshots_for(other.log.vector()):
+            if other.log_kept.take_snapshot(item):
                 other.frontier.snapshot_received()
-        if most:
-            with contextlib.suppress(InvalidEntryError):  # a clock too far ahead: again when that is over
+        if max_entries:
+            with contextlib.suppress(InvalidEntryError):  # a clock too far ahead; retried later
                 other.log_kept.merge(
-                    self.log.missing_entries(other.log.vector(), most, 1 << 20), other.wall()
+                    self.log.missing_entries(other.log.vector(), max_entries, 1 << 20), other.wall()
                 )
 
 
 class World:
-    def __init__(self, size, kept=LogStore, frontier=Frontier):
-        self.kept, self.frontier = kept, frontier
+    """All gateways of a fleet, the partitions between them, and what is known of confirmed appends."""
+
+    def __init__(self, size, log_store_class=LogStore, frontier=Frontier):
+        self.log_store_class, self.frontier = log_store_class, frontier
         self.now = 0
         self.count = 0
         self.draws = 0
-        self.answered: dict = {}  # entries that must not be lost
+        self.answered: dict = {}  # entries of confirmed appends, which must not be lost
         self.written: dict = {}
-        self.order: list[Entry] = []  # the longest that any reader was given
+        self.order: list[Entry] = []  # the longest sequence that any reader has read
         names = [chr(97 + i) for i in range(size)]
-        self.lost: set[str] = set()  # lost their disks and do not count again yet
+        self.lost: set[str] = set()  # names that lost their disks and are not active again yet
         self.cut: set[tuple[str, str]] = set()
         self.gateways = {n: Gateway(self, n, names) for n in names}
         self.older = {n: [] for n in names}
@@ -137,8 +143,8 @@
         self.draws += 1
         return self.draws
 
-    def round(self, most=1000):
-        """A beat of everybody who is up, told to everybody who is not cut off."""
+    def round(self, max_entries=1000):
+        """A heartbeat of every running gateway, sent to all that are not partitioned from it."""
         self.now += SECOND // 4
         for gateway in self.gateways.values():
             if gateway.up:
@@ -146,12 +152,12 @@
         for a in self.gateways.values():
             for b in self.gateways.values():
                 if a is not b and a.up and b.up and (a.name, b.name) not in self.cut:
-                    a.tell(b, most)
+                    a.tell(b, max_entries)
 
-    # steps; each takes plain numbers, so that any driver can make them
+    # steps; each takes plain numbers, so that any driver can choose them
 
     def take(self, move):
-        """A move of the model checker, in words."""
+        """Executes a move of the model checker, given as text."""
         what, *names = move.split()
         named = [self.gateways[n] for n in names]
         self.count += 1
@@ -161,7 +167,7 @@
             named[0].tell(named[1])
         elif what == "append":
             named[0].append()
-        else:  # killed and begun anew, its journal kept or lost
+        else:  # killed and restarted, with or without its journal
             if what == "lose":
                 named[0].journal.stored = []
             named[0].start()
@@ -191,7 +197,7 @@
         self.round([0, 1, 1000][number % 3])
 
     def _cut(self, one, two, number):
-        """One way, both ways, or one gateway from all."""
+        """Partitions two gateways in one or both directions, or one gateway from all."""
         others = [two] if number % 3 < 2 else list(self.gateways.values())
         for other in others:
             self.cut.add((one.name, other.name))
@@ -206,19 +212,19 @@
 
     def _kill(self, one, two, number):
         one.up = False
-        if number % 4 in (1, 2) and self._kept_by(one):
-            self.lost.add(one.name)  # nothing is promised where all that count lose their disks at once
+        if number % 4 in (1, 2) and self._other_active_with_disk(one):
+            self.lost.add(one.name)  # if all active gateways lose their disks at once, nothing is guaranteed
             copies = self.older[one.name]
             one.journal.stored = list(copies[number % len(copies)]) if number % 4 == 2 and copies else []
             one.log = Log(one.name, 0, LogLimits())
             left = {
                 (e.stream, e.seq) for g in self.gateways.values() if g is not one for e in g.log.all_entries()
             }
-            for key in [k for k in self.answered if k not in left]:  # it alone held them
+            for key in [k for k in self.answered if k not in left]:  # only this gateway had stored them
                 del self.answered[key]
 
-    def _kept_by(self, one):
-        """Who counts, keeps its disk and is not `one`."""
+    def _other_active_with_disk(self, one):
+        """The active gateways that have their disks, without `one`."""
         newest = max(self.gateways.values(), key=lambda g: g.frontier.membership.last)
         return set(newest.frontier.membership.active) - self.lost - {one.name}
 
@@ -227,10 +233,10 @@
             one.start()
 
     def _clock(self, one, two, number):
-        one.shift = [0, 3_500_000, -3_600_000, 30_000, -40_000][number % 5]
+        one.clock_shift_ms = [0, 3_500_000, -3_600_000, 30_000, -40_000][number % 5]
 
     def _compact(self, one, two, number):
-        """A snapshot of `x` is the list of what it stands for, so that readers can be checked over it."""
+        """A snapshot of `x` is the list of the entries that it replaces, so that readers can be checked across it."""
         if one.up:
             one.compact(one.log.frontier())
 
@@ -257,29 +263,29 @@
         shorter, longer = sorted((given, self.order), key=len)
         if longer[: len(shorter)] != shorter:
             at = next(i for i, (p, q) in enumerate(zip(given, self.order, strict=False)) if p != q)
-            raise Broken(f"{gateway.name} was given {given[at]} where another was given {self.order[at]}")
+            raise Broken(f"{gateway.name} delivered {given[at]} where another delivered {self.order[at]}")
         self.order = list(longer)
-        mark = given[-1].position if given else LogPosition(Timestamp(0, 0), "", 0, 0)
-        had = {e.position for e in given}
+        last_position = given[-1].position if given else LogPosition(Timestamp(0, 0), "", 0, 0)
+        read_positions = {e.position for e in given}
         for entry in log.events("x"):
             if (
-                entry.position <= mark
+                entry.position <= last_position
                 and entry.at <= log.frontier()
                 and log.classify(entry) == ORDINARY
-                and entry.position not in had
+                and entry.position not in read_positions
             ):
-                raise Broken(f"{gateway.name} holds {entry}, ordinary, before what its reader had")
-            if entry.position in had and log.classify(entry) == LATE:
-                raise Broken(f"{gateway.name} calls {entry} late, which its reader was given in order")
+                raise Broken(f"{gateway.name} stores ordinary {entry} before the last entry of its reader")
+            if entry.position in read_positions and log.classify(entry) == LATE:
+                raise Broken(f"{gateway.name} classifies {entry} as late, but delivered it in order")
         if log.forks:
             raise Broken(f"{gateway.name}: {log.forks}")
         for chain in log.chains.values():
-            held = [e.seq for e in chain.entries_after(0)]
-            if held and held[-1] > chain.last:
-                raise Broken(f"{gateway.name}: {held} of {chain.last}")
+            seqs = [e.seq for e in chain.entries_after(0)]
+            if seqs and seqs[-1] > chain.last:
+                raise Broken(f"{gateway.name}: {seqs} of {chain.last}")
 
     def _check_frontier(self, gateway):
-        """Whatever anybody holds at or before it, and calls ordinary, is held here."""
+        """All ordinary entries at or before the frontier that any gateway has stored must be stored here."""
         log, vector = gateway.log, gateway.log.vector()
         for other in self.gateways.values():
             for entry in other.log.events("x") if other is not gateway else ():
@@ -289,20 +295,19 @@
                     entry.seq > vector.get(entry.stream, 0)
                     and other.log.classify(entry) == log.classify(entry) == ORDINARY
                 ):
-                    raise Broken(f"{gateway.name} is past {entry} of {other.name}, which it never held")
+                    raise Broken(f"{gateway.name} is past {entry} of {other.name}, which it has not stored")
 
     def settle(self):
-        """All cuts healed, everybody up: then everybody holds, orders and calls late the same, and all of it."""
+        """Heals all partitions and starts all gateways; then all must store, order and classify the same entries."""
         self.cut.clear()
         for gateway in self.gateways.values():
-            gateway.shift = 0
+            gateway.clock_shift_ms = 0
             if not gateway.up:
                 gateway.start()
         top = max(g.log.clock.ms for g in self.gateways.values())
-        for (
-            gateway
-        ) in self.gateways.values():  # a clock that was ahead holds the order back until it is reached
-            gateway.shift = max(0, top - 10_000_000 - self.now // 1_000_000) + 1000
+        for gateway in self.gateways.values():
+            # The frontier waits until the other clocks reach one that was ahead.
+            gateway.clock_shift_ms = max(0, top - 10_000_000 - self.now // 1_000_000) + 1000
         for _ in range(14):
             self.round()
             self.check()
@@ -313,21 +318,21 @@
         for other in rest:
             for channel in first.log.channels():
                 if first.log.dump(channel) != other.log.dump(channel):
-                    raise Broken(f"{first.name} and {other.name} hold different entries of {channel}")
+                    raise Broken(f"{first.name} and {other.name} store different entries of {channel}")
             if first.reader.given != other.reader.given:
                 raise Broken(
-                    f"{other.name} was given {len(other.reader.given)}, {first.name} {len(first.reader.given)}"
+                    f"{other.name} delivered {len(other.reader.given)} entries, {first.name} {len(first.reader.given)}"
                 )
-        told = {e.position for e in first.reader.given} | {e.position for e in first.reader.late}
+        delivered = {e.position for e in first.reader.given} | {e.position for e in first.reader.late}
         for gateway in self.gateways.values():
             given, late = ({e.position for e in es} for es in (gateway.reader.given, gateway.reader.late))
-            if lacking := {e.position for e in gateway.log.events("x")} - given - late:
-                raise Broken(f"{gateway.name} was not told of {lacking}")
+            if missing := {e.position for e in gateway.log.events("x")} - given - late:
+                raise Broken(f"{gateway.name} did not deliver {missing}")
             if given & late:
-                raise Broken(f"{gateway.name} was told {given & late} both in order and as late")
+                raise Broken(f"{gateway.name} delivered {given & late} both in order and as late")
         for key, entry in self.answered.items():
-            if entry.position not in told:
-                raise Broken(f"{key} was answered and never told")
+            if entry.position not in delivered:
+                raise Broken(f"{key} was confirmed but not delivered")
 
 
 KINDS = (
@@ -343,10 +348,10 @@
 )
 
 
-def play(seed, size=3, steps=60, kept=LogStore, frontier=Frontier):
-    """A world's life by chance; raises Broken."""
+def play(seed, size=3, steps=60, log_store_class=LogStore, frontier=Frontier):
+    """Runs a random world; raises Broken."""
     rng = random.Random(seed)
-    world = World(size, kept, frontier)
+    world = World(size, log_store_class, frontier)
     for _ in range(rng.choice((0, 3, 3, 3))):
         world.round()
     for _ in range(steps):
@@ -356,12 +361,12 @@
 
 
 def first_broken(seeds, **how):
-    """The first seed whose world breaks a property, and how."""
+    """The first seed whose world violates a property, and the reason; None if there is none."""
     for seed in seeds:
         try:
             play(seed, **how)
         except Broken as broken:
             return seed, str(broken)
-        except AppendRejectedError as refused:
-            return seed, f"refused: {refused}"
+        except AppendRejectedError as rejected:
+            return seed, f"rejected: {rejected}"
     return None
--- a/tests/test_fleet_frontier.py
+++ b/tests/test_fleet_frontier.py
@@ -1,5 +1,5 @@
-"""The frontier: a reader at or below it never sees anything ordinary come before what it has read, whatever is
-lost, cut, killed or restored; everybody orders alike and calls the same entries late; nothing answered is lost.
+"""The stability frontier: no ordinary entry appears before what a reader has read, whatever is lost, partitioned,
+killed or restored; all gateways order and classify entries alike; no entry of a confirmed append is lost.
 """
 
 from __future__ import annotations
@@ -59,56 +59,62 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 4, 5])
-def test_worlds_by_chance_keep_the_properties(size):
+def test_random_worlds_keep_the_properties(size):
     assert first_broken(range(20), size=size) is None
 
 
-# mistakes made on purpose
+# seeded defects
 
 
-class PastTheSilent(Frontier):
-    """Leaves out of the frontier whoever has not told of this view."""
+class SkipsMembersOfOtherViews(Frontier):
+    """Ignores members that have not reported a watermark with this view."""
 
-    def _watermark_of(self, name, life):
-        return max(super()._watermark_of(name, life), self.watermark)
+    def _watermark_of(self, name, incarnation):
+        return max(super()._watermark_of(name, incarnation), self.watermark)
 
 
-class AnyView(Frontier):
-    """Takes floors that rest on another view of who counts."""
+class IgnoresViews(Frontier):
+    """Uses watermarks that were computed with another membership view."""
 
-    def _watermark_of(self, name, life):
-        row = self.heartbeats.get(name)
-        return self.watermark if name == self.log.name else row.watermark if row is not None else START
+    def _watermark_of(self, name, incarnation):
+        heartbeat = self.heartbeats.get(name)
+        return (
+            self.watermark
+            if name == self.log.name
+            else heartbeat.watermark
+            if heartbeat is not None
+            else START
+        )
 
 
-class PromiseUnheld(Frontier):
-    """Believes promises whose entries are still on their way."""
+class TrustsPromisesWithoutEntries(Frontier):
+    """Trusts promises whose entries have not arrived yet."""
 
     def _holds(self, stream, seq):
         return True
 
 
-class Furthest(Frontier):
-    """Takes the greatest promise for the floor."""
+class GreatestPromiseAsWatermark(Frontier):
+    """Uses the greatest promise as the watermark."""
 
     def _own_watermark(self):
         return max(self._watermarks.values(), default=START)
 
 
 class LateByArrival(Frontier):
-    """Calls late what came when the frontier was past it, which differs from one gateway to the next."""
+    """Classifies entries as late by their time of arrival, which differs between gateways."""
 
     def __init__(self, log, founders):
         super().__init__(log, founders)
-        self.tardy = set()
-        log.listeners.append(lambda e: self.tardy.add(e.position) if e.at <= log.stable else None)
-        log.classify = lambda e: LATE if e.position in self.tardy else ORDINARY
+        self.late_positions = set()
+        log.listeners.append(lambda e: self.late_positions.add(e.position) if e.at <= log.stable else None)
+        log.classify = lambda e: LATE if e.position in self.late_positions else ORDINARY
 
 
-class AloneLetsGo(Frontier):
-    """Lets a member go without asking the others."""
+class ClosesAlone(Frontier):
+    """Closes an incarnation without a majority."""
 
-    def _close(self, reached):
+    def _close(self, reachable):
         for stream in sorted(self._departed):
             return {
                 "what": "close",
@@ -119,49 +125,51 @@
         return None
 
 
-class AloneLetsGoAtOnce(AloneLetsGo):
-    def next_event(self, reached, away):
-        self._departed |= {s for s in self.membership.active.items() if s[0] not in reached}
-        return super().next_event(reached, away)
+class ClosesAloneAtOnce(ClosesAlone):
+    """Closes unreachable incarnations at once."""
+
+    def next_event(self, reachable, departed):
+        self._departed |= {s for s in self.membership.active.items() if s[0] not in reachable}
+        return super().next_event(reachable, departed)
 
 
-class NewLifeFromTheStart(Frontier):
-    """Lets a new life be ordinary wherever it stands."""
+class AdmitsFromTheStart(Frontier):
+    """Admits a new incarnation from the beginning of the order."""
 
     def _start_of(self, name):
         return START
 
 
-class NewLifeUnasked(Frontier):
-    """Admits a new life without the entries that its earlier ones wrote."""
+class AdmitsWithoutEarlierEntries(Frontier):
+    """Admits a new incarnation without the entries of the earlier ones."""
 
     def _holds_earlier_incarnations(self, name):
         return True
 
-    def _admitted(self, name, life, start):
-        return super()._admitted(name, life, start).__class__(name, life, start, [])
+    def _admitted(self, name, incarnation, start):
+        return super()._admitted(name, incarnation, start).__class__(name, incarnation, start, [])
 
 
-class LifeReused(LogStore):
-    """Goes on after a restart where its journal ends."""
+class ReusesIncarnation(LogStore):
+    """Continues the previous incarnation after a restart."""
 
-    def __init__(self, journal, name, bounds, wall_ms, chance):
-        super().__init__(journal, name, bounds, wall_ms, chance)
+    def __init__(self, journal, name, limits, wall_ms, chance):
+        super().__init__(journal, name, limits, wall_ms, chance)
         self.log.incarnation = self._last_incarnation = (
-            1  # as would a life counted on from a journal that was put back
+            1  # as if counted up from a journal restored from an older copy
         )
 
 
 MISTAKES = {
     "frontier": [
-        PastTheSilent,
-        PromiseUnheld,
+        SkipsMembersOfOtherViews,
+        TrustsPromisesWithoutEntries,
         LateByArrival,
-        AloneLetsGoAtOnce,
-        NewLifeFromTheStart,
-        NewLifeUnasked,
+        ClosesAloneAtOnce,
+        AdmitsFromTheStart,
+        AdmitsWithoutEarlierEntries,
     ],
-    "kept": [LifeReused],
+    "log_store_class": [ReusesIncarnation],
 }
 
 
@@ -170,54 +178,54 @@
     [(w, m) for w, ms in MISTAKES.items() for m in ms],
     ids=lambda p: getattr(p, "__name__", p),
 )
-def test_a_mistake_is_caught(where, mistake):
+def test_a_seeded_defect_is_detected(where, mistake):
     assert first_broken(range(400), size=3, **{where: mistake}) is not None
 
 
-def race(frontier):
-    """`e` lets `x` go without an entry that `a` has, and `a` hears of the floors after it, but not yet of the event."""
+def closes_before_event_arrives(frontier):
+    """`e` closes an incarnation without an entry that `a` has; `a` receives later watermarks, but not the event yet."""
     world = World(5, frontier=frontier)
     a, b, c, d, e = world.gateways.values()
     for _ in range(3):
         world.round()
     c.append()
-    told = [b, d, e]
-    for other in told:
+    receivers = [b, d, e]
+    for other in receivers:
         world.now += 1_000_000
         other.beat()
         other.tell(c, 0)
     a.beat()
     a.tell(c, 0)
     c.beat()
-    c.tell(a)  # the entry, and that c's floor is past it
+    c.tell(a)  # the entry, and that c's watermark is past it
     c.up = False
-    for one in told:
+    for one in receivers:
         a.tell(one, 0)
     world.now += 601 * 1_000_000_000
     for _ in range(8):
         world.now += 100_000_000
-        for gateway in (a, *told):
+        for gateway in (a, *receivers):
             gateway.beat()
-        for one in told:
+        for one in receivers:
             a.tell(one, 0)
-            for two in told:
+            for two in receivers:
                 if one is not two:
                     one.tell(two)
-    for one in told:
+    for one in receivers:
         one.tell(a, 0)
     world.check()
     world.settle()
     return b.log.frontier()
 
 
-def test_a_frontier_never_rests_on_two_views_of_who_counts():
-    assert race(Frontier) > START
+def test_the_frontier_never_combines_two_membership_views():
+    assert closes_before_event_arrives(Frontier) > START
     with pytest.raises(Broken):
-        race(AnyView)
+        closes_before_event_arrives(IgnoresViews)
 
 
-def test_the_order_goes_on_past_a_fork_and_its_writer_begins_a_new_life():
-    """Two processes of one life, as a copied machine has them: what both wrote alike stays, the rest is late."""
+def test_the_frontier_advances_past_a_fork_and_its_writer_begins_a_new_incarnation():
+    """Two processes with one incarnation, as on a copied machine: common entries are retained, the rest is late."""
     world = World(3)
     a, b, c = world.gateways.values()
     for _ in range(3):
@@ -234,53 +242,51 @@
         if entry.seq < a.log.chains[stream].last:
             other.restore(entry)
     c.log_kept.merge([other.append("x", "of the other process", a.wall())], c.wall())
-    held = b.log.frontier()
+    frontier_before = b.log.frontier()
     for _ in range(12):
         world.round()
     assert "two histories" in b.log.forks[stream] and "another history" in c.log.forks[stream]
     assert a.log.incarnation > stream[1]
-    assert b.log.frontier() > held and c.log.frontier() > held
+    assert b.log.frontier() > frontier_before and c.log.frontier() > frontier_before
     for gateway in (a, b, c):
         gateway.frontier.settle()
         gateway.reader.read(gateway.log)
         assert gateway.reader.given == a.reader.given and len(a.reader.given) == 1
 
 
-def test_an_event_that_changed_nothing_is_not_said_again():
-    """Guards against a gateway that fills the log because what it says is late."""
+def test_an_event_without_effect_is_not_repeated():
+    """Guards against a gateway that fills the log with repeated events because they are late."""
     world = World(2)
     a, b = world.gateways.values()
     a.beat()
     b.beat()
     b.tell(a, 0)
     wanted = a.frontier.next_event(["a", "b"], [])
-    assert (
-        wanted is not None and a.frontier.next_event(["a", "b"], []) == wanted
-    )  # as long as it was not appended
+    assert wanted is not None and a.frontier.next_event(["a", "b"], []) == wanted  # until it is appended
     a.frontier._update_membership = lambda: None
     a.log_kept.append("fleet", wanted, a.wall(), must=True)
     assert a.frontier.next_event(["a", "b"], []) is None
 
 
-def test_a_clock_that_merges_do_not_raise_is_caught(monkeypatch):
-    class Unraised(Log):
+def test_a_clock_that_merges_do_not_advance_is_detected(monkeypatch):
+    class ClockNotAdvanced(Log):
         def _add(self, entry):
             clock = self.clock
             super()._add(entry)
             if entry.writer != self.name:
                 self.clock = clock
 
-    monkeypatch.setattr(log_store_module, "Log", Unraised)
+    monkeypatch.setattr(log_store_module, "Log", ClockNotAdvanced)
     assert first_broken(range(100), size=3) is not None
 
 
-# all small worlds
+# exhaustive search of small worlds
 
 MOVES = ["append b", "append c", "rows", "tell b a", "tell c a", "tell b c", "kill b", "lose b"]
 
 
-def explored(frontier=Frontier, depth=4):
-    """All worlds of three gateways up to so many moves after the fleet began; a state is a pickled world."""
+def small_worlds(frontier=Frontier, depth=4):
+    """All worlds of three gateways within `depth` moves after the start of the fleet; states are pickled worlds."""
     world = World(3, frontier=frontier)
     for _ in range(3):
         world.round()
@@ -304,25 +310,25 @@
     )  # fmt: skip
 
 
-def holds(frontier, depth):
-    result = check_safety(explored(frontier, depth), max_states=500_000)
+def is_safe(frontier, depth):
+    result = check_safety(small_worlds(frontier, depth), max_states=500_000)
     return all(each["holds"] for each in result["properties"].values())
 
 
 def test_no_small_world_moves_the_frontier_too_far():
-    assert holds(Frontier, 4)
+    assert is_safe(Frontier, 4)
 
 
-def test_the_checker_finds_a_promise_believed_before_its_entries_came():
-    assert not holds(PromiseUnheld, 4)
+def test_the_checker_finds_a_promise_trusted_before_its_entries_arrive():
+    assert not is_safe(TrustsPromisesWithoutEntries, 4)
 
 
-def test_the_checker_finds_a_floor_that_forgets_who_is_behind():
-    assert not holds(Furthest, 4)
+def test_the_checker_finds_a_watermark_that_ignores_slower_members():
+    assert not is_safe(GreatestPromiseAsWatermark, 4)
 
 
-def test_a_fleet_whose_members_all_began_anew_goes_on_where_one_had_promised_further():
-    # The first to go is the one that says the new beginning, and the others had promised seconds beyond it.
+def test_a_fleet_whose_members_all_restarted_continues_after_the_greatest_promise():
+    # The gateway that stops first writes the first event, and the promises of the others are seconds past its own.
     world = World(3)
     for _ in range(8):
         world.round()
@@ -335,6 +341,6 @@
     for _ in range(8):
         world.round()
         world.check()
-    lives = {gateway.name: gateway.log.incarnation for gateway in world.gateways.values()}
-    assert all(gateway.frontier.membership.active == lives for gateway in world.gateways.values())
+    incarnations = {gateway.name: gateway.log.incarnation for gateway in world.gateways.values()}
+    assert all(gateway.frontier.membership.active == incarnations for gateway in world.gateways.values())
     assert all(gateway.log.frontier() > START for gateway in world.gateways.values())
--- a/tests/test_fleet_lives.py
+++ b/tests/test_fleet_lives.py
@@ -1,5 +1,5 @@
-"""Lives that are over are forgotten everywhere alike, none of their numbers is ever given out again, and nothing of
-them is lost without a word; a name that does not come back is given up by a person, and taken back when it does.
+"""Ended incarnations are retired alike on all gateways, their numbers are never assigned again, and entries that are
+dropped are noted. Operators declare names departed that do not return; a name that returns is accepted again.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 class Restarting(World):
-    """A world whose gateways restart much; beside what every world is held to: whatever is forgotten was told or is
-    named, and all forget the same."""
+    """A world whose gateways restart often. Checks in addition that retired entries were delivered or noted, and that
+    all gateways retire the same."""
 
     def __init__(self, size, **made):
         super().__init__(size, **made)
@@ -29,18 +29,18 @@
             if gateway.up:
                 gateway.log_kept.maintain(1 << 20)
                 self.notes.update(gateway.log.notes)
-                fresh = Reader()  # one who begins now gets the same, from a snapshot or by entries
-                fresh.read(gateway.log)
-                if fresh.given != self.order[: len(fresh.given)]:
+                new_reader = Reader()  # a new reader gets the same, from a snapshot or from entries
+                new_reader.read(gateway.log)
+                if new_reader.given != self.order[: len(new_reader.given)]:
                     raise Broken(
-                        f"{gateway.name} gives a new reader {fresh.given}, where another was given {self.order}"
+                        f"{gateway.name} gives a new reader {new_reader.given}, where another was given {self.order}"
                     )
                 for stream in gateway.log.chains:
                     if gateway.log.has_ended(stream):
-                        raise Broken(f"{gateway.name} holds {stream}, which it forgot")
+                        raise Broken(f"{gateway.name} stores {stream}, which it has retired")
 
     def restart(self, name, disk=None, rounds=4):
-        """`disk`: what its journal is put back to."""
+        """`disk`: records that replace its journal."""
         gateway = self.gateways[name]
         if disk is not None:
             gateway.journal.stored = list(disk)
@@ -65,18 +65,18 @@
         for key in [k for k, entry in self.answered.items() if self.named(entry)]:
             del self.answered[key]
         super().settle()
-        for _ in range(3):  # a retirement, and the snapshot with it
+        for _ in range(3):  # a retirement, and the snapshot that includes it
             for _ in range(4):
                 self.round()
                 self.check()
             self.compact_all()
-        overs = {
+        ended_by_gateway = {
             g.name: (g.frontier.membership.value().get("over"), sorted(g.log.vector().items()))
             for g in self.gateways.values()
         }
-        first = next(iter(overs.values()))
-        if any(over != first for over in overs.values()):
-            raise Broken(f"not alike in what is over: {overs}")
+        first = next(iter(ended_by_gateway.values()))
+        if any(ended != first for ended in ended_by_gateway.values()):
+            raise Broken(f"gateways differ in ended incarnations: {ended_by_gateway}")
 
 
 class Lives(RuleBasedStateMachine):
@@ -155,31 +155,31 @@
 )
 
 
-class Unasked(Frontier):
-    """Retires lives that it holds nothing of itself, whatever the others say."""
+class RetiresAlone(Frontier):
+    """Retires incarnations without the agreement of the others."""
 
-    def _retire(self, reached):
-        for row in self.heartbeats.values():
-            self.statuses[row.name].retirable = list(self._retirable)
-        return super()._retire(reached)
+    def _retire(self, reachable):
+        for heartbeat in self.heartbeats.values():
+            self.statuses[heartbeat.name].retirable = list(self._retirable)
+        return super()._retire(reachable)
 
 
-class TakenAgain(Log):
-    """Forgets lives, but takes what comes of them."""
+class AcceptsEndedIncarnations(Log):
+    """Retires incarnations, but accepts their entries again."""
 
     def has_ended(self, stream):
         return False
 
 
-def begun(size=3, **made):
+def started_world(size=3, **made):
     world = Restarting(size, **made)
     for _ in range(4):
         world.round()
     return world
 
 
-def worn(world, name="b", times=5):
-    """So many restarts with an entry in each life, then rest until they are retired."""
+def restarted_often(world, name="b", times=5):
+    """Restarts a gateway several times with an entry in each incarnation, and runs until those are retired."""
     for _ in range(times):
         world.gateways[name].append()
         world.restart(name)
@@ -191,21 +191,25 @@
     return world
 
 
-def lives_of(gateway, name):
+def incarnations_of(gateway, name):
     return sorted(life for writer, life in gateway.log.chains if writer == name)
 
 
-def test_lives_that_ended_are_forgotten_by_all_and_after_a_restart_too():
-    world = worn(begun())
+def test_ended_incarnations_are_retired_by_all_and_after_a_restart_too():
+    world = restarted_often(started_world())
     before = world.gateways["b"].log.incarnation
     for gateway in world.gateways.values():
-        assert len(lives_of(gateway, "b")) <= 2, gateway.name  # the last that wrote, and the one that runs
+        assert len(incarnations_of(gateway, "b")) <= 2, (
+            gateway.name
+        )  # the last one with entries, and the running one
         assert len(gateway.frontier.membership.value()["ends"]) <= 2
         assert not gateway.log.notes
     world.restart("c")
-    world.restart("a", disk=[])  # an empty disk gets the snapshots through the one life that stays
+    world.restart(
+        "a", disk=[]
+    )  # a gateway with an empty disk gets the snapshots with the hole of the retained incarnation
     for gateway in world.gateways.values():
-        assert len(lives_of(gateway, "b")) <= 2
+        assert len(incarnations_of(gateway, "b")) <= 2
         assert [e.body for e in gateway.reader.given] == [e.body for e in world.order] and len(
             world.order
         ) == 5
@@ -213,18 +217,18 @@
     world.settle()
 
 
-def test_a_retired_life_that_comes_back_is_named_and_never_taken():
-    world = begun()
+def test_entries_of_a_retired_incarnation_are_noted_and_never_accepted():
+    world = started_world()
     b = world.gateways["b"]
     world.cut |= {("b", "a"), ("b", "c")}
-    b.append()  # nobody hears of it
+    b.append()  # no other gateway receives it
     unseen = b.log.events("x")[-1]
     disk = list(b.journal.stored)
     b.journal.stored = []
     world.cut.clear()
     del world.answered[unseen.stream, unseen.seq]
     world.restart("b")
-    worn(world)
+    restarted_often(world)
     for gateway in world.gateways.values():
         assert gateway.log.has_ended(unseen.stream)
         gateway.log_kept.merge([unseen], gateway.wall())
@@ -236,23 +240,23 @@
     world.settle()
 
 
-def test_an_append_of_a_life_that_is_over_is_refused():
-    world = worn(begun())
+def test_an_append_of_an_ended_incarnation_is_rejected():
+    world = restarted_often(started_world())
     b = world.gateways["b"]
     b.log.incarnation = b.log.ended_incarnations["b"][
         0
-    ]  # as after a clock that was put back, until the next beat
+    ]  # as after a clock set back, until the next heartbeat
     with pytest.raises(AppendRejectedError, match="is over"):
         b.log_kept.append("x", 1, b.wall())
 
 
-def test_the_same_view_whether_events_are_held_or_stand_in_a_snapshot():
-    """Guards against gateways that wait for each other for ever because one of them has compacted."""
-    world = begun()
-    worn(world, times=3)
+def test_the_membership_view_is_the_same_from_events_and_from_a_snapshot():
+    """Guards against gateways that wait for each other forever because only one of them has compacted."""
+    world = started_world()
+    restarted_often(world, times=3)
     events = []
     for gateway in world.gateways.values():
-        gateway.log_kept.compact = lambda *_: None  # what follows is held as events by all
+        gateway.log_kept.compact = lambda *_: None  # later events are not compacted
     for name in ("b", "c", "b", "c"):
         world.restart(name)
     a = world.gateways["a"]
@@ -265,9 +269,9 @@
         assert split.digest == whole.digest and split.value() == whole.value()
 
 
-def compacted_apart(frontier):
-    """One gateway has all of `b`'s lives in snapshots, the others hold their entries in channel `x`."""
-    world = begun(frontier=frontier)
+def compacted_unequally(frontier):
+    """One gateway has compacted all of `b`'s entries in channel `x`, the others still store them."""
+    world = started_world(frontier=frontier)
     for _ in range(5):
         world.gateways["b"].append()
         world.restart("b")
@@ -282,29 +286,29 @@
     return world
 
 
-def test_nothing_is_retired_before_all_that_count_hold_nothing_of_it():
-    world = compacted_apart(Frontier)
-    assert len(world.order) == 5 and all(len(lives_of(g, "b")) == 5 for g in world.gateways.values())
-    worn(world, times=0)
-    assert all(len(lives_of(g, "b")) == 1 for g in world.gateways.values())
+def test_an_incarnation_is_retired_only_when_no_active_member_stores_its_entries():
+    world = compacted_unequally(Frontier)
+    assert len(world.order) == 5 and all(len(incarnations_of(g, "b")) == 5 for g in world.gateways.values())
+    restarted_often(world, times=0)
+    assert all(len(incarnations_of(g, "b")) == 1 for g in world.gateways.values())
     world.settle()
     with pytest.raises(Broken, match="gives a new reader"):
-        compacted_apart(Unasked)
+        compacted_unequally(RetiresAlone)
 
 
-def test_a_log_that_takes_again_what_it_forgot_is_caught(monkeypatch):
-    monkeypatch.setattr("ochrecourse.fleet.log_store.Log", TakenAgain)
+def test_a_log_that_accepts_retired_incarnations_is_detected(monkeypatch):
+    monkeypatch.setattr("ochrecourse.fleet.log_store.Log", AcceptsEndedIncarnations)
     case = type("Mistaken", (Lives,), {}).TestCase
     case.settings = settings(TestLives.settings, phases=(Phase.generate,), report_multiple_bugs=False)
     with pytest.raises(Broken):
         case("runTest").runTest()
 
 
-# names that are given up
+# names declared departed
 
 
-def all_begun_anew(dead="d"):
-    world = begun(4)
+def all_restarted_but(dead="d"):
+    world = started_world(4)
     for gateway in world.gateways.values():
         gateway.append()
     for _ in range(4):
@@ -319,18 +323,20 @@
     return world
 
 
-def settled_ms(world, name="a"):
+def frontier_ms(world, name="a"):
     return world.gateways[name].log.frontier().ms
 
 
-def test_a_fleet_that_begins_anew_waits_for_a_dead_name_until_it_is_given_up():
-    world = all_begun_anew()
+def test_a_restarted_fleet_waits_for_a_missing_name_until_it_is_declared_departed():
+    world = all_restarted_but()
     a = world.gateways["a"]
     world.now += 601 * 1_000_000_000
     for _ in range(8):
         world.round()
-    held = settled_ms(world)
-    assert a.frontier.membership.active.get("a") != a.log.incarnation  # nobody counts, so nobody is let go
+    frontier_before = frontier_ms(world)
+    assert (
+        a.frontier.membership.active.get("a") != a.log.incarnation
+    )  # there is no active member, so none is closed
     b = world.gateways["b"]
     b.log_kept.append(
         FLEET_CHANNEL, b.frontier.declare_departed("d", b.members.reachable(world.now)), b.wall()
@@ -338,13 +344,13 @@
     for _ in range(12):
         world.round()
         world.check()
-    assert settled_ms(world) > held and "d" not in a.frontier.membership.active
-    world.settle()  # d returns under a new life, and counts
+    assert frontier_ms(world) > frontier_before and "d" not in a.frontier.membership.active
+    world.settle()  # d returns with a new incarnation and becomes active
     assert a.frontier.membership.active["d"] == world.gateways["d"].log.incarnation
 
 
-def test_a_name_that_returns_before_the_beginning_is_waited_for_again():
-    world = all_begun_anew()
+def test_a_name_that_returns_before_the_first_event_is_waited_for_again():
+    world = all_restarted_but()
     a = world.gateways["a"]
     a.log_kept.append(
         FLEET_CHANNEL, a.frontier.declare_departed("d", a.members.reachable(world.now)), a.wall()
@@ -360,10 +366,10 @@
     assert set(a.frontier.membership.active) == set("abcd")
 
 
-def test_the_beginning_of_a_life_that_was_given_up_says_nothing():
-    """Guards against an order that changes where it was read: the least name begins the fleet, is cut off before
-    anybody hears of it, is given up, and comes back."""
-    world = begun(3)
+def test_the_first_event_of_a_departed_incarnation_has_no_effect():
+    """Guards against a change of the order that was read already: the least name writes the first event, is
+    partitioned before others receive it, is declared departed, and returns."""
+    world = started_world(3)
     for gateway in world.gateways.values():
         gateway.start()
     for _ in range(2):
@@ -372,7 +378,9 @@
     world.cut |= {("a", "b"), ("a", "c"), ("b", "a"), ("c", "a")}
     for _ in range(4):
         world.round()
-    assert a.frontier.membership.active.get("a") == a.log.incarnation  # it began, and nobody knows
+    assert (
+        a.frontier.membership.active.get("a") == a.log.incarnation
+    )  # it wrote the first event, which the others have not received
     world.now += 601 * 1_000_000_000
     for _ in range(3):
         world.round()
@@ -392,8 +400,8 @@
 @pytest.mark.parametrize(
     "name, why", [("a", "itself"), ("z", "no gateway"), ("b", "reached"), ("d", "already")]
 )
-def test_a_name_is_not_given_up_where_that_cant_be_right(name, why):
-    world = all_begun_anew()
+def test_a_name_is_not_declared_departed_without_cause(name, why):
+    world = all_restarted_but()
     a = world.gateways["a"]
     if why == "already":
         a.log_kept.append(
@@ -403,39 +411,39 @@
         a.frontier.declare_departed(name, a.members.reachable(world.now))
 
 
-def test_entries_that_a_snapshot_stands_for_do_not_come_back_with_a_start():
-    """Guards against a gateway that restarts often and never says that it holds nothing of its old lives."""
-    world = begun()
+def test_compacted_entries_are_removed_again_after_a_restart():
+    """Guards against a gateway that restarts often and so never agrees to retire its old incarnations."""
+    world = started_world()
     b = world.gateways["b"]
     for _ in range(3):
         b.append()
         world.restart("b")
     world.compact_all()
     assert b.log.events("x") == []
-    world.restart("b", rounds=0)  # its journal has them still
+    world.restart("b", rounds=0)  # its journal still contains them
     b.frontier.settle()
     assert b.log.events("x") == [] and len(world.order) == 3
     world.settle()
 
 
-# all disks but one
+# all disks lost but one
 
 
-class BeginsByMajority(Frontier):
-    """Begins anew with whom it reaches, if they are more than half."""
+class StartsByMajority(Frontier):
+    """Starts the fleet again with the reachable names, if they are a majority."""
 
     def _is_departed(self, name):
-        here = self.membership.active or self.founders
-        return name not in self.heard and 2 * len(self.heard) > len(here)
+        names = self.membership.active or self.founders
+        return name not in self.reachable_names and 2 * len(self.reachable_names) > len(names)
 
-    def _first_event(self, reached):
-        self.heard = set(reached)
-        return super()._first_event(reached)
+    def _first_event(self, reachable):
+        self.reachable_names = set(reachable)
+        return super()._first_event(reachable)
 
 
 def all_but_one_disk(frontier=Frontier):
-    """All die, two of three without their disks, which come back long before the third."""
-    world = begun(frontier=frontier)
+    """All gateways stop; two of three lose their disks and return long before the third."""
+    world = started_world(frontier=frontier)
     for _ in range(3):
         for gateway in world.gateways.values():
             gateway.append()
@@ -458,8 +466,8 @@
     return world
 
 
-def test_what_one_disk_holds_of_a_gateway_that_counts_is_kept():
+def test_entries_on_the_only_disk_of_an_active_gateway_are_retained():
     world = all_but_one_disk()
     assert len(world.order) >= 9
     with pytest.raises(Broken):
-        all_but_one_disk(BeginsByMajority)
+        all_but_one_disk(StartsByMajority)
