--- a/tests/test_journal_writer.py
+++ b/tests/test_journal_writer.py
@@ -1,4 +1,4 @@
-"""Appends of a fleet member while its disk is slow: what is notified when, in which order, and what a failure leaves."""
+"""Appends of a fleet member with a slow disk: order and time of notifications, and the state after failures."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class Disk(MemoryJournal):
-    """A journal that counts its syncs; `durable` is what outlives a power cut."""
+    """A journal that counts its syncs; `durable`: the records that survive a power failure."""
 
     def __init__(self):
         super().__init__()
@@ -38,7 +38,7 @@
 
 
 class HeldWorker:
-    """A disk that ends an operation when the test says so."""
+    """A disk worker that runs an operation when the test calls `end`."""
 
     def __init__(self):
         self.operations = []
@@ -62,12 +62,12 @@
 
 
 class Member:
-    """One gateway's log on a disk that is held."""
+    """One gateway's log whose disk operations end on demand."""
 
-    def __init__(self, journal=None, life=1):
+    def __init__(self, journal=None, incarnation=1):
         self.now, self.worker, self.results = 0, HeldWorker(), []
         self.disk = journal or Disk()
-        self.store = LogStore(self.disk, "a", LogLimits(), WALL, life, self.worker, lambda: self.now)
+        self.store = LogStore(self.disk, "a", LogLimits(), WALL, incarnation, self.worker, lambda: self.now)
         self.log = self.store.log
 
     def append(self, value, channel="c"):
@@ -89,8 +89,8 @@
     return LogStore(journal, "a", LogLimits(), WALL + 1, 9).log
 
 
-def test_an_append_is_shown_and_answered_once_it_is_durable():
-    """Guards against an entry that a power cut takes back after peers, readers or its writer had it."""
+def test_an_append_is_visible_and_confirmed_once_it_is_durable():
+    """Guards against an entry that a power failure removes after peers, readers or its writer have received it."""
     member = Member()
     member.append("first")
     assert not member.log.vector() and not member.results and not member.log.events("c")
@@ -99,7 +99,7 @@
     assert recovered(member.disk.durable).events("c") == member.log.events("c")
 
 
-def test_what_came_while_a_sync_ran_is_covered_by_one_next_sync_in_order():
+def test_records_written_during_a_sync_are_covered_by_the_next_one_in_order():
     member = Member()
     for value in range(20):
         member.append(value)
@@ -111,7 +111,7 @@
     assert [entry.seq for entry in recovered(member.disk.durable).events("c")] == list(range(1, 21))
 
 
-def test_drafts_stand_behind_each_other_and_name_a_cause_once():
+def test_drafts_follow_each_other_and_name_a_cause_once():
     member = Member()
     member.merge("one", "two")
     member.append(1)
@@ -120,14 +120,14 @@
     first, second = (result.entry for result in member.results)
     assert first.cause == (("b", 1, 2),) and second.cause == () and first.at < second.at
     member.append(3)
-    member.merge("one", "two", "three")  # merged while the draft is on its way
+    member.merge("one", "two", "three")  # merged while the draft is being written
     member.append(4)
     member.worker.wait(0)
     assert [result.entry.cause for result in member.results[2:]] == [(), (("b", 1, 3),)]
 
 
-def test_a_failed_sync_fails_all_that_wait_and_their_numbers_come_again_after_a_rewrite():
-    """Guards against a number with two bodies: what failed may stand in the file."""
+def test_a_failed_sync_fails_all_waiting_appends_and_their_numbers_are_reused_after_a_rewrite():
+    """Guards against a number with two bodies: failed records may be in the file."""
     member = Member()
     member.append("durable")
     member.worker.end()
@@ -143,63 +143,67 @@
     assert [entry.body for entry in recovered(member.disk.durable).events("c")] == [b'"durable"', b'"again"']
 
 
-def test_no_promise_goes_past_an_append_that_is_not_durable():
-    """Guards against an entry that comes after peers were promised that nothing comes before their frontier."""
+def test_no_promise_exceeds_an_append_that_is_not_durable():
+    """Guards against an entry at or before a frontier that peers derived from this gateway's promise."""
     member = Member()
     member.store.promise(WALL)
     member.worker.wait(0)
-    told = [member.store.promise(WALL + 100)]
+    promises = [member.store.promise(WALL + 100)]
     for value in range(5):
         member.append(value)
-        told.append(member.store.promise(WALL + 200 + 100 * value))
+        promises.append(member.store.promise(WALL + 200 + 100 * value))
     member.worker.end()
-    assert member.seqs() == [1] and told[-1] < member.results[0].entry.at
-    after = member.store.promise(WALL + 900)  # of the next append, which is still on its way
+    assert member.seqs() == [1] and promises[-1] < member.results[0].entry.at
+    after = member.store.promise(WALL + 900)  # limited by the next append, which is being written
     member.worker.wait(0)
-    assert member.results[0].entry.at <= after < member.results[1].entry.at and told == sorted(told)
+    assert member.results[0].entry.at <= after < member.results[1].entry.at and promises == sorted(promises)
     assert member.store.promise(WALL + 901) > member.results[-1].entry.at
 
 
-def test_the_promise_advances_though_some_append_always_waits():
-    """Guards against an order of the whole fleet that stands still while one gateway with a slow disk appends."""
-    member, told = Member(), []
+def test_the_promise_advances_while_some_append_always_waits():
+    """Guards against a stability frontier that stops while one gateway with a slow disk appends."""
+    member, promises = Member(), []
     for second in range(20):
         member.now = second * SECOND
         member.append(second)
-        told.append(member.store.promise(WALL + 1000 * second))
+        promises.append(member.store.promise(WALL + 1000 * second))
         if second % 2 and member.worker.operations:
             member.worker.end()
-    assert told[-1].ms > WALL + 15_000
+    assert promises[-1].ms > WALL + 15_000
 
 
-def test_a_promise_is_made_durable_ahead_of_need_and_never_goes_beyond_that():
+def test_the_limit_of_promises_is_recorded_in_advance_and_never_exceeded():
     member = Member()
     member.store.promise(WALL)
     member.worker.wait(0)
-    told = [
+    promises = [
         member.store.promise(WALL + ms) for ms in range(0, 5000, 250)
-    ]  # the disk does not answer any more
-    assert told[:5] == [Timestamp(WALL + ms, 0) for ms in range(0, 1250, 250)]  # a second of syncs is no wait
+    ]  # the disk has stopped responding
+    assert promises[:5] == [
+        Timestamp(WALL + ms, 0) for ms in range(0, 1250, 250)
+    ]  # syncs of up to a second delay nothing
     again = recovered(member.disk.durable)
-    assert all(again.clock >= promise for promise in told) and told == sorted(told)
+    assert all(again.clock >= promise for promise in promises) and promises == sorted(promises)
 
 
-def test_a_heartbeat_claims_what_was_durable_last_while_a_sync_is_under_way():
-    """Guards against a claim to hold entries that a power cut takes away."""
+def test_a_heartbeat_repeats_the_last_durable_claim_during_a_sync():
+    """Guards against a claim to store entries that a power failure removes."""
     member = Member()
     claim = DurableClaim(member.store)
     old, middle, new = (LogClaim(1, b"%d" % i, Timestamp(i, 0)) for i in range(1, 4))
-    assert claim.update(old) == old  # nothing waits for the disk
+    assert claim.update(old) == old  # no write is outstanding
     member.merge("one")
     assert claim.update(middle) == old
-    assert claim.update(new) == old  # one sync at a time is asked for
+    assert claim.update(new) == old  # one sync at a time is requested
     member.worker.wait(0)
     assert claim.update(new) == new
     member.merge("one", "two")
-    assert claim.update(LogClaim(2, b"another life")) is None  # what was true of the last one may not be now
+    assert (
+        claim.update(LogClaim(2, b"another life")) is None
+    )  # a claim of the previous incarnation may no longer be true
 
 
-def test_too_much_that_waits_for_the_disk_is_refused_with_the_reason():
+def test_appends_are_rejected_with_a_reason_if_too_many_wait_for_the_disk():
     member = Member()
     for value in range(MAX_WAITING_RECORDS + 1):  # the first one is under way
         member.append(value)
@@ -214,7 +218,7 @@
     assert member.results[-1].entry.seq == MAX_WAITING_RECORDS + 2
 
 
-def test_merges_beside_a_disk_that_does_not_answer_gather_no_memory_and_are_there_once_it_does(monkeypatch):
+def test_merges_with_an_unresponsive_disk_use_bounded_memory_and_are_written_once_it_responds(monkeypatch):
     monkeypatch.setattr(journal_writer, "MAX_WAITING_BYTES", 2000)
     member = Member()
     member.append("first")
@@ -226,7 +230,7 @@
     assert recovered(member.disk.durable).vector() == member.log.vector()
 
 
-def test_a_disk_that_stops_answering_refuses_appends_after_a_stated_time_and_all_else_goes_on():
+def test_an_unresponsive_disk_rejects_appends_after_the_time_limit_and_all_else_continues():
     member = Member()
     member.append("waits")
     member.now = STALLED_AFTER_S * SECOND - 1
@@ -238,18 +242,18 @@
     with pytest.raises(OSError, match="has not answered for"):
         member.append("refused")
     member.merge("others")
-    assert member.store.is_durable  # it holds up nobody's order
+    assert member.store.is_durable  # it does not stop the frontier
     assert member.store.notes == [
         f"journal of the fleet can't be written: the disk has not answered for {STALLED_AFTER_S} s"
     ]
-    member.worker.wait(0)  # it answers after all: what was refused is not in the file
+    member.worker.wait(0)  # it responds after all: rejected records are not in the file
     member.append("again")
     member.worker.wait(0)
     again = recovered(member.disk.durable)
     assert [entry.body for entry in again.events("c")] == [b'"again"'] and len(again.events("d")) == 1
 
 
-def test_giving_the_journal_waits_for_what_is_under_way_and_refuses_the_rest():
+def test_release_waits_for_the_operation_under_way_and_fails_the_rest():
     member = Member()
     given = []
     member.append("under way")
@@ -262,8 +266,8 @@
     assert given and not member.worker.operations
 
 
-def test_a_rewrite_under_way_puts_no_file_over_the_next_process_s(tmp_path, monkeypatch):
-    """Guards against a commit that ends after the journal was given up for it."""
+def test_a_rewrite_under_way_does_not_replace_the_next_process_s_file(tmp_path, monkeypatch):
+    """Guards against a commit that ends after the journal was released."""
     monkeypatch.setattr(log_store_module, "MIN_REWRITE_BYTES", 100)
     path = tmp_path / "a.log"
     member = Member(FileJournal(path, "fleet", 1))
@@ -283,19 +287,19 @@
     assert path.read_bytes() == content and given
 
 
-# --- any order of appends, merges, rewrites and ends of operations, with a power cut at the end ---
+# --- any order of appends, merges, rewrites and ends of operations, with a power failure at the end ---
 
 
-class Swaps(log_store_module.JournalWriter):
-    """A mistake on purpose: two batches change places."""
+class SwapsRecords(log_store_module.JournalWriter):
+    """A seeded defect: waiting records are written in reverse order."""
 
     def _append_operation(self):
         self._waiting.reverse()
         return super()._append_operation()
 
 
-class Hasty(log_store_module.JournalWriter):
-    """A mistake on purpose: an append is answered before it is durable."""
+class ConfirmsTooEarly(log_store_module.JournalWriter):
+    """A seeded defect: an append is confirmed before it is durable."""
 
     def write(self, records, in_content, on_durable=None):
         super().write(records, in_content)
@@ -303,8 +307,8 @@
             on_durable(None)
 
 
-class Drops(log_store_module.Renewal):
-    """A mistake on purpose: what comes while the journal is rewritten is in the old one alone."""
+class DropsRecordsDuringRewrite(log_store_module.Renewal):
+    """A seeded defect: records written during a rewrite are only in the old journal."""
 
     def step(self, most):
         self.appended_since.clear()
@@ -318,16 +322,18 @@
 
 
 def holds(steps):
-    """Whether all that was answered, claimed or promised is found again after a power cut at the end."""
-    member, values, claimed, promised = Member(), 0, {}, Timestamp(0, 0)
+    """Whether all confirmed entries, claims and promises are still valid after a power failure at the end."""
+    member, values, claimed_vector, greatest_promise = Member(), 0, {}, Timestamp(0, 0)
     for step in steps:
         if step == "append":
             member.append(values := values + 1)
         elif step == "merge":
             values += 1
             member.merge(*range(values))
-            held = dict(member.log.vector())
-            member.store.sync(lambda error, held=held: claimed.update(held) if error is None else None)
+            stored = dict(member.log.vector())
+            member.store.sync(
+                lambda error, stored=stored: claimed_vector.update(stored) if error is None else None
+            )
         elif step == "end" and member.worker.operations:
             member.worker.end()
         elif step == "step":
@@ -337,16 +343,16 @@
         elif step == "fail":
             member.disk.error = None if member.disk.error else FAILED
         elif step == "promise" and member.disk.error is None and member.store.writer.intact:
-            promised = max(promised, member.store.promise(WALL + 100 * values))
-    answered = {entry.seq: entry for result in member.results if (entry := result.entry) is not None}
+            greatest_promise = max(greatest_promise, member.store.promise(WALL + 100 * values))
+    confirmed = {entry.seq: entry for result in member.results if (entry := result.entry) is not None}
     again = recovered(member.disk.durable)
     own = {entry.seq: entry for entry in again.events("c")}
     found = again.vector()
     return (
-        all(own.get(seq) == entry for seq, entry in answered.items())
-        and sorted(answered) == list(range(1, len(answered) + 1))
-        and all(found.get(stream, 0) >= seq for stream, seq in claimed.items())
-        and again.clock >= promised
+        all(own.get(seq) == entry for seq, entry in confirmed.items())
+        and sorted(confirmed) == list(range(1, len(confirmed) + 1))
+        and all(found.get(stream, 0) >= seq for stream, seq in claimed_vector.items())
+        and again.clock >= greatest_promise
     )
 
 
@@ -361,18 +367,20 @@
     return [[chance.choice(kinds) for _ in range(30)] for _ in range(count)]
 
 
-@pytest.mark.parametrize("mistake", [Swaps, Hasty, Drops])
-def test_a_mistake_made_on_purpose_is_found(mistake, monkeypatch):
+@pytest.mark.parametrize("mistake", [SwapsRecords, ConfirmsTooEarly, DropsRecordsDuringRewrite])
+def test_a_seeded_defect_is_detected(mistake, monkeypatch):
     assert all(map(holds, drawn(60)))
-    monkeypatch.setattr(log_store_module, "Renewal" if mistake is Drops else "JournalWriter", mistake)
+    monkeypatch.setattr(
+        log_store_module, "Renewal" if mistake is DropsRecordsDuringRewrite else "JournalWriter", mistake
+    )
     assert not all(map(holds, drawn(60)))
 
 
-# --- what a source wants ---
+# --- entries that a source wants appended ---
 
 
-def test_a_source_is_asked_again_only_once_its_entry_is_in_the_log():
-    """Guards against an entry that is appended twice, because its source does not see it yet."""
+def test_a_source_is_asked_again_only_after_its_entry_is_in_the_log():
+    """Guards against an entry that is appended twice because its source does not see it yet."""
     left, ends = [WantedEntry("c", value) for value in range(3)], []
     appends = WantedAppends(
         lambda: left[0] if left else None, lambda wanted, ended: ends.append((wanted, ended))
@@ -383,13 +391,13 @@
     left.pop(0)
     ends[0][1](True)
     assert [wanted.value for wanted, _ in ends] == [0, 1]
-    ends[1][1](False)  # refused: tried again at the next beat
+    ends[1][1](False)  # rejected: requested again at the next heartbeat
     assert len(ends) == 2
     appends.beat()
     assert [wanted.value for wanted, _ in ends] == [0, 1, 1]
 
 
-def test_a_source_that_never_ends_appends_so_many_a_beat():
+def test_an_endless_source_appends_a_limited_number_per_heartbeat():
     count = []
     appends = WantedAppends(lambda: WantedEntry("c", 1), lambda wanted, ended: (count.append(1), ended(True)))
     appends.beat()
