--- a/tests/test_fleet_forms.py
+++ b/tests/test_fleet_forms.py
@@ -1,4 +1,4 @@
-"""Two versions of the program side by side: what each speaks and keeps, the form in force, and what may not be lost."""
+"""Two program versions in one fleet: supported format versions, the version in force, and unknown content."""
 
 import json
 from pathlib import Path
@@ -30,37 +30,43 @@
 
 RECORDED = Path(__file__).parent / "forms"
 HELD = json.loads((RECORDED / "held.json").read_text())
-OLD = {"newest_form": 1}
-BIG = LogLimits(max_clock_ahead_ms=3_600_000)
+OLDER_PROGRAM = {"newest_form": 1}
+LIMITS = LogLimits(max_clock_ahead_ms=3_600_000)
 
 
-# --- what older programs wrote ---
+# --- data of older programs ---
 
 
-def test_a_journal_of_the_first_form_is_read_whole_and_kept_in_its_form(tmp_path):
+def test_a_journal_of_version_1_is_read_completely_and_stays_in_its_version(tmp_path):
     path = tmp_path / "a.log"
     path.write_bytes((RECORDED / "journal-1").read_bytes())
     fleet = Fleet("a", shift=float(HELD["wall_ms"] - EPOCH))
-    for _ in range(2):  # as it was written, and as this program wrote it
+    for _ in range(2):  # as recorded, and as rewritten by this program
         fleet.parts["a"].kill()
         fleet.journals["a"] = FileJournal(path, *JOURNAL)
         part = fleet.start("a")
         assert not part.log_store.notes and part.dump("fleet").decode() == HELD["dumps"]["fleet"]
-        (snapshot, entries), (had, kept) = json.loads(part.dump("c")), json.loads(HELD["dumps"]["c"])
-        # What the snapshot stands for is held again until the frontier is past it, and is told to nobody.
-        assert snapshot == had and [each for each in entries if each[4] > snapshot[2]] == kept
+        (snapshot, entries), (recorded_snapshot, recorded_entries) = (
+            json.loads(part.dump("c")),
+            json.loads(HELD["dumps"]["c"]),
+        )
+        # Compacted entries are stored again until the frontier is past the snapshot, but not delivered.
+        assert (
+            snapshot == recorded_snapshot
+            and [each for each in entries if each[4] > snapshot[2]] == recorded_entries
+        )
         assert (
             path.read_bytes().startswith(b"ochrecourse fleet-log 1\n") and part.log_store.format_version == 1
         )
 
 
-def test_frames_of_the_first_form_are_taken_as_they_were_recorded():
-    """All that one gateway told another over one link: rows, entries, snapshots, whom it needs no more."""
-    kept = LogStore(MemoryJournal(), "b", BIG, HELD["wall_ms"], 9)
-    members = Members("b", kept.log.incarnation, 0, QUIET, 600 * SECOND, "ac")
+def test_recorded_frames_of_version_1_are_accepted():
+    """All frames of one link in one direction: heartbeats, entries, snapshots, and the end of relaying."""
+    store = LogStore(MemoryJournal(), "b", LIMITS, HELD["wall_ms"], 9)
+    members = Members("b", store.log.incarnation, 0, QUIET, 600 * SECOND, "ac")
     common = ExchangeContext(
         "f",
-        kept,
+        store,
         members,
         SECOND // 4,
         QUIET,
@@ -71,30 +77,34 @@
         lambda p: None,
         1 << 22,
     )
-    link, data, seen = Exchange(common, HELD["from"], 0), (RECORDED / "frames-1").read_bytes(), set()
+    link, data, kinds_seen = Exchange(common, HELD["from"], 0), (RECORDED / "frames-1").read_bytes(), set()
     while data:
         line, _, data = data.partition(b"\r\n")
         size = link.header_received(line, 0)
         body, data = data[:size], data[size:]
         link.body_received(body, 0, HELD["wall_ms"])
-        seen.add(json.loads(line)["m"])
-    assert seen >= {"hello", "have", "rows", "entries", "piece"}
+        kinds_seen.add(json.loads(line)["m"])
+    assert kinds_seen >= {"hello", "have", "rows", "entries", "piece"}
     assert (
         link.peer_versions == VersionRange(1, 1)
         and link.format_version == 1
         and link.hello.name == HELD["from"]
     )
-    (snapshot, entries), (also, held) = (
-        json.loads(text) for text in (kept.log.dump("c"), HELD["dumps"]["c"])
+    (snapshot, entries), (recorded_snapshot, recorded_entries) = (
+        json.loads(text) for text in (store.log.dump("c"), HELD["dumps"]["c"])
+    )
+    # The last entries of b itself, and those that it received from the third gateway first, were not sent.
+    assert (
+        snapshot == recorded_snapshot
+        and entries == [e for e in recorded_entries if e in entries]
+        and len(entries) > len(recorded_entries) // 2
     )
-    # What b wrote last itself, and what it got from the other first, did not come this way.
-    assert snapshot == also and entries == [e for e in held if e in entries] and len(entries) > len(held) // 2
 
 
-# --- what is said over a link ---
+# --- frames on a link ---
 
 
-def test_what_is_sent_is_in_the_form_in_force_and_what_the_other_speaks():
+def test_frames_are_sent_in_the_version_in_force_that_the_peer_supports():
     a, b, c = End("a"), End("b"), End("c")
     c.common.format_versions = FormatVersions(newest=1)
     for end in (a, b):
@@ -103,24 +113,26 @@
     for one, other in pairs:
         assert one.format_version == other.format_version == 1
     for end in (a, b):
-        end.common.format_versions.in_force = 2  # the event comes to one after the other
+        end.common.format_versions.in_force = 2  # one receives the event after the other
         end.append("y")
         sent = talk(pairs)
         assert {
             json.loads(d.partition(b"\r\n")[0]).get("form") for link, d in sent if link is pairs[0][0]
         } <= {2}
-        assert not any(b'"form"' in d for link, d in sent if link in pairs[1])  # it could not read it
+        assert not any(b'"form"' in d for link, d in sent if link in pairs[1])  # c could not decode them
         assert end.log.vector() == c.log.vector()
     assert a.log.vector() == b.log.vector() == c.log.vector() and a.log.dump("c") == c.log.dump("c")
     for end in (a, b):
         for now in range(0, 5 * SECOND, SECOND):
             end.turn(now)
             talk(pairs[:1], now)
-    assert b.members.heartbeats["a"] == a.members.heartbeats["a"]  # rows too are the same in either form
+    assert (
+        b.members.heartbeats["a"] == a.members.heartbeats["a"]
+    )  # heartbeats are equal in either version, too
 
 
 @pytest.mark.parametrize("form", [1, 2])
-def test_a_body_that_was_changed_on_its_way_is_no_second_history_in_the_newer_form(form):
+def test_a_body_corrupted_in_transit_is_no_fork_in_version_2(form):
     a, b = End("a"), End("b")
     for end in (a, b):
         end.common.format_versions.in_force = form
@@ -133,19 +145,19 @@
         data = one.next_frame(0)
     changed = data.replace(b"xxxx", b"xyxx", 1) if form == 2 else data.replace(b"eHh4", b"eHl4", 1)
     assert changed != data
-    if form == 1:  # it is merged as a's word, and a's next row makes it a fork
+    if form == 1:  # it is merged as if a had sent it, and a's next heartbeat makes it a fork
         assert hand(other, changed)
         b.log.compare_head_hash("a", a.log.incarnation, 1, a.log.chains["a", a.log.incarnation].hash_at(1))
         assert b.log.forks
         return
     before = b.log.vector()
-    with pytest.raises(PeerProtocolError, match="changed on its way") as told:
+    with pytest.raises(PeerProtocolError, match="changed on its way") as error_info:
         hand(other, changed)
-    assert told.value.code == "damaged" and b.log.vector() == before and not b.log.forks
+    assert error_info.value.code == "damaged" and b.log.vector() == before and not b.log.forks
 
 
 @pytest.mark.parametrize(
-    ("hello", "own", "in_force", "why"),
+    ("hello", "newest", "in_force", "why"),
     [
         ({"version_in_force": 1}, 2, 1, ""), ({"version_in_force": 1, "oldest_version": 1, "newest_version": 2}, 1, 1, ""),
         ({"version_in_force": 1, "oldest_version": 1, "newest_version": 9}, 2, 1, ""),
@@ -155,20 +167,20 @@
         ({"version_in_force": 9}, 2, 1, "a newer one must be started here"),
     ],
 )  # fmt: skip
-def test_who_can_not_read_what_is_in_force_is_told_what_to_do(hello, own, in_force, why):
+def test_a_peer_without_the_version_in_force_is_rejected_with_instructions(hello, newest, in_force, why):
     end = End("a")
-    end.common.format_versions = FormatVersions(own, in_force)
-    greets = encode_frame(Hello(**{**HELLO, **hello}))
+    end.common.format_versions = FormatVersions(newest, in_force)
+    hello_frame = encode_frame(Hello(**{**HELLO, **hello}))
     if not why:
-        hand(end.link(), greets)
+        hand(end.link(), hello_frame)
         return
-    with pytest.raises(PeerProtocolError, match=why) as told:
-        hand(end.link(), greets)
-    assert told.value.code == "form"
+    with pytest.raises(PeerProtocolError, match=why) as error_info:
+        hand(end.link(), hello_frame)
+    assert error_info.value.code == "form"
 
 
 @pytest.mark.parametrize(
-    "span",
+    "versions",
     [
         {"version_in_force": 0},
         {"version_in_force": -1},
@@ -176,18 +188,18 @@
         {"version_in_force": 1, "newest_version": 1 << 40},
     ],
 )
-def test_a_span_that_is_none_is_a_mistake(span):
-    with pytest.raises(PeerProtocolError) as told:
-        hand(End("a").link(), encode_frame(Hello(**{**HELLO, **span})))
-    assert told.value.code == "bad_hello"
+def test_a_malformed_version_range_is_a_protocol_violation(versions):
+    with pytest.raises(PeerProtocolError) as error_info:
+        hand(End("a").link(), encode_frame(Hello(**{**HELLO, **versions})))
+    assert error_info.value.code == "bad_hello"
 
 
-def test_a_frame_in_a_form_that_is_not_spoken_here_merges_nothing():
+def test_a_frame_of_an_unsupported_version_merges_nothing():
     end = End("a")
     end.common.format_versions = FormatVersions(newest=1)
     link = end.link()
     hand(link, encode_frame(Hello(**HELLO)))
-    with pytest.raises(PeerProtocolError) as told:
+    with pytest.raises(PeerProtocolError) as error_info:
         hand(
             link,
             encode_frame(
@@ -195,24 +207,24 @@
                 msgspec.msgpack.encode([Entry("c", "b", 5, 1, Timestamp(WALL, 0), (), b"1")]),
             ),
         )
-    assert told.value.code == "form" and not end.log.events("c")
+    assert error_info.value.code == "form" and not end.log.events("c")
 
 
-# --- what is not understood is kept and passed on ---
+# --- unknown content is retained and passed on ---
 
 
-class Later:
-    """What a newer program registers and no other here knows of."""
+class UnknownSubsystem:
+    """A subsystem of a newer program that other programs do not know."""
 
     name = "later"
 
     def status(self, now):
         return b'{"beat": [1, {"x": "\\u00fc"}]}'
 
-    def status_received(self, name, zone, told, now):
+    def status_received(self, name, zone, status, now):
         pass
 
-    def next_entry(self, now, reached):
+    def next_entry(self, now, reachable):
         return None
 
     def node_rates(self, now):
@@ -225,12 +237,12 @@
         pass
 
 
-def test_parts_of_rows_and_events_of_unknown_kinds_go_through_older_programs_as_they_are():
-    fleet = Fleet("abc", **OLD)
+def test_unknown_statuses_and_events_pass_through_older_programs_unchanged():
+    fleet = Fleet("abc", **OLDER_PROGRAM)
     fleet.cut("a", "c")
-    fleet.parts["a"].register(Later())
+    fleet.parts["a"].register(UnknownSubsystem())
     fleet.run(3)
-    assert fleet.parts["c"].members.heartbeats["a"].statuses["later"] == Later().status(0)
+    assert fleet.parts["c"].members.heartbeats["a"].statuses["later"] == UnknownSubsystem().status(0)
     event = {"what": "moon", "form": 9, "deep": [[{"x": None}]]}
     for name in "ab":
         fleet.parts[name].append(FLEET_CHANNEL, event)
@@ -242,12 +254,12 @@
     assert not any(part.peer_errors for part in fleet.parts.values())
 
 
-def test_events_of_unknown_kinds_outlive_compaction_and_reach_whoever_understands_them():
+def test_unknown_events_are_retained_by_compaction_and_reach_programs_that_know_them():
     small = {"log": {**SAID["log"], "channel": 6000.0}}
     fleet = Fleet("abc", **small)
     fleet.run(3)
     entry = fleet.parts["a"].appender.append(FLEET_CHANNEL, {"what": "moon", "full": True}, False)
-    for number in range(12):  # what nobody needs any more gives way
+    for number in range(12):  # events that are superseded are compacted
         fleet.parts["b"].appender.append(
             FLEET_CHANNEL, {"what": "lend", "zone": 0, "to": "c", "units": 0.1, "until": number}, True
         )
@@ -255,55 +267,55 @@
     snapshots = {part.log.snapshot(FLEET_CHANNEL).value for part in fleet.parts.values()}
     assert len(snapshots) == 1 and len(fleet.dumps(FLEET_CHANNEL)) == 1
     fleet.parts["c"].kill()
-    fleet.journals["c"] = MemoryJournal()  # it has it from others, by the snapshot
+    fleet.journals["c"] = MemoryJournal()  # it receives the event from others, in the snapshot
     fleet.run(1)
     fleet.start("c")
     fleet.run(5)
-    heard = []
-    later = Later()
-    later.entry_received = lambda each, now: heard.append(each)
-    fleet.parts["c"].register(later)
-    assert [each for each in heard if b"moon" in each.body] == [entry]
+    received = []
+    unknown = UnknownSubsystem()
+    unknown.entry_received = lambda each, now: received.append(each)
+    fleet.parts["c"].register(unknown)
+    assert [each for each in received if b"moon" in each.body] == [entry]
 
 
-def test_a_row_and_an_entry_have_no_room_for_more():
-    """What is passed on byte for byte is what stands in `statuses` and in bodies: more places would be lost by whoever does
-    not know them, and the chain of hashes would call that a second history."""
+def test_heartbeats_and_entries_have_a_fixed_number_of_fields():
+    """Only `statuses` and bodies are passed on byte for byte: programs that do not know an additional field would drop
+    it, and the hash chain would then report a fork."""
     assert Entry.__struct_fields__ == ("channel", "writer", "incarnation", "seq", "at", "cause", "body")
     assert Heartbeat.__struct_fields__[-1] == "statuses"
 
 
-# --- which form is in force ---
+# --- the version in force ---
 
 
-def row(name, life=5, newest=None):
-    told = {} if newest is None else {"forms": b"[1,%d]" % newest}
-    return Heartbeat(name, life, 1, 0, 0, b"", Timestamp(1, 0), Timestamp(1, 0), (), told)
+def heartbeat(name, incarnation=5, newest=None):
+    statuses = {} if newest is None else {"forms": b"[1,%d]" % newest}
+    return Heartbeat(name, incarnation, 1, 0, 0, b"", Timestamp(1, 0), Timestamp(1, 0), (), statuses)
 
 
 @pytest.mark.parametrize(
-    ("form", "counting", "rows", "why"),
+    ("form", "active", "heartbeats", "why"),
     [
-        (2, {"a": 5, "b": 5}, [row("a", newest=2), row("b", newest=2)], ""),
-        (2, {"a": 5}, [row("a", newest=2), row("b", newest=1)], ""),  # it counts no more
-        (2, {"a": 5, "b": 5}, [row("a", newest=2), row("b")], "1 of 2 that count do not speak form 2: b"),
-        (2, {"a": 5, "b": 5}, [row("a", newest=2), row("b", newest=1)], "do not speak form 2: b"),
-        (2, {"a": 5, "b": 5}, [row("a", newest=2)], "do not speak form 2: b"),
-        (2, {"a": 5, "b": 5}, [row("a", newest=2), row("b", 6, 2)], "do not speak form 2: b"),  # not yet admitted
-        (2, {"a": 5, "b": 5}, [row("a", newest=2), row("b", newest=-1)], "do not speak form 2: b"),
-        (2, {}, [], "has not begun"), (3, {"a": 5}, [row("a", newest=3)], "speaks forms 1 to 2"),
-        (1, {"a": 5}, [row("a", newest=2)], "form 1 is in force"),
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2), heartbeat("b", newest=2)], ""),
+        (2, {"a": 5}, [heartbeat("a", newest=2), heartbeat("b", newest=1)], ""),  # b is not active any more
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2), heartbeat("b")], "1 of 2 that count do not speak form 2: b"),
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2), heartbeat("b", newest=1)], "do not speak form 2: b"),
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2)], "do not speak form 2: b"),
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2), heartbeat("b", 6, 2)], "do not speak form 2: b"),  # not yet admitted
+        (2, {"a": 5, "b": 5}, [heartbeat("a", newest=2), heartbeat("b", newest=-1)], "do not speak form 2: b"),
+        (2, {}, [], "has not begun"), (3, {"a": 5}, [heartbeat("a", newest=3)], "speaks forms 1 to 2"),
+        (1, {"a": 5}, [heartbeat("a", newest=2)], "form 1 is in force"),
     ],
 )  # fmt: skip
-def test_a_form_is_raised_only_where_all_that_count_speak_it(form, counting, rows, why):
-    told = FormatVersions().raise_obstacle(form, counting, {each.name: each for each in rows})
-    assert (why in told) if why else told == ""
+def test_the_version_is_raised_only_if_all_active_members_support_it(form, active, heartbeats, why):
+    obstacle = FormatVersions().raise_obstacle(form, active, {each.name: each for each in heartbeats})
+    assert (why in obstacle) if why else obstacle == ""
 
 
 @pytest.mark.parametrize("body", [{"form": 1}, {"form": 0}, {"form": -2}, {"form": 5000}, {"form": "2"}, {}])
-def test_what_raises_no_form(body):
-    of = FormatVersions()
-    of.entry_received(
+def test_events_that_raise_no_version(body):
+    versions = FormatVersions()
+    versions.entry_received(
         Entry(
             FLEET_CHANNEL,
             "a",
@@ -315,25 +327,27 @@
         ),
         0,
     )
-    assert of.in_force == 1
+    assert versions.in_force == 1
 
 
 @given(st.lists(st.integers(2, 6), min_size=1, max_size=6), st.randoms(use_true_random=False))
-def test_the_form_in_force_is_the_same_in_any_order_and_kept_by_one_event(raised, chance):
+def test_the_version_in_force_is_the_same_in_any_order_and_retained_by_one_event(raised, chance):
     events = [
         Entry(FLEET_CHANNEL, f"g{i}", 1, 1, Timestamp(i, 0), (), b'{"form":%d,"what":"form"}' % f)
         for i, f in enumerate(raised)
     ]
-    of, also = FormatVersions(), FormatVersions()
+    versions, from_retained = FormatVersions(), FormatVersions()
     for each in events:
-        of.entry_received(each, 0)
-    kept = of.keeps(events, Timestamp(9, 0))
-    assert len(kept) == 1 and of.keeps(chance.sample(events, len(events)), Timestamp(9, 0)) == kept
-    also.entry_received(kept[0], 0)
-    assert of.in_force == also.in_force == max(raised)
+        versions.entry_received(each, 0)
+    retained = versions.keeps(events, Timestamp(9, 0))
+    assert (
+        len(retained) == 1 and versions.keeps(chance.sample(events, len(events)), Timestamp(9, 0)) == retained
+    )
+    from_retained.entry_received(retained[0], 0)
+    assert versions.in_force == from_retained.in_force == max(raised)
 
 
-def test_the_settings_know_the_newest_form():
+def test_the_settings_default_to_the_newest_version():
     record = resolve(GOOD, "g.cue")
     assert record["fleet"]["newest_form"] == NEWEST_VERSION
 
@@ -341,25 +355,25 @@
 # --- the whole fleet ---
 
 
-class Daemon:
+class Host:
     speaker = None
 
     def __init__(self, part):
         self.fleet_member = part
 
 
-def asked(part, **line):
-    return answer(Daemon(part), json.dumps({"do": "form", **line}).encode())
+def ask(part, **line):
+    return answer(Host(part), json.dumps({"do": "form", **line}).encode())
 
 
-def test_a_fleet_is_brought_from_one_form_to_the_next_and_not_back(tmp_path):
-    fleet = Fleet("abc", **OLD)
+def test_a_fleet_is_upgraded_to_the_next_version_and_not_back(tmp_path):
+    fleet = Fleet("abc", **OLDER_PROGRAM)
     for name in "abc":
         fleet.parts[name].kill()
         fleet.journals[name] = FileJournal(tmp_path / f"{name}.log", *JOURNAL[:2])
         fleet.start(name)
     fleet.run(3)
-    for i, name in enumerate("abcb"):  # one goes back to the older program and on again
+    for i, name in enumerate("abcb"):  # one is downgraded and upgraded again
         part = fleet.parts[name]
         part.append("c", i)
         part.stop()
@@ -368,27 +382,27 @@
         fleet.journals[name] = FileJournal(tmp_path / f"{name}.log", "fleet-log", 1, newest)
         fleet.start(name, newest_form=newest)
         fleet.run(3)
-        told = asked(fleet.parts["a"], form=2)
-        assert ("error" in told) == (i < 3) and (i == 3 or "do not speak form 2" in told["error"])
+        reply = ask(fleet.parts["a"], form=2)
+        assert ("error" in reply) == (i < 3) and (i == 3 or "do not speak form 2" in reply["error"])
     fleet.run(2)
     assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
-    assert [asked(part)["in_force"] for part in fleet.parts.values()] == [2, 2, 2]
+    assert [ask(part)["in_force"] for part in fleet.parts.values()] == [2, 2, 2]
     assert not any(part.peer_errors for part in fleet.parts.values()) and not fleet.said_of(
         "fleet link refused"
     )
     assert all((tmp_path / f"{n}.log").read_bytes().startswith(b"ochrecourse fleet-log 2\n") for n in "abc")
-    assert "only rises" in asked(fleet.parts["b"], form=1)["error"]
-    assert "is in force" in asked(fleet.parts["b"], form=2)["error"]
+    assert "only rises" in ask(fleet.parts["b"], form=1)["error"]
+    assert "is in force" in ask(fleet.parts["b"], form=2)["error"]
     with pytest.raises(AppendRejectedError, match="by its own word"):
         fleet.parts["b"].append(FLEET_CHANNEL, {"what": "form", "form": 3})
-    # The older program finds so at the first line of its journal, and leaves the file as it is.
+    # The older program rejects the journal at its first line, and does not change the file.
     fleet.parts["b"].kill()
     before = (tmp_path / "b.log").read_bytes()
     with pytest.raises(JournalError, match="a newer program keeps it; start that one"):
         list(FileJournal(tmp_path / "b.log", *JOURNAL[:2]).records())
-    # Without its journal it is turned away, and the others go on.
+    # Without its journal its connections are rejected, and the others continue.
     fleet.journals["b"] = MemoryJournal()
-    fleet.start("b", **OLD)
+    fleet.start("b", **OLDER_PROGRAM)
     fleet.run(6)
     assert (
         fleet.reached("a") == "ac"
@@ -411,10 +425,10 @@
 )
 
 
-def play(acts, spans):
-    """Upgrades, steps back, raises and cuts in any order; what must hold after each is asserted here."""
+def play(acts, newest_versions):
+    """Upgrades, downgrades, raises and partitions in any order; the properties are asserted after each."""
     fleet = Fleet("abcd", let_go=20_000.0)
-    newest, answered, raised = dict(zip("abcd", spans, strict=True)), [], False
+    newest, confirmed, raised = dict(zip("abcd", newest_versions, strict=True)), [], False
 
     def start(name, form):
         fleet.parts[name].stop()
@@ -427,20 +441,22 @@
     fleet.run(3)
     for act, who in acts:
         if act in ("older", "newer"):
-            if act == "newer" or fleet.journals[who].version == 1:  # else its journal turns it away
+            if (
+                act == "newer" or fleet.journals[who].version == 1
+            ):  # otherwise its journal rejects the older program
                 start(who, 1 if act == "older" else 2)
         elif act == "append":
-            answered.append(json.loads(fleet.parts[who].append("c", len(answered)).body))
+            confirmed.append(json.loads(fleet.parts[who].append("c", len(confirmed)).body))
         elif act == "raise":
-            counting = dict(fleet.parts[who].frontier.membership.active)
+            active = dict(fleet.parts[who].frontier.membership.active)
             try:
                 fleet.parts[who].raise_form(2)
             except AppendRejectedError:
                 pass
             else:
                 raised = True
-                lives = {name: fleet.parts[name].log.incarnation for name in counting}
-                assert all(newest[name] == 2 for name in counting if lives[name] == counting[name])
+                incarnations = {name: fleet.parts[name].log.incarnation for name in active}
+                assert all(newest[name] == 2 for name in active if incarnations[name] == active[name])
         elif act == "cut":
             fleet.cut(who, set("abcd") - set(who))
         elif act == "mend":
@@ -455,8 +471,8 @@
             start(name, 2)
     fleet.run(12)
     assert len(fleet.dumps("c")) == len(fleet.dumps(FLEET_CHANNEL)) == 1
-    held = [json.loads(entry.body) for entry in fleet.parts["a"].log.events("c")]
-    assert sorted(held) == sorted(answered)
+    log_entries = [json.loads(entry.body) for entry in fleet.parts["a"].log.events("c")]
+    assert sorted(log_entries) == sorted(confirmed)
     assert {part.forms.in_force for part in fleet.parts.values()} == {2 if raised else 1}
     assert {part.log_store.format_version for part in fleet.parts.values()} == {2 if raised else 1}
     return raised
@@ -469,33 +485,33 @@
 
 
 MISTAKES = {
-    "raised without asking who counts": (FormatVersions, "raise_obstacle", lambda of, form, counting, rows: ""),
-    "sent in the form in force to whoever": (FormatVersions, "version_for", lambda of, theirs: of.in_force),
-    "the form of the last event that came": (
-        FormatVersions, "entry_received", lambda of, entry, now: setattr(of, "in_force", format_versions.raised_version(entry) or of.in_force)
+    "raised without asking the active members": (FormatVersions, "raise_obstacle", lambda versions, form, active, heartbeats: ""),
+    "sent in the version in force to every peer": (FormatVersions, "version_for", lambda versions, peer_versions: versions.in_force),
+    "the version of the last event received": (
+        FormatVersions, "entry_received", lambda versions, entry, now: setattr(versions, "in_force", format_versions.raised_version(entry) or versions.in_force)
     ),
-    "a journal that stays as it was": (LogState, "update_journal_form", lambda state: None),
+    "a journal that stays in its version": (LogState, "update_journal_form", lambda state: None),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("which", MISTAKES)
-def test_seeded_mistakes_are_caught(which, monkeypatch):
+def test_seeded_defects_are_detected(which, monkeypatch):
     where, name, wrong = MISTAKES[which]
-    if which == "the form of the last event that came":
-        low = Entry(FLEET_CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
-        high = msgspec.structs.replace(low, body=b'{"form":3,"what":"form"}')
+    if which == "the version of the last event received":
+        lower_event = Entry(FLEET_CHANNEL, "a", 1, 1, Timestamp(1, 0), (), b'{"form":2,"what":"form"}')
+        higher_event = msgspec.structs.replace(lower_event, body=b'{"form":3,"what":"form"}')
 
         def check():
-            of = FormatVersions()
-            for each in (high, low):
-                of.entry_received(each, 0)
-            assert of.in_force == 3
-    elif which == "sent in the form in force to whoever":
+            versions = FormatVersions()
+            for each in (higher_event, lower_event):
+                versions.entry_received(each, 0)
+            assert versions.in_force == 3
+    elif which == "sent in the version in force to every peer":
 
         def check():
             end = End("a")
             end.common.format_versions.in_force = 2
-            assert end.link().format_version == 1  # nothing is known of the other side yet
+            assert end.link().format_version == 1  # the versions of the peer are not known yet
     else:
 
         def check():
@@ -512,7 +528,7 @@
 # --- one writer ---
 
 
-def test_a_state_has_one_writer_and_is_free_with_its_end(tmp_path):
+def test_a_state_directory_has_one_writer_and_is_released_at_its_end(tmp_path):
     one, other = ProcessLock(tmp_path / "g0.lock"), ProcessLock(tmp_path / "g0.lock")
     one.acquire()
     one.acquire()
@@ -523,7 +539,7 @@
     other.acquire()
 
 
-def test_a_part_that_gave_its_journal_writes_no_more(tmp_path):
+def test_a_member_that_released_its_journal_writes_nothing(tmp_path):
     fleet = Fleet("ab")
     fleet.parts["a"].kill()
     path = tmp_path / "a.log"
