--- a/ochrecourse/fleet/durable_claim.py
+++ b/ochrecourse/fleet/durable_claim.py
@@ -16,7 +16,7 @@
 @dataclass(frozen=True, slots=True)
 class LogClaim:
     """The claims that depend on stored entries. `incarnation`: of this gateway. `status`: the frontier's
-    status for the heartbeat, with the digest of its view. `watermark`: the own watermark with that view.
+    status for the heartbeat, with the digest of its view. `watermark`: the own one, valid with that view.
     """
 
     incarnation: int
--- a/ochrecourse/fleet/frontier.py
+++ b/ochrecourse/fleet/frontier.py
@@ -85,7 +85,7 @@
         self._events: list[Entry] = []
         self._changed = False
         self._has_peer_snapshot = True  # whether a snapshot of a peer was not applied yet
-        self._ended_count = 0  # ended incarnations that are not retired yet
+        self._ended_count = 0  # ended incarnations that a retirement and a snapshot after it would remove
         self._retirable: list[tuple[str, int, list[int]]] = []
         self._retirable_at: tuple[Timestamp, int] | None = None
         log.classify = self._classify
--- a/ochrecourse/fleet/log.py
+++ b/ochrecourse/fleet/log.py
@@ -37,7 +37,7 @@
 MAX_HOLES_PER_MESSAGE = 2048  # a stream has many holes when its channels are compacted one by one
 MAX_SNAPSHOT_BYTES = 32 << 20  # bytes of a snapshot's value; a record of the journal takes 64 MiB
 CLOCK_SKEW_MS = 2000  # clocks that differ by more are noted
-MAX_NOTES = 256  # newest notes that are kept
+MAX_NOTES = 256  # the newest notes are retained
 START = Timestamp(0, 0)
 
 
@@ -262,7 +262,9 @@
             if error_text is not None:
                 raise InvalidEntryError(error_text)
             if stream in self.forks or self.has_ended(stream):
-                continue  # accepting it could give one seq two bodies
+                # Accepting it could give one seq two bodies. Gateways that store entries of an ended
+                # incarnation remove them, and note it.
+                continue
             last = staged.get(stream)
             chain = self.chains.get(stream)
             stored = last.seq if last else chain.last if chain else 0
--- a/ochrecourse/fleet/log_store.py
+++ b/ochrecourse/fleet/log_store.py
@@ -106,8 +106,8 @@
 class LogStore:
     """A log and its journal. All changes of the log go through this class.
 
-    `notes`: a line for each failure to read or write the journal. `wall_ms`: ms since 1970. `chance`: 16
-    random bits, which distinguish starts in the same ms. `worker`: runs disk operations after the start.
+    `notes`: a line for each failure to read or write the journal. `wall_ms`: ms since 1970. `random_bits`: 16
+    bits, which distinguish starts in the same ms. `worker`: runs disk operations after the start.
     `clock`: ns, to measure them. While the journal cannot be written, appends are rejected.
     """
 
@@ -117,7 +117,7 @@
         name: str,
         limits: LogLimits,
         wall_ms: int,
-        chance: int,
+        random_bits: int,
         worker: DiskWorker | None = None,
         clock: Callable[[], int] = _no_time,
     ) -> None:
@@ -135,7 +135,8 @@
         self._retirements_at_rewrite = 0  # of the log, at the last rewrite of the journal
         self._recover()
         self.log.incarnation = self._last_incarnation = max(
-            _make_incarnation(wall_ms, chance), max(self._last_incarnation, self.log.highest_incarnation) + 1
+            _make_incarnation(wall_ms, random_bits),
+            max(self._last_incarnation, self.log.highest_incarnation) + 1,
         )
         self._durable_promise_limit = self._promise_limit
         content = JournalContent(
@@ -266,7 +267,7 @@
     # --- writes ---
 
     def request_incarnation(
-        self, wall_ms: int, chance: int, highest_incarnation: int, on_begun: OnBegun
+        self, wall_ms: int, random_bits: int, highest_incarnation: int, on_begun: OnBegun
     ) -> None:
         """Begins a new incarnation of this process, because the fleet has ended the old one.
 
@@ -281,7 +282,7 @@
             on_begun(BeginResult(error=error))
             return
         incarnation = max(
-            _make_incarnation(wall_ms, chance),
+            _make_incarnation(wall_ms, random_bits),
             max(self._last_incarnation, highest_incarnation, self.log.highest_incarnation) + 1,
         )
         self.is_beginning_incarnation = True
@@ -296,10 +297,10 @@
 
         self.writer.write([_encode(IncarnationRecord(incarnation))], False, on_written)
 
-    def begin_incarnation(self, wall_ms: int, chance: int, highest_incarnation: int = 0) -> int:
+    def begin_incarnation(self, wall_ms: int, random_bits: int, highest_incarnation: int = 0) -> int:
         """Same as `request_incarnation`, but blocks until the disk has finished. Raises OSError."""
         results: list[BeginResult] = []
-        self.request_incarnation(wall_ms, chance, highest_incarnation, results.append)
+        self.request_incarnation(wall_ms, random_bits, highest_incarnation, results.append)
         self._wait_for(results)
         if results[0].error is not None:
             raise results[0].error
@@ -326,7 +327,7 @@
 
     def _write_promise_limit(self, upto: Timestamp) -> None:
         def on_written(error: OSError | None) -> None:
-            # A failed disk does not stop the stability frontier: it accepts no appends until it works again.
+            # A failed disk must not stop the frontier: nothing is appended here until the disk works again.
             self._durable_promise_limit = max(self._durable_promise_limit, upto)
 
         self.writer.write([_encode(PromiseRecord(upto))], True, on_written)
@@ -425,5 +426,5 @@
             self.notes.append(line)
 
 
-def _make_incarnation(wall_ms: int, chance: int) -> int:
-    return wall_ms << INCARNATION_RANDOM_BITS | chance % (1 << INCARNATION_RANDOM_BITS)
+def _make_incarnation(wall_ms: int, random_bits: int) -> int:
+    return wall_ms << INCARNATION_RANDOM_BITS | random_bits % (1 << INCARNATION_RANDOM_BITS)
--- a/ochrecourse/fleet/membership_view.py
+++ b/ochrecourse/fleet/membership_view.py
@@ -278,7 +278,7 @@
     for entry in events:
         body = decode_event(entry)
         if isinstance(body, DeclareDeparted):
-            # Whatever its position: no first admission written by that incarnation is valid.
+            # Whatever its position: no first event written by that incarnation or an earlier one is valid.
             departed[body.name] = max(body.incarnation, departed.get(body.name, -1))
         elif body is not None:
             events_in_order.append((entry.position, entry, body))
--- a/ochrecourse/fleet/streams.py
+++ b/ochrecourse/fleet/streams.py
@@ -132,7 +132,7 @@
             del self.entries[:removed_count], self.hashes[:removed_count], self.timestamps[:removed_count]
 
     def holes(self, writer: str, incarnation: int, seq: int) -> list[Hole]:
-        """The holes that end after `seq`, in order; the first one may begin at or before `seq`."""
+        """The holes that end after `seq`, in order; one that begins before may be reported from there on."""
         found: list[Hole] = []
         if self.base > seq:
             found.append(Hole(writer, incarnation, 1, self.base, self.base_hash, self.base_at))
