--- a/ochrecourse/fleet/__init__.py
+++ b/ochrecourse/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways that act as one: what several processes share, and what rests on it."""
+"""Coordination of the gateways of a fleet: a replicated event log, peer links and their subsystems."""
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -1,8 +1,8 @@
 """One gateway as a member of its fleet, for a host program: the event log, the peers, and the subsystems.
 
-One timer drives it. At each beat the subsystems' statuses go out with this gateway's heartbeat, the entries
-that they want are appended, rate limits go to the gateway, links are checked. Off unless the settings have a
-part `fleet`; nothing else imports this package.
+One timer drives the member. At each beat it sends the subsystems' statuses in this gateway's heartbeat,
+appends the entries that they request, passes rate limits to the gateway and checks the links. Disabled unless
+the settings have a section `fleet`; nothing else imports this package.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 from ochrecourse.interface import NodeEntry
 from ochrecourse.settings.addresses import parse_address
 
-MAX_HOLES_BYTES = 1 << 20  # of one piece of holes, 2048 of some 400 bytes at the most
-MAX_CHANNEL_NAME_BYTES = 1024  # of a channel's name beside it
+MAX_HOLES_BYTES = 1 << 20  # bound for one message of holes: at most 2048 of about 400 bytes each
+MAX_CHANNEL_NAME_BYTES = 1024  # bound for the name of each channel in a snapshot
 NO_PLACEMENT = ZonePlacement()
-HANDOVER_WAIT_S = 5.0  # for an operation on the journal, before the next process opens it all the same
+HANDOVER_WAIT_S = 5.0  # for a pending journal operation; then the next process opens the journal anyway
 
 Listen = Callable[[str, int, Any, str], Any]
 
 
 def _ignore_result(result: AppendResult) -> None:
-    """For appends whose caller does not wait for the result."""
+    """Ignores the result of an append whose caller does not need it."""
 
 
 class FleetMember:
@@ -64,7 +64,9 @@
         environment: MemberEnvironment,
         placement: ZonePlacement = NO_PLACEMENT,
     ) -> None:
-        """`settings`: the part `fleet` of the plain map. Raises OSError, storage.journal.JournalError."""
+        """Opens the log. `settings`: the section `fleet` of the settings map. Raises OSError,
+        storage.journal.JournalError.
+        """
         self.settings = MemberSettings.from_map(settings)
         self.environment = environment
         self.placement = placement
@@ -149,20 +151,22 @@
 
     def _register_subsystems(self) -> None:
         self.log.listeners.append(self.subsystem_host.entry_received)
-        if self.forms.supported.newest > FIRST_VERSION:  # else it behaves as programs that know of no forms
+        if self.forms.supported.newest > FIRST_VERSION:  # else: as versions without format negotiation do
             self.register(self.forms)
         self.log_state.update_journal_form()
         self.member_zones = MemberZones(self.settings, self.environment, self.placement, self.wall_ms)
         self.zones, self.zone_subsystem = self.member_zones.zones, self.member_zones.zone_subsystem
         self.shared_settings = self.member_zones.shared_settings
-        self.register(self.shared_settings)  # before what depends on them
+        self.register(self.shared_settings)  # before the subsystems that depend on them
         if self.zone_subsystem is not None:
             self.register(self.zone_subsystem)
 
     # --- for a host program: start and stop ---
 
     def start(self, listen: Listen | None = None, where: str = "127.0.0.1:0") -> tuple[str, int]:
-        """Listens and connects from now on; returns where it listens. Raises CannotListenError."""
+        """Starts to listen, connect and beat; returns the host and port of the listener. Raises
+        CannotListenError.
+        """
         host, port = parse_address(where) or ("127.0.0.1", 0)
         listen = listen or self._listen
         self.listening_port = listen("fleet", port, PeerLinkListener(self.peer_links.accept), host)
@@ -175,8 +179,8 @@
             listen=f"{bound_to.host}:{bound_to.port}",
             entries=sum(self.log.vector().values()),
         )
-        # Guards against a fleet that was started at one moment and beats as one: each step of gossip would
-        # take a complete beat.
+        # Random phase: if all gateways started at one moment beat in step, each hop of gossip would take a
+        # complete heartbeat interval.
         now = now_ns(self.network)
         jitter = round(self.random_source.random() * self.settings.beat_interval)
         self.timer.start(now - jitter)
@@ -186,23 +190,24 @@
         return self.network.listenTCP(port, factory, interface=host)
 
     def listens(self) -> str:
-        """HOST:PORT for the other gateways; empty before it listens."""
+        """HOST:PORT at which other gateways connect; empty before `start`."""
         bound_to = self.listening_port.getHost() if self.listening_port is not None else None
         return f"{bound_to.host}:{bound_to.port}" if bound_to is not None else ""
 
     def stop(self) -> None:
-        """Leaves gracefully: links are closed with a reason, and no new ones are opened."""
+        """Leaves the fleet: closes the links with a reason and opens no new ones."""
         self._stop_timer_and_listening()
         self.peer_links.close_all(lambda link: link.close("this gateway leaves"))
 
     def kill(self) -> None:
-        """Ends everything at once without a word to the peers, as the end of a process does."""
+        """Stops at once and aborts the links without notice to the peers, as a killed process does."""
         self._stop_timer_and_listening()
         self.peer_links.close_all(Link.abort)
 
     def give(self, on_given: Callable[[], None] = lambda: None) -> None:
-        """Leaves, and gives up the journal: another process goes on under this name, once `on_given` is
-        called, after HANDOVER_WAIT_S at the latest. The rate limits of nodes stay as they are until `share`.
+        """Leaves the fleet and releases the journal to another process of the same name. `on_given` is called
+        once that process may open the journal, after HANDOVER_WAIT_S at the latest. The rate limits of nodes
+        stay unchanged until `share`.
         """
         self.stop()
         release = _Once(on_given)
@@ -217,11 +222,13 @@
             release()
 
     def close_journal(self, timeout_s: float) -> bool:
-        """Blocks until all that was written is on disk, before the process ends; whether it is in time."""
+        """Blocks until all pending journal writes are on disk; returns False if that takes longer than
+        `timeout_s`.
+        """
         return self.log_store.wait_durable(timeout_s)
 
     def share(self, share: float) -> None:
-        """Leaves that share of the rate limits to this process; the rest is for the next one."""
+        """Scales this process's rate limits by `share` (0 to 1); the successor process uses the rest."""
         self.gateway.node_rates_received({node: limit * share for node, limit in self._rate_limits.items()})
 
     def _stop_timer_and_listening(self) -> None:
@@ -232,70 +239,70 @@
 
     @property
     def beat_overdue_at_s(self) -> float:
-        """s of the clock from which on a beat is missing (stall_detector.BeatingProcess)."""
+        """Time in seconds on the clock after which a beat is overdue (stall_detector.BeatingProcess)."""
         return self.timer.overdue_at_s
 
     def stall_detected(self) -> None:
-        """This process was stalled, and something is to be decided before the missing beat runs."""
+        """Renews the rate limits after a stall, as requests are decided before the overdue beat runs."""
         now = now_ns(self.network)
         self.timer.postpone_overdue(now)
         self._update_rate_limits(now)
 
-    # --- for a host program: what it reports and reads ---
+    # --- for a host program: subsystems, inputs and reports ---
 
     def register(self, subsystem: Subsystem) -> None:
-        """Adds a subsystem; it receives all entries that are in the log."""
+        """Adds a subsystem and delivers all entries of the log to it."""
         self.subsystem_host.register(subsystem)
 
     def registry_entries_received(self, entries: Iterable[bytes]) -> None:
-        """The values of all gateways' entries in the registry were read."""
+        """Updates the peers' addresses from the registry entries of all gateways."""
         self.peer_addresses.registry_entries_received(entries)
 
     def nodes_are(self, entries: Mapping[int, NodeEntry]) -> None:
-        """The endpoint list as it is now."""
+        """Passes the current endpoint list to the zones."""
         if self.zone_subsystem is not None:
             self.zone_subsystem.nodes_are(entries.values(), now_ns(self.network))
 
     def report(self) -> dict[str, Any]:
-        """The state now, as operators read it."""
+        """Returns the current state for operators."""
         return self._report.report()
 
     def figures(self) -> dict[str, float]:
-        """Values by metric name."""
+        """Returns values by metric name."""
         return self._report.metrics()
 
     def traffic(self) -> LinkTraffic:
-        """Frames and bytes of all links since the start."""
+        """Returns the number of frames and bytes on all links since the start."""
         return self.peer_links.traffic()
 
     def wall_ms(self) -> int:
-        """ms since 1970 by this gateway's clock."""
+        """Returns ms since 1970 on this gateway's clock."""
         return self.log_state.wall_ms()
 
     # --- for a host program: the event log ---
 
     def append(self, channel: str, value: object) -> Entry:
-        """Appends an entry, which is on disk here before it goes to the others, and blocks until it is.
-        Raises AppendRejectedError, OSError; then nothing was appended.
+        """Appends an entry and blocks until it is on disk; it is sent to peers only after that. Raises
+        AppendRejectedError, OSError; then nothing is appended.
         """
         _check_kind(channel, value)
         return self.appender.append(channel, value, False)
 
     def request_append(self, channel: str, value: object, on_result: OnAppended) -> None:
-        """Appends an entry without blocking: `on_result` is called once it is on disk here and goes to the
-        others, or could not be written; possibly before this returns. Raises AppendRejectedError, OSError;
-        then nothing is under way.
+        """Appends an entry without blocking. `on_result` is called, possibly before this returns, once the
+        entry is on disk and may be sent to peers, or once the write has failed. Raises AppendRejectedError,
+        OSError; then no append is pending.
         """
         _check_kind(channel, value)
         self.appender.request_append(channel, value, False, on_result)
 
     def give_up(self, name: str, on_result: OnAppended) -> None:
-        """An operator says that a gateway does not return. Raises AppendRejectedError, OSError."""
+        """Declares for an operator that a gateway will not return. Raises AppendRejectedError, OSError."""
         value = self.frontier.declare_departed(name, self.members.reachable(now_ns(self.network)))
         self.request_append(FLEET_CHANNEL, value, on_result)
 
     def raise_form(self, form: int, on_result: OnAppended = _ignore_result) -> None:
-        """Puts a form in force from here on. Raises AppendRejectedError with what is in the way, OSError."""
+        """Puts format version `form` in force. Raises AppendRejectedError with the obstacle, OSError."""
         obstacle = self.form_waits(form)
         if obstacle:
             raise AppendRejectedError(obstacle)
@@ -304,33 +311,34 @@
         )
 
     def form_waits(self, form: int) -> str:
-        """Why a form may not be put in force now; empty if it may."""
+        """Returns why format version `form` cannot come into force now; empty if it can."""
         return self.forms.raise_obstacle(form, self.frontier.membership.active, self.members.heartbeats)
 
     def read(self, channel: str, cursor: str = "", max_entries: int = 100) -> tuple[list[Delivery], str]:
-        """What a reader at `cursor` has not had, in order, and the next cursor. Raises
-        AppendRejectedError."""
+        """Returns the deliveries after `cursor` in order, and the next cursor. Raises AppendRejectedError for
+        an invalid cursor.
+        """
         return self.log.read(channel, cursor, max_entries)
 
     def follow(self, channel: str, cursor: str, on_entries: OnEntries) -> Callable[[], None]:
-        """Calls `on_entries` with what a reader at `cursor` has not had, and the next cursor, now and
-        whenever there is more; returns what ends it. Raises AppendRejectedError for a bad cursor.
+        """Calls `on_entries` with the deliveries after `cursor` and the next cursor, now and whenever there
+        are more; returns a function that cancels this. Raises AppendRejectedError for an invalid cursor.
         """
         return self.readers.follow(channel, cursor, on_entries)
 
     def compact(self, channel: str, upto: Timestamp, value: object) -> None:
-        """Replaces all entries of a channel at or before `upto`, which is at the stability frontier or before
-        it, by a value (JSON). Raises AppendRejectedError.
+        """Replaces all entries of a channel at or before `upto` by a snapshot with this value (JSON). `upto`
+        may not be after the stability frontier. Raises AppendRejectedError.
         """
         if channel == FLEET_CHANNEL:
             raise AppendRejectedError(f"channel {FLEET_CHANNEL} compacts itself")
         compact(self.common, channel, upto, value)
 
     def dump(self, channel: str) -> bytes:
-        """All entries of a channel: equal bytes on gateways that have the same."""
+        """Serializes all entries of a channel; gateways that store the same entries return equal bytes."""
         return self.log.dump(channel)
 
-    # --- what peers report ---
+    # --- input from peers ---
 
     def _rejection_of(self, hello: Hello) -> str:
         return self.peer_addresses.rejection_of(hello.name)
@@ -340,7 +348,7 @@
         self._new_heartbeats[heartbeat.name] = heartbeat
 
     def _snapshot_received(self, piece: Snapshot | Holes) -> None:
-        """A piece of a peer's snapshots was applied."""
+        """A snapshot, or a message of holes, from a peer was applied."""
         self.frontier.snapshot_received()
         if isinstance(piece, Snapshot):
             self.operator_log.write("fleet snapshot taken", channel=piece.channel, upto_ms=piece.upto.ms)
@@ -368,7 +376,7 @@
         self._write_changes(now)
 
     def _pull(self, now: int) -> None:
-        """Sends the next slice to peers that lack entries, and rewrites the next piece of the journal."""
+        """Sends the next slice to peers that lack entries, and continues a rewrite of the journal."""
         self.peer_links.rotate()
         self.common.is_waiting_for_budget = False
         if self.log_state.continue_rewrite():
@@ -376,7 +384,7 @@
         self.peer_links.pump_all()
 
     def _append_wanted(self, now: int) -> None:
-        if self.timer.beat_count % 2:  # every other beat: the frontier looks at all heartbeats again
+        if self.timer.beat_count % 2:  # every other beat only, as the frontier scans all heartbeats
             self._frontier_appends.beat()
         zones = {name: self.members.zone_of(name) for name in self.members.reachable(now)}
         self.subsystem_host.append_wanted(zones, self.appender.append_wanted)
@@ -409,13 +417,13 @@
 
 
 def _check_kind(channel: str, value: object) -> None:
-    """Raises AppendRejectedError."""
+    """Raises AppendRejectedError for an event that only `raise_form` may append."""
     if channel == FLEET_CHANNEL and isinstance(value, dict) and value.get("what") == "form":
         raise AppendRejectedError("a form is raised by its own word, which asks whether all speak it")
 
 
 class _Once:
-    """A call that is made at most once."""
+    """Calls a function at most once."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call = call
--- a/ochrecourse/fleet/member_environment.py
+++ b/ochrecourse/fleet/member_environment.py
@@ -1,4 +1,4 @@
-"""What a host program gives to a fleet member, and the format of the member's journal."""
+"""What a host program provides to a fleet member, and the format of the member's journal."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JournalFormat(NamedTuple):
-    """The name in a journal's header, and the versions that this program reads."""
+    """The name in a journal's header, and the range of format versions that this program reads."""
 
     name: str
     oldest: int
@@ -26,29 +26,29 @@
 
 
 class MemberGateway(Protocol):
-    """What a member needs of its gateway."""
+    """The interface of its gateway that a member uses."""
 
     name: str
     attempt_observers: list[Callable[[RequestRecord, AttemptRecord], None]]
 
     @property
     def request_log(self) -> InFlightRequests:
-        """Its requests that are not over."""
+        """The gateway's requests in flight."""
 
     def node_rates_received(self, rates: Mapping[int, float]) -> None:
-        """Units a second that may begin at a node; one that is left out has no limit."""
+        """Sets the rate limits by node, in units started per second; a node without an entry has no limit."""
 
 
 def _discard_line(event: str, **fields: Any) -> None:
-    """For members whose log nobody reads."""
+    """Discards a log line; the default of MemberEnvironment.write_log."""
 
 
 @dataclass(frozen=True)
 class MemberEnvironment:
-    """What a host program gives to a member.
+    """What a host program provides to a member.
 
-    `unix_time_ms`: the wall clock, ms since 1970. `write_log` takes a line of the log: an event and its
-    fields. `disk_worker` runs what is written to the journal once the member is made.
+    `unix_time_ms`: the wall clock, ms since 1970. `write_log` writes a log line: an event and its fields.
+    `disk_worker` carries out the journal's writes after the member is constructed.
     """
 
     gateway: MemberGateway
@@ -62,8 +62,8 @@
 
 @dataclass(frozen=True)
 class ZonePlacement:
-    """Where a member is. `zone`: its own of `zone_count`; `warm_up`: ns for which a node is cold; `names`: of
-    the zones, in the settings' order.
+    """A member's zone and the zones of its fleet. `zone`: the index of its own zone, of `zone_count`;
+    `warm_up`: ns for which a node counts as cold; `names`: the zones' names in the order of the settings.
     """
 
     zone: int = 0
--- a/ochrecourse/fleet/member_report.py
+++ b/ochrecourse/fleet/member_report.py
@@ -1,4 +1,4 @@
-"""What a fleet member shows of itself: a report for operators, and metrics."""
+"""The report of a fleet member for operators, and its metrics."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class MemberReport:
-    """Reads the state of one member. `wall_ms`: ms since 1970; `counts`: appends and refused ones."""
+    """Reads the state of one member. `wall_ms`: ms since 1970; `counts`: of appends and rejected appends."""
 
     clock: Clock
     common: ExchangeContext
@@ -30,15 +30,15 @@
     wall_ms: Callable[[], int]
 
     def report(self) -> dict[str, Any]:
-        """The state now, as operators read it."""
+        """Returns the current state for operators."""
         now = now_ns(self.clock)
         log, members = self.common.log, self.common.members
-        reached, frontier = set(members.reachable(now)), log.frontier()
+        reachable, frontier = set(members.reachable(now)), log.frontier()
         return {
             "fleet": self.common.fleet,
             "name": members.name,
             "life": log.incarnation,
-            "members": [self._member(name, name in reached, now) for name in members.names()],
+            "members": [self._member(name, name in reachable, now) for name in members.names()],
             "links": sorted(self.links.by_peer),
             "channels": {
                 name: {"entries": log.entry_count(name), "bytes": log.channel_bytes(name)}
@@ -55,22 +55,22 @@
             **status_reports(self.subsystems),
         }
 
-    def _member(self, name: str, reached: bool, now: int) -> dict[str, Any]:
+    def _member(self, name: str, reachable: bool, now: int) -> dict[str, Any]:
         members = self.common.members
-        row = members.heartbeats.get(name)
+        heartbeat = members.heartbeats.get(name)
         last_received_at = members.received_at.get(name, now)
         return {
             "name": name,
-            "reached": reached,
+            "reached": reachable,
             "linked": name in self.links.by_peer,
-            "zone": row.zone if row is not None else None,
-            "life": row.incarnation if row is not None else None,
-            "entries": row.seq if row is not None else None,
+            "zone": heartbeat.zone if heartbeat is not None else None,
+            "life": heartbeat.incarnation if heartbeat is not None else None,
+            "entries": heartbeat.seq if heartbeat is not None else None,
             "silent_s": round((now - last_received_at) / SECOND, 3),
         }
 
     def _disk(self) -> dict[str, Any]:
-        """What of the journal waits for the disk."""
+        """Returns the state of the journal's pending writes."""
         writer = self.common.log_store.writer
         waiting = writer.waiting()
         return {
@@ -81,7 +81,7 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """Values by metric name."""
+        """Returns values by metric name."""
         now = now_ns(self.clock)
         log, members = self.common.log, self.common.members
         traffic = self.links.traffic()
--- a/ochrecourse/fleet/member_settings.py
+++ b/ochrecourse/fleet/member_settings.py
@@ -1,4 +1,4 @@
-"""The part `fleet` of a gateway's settings, read once into typed values."""
+"""The section `fleet` of a gateway's settings as typed values."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 @dataclass(frozen=True)
 class MemberSettings:
-    """Spans in ns unless the name says otherwise.
-
-    `fleet`: its name. `beat_interval`: between heartbeats. `quiet`: silence until a gateway is not reached;
-    `let_go`: until it may be released from the fleet. `clock_shift_ms` is added to the wall clock.
-    `max_entries_in_flight`: to one peer. `catch_up_bytes_per_s`: of the log, over all links; 0: no limit.
-    `newest_form`: of the protocol, that this member speaks. `clock_bound_ms`: by which clocks may differ.
-    `zones`: settings of the zones, None without them.
+    """Durations in ns unless the name states another unit.
+
+    `fleet`: the fleet's name. `beat_interval`: time between heartbeats. `quiet`: silence after which a
+    gateway counts as unreachable. `let_go`: silence after which a gateway may be evicted from the fleet.
+    `clock_shift_ms`: added to the wall clock. `max_entries_in_flight`: limit for one peer.
+    `catch_up_bytes_per_s`: rate at which log entries are sent over all links; 0: no limit. `newest_form`:
+    the newest format version that this member supports. `clock_bound_ms`: by which clocks may differ.
+    `zones`: the zones' settings, None without zones.
     """
 
     fleet: str
@@ -37,7 +38,7 @@
 
     @classmethod
     def from_map(cls, settings: Mapping[str, Any]) -> MemberSettings:
-        """From the plain map, whose spans are in ms."""
+        """Converts the settings map, whose durations are in ms."""
         log = settings["log"]
         zones = settings.get("zones")
         return cls(
--- a/ochrecourse/fleet/member_timer.py
+++ b/ochrecourse/fleet/member_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of a fleet member: beats at a fixed interval, and pulls between them while work is left."""
+"""The timer of a fleet member: beats at a fixed interval, and pulls between them while work is pending."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ochrecourse.common.runtime import Network, Timer, now_ns, stop
 from ochrecourse.common.time_units import MS, SECOND
 
-PULL_INTERVAL_S = 0.010  # a pull takes 2 ms or 3: the rest is for requests
+PULL_INTERVAL_S = 0.010  # a pull takes 2 to 3 ms; the remaining time is left to requests
 
 
 @dataclass(frozen=True)
 class TimerCallbacks:
-    """Who is called: at a beat and at a pull with ns now; `has_work_left` tells whether a pull is needed."""
+    """`on_beat` and `on_pull` receive the time in ns; `has_work_left` returns whether a pull is needed."""
 
     on_beat: Callable[[int], None]
     on_pull: Callable[[int], None]
@@ -21,9 +21,9 @@
 
 
 class MemberTimer:
-    """Times in ns on the network's clock.
+    """Schedules beats and pulls. Times in ns on the network's clock.
 
-    `overdue_at_s`: s of the clock from which on a beat is missing (stall_detector).
+    `overdue_at_s`: time in seconds after which a beat is overdue (stall_detector).
     """
 
     def __init__(self, network: Network, beat_interval: int, callbacks: TimerCallbacks) -> None:
@@ -38,22 +38,22 @@
         self._due_at = 0
 
     def start(self, first_beat_at: int) -> None:
-        """The first beat is now; later ones are counted from `first_beat_at`."""
+        """Beats at once; later beats are due at multiples of the interval after `first_beat_at`."""
         self._first_beat_at = first_beat_at
         self._fired()
 
     def stop(self) -> None:
-        """No more beats."""
+        """Cancels all further beats and pulls."""
         self.stopped, self.overdue_at_s = True, float("inf")
         stop(self._timer)
         self._timer = None
 
     def postpone_overdue(self, now: int) -> None:
-        """The next beat is not missing for another interval from now on."""
+        """Sets the time at which a beat counts as overdue to one interval from `now`."""
         self.overdue_at_s = (now + self.beat_interval) / SECOND
 
     def schedule_pull(self, now: int) -> None:
-        """Schedules a pull before the next beat, if there is work left."""
+        """Schedules a pull if work is pending and the pull is due before the next beat."""
         pull_at = now + round(PULL_INTERVAL_S * SECOND)
         if self.callbacks.has_work_left() and pull_at < self._due_at and not self.stopped:
             stop(self._timer)
@@ -76,7 +76,7 @@
     def _following_beat(self, now: int) -> int:
         self.beat_count += 1
         beat_at = self._first_beat_at + self.beat_count * self.beat_interval
-        if beat_at <= now:  # this process was stalled: missed beats are not made up for
+        if beat_at <= now:  # this process was stalled: missed beats are skipped
             self.beat_count = (now - self._first_beat_at) // self.beat_interval + 1
             beat_at = self._first_beat_at + self.beat_count * self.beat_interval
         return beat_at
--- a/ochrecourse/fleet/subsystem_host.py
+++ b/ochrecourse/fleet/subsystem_host.py
@@ -1,4 +1,4 @@
-"""The subsystems of one fleet member: entries and statuses are delivered to them, theirs are collected."""
+"""Runs a fleet member's subsystems: delivers entries and statuses to them and collects theirs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SubsystemHost:
-    """`subsystems` in the order of their registration. `peer_errors`: mistakes of peers by code."""
+    """`subsystems`: in order of registration. `peer_errors`: number of peers' protocol violations by code."""
 
     def __init__(self, clock: Clock, log: Log, operator_log: OperatorLog, peer_errors: Counter[str]) -> None:
         self.clock = clock
@@ -27,10 +27,10 @@
         self.peer_errors = peer_errors
         self.subsystems: list[Subsystem] = []
         self._appends: dict[int, WantedAppends] = {}  # by position in `subsystems`
-        self._reached: Mapping[str, int] = {}
+        self._reachable_zones: Mapping[str, int] = {}
 
     def register(self, subsystem: Subsystem) -> None:
-        """Adds a subsystem; it receives all entries that are in the log."""
+        """Adds a subsystem and delivers all entries of the log to it."""
         now = now_ns(self.clock)
         self.subsystems.append(subsystem)
         for entry in events_for(self.log.snapshot(FLEET_CHANNEL), subsystem):
@@ -39,13 +39,13 @@
             subsystem.entry_received(entry, now)
 
     def entry_received(self, entry: Entry) -> None:
-        """An entry is new in the log, or will be in its turn; subsystems accept it more than once."""
+        """Delivers an entry that is new in the log, or is ahead of its stream and delivered again later."""
         now = now_ns(self.clock)
         for subsystem in self.subsystems:
             subsystem.entry_received(entry, now)
 
     def snapshot_received(self, snapshot: Snapshot) -> None:
-        """A peer's snapshot was applied: subsystems receive the events that it retains for them."""
+        """Delivers the events that a peer's applied snapshot retains for the subsystems."""
         if snapshot.channel != FLEET_CHANNEL:
             return
         now = now_ns(self.clock)
@@ -54,7 +54,7 @@
                 subsystem.entry_received(entry, now)
 
     def deliver_statuses(self, heartbeats: Collection[Heartbeat], now: int) -> None:
-        """Delivers what other gateways report in their heartbeats."""
+        """Delivers the statuses in other gateways' heartbeats to the subsystems."""
         for heartbeat in heartbeats:
             for subsystem in self.subsystems:
                 status = heartbeat.statuses.get(subsystem.name)
@@ -65,7 +65,7 @@
         try:
             subsystem.status_received(heartbeat.name, heartbeat.zone, status, now)
         except Exception as error:
-            # Guards against a malformed status: what one peer reports may not stop this beat.
+            # A malformed status from one peer must not abort this beat.
             self.peer_errors["bad_sight"] += 1
             reason = str(error)[:MAX_REASON_CHARACTERS]
             self.operator_log.write_once_per_beat(
@@ -73,24 +73,24 @@
             )
 
     def beat(self, now: int) -> None:
-        """A beat has passed."""
+        """Notifies the subsystems of a beat."""
         for subsystem in self.subsystems:
             subsystem.beat_passed(now)
 
     def append_wanted(self, zones: Mapping[str, int], request_append: RequestAppend) -> None:
-        """Appends the entries that subsystems want. `zones`: of the gateways that are reached."""
-        self._reached = zones
+        """Appends the entries that subsystems request. `zones`: of the reachable gateways, by name."""
+        self._reachable_zones = zones
         for position, subsystem in enumerate(self.subsystems):
             if position not in self._appends:
                 self._appends[position] = WantedAppends(partial(self._next_entry, subsystem), request_append)
             self._appends[position].beat()
 
     def _next_entry(self, subsystem: Subsystem) -> WantedEntry | None:
-        wanted = subsystem.next_entry(now_ns(self.clock), self._reached)
+        wanted = subsystem.next_entry(now_ns(self.clock), self._reachable_zones)
         return WantedEntry(*wanted) if wanted is not None else None
 
     def statuses(self, now: int) -> dict[str, bytes]:
-        """What the subsystems report in the next heartbeat, by name."""
+        """Returns the subsystems' statuses for the next heartbeat, by name."""
         statuses = {}
         for subsystem in self.subsystems:
             status = subsystem.status(now)
@@ -99,7 +99,7 @@
         return statuses
 
     def rate_limits(self, now: int) -> dict[int, float]:
-        """Units a second that may begin at each node: the lowest that a subsystem names."""
+        """Returns the lowest rate limit of all subsystems for each node, in units started per second."""
         limits: dict[int, float] = {}
         for subsystem in self.subsystems:
             for node, limit in subsystem.node_rates(now).items():
