--- a/ochrecourse/fleet/log_state.py
+++ b/ochrecourse/fleet/log_state.py
@@ -42,7 +42,7 @@
         self.log_store = LogStore(
             environment.journal,
             own_name,
-            settings.log_bounds,
+            settings.log_limits,
             self.wall_ms(),
             self._random_bits(),
             environment.disk_worker,
@@ -50,12 +50,12 @@
         )
         self.log = self.log_store.log
         self.members = Members(
-            own_name, self.log.incarnation, zone, settings.quiet, settings.let_go, peers, now
+            own_name, self.log.incarnation, zone, settings.silence_timeout, settings.eviction_time, peers, now
         )
         self.frontier = Frontier(self.log, peers)
         self.log.journal_recovered()
         self.frontier.settle()
-        self.forms = FormatVersions(settings.newest_form, self.log_store.format_version)
+        self.forms = FormatVersions(settings.newest_version, self.log_store.format_version)
 
     def wall_ms(self) -> int:
         """ms since 1970 by this gateway's clock."""
--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -117,27 +117,27 @@
         self._register_subsystems()
 
     def _make_common(self) -> ExchangeContext:
-        settings, bounds = self.settings, self.settings.log_bounds
-        max_names_bytes = MAX_CHANNEL_NAME_BYTES * bounds.channels
+        settings, limits = self.settings, self.settings.log_limits
+        max_names_bytes = MAX_CHANNEL_NAME_BYTES * limits.channels
         return ExchangeContext(
             fleet=settings.fleet,
             log_store=self.log_store,
             members=self.members,
             heartbeat_interval=settings.beat_interval,
-            silence_timeout=settings.quiet,
+            silence_timeout=settings.silence_timeout,
             max_entries_in_flight=settings.max_entries_in_flight,
-            max_clock_ahead_ms=bounds.max_clock_ahead_ms,
+            max_clock_ahead_ms=limits.max_clock_ahead_ms,
             admit=self._rejection_of,
             on_heartbeat=self._heartbeat_received,
             on_snapshot=self._snapshot_received,
-            max_snapshot_bytes=2 * bounds.channel_bytes + MAX_HOLES_BYTES + max_names_bytes,
+            max_snapshot_bytes=2 * limits.channel_bytes + MAX_HOLES_BYTES + max_names_bytes,
             catch_up_rate=settings.catch_up_bytes_per_s,
             on_early_entry=self.subsystem_host.entry_received,
             format_versions=self.forms,
         )
 
     def _make_links(self, now: int) -> PeerLinks:
-        mesh = Mesh(self.gateway.name, self.settings.quiet, self.random_source.random)
+        mesh = Mesh(self.gateway.name, self.settings.silence_timeout, self.random_source.random)
         mesh.set_peers(self.peer_addresses.by_name, now)
         context = LinkContext(
             self.network,
--- a/ochrecourse/fleet/member_settings.py
+++ b/ochrecourse/fleet/member_settings.py
@@ -15,10 +15,10 @@
 class MemberSettings:
     """Durations in ns unless the name states another unit.
 
-    `fleet`: the fleet's name. `beat_interval`: time between heartbeats. `quiet`: silence after which a
-    gateway counts as unreachable. `let_go`: silence after which a gateway may be evicted from the fleet.
-    `clock_shift_ms`: added to the wall clock. `max_entries_in_flight`: limit for one peer.
-    `catch_up_bytes_per_s`: rate at which log entries are sent over all links; 0: no limit. `newest_form`:
+    `fleet`: the fleet's name. `beat_interval`: time between heartbeats. `silence_timeout`: silence after
+    which a gateway counts as unreachable. `eviction_time`: silence after which a gateway may be evicted from
+    the fleet. `clock_shift_ms`: added to the wall clock. `max_entries_in_flight`: limit for one peer.
+    `catch_up_bytes_per_s`: rate at which log entries are sent over all links; 0: no limit. `newest_version`:
     the newest format version that this member supports. `clock_bound_ms`: by which clocks may differ.
     `zones`: the zones' settings, None without zones.
     """
@@ -26,13 +26,13 @@
     fleet: str
     peers: Sequence[Mapping[str, Any]]
     beat_interval: int
-    quiet: int
-    let_go: int
+    silence_timeout: int
+    eviction_time: int
     clock_shift_ms: int
-    log_bounds: LogLimits
+    log_limits: LogLimits
     max_entries_in_flight: int
     catch_up_bytes_per_s: int
-    newest_form: int
+    newest_version: int
     clock_bound_ms: float
     zones: Mapping[str, Any] | None
 
@@ -45,15 +45,15 @@
             fleet=settings["name"],
             peers=settings["peers"],
             beat_interval=round(settings["beat"] * MS),
-            quiet=round(settings["quiet"] * MS),
-            let_go=round(settings["let_go"] * MS),
+            silence_timeout=round(settings["quiet"] * MS),
+            eviction_time=round(settings["let_go"] * MS),
             clock_shift_ms=round(settings["shift"]),
-            log_bounds=LogLimits(
+            log_limits=LogLimits(
                 round(log["entry"]), round(log["channel"]), log["channels"], round(settings["ahead"])
             ),
             max_entries_in_flight=log["flight"],
             catch_up_bytes_per_s=round(log["catch_up"]),
-            newest_form=settings.get("newest_form", NEWEST_VERSION),
+            newest_version=settings.get("newest_form", NEWEST_VERSION),
             clock_bound_ms=settings["clock_bound"],
             zones={**zones, "clock_bound": settings["clock_bound"]} if zones is not None else None,
         )
