--- a/tests/fleet_soak.py
+++ b/tests/fleet_soak.py
@@ -1,8 +1,8 @@
-"""A soak of `serve` with its journal, alone and in a fleet: gateways are told to end, killed, replaced and started again
-beside slow disks, while writers append through their control sockets until the end.
+"""Soak test of `serve` with its journal, for one gateway and for a fleet. Gateways are terminated, killed, replaced and
+restarted on slow disks, while writers append through the control sockets until the end of the run.
 
-One seed draws a whole run. `python fleet_soak.py 7` plays it again; `python fleet_soak.py 1:50` a series. What a run
-that broke left stays in a folder that is printed.
+A seed determines the plan of a run. `python fleet_soak.py 7` repeats the run of seed 7; `python fleet_soak.py 1:50` runs a
+series. A failed run keeps its files in a directory whose path is printed.
 """
 
 import asyncio
@@ -30,22 +30,22 @@
 from ochrecourse.lab.days import quiet
 from ochrecourse.settings.writer import write
 
-HOOK = Path(__file__).parent / "disk_hook"
+DISK_HOOK = Path(__file__).parent / "disk_hook"
 RUN_S = 9.0
 READY_S, READY_SHARE = 10.0, 0.9
-LATE_S = 0.5  # STANDING: an answer later than this after its time is lost; a report has no more to wait for
-EQUAL_S = 40.0  # by which all logs are the same once all is quiet
+MAX_RESPONSE_S = 0.5  # STANDING: an answer that is later than this is lost; a report waits for nothing else
+CONVERGENCE_S = 40.0  # by which all logs are equal once the workload has ended
 TAKE_OVER_S, END_S = 30.0, 20.0
-SYNCS_S = (0.0, 0.0, 0.05, 0.4, 1.2)  # what a disk's syncs may take longer
+SYNC_DELAYS_S = (0.0, 0.0, 0.05, 0.4, 1.2)  # added durations of a sync, one of which is drawn for each disk
 ACTIONS = ("term", "terms", "kill", "early_term", "hups", "take_over")
 CHANNEL = "soak"
 SAMPLE_S, NEGLIGIBLE_S = 0.01, 0.005
-LIMIT = 1 << 26  # bytes of a control socket's line
+MAX_LINE_BYTES = 1 << 26  # of one line on a control socket
 
 
 @dataclass(frozen=True)
 class Step:
-    """What is done to a gateway `at_s` after the run began."""
+    """An action on a gateway, `at_s` seconds after the start of the run."""
 
     at_s: float
     gateway: int
@@ -54,7 +54,8 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One drawn run. `syncs_s`: by gateway; `writers`: by writer its gateway and how many lines it sends at once."""
+    """The plan of one run. `syncs_s`: added sync time by gateway; `writers`: by writer, its gateway and the number of lines
+    that it sends at once."""
 
     seed: int
     gateways: int
@@ -63,18 +64,18 @@
     steps: tuple
 
 
-def draw(seed):
-    """The run of a seed."""
-    chance = random.Random(f"{seed} fleet soak")
-    gateways = chance.choice((1, 2, 3, 3, 4, 5, 6, 8))
-    syncs_s = tuple(chance.choice(SYNCS_S) for _ in range(gateways))
+def draw_plan(seed):
+    """Returns the plan of a seed."""
+    rng = random.Random(f"{seed} fleet soak")
+    gateways = rng.choice((1, 2, 3, 3, 4, 5, 6, 8))
+    syncs_s = tuple(rng.choice(SYNC_DELAYS_S) for _ in range(gateways))
     writers = tuple(
-        (chance.randrange(gateways), chance.choice((1, 1, 8))) for _ in range(chance.randint(2, 2 + gateways))
+        (rng.randrange(gateways), rng.choice((1, 1, 8))) for _ in range(rng.randint(2, 2 + gateways))
     )
     steps, at = [], 0.5
     while at < RUN_S - 1.5:
-        steps.append(Step(round(at, 2), chance.randrange(gateways), chance.choice(ACTIONS)))
-        at += chance.uniform(0.4, 1.8)
+        steps.append(Step(round(at, 2), rng.randrange(gateways), rng.choice(ACTIONS)))
+        at += rng.uniform(0.4, 1.8)
     return Plan(seed, gateways, syncs_s, writers, tuple(steps))
 
 
@@ -82,26 +83,26 @@
 
 
 @dataclass
-class Life:
-    """One process. Times in s of the monotonic clock."""
+class ProcessRecord:
+    """One process of a gateway. Times in seconds of the monotonic clock."""
 
     process: subprocess.Popen
-    began: float
-    ready: float = 0.0
-    asked: str = ""  # why it may end
-    code: int | None = None
+    started_at: float
+    ready_at: float = 0.0
+    stop_reason: str = ""  # the action that stops it; empty: none
+    exit_code: int | None = None
 
     def send(self, number):
-        """A process that has ended already is for the judge."""
+        """Sends a signal; a process that has already ended is left to the checker."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
 
 class Gateway:
-    """One gateway over its lives."""
+    """One gateway and its successive processes."""
 
     def __init__(self, index, folder, list_address, ports, sync_s):
-        self.name, self.folder, self.lives = f"g{index}", folder, []
+        self.name, self.folder, self.processes = f"g{index}", folder, []
         self.path, self.control = folder / f"g{index}.cue", folder / f"g{index}.sock"
         day = msgspec.structs.replace(quiet(), nodes=2, gateways=len(ports))
         record = gateway_record(day, index, "127.0.0.1:0", list_address, str(folder / "state"))
@@ -117,16 +118,17 @@
         self.environment = {
             **os.environ,
             "SYNC_SECONDS": str(sync_s), "SLOW_FROM": str(folder / "slow"),
-            "PYTHONPATH": os.pathsep.join(filter(None, (str(HOOK), os.environ.get("PYTHONPATH")))),
+            "PYTHONPATH": os.pathsep.join(filter(None, (str(DISK_HOOK), os.environ.get("PYTHONPATH")))),
         }  # fmt: skip
         self.lock = asyncio.Lock()
 
     @property
-    def life(self):
-        return self.lives[-1]
+    def current(self):
+        """Returns the newest process."""
+        return self.processes[-1]
 
     async def start(self, *words):
-        """Starts a process and waits until it serves or has ended."""
+        """Starts a process and waits until it listens or has ended."""
         with open(self.folder / f"{self.name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
                 *ochrecourse("serve", self.path, *words),
@@ -134,47 +136,47 @@
                 stderr=log,
                 env=self.environment,
             )
-        life = Life(process, time.monotonic())
-        self.lives.append(life)
-        asyncio.get_running_loop().create_task(self._watch(life))
+        run = ProcessRecord(process, time.monotonic())
+        self.processes.append(run)
+        asyncio.get_running_loop().create_task(self._watch(run))
         line = await process.stdout.readline()
         if line.startswith(b"listening"):
-            life.ready = time.monotonic()
-        return life
+            run.ready_at = time.monotonic()
+        return run
 
-    async def _watch(self, life):
-        life.code = await life.process.wait()
+    async def _watch(self, run):
+        run.exit_code = await run.process.wait()
 
     async def act(self, action):
-        """One step of the plan; the next one at this gateway comes after it."""
+        """Carries out one action of the plan; actions on one gateway run one after the other."""
         async with self.lock:
-            life = self.life
+            run = self.current
             if action == "hups":
                 for text in ("{", self.text[: len(self.text) // 2], self.text, self.text):
                     self.path.write_text(text)
-                    life.send(signal.SIGHUP)
+                    run.send(signal.SIGHUP)
                     await asyncio.sleep(0.05)
             elif action == "take_over":
-                life.asked = "take_over"
+                run.stop_reason = "take_over"
                 await asyncio.wait_for(self.start("--take-over"), TAKE_OVER_S)
-                await asyncio.wait_for(life.process.wait(), END_S)
+                await asyncio.wait_for(run.process.wait(), END_S)
             elif action in ("kill", "early_term"):
-                life.asked = "kill"
-                life.send(signal.SIGKILL)
+                run.stop_reason = "kill"
+                run.send(signal.SIGKILL)
                 starting = asyncio.create_task(self.start())
                 if action == "early_term":
                     await asyncio.sleep(0.15)
-                    self.life.asked = "early_term"
-                    self.life.send(signal.SIGTERM)
-                    await asyncio.wait_for(self.life.process.wait(), END_S)
+                    self.current.stop_reason = "early_term"
+                    self.current.send(signal.SIGTERM)
+                    await asyncio.wait_for(self.current.process.wait(), END_S)
                     await starting
                     starting = asyncio.create_task(self.start())
                 await starting
             else:
-                life.asked = "term"
+                run.stop_reason = "term"
                 for _ in range(2 if action == "terms" else 1):
-                    life.send(signal.SIGTERM)
-                await asyncio.wait_for(life.process.wait(), END_S)
+                    run.send(signal.SIGTERM)
+                await asyncio.wait_for(run.process.wait(), END_S)
                 await self.start()
 
 
@@ -183,259 +185,266 @@
 
 @dataclass
 class Evidence:
-    """What a run left. `answers`: by value what the control socket answered, None where it broke off; `waits`: of
-    reports, in s, each with when it was answered; `stalls`: of this process's own loop."""
+    """The observations of a run. `answers`: the control socket's answer by value, None where the connection was lost;
+    `response_times`: of reports, as duration in seconds, time of the answer and gateway; `stalls`: start and end of stalls of
+    this process's event loop; `dumps` and `reachable_counts`: of each gateway after the workload."""
 
     answers: dict = field(default_factory=dict)
-    waits: list = field(default_factory=list)
+    response_times: list = field(default_factory=list)
     stalls: list = field(default_factory=list)
     dumps: list = field(default_factory=list)
-    reached: list = field(default_factory=list)
-    lives: list = field(default_factory=list)
+    reachable_counts: list = field(default_factory=list)
+    processes: list = field(default_factory=list)
     logs: list = field(default_factory=list)
 
 
-class Players:
-    """All that asks the gateways, on this process's loop."""
+class Workload:
+    """The clients of the gateways, on this process's event loop."""
 
     def __init__(self, plan, gateways):
         self.plan, self.gateways, self.evidence = plan, gateways, Evidence()
         self.numbers = itertools.count()
         self.ends_at = time.monotonic() + RUN_S
 
-    async def lines(self, gateway, *questions):
-        """Asks over one connection; the answers, fewer where it broke off."""
+    async def request(self, gateway, *requests):
+        """Sends requests over one connection; returns the answers, fewer if the connection was lost."""
         answers = []
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            reader, writer = await asyncio.open_unix_connection(gateway.control, limit=LIMIT)
+            reader, writer = await asyncio.open_unix_connection(gateway.control, limit=MAX_LINE_BYTES)
             try:
-                for question in questions:
-                    writer.write(json.dumps(question).encode() + b"\n")
-                while len(answers) < len(questions):
+                for line in requests:
+                    writer.write(json.dumps(line).encode() + b"\n")
+                while len(answers) < len(requests):
                     answers.append(json.loads(await reader.readuntil(b"\n")))
             finally:
                 writer.close()
         return answers
 
-    async def write(self, index, at_once):
-        """Appends until the end."""
+    async def append_values(self, index, batch_size):
+        """Appends values until the end of the run."""
         while time.monotonic() < self.ends_at:
-            values = [f"v{next(self.numbers)}" for _ in range(at_once)]
-            questions = [{"do": "append", "channel": CHANNEL, "value": value} for value in values]
+            values = [f"v{next(self.numbers)}" for _ in range(batch_size)]
+            requests = [{"do": "append", "channel": CHANNEL, "value": value} for value in values]
             self.evidence.answers.update(dict.fromkeys(values))
-            answers = await self.lines(self.gateways[index], *questions)
+            answers = await self.request(self.gateways[index], *requests)
             self.evidence.answers.update(zip(values, answers, strict=False))
             await asyncio.sleep(0.02 if answers else 0.1)
 
-    async def look(self, gateway):
-        """Asks for reports, which no disk may hold up."""
+    async def poll_reports(self, gateway):
+        """Requests reports, which may not wait for a disk, and records the response times."""
         while time.monotonic() < self.ends_at:
             began = time.monotonic()
-            if await self.lines(gateway, {"do": "form"}):
-                self.evidence.waits.append((time.monotonic() - began, time.monotonic(), gateway.name))
+            if await self.request(gateway, {"do": "form"}):
+                self.evidence.response_times.append(
+                    (time.monotonic() - began, time.monotonic(), gateway.name)
+                )
             await asyncio.sleep(0.05)
 
     async def watch_loop(self):
+        """Records stalls of this process's event loop."""
         while True:
             due = time.monotonic() + SAMPLE_S
             await asyncio.sleep(SAMPLE_S)
             if time.monotonic() - due > NEGLIGIBLE_S:
                 self.evidence.stalls.append((due, time.monotonic()))
 
-    async def steps(self):
-        began, todo = time.monotonic(), []
+    async def run_steps(self):
+        """Carries out the steps of the plan."""
+        began, tasks = time.monotonic(), []
         for step in self.plan.steps:
             await asyncio.sleep(max(0.0, began + step.at_s - time.monotonic()))
-            todo.append(asyncio.create_task(self.gateways[step.gateway].act(step.action)))
-        await asyncio.gather(*todo)
+            tasks.append(asyncio.create_task(self.gateways[step.gateway].act(step.action)))
+        await asyncio.gather(*tasks)
 
-    async def settled(self):
-        """Logs and counts of reached members, once all are the same; as they are in the end if they do not become so."""
-        until = time.monotonic() + EQUAL_S
+    async def wait_for_convergence(self):
+        """Returns dumps of the logs and counts of reachable members once they agree, or as they are after CONVERGENCE_S."""
+        until = time.monotonic() + CONVERGENCE_S
         while True:
-            answers = [await self.lines(each, {"do": "dump", "channel": CHANNEL}) for each in self.gateways]
+            answers = [await self.request(each, {"do": "dump", "channel": CHANNEL}) for each in self.gateways]
             dumps = [each[0].get("dump", "") if each else "" for each in answers]
-            reached = await self.reports()
-            is_whole = dumps[0] and len(set(dumps)) == 1 and set(reached) == {len(self.gateways)}
-            if is_whole or time.monotonic() > until:
-                return dumps, reached
+            reachable = await self.reachable_member_counts()
+            has_converged = dumps[0] and len(set(dumps)) == 1 and set(reachable) == {len(self.gateways)}
+            if has_converged or time.monotonic() > until:
+                return dumps, reachable
             await asyncio.sleep(0.25)
 
-    async def reports(self):
-        answers = [await self.lines(each, {"do": "fleet"}) for each in self.gateways]
+    async def reachable_member_counts(self):
+        answers = [await self.request(each, {"do": "fleet"}) for each in self.gateways]
         return [sum(member["reached"] for member in each[0]["members"]) if each else 0 for each in answers]
 
 
-async def _played(plan, folder, list_address):
+async def _run_plan(plan, folder, list_address):
     ports = [free_port() for _ in range(plan.gateways)]
     gateways = [Gateway(i, folder, list_address, ports, plan.syncs_s[i]) for i in range(plan.gateways)]
     try:
         await asyncio.gather(*(each.start() for each in gateways))
         (folder / "slow").touch()
-        players = Players(plan, gateways)
-        watch = asyncio.create_task(players.watch_loop())
+        workload = Workload(plan, gateways)
+        watch = asyncio.create_task(workload.watch_loop())
         await asyncio.gather(
-            players.steps(),
-            *(players.write(*writer) for writer in plan.writers),
-            *(players.look(gateway) for gateway in gateways),
+            workload.run_steps(),
+            *(workload.append_values(*writer) for writer in plan.writers),
+            *(workload.poll_reports(gateway) for gateway in gateways),
         )
         watch.cancel()
         (folder / "slow").unlink()
-        evidence = players.evidence
-        evidence.dumps, evidence.reached = await players.settled()
+        evidence = workload.evidence
+        evidence.dumps, evidence.reachable_counts = await workload.wait_for_convergence()
         for each in gateways:
-            each.life.asked = "term"
-            each.life.send(signal.SIGTERM)
-        await asyncio.gather(*(asyncio.wait_for(each.life.process.wait(), END_S) for each in gateways))
+            each.current.stop_reason = "term"
+            each.current.send(signal.SIGTERM)
+        await asyncio.gather(*(asyncio.wait_for(each.current.process.wait(), END_S) for each in gateways))
         await asyncio.sleep(0)
-        evidence.lives = [each.lives for each in gateways]
+        evidence.processes = [each.processes for each in gateways]
         evidence.logs = [
             (folder / f"{each.name}.log").read_text(errors="replace").splitlines() for each in gateways
         ]
         return evidence
     finally:
-        for life in (life for each in gateways for life in each.lives):
-            if life.process.returncode is None:
-                life.process.kill()
-                await life.process.wait()
+        for run in (run for each in gateways for run in each.processes):
+            if run.process.returncode is None:
+                run.process.kill()
+                await run.process.wait()
 
 
-def play(plan, folder):
-    """Plays a run in a folder; its evidence."""
+def run_plan(plan, folder):
+    """Carries out a run in a directory; returns its evidence."""
     (folder / "state").mkdir()
     (folder / "day.json").write_bytes(msgspec.json.encode(msgspec.structs.replace(quiet(), nodes=2)))
     nodes = Running("nodes", folder / "day.json", "--wait", "--records", folder / "nodes.jsonl")
     try:
-        return asyncio.run(_played(plan, folder, nodes.address))
+        return asyncio.run(_run_plan(plan, folder, nodes.address))
     finally:
         nodes.end(signal.SIGKILL)
 
 
-# --- the judge ---
+# --- checks ---
 
 
 def values_of(dump):
-    """The values in a channel's dump, in the order of the log."""
+    """Returns the values in a channel's dump, in the order of the log."""
     _, entries = json.loads(dump) if dump not in ("", "[]") else (None, [])
     return [json.loads(b64decode(entry[6])) for entry in entries]
 
 
-class Judge:
-    """Judges a run strictly; only the recorded lateness of the asking process is taken off."""
+class RunChecker:
+    """Checks the evidence of a run. Only recorded stalls of the requesting process are subtracted from response times."""
 
     def __init__(self, evidence):
-        self.evidence, self.breaches, self.counts = evidence, [], Counter()
+        self.evidence, self.violations, self.counts = evidence, [], Counter()
 
-    def verdict(self):
-        self._log()
-        self._waits()
-        self._processes()
-        return self.breaches, self.counts
+    def check(self):
+        """Returns the violations, as texts, and the counts."""
+        self._check_logs()
+        self._check_response_times()
+        self._check_processes()
+        return self.violations, self.counts
 
-    def _log(self):
+    def _check_logs(self):
         dumps = self.evidence.dumps
         if len(set(dumps)) != 1:
-            self.breaches.append(f"logs differ: {[len(values_of(dump)) for dump in dumps]} entries")
-        held = Counter(values_of(max(dumps, key=len)))
+            self.violations.append(f"logs differ: {[len(values_of(dump)) for dump in dumps]} entries")
+        occurrences = Counter(values_of(max(dumps, key=len)))
         for value, answer in self.evidence.answers.items():
-            how = "broke off" if answer is None else "refused" if "error" in answer else "done"
-            self.counts[f"append {how}"] += 1
-            if how == "done" and not held[value]:
-                self.breaches.append(f"{value} was answered and is lost: {answer}")
-            if how == "refused" and held[value]:
-                self.breaches.append(f"{value} was refused and is there: {answer}")
-            if held[value] > 1:
-                self.breaches.append(f"{value} is there {held[value]} times")
-        if set(self.evidence.reached) != {len(dumps)}:
-            self.breaches.append(f"of {len(dumps)} members are reached {self.evidence.reached}")
-
-    def _waits(self):
-        self.counts["reports"] = len(self.evidence.waits)
-        for took, at, name in self.evidence.waits:
-            own = sum(
+            outcome = "broke off" if answer is None else "refused" if "error" in answer else "done"
+            self.counts[f"append {outcome}"] += 1
+            if outcome == "done" and not occurrences[value]:
+                self.violations.append(f"{value} was answered and is lost: {answer}")
+            if outcome == "refused" and occurrences[value]:
+                self.violations.append(f"{value} was refused and is there: {answer}")
+            if occurrences[value] > 1:
+                self.violations.append(f"{value} is there {occurrences[value]} times")
+        if set(self.evidence.reachable_counts) != {len(dumps)}:
+            self.violations.append(f"of {len(dumps)} members are reached {self.evidence.reachable_counts}")
+
+    def _check_response_times(self):
+        self.counts["reports"] = len(self.evidence.response_times)
+        for duration, at, name in self.evidence.response_times:
+            own_stall_s = sum(
                 end - start
                 for start, end in self.evidence.stalls
-                if at - took - SAMPLE_S <= end <= at + SAMPLE_S
+                if at - duration - SAMPLE_S <= end <= at + SAMPLE_S
             )
-            if took > LATE_S and took - own <= LATE_S:
+            if duration > MAX_RESPONSE_S and duration - own_stall_s <= MAX_RESPONSE_S:
                 self.counts["waits that were the asking process's own"] += 1
-            elif took > LATE_S:
-                self.breaches.append(f"{name} answered after {took:.2f} s what waits for nothing")
+            elif duration > MAX_RESPONSE_S:
+                self.violations.append(f"{name} answered after {duration:.2f} s what waits for nothing")
 
-    def _processes(self):
+    def _check_processes(self):
         ready = []
-        for index, lives in enumerate(self.evidence.lives):
-            for life in lives:
+        for index, processes in enumerate(self.evidence.processes):
+            for run in processes:
                 self.counts["starts"] += 1
-                self.counts[f"ended by {life.asked or 'nobody'}"] += 1
-                may = (
+                self.counts[f"ended by {run.stop_reason or 'nobody'}"] += 1
+                allowed_codes = (
                     (0,)
-                    if life.asked in ("term", "take_over")
+                    if run.stop_reason in ("term", "take_over")
                     else (-signal.SIGKILL,)
-                    if life.asked == "kill"
+                    if run.stop_reason == "kill"
                     else None
                 )
-                if life.asked == "early_term":
-                    may = (0, -signal.SIGTERM)  # before the program's first statement
-                if may is None or life.code not in may:
-                    self.breaches.append(
-                        f"g{index} ended with code {life.code} where it was asked to: {life.asked!r}"
+                if run.stop_reason == "early_term":
+                    # The signal may arrive before the program's first statement.
+                    allowed_codes = (0, -signal.SIGTERM)
+                if allowed_codes is None or run.exit_code not in allowed_codes:
+                    self.violations.append(
+                        f"g{index} ended with code {run.exit_code} where it was asked to: {run.stop_reason!r}"
                     )
-                if life.asked != "early_term":
-                    ready.append(bool(life.ready) and life.ready - life.began <= READY_S)
+                if run.stop_reason != "early_term":
+                    ready.append(bool(run.ready_at) and run.ready_at - run.started_at <= READY_S)
         if sum(ready) < READY_SHARE * len(ready):
-            self.breaches.append(f"{sum(ready)} of {len(ready)} starts were ready within {READY_S:g} s")
+            self.violations.append(f"{sum(ready)} of {len(ready)} starts were ready within {READY_S:g} s")
         for index, lines in enumerate(self.evidence.logs):
             for line in lines:
                 if "Traceback" in line or "Unhandled" in line:
-                    self.breaches.append(f"g{index} logged {line[:300]}")
+                    self.violations.append(f"g{index} logged {line[:300]}")
 
 
 @dataclass
 class Report:
-    """What a run broke and counted. `folder`: what it left, where it broke."""
+    """The violations and counts of a run. `folder`: the files of a failed run."""
 
     seed: int
-    breaches: list
+    violations: list
     counts: Counter
     folder: Path | None
 
 
 def soak(seed):
-    """Plays and judges the run of a seed."""
-    plan, folder = draw(seed), Path(tempfile.mkdtemp(prefix=f"fleet-soak-{seed}-"))
-    evidence = play(plan, folder)
-    breaches, counts = Judge(evidence).verdict()
+    """Carries out and checks the run of a seed."""
+    plan, folder = draw_plan(seed), Path(tempfile.mkdtemp(prefix=f"fleet-soak-{seed}-"))
+    evidence = run_plan(plan, folder)
+    violations, counts = RunChecker(evidence).check()
     counts["SIGHUP"] = 4 * sum(step.action == "hups" for step in plan.steps)
-    if not breaches:
+    if not violations:
         shutil.rmtree(folder)
-        return Report(seed, breaches, counts, None)
+        return Report(seed, violations, counts, None)
     left = {
         "answers": evidence.answers,
         "dumps": evidence.dumps,
         "stalls": evidence.stalls,
-        "waits": evidence.waits,
+        "waits": evidence.response_times,
     }
     (folder / "evidence.json").write_text(
-        json.dumps({"plan": repr(plan), "breaches": breaches, **left}, indent=1)
+        json.dumps({"plan": repr(plan), "breaches": violations, **left}, indent=1)
     )
-    return Report(seed, breaches, counts, folder)
+    return Report(seed, violations, counts, folder)
 
 
 def main():
     first, _, last = sys.argv[1].partition(":")
-    total, broke = Counter(), 0
+    total, failed = Counter(), 0
     for seed in range(int(first), int(last or first) + 1):
         report = soak(seed)
         total += report.counts
-        broke += bool(report.breaches)
-        print(f"seed {seed}: {'BROKE' if report.breaches else 'kept'}, {dict(report.counts)}", flush=True)
-        for text in report.breaches[:10]:
+        failed += bool(report.violations)
+        print(f"seed {seed}: {'BROKE' if report.violations else 'kept'}, {dict(report.counts)}", flush=True)
+        for text in report.violations[:10]:
             print(f"    {text}", flush=True)
         if report.folder:
             print(f"    {report.folder}; again: python tests/fleet_soak.py {seed}", flush=True)
-    print(f"{broke} runs broke; {dict(total)}")
-    return 1 if broke else 0
+    print(f"{failed} runs broke; {dict(total)}")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
