--- a/tests/forms/record.py
+++ b/tests/forms/record.py
@@ -1,9 +1,9 @@
-"""Writes the recordings of the oldest form: `python tests/forms/record.py`, run by a program that speaks it.
+"""Writes the recordings of the oldest format version: `python tests/forms/record.py`, run with a version that writes it.
 
-What the repository has was written by the last program that knew of no other form. Three gateways on the virtual
-network append, compact and restart; kept is the journal of one as it stands in its file, all that another told a
-third over one link as it crossed the socket, and what the logs held then. It is not written anew: later programs
-must read it as it is.
+The files in the repository were written by the last version that supported no other format. Three gateways on the
+virtual network append, compact and restart. The recordings are the journal file of one gateway, the bytes that another
+sent to the third over one link, and the contents of the logs at that time. Do not regenerate them: later versions must be
+able to read these files unchanged.
 """
 
 import json
@@ -21,13 +21,13 @@
 
 
 def record(folder):
-    told, write = {}, Link._write
+    frames, write = {}, Link._write
 
-    def tapped(link, data):
-        told.setdefault(link, []).append(data)
+    def record_write(link, data):
+        frames.setdefault(link, []).append(data)
         write(link, data)
 
-    Link._write = tapped
+    Link._write = record_write
     fleet = Fleet("abc")
     fleet.parts["a"].kill()
     journal = folder / "journal-1"
@@ -40,27 +40,27 @@
         fleet.run(0.05)
     fleet.run(3)
     upto = fleet.parts["a"].log.events("c")[5].at
-    for part in fleet.parts.values():
-        part.compact("c", upto, {"sum": 15})
+    for member in fleet.parts.values():
+        member.compact("c", upto, {"sum": 15})
     fleet.parts["b"].kill()
-    fleet.journals["b"] = MemoryJournal()  # a lost disk: it is told all that there is, snapshots too
+    fleet.journals["b"] = MemoryJournal()  # a lost disk: its peers send it the complete log, with snapshots
     fleet.run(1)
-    told.clear()
+    frames.clear()
     fleet.start("b")
     fleet.run(1)
     for i in range(12, 18):
         fleet.parts["abc"[i % 3]].append("c", {"number": i})
         fleet.run(0.1)
     fleet.run(4)
-    # Whoever it met first told it all.
-    to_b = [link for link in told if link.exchange.peer == "b" and link.is_connected]
-    (link,) = [link for link in to_b if any(b'"m":"piece"' in data for data in told[link])]
-    (folder / "frames-1").write_bytes(b"".join(told[link]))
+    # The first peer to connect to b sends it everything.
+    to_b = [link for link in frames if link.exchange.peer == "b" and link.is_connected]
+    (link,) = [link for link in to_b if any(b'"m":"piece"' in data for data in frames[link])]
+    (folder / "frames-1").write_bytes(b"".join(frames[link]))
     assert len(fleet.dumps("c")) == len(fleet.dumps("fleet")) == 1
-    held = {name: fleet.parts["a"].dump(name).decode() for name in ("c", "fleet")}
-    at = EPOCH + int(fleet.network.seconds() * 1000)
+    dumps = {name: fleet.parts["a"].dump(name).decode() for name in ("c", "fleet")}
+    wall_ms = EPOCH + int(fleet.network.seconds() * 1000)
     (folder / "held.json").write_text(
-        json.dumps({"wall_ms": at, "from": link.owner.members.name, "dumps": held}, indent=1) + "\n"
+        json.dumps({"wall_ms": wall_ms, "from": link.owner.members.name, "dumps": dumps}, indent=1) + "\n"
     )
     fleet.parts["a"].kill()
 
--- a/tests/test_fleet_rolling.py
+++ b/tests/test_fleet_rolling.py
@@ -1,4 +1,5 @@
-"""Processes of a gateway of a fleet that follow each other, on real sockets: one writer of the journal, nothing refused."""
+"""Successive processes of one gateway of a fleet on real sockets: one process writes the journal, and no connection is
+refused."""
 
 import json
 import signal
@@ -19,7 +20,7 @@
 
 
 class Host:
-    """One gateway's settings, and what its control socket says."""
+    """One gateway: its settings, its processes and requests to its control socket."""
 
     def __init__(self, running, folder):  # noqa: F811
         self.running, self.path, self.control = running, folder / "g0.cue", folder / "control"
@@ -49,14 +50,14 @@
         end = socket.socket(socket.AF_UNIX)
         end.settimeout(LONG)
 
-        def meets():
+        def connected():
             try:
                 end.connect(str(self.control))
             except (FileNotFoundError, ConnectionRefusedError):
-                return False  # it listens there a moment after it says that it serves
+                return False  # it listens there shortly after it reports that it serves
             return True
 
-        assert self.until(meets)
+        assert self.until(connected)
         return end, end.makefile("rb")
 
     def ask(self, **line):
@@ -73,7 +74,7 @@
 
     @staticmethod
     def until(done):
-        """Asks again until it is so; the test's own time limit ends what never comes."""
+        """Polls until `done()` is true; returns False after LONG seconds."""
         for _ in range(LONG * 20):
             if done():
                 return True
@@ -86,54 +87,55 @@
     return Host(running, tmp_path)
 
 
-class Knocks(threading.Thread):
-    """Connects again and again, as clients and peers would."""
+class ConnectionProbe(threading.Thread):
+    """Connects repeatedly, as clients and peers do, and counts refused connections."""
 
     def __init__(self, addresses):
         super().__init__()
-        self.addresses, self.refused, self.made, self.over = addresses, 0, 0, threading.Event()
+        self.addresses, self.refused, self.accepted, self.stopping = addresses, 0, 0, threading.Event()
         self.start()
 
     def run(self):
-        while not self.over.wait(0.005):
+        while not self.stopping.wait(0.005):
             for address in self.addresses:
                 host, _, port = address.rpartition(":")
                 try:
                     socket.create_connection((host, int(port)), timeout=LONG).close()
-                    self.made += 1
+                    self.accepted += 1
                 except ConnectionRefusedError:
                     self.refused += 1
 
     def end(self):
-        self.over.set()
+        self.stopping.set()
         self.join()
         return self.refused
 
 
-def test_the_next_process_takes_sockets_and_journal_and_nothing_is_refused_or_lost(host):
+def test_the_next_process_takes_over_sockets_and_journal_and_nothing_is_refused_or_lost(host):
     first = host.start()
     Client(first.address).serve_one()
-    kept, lives = [], []
-    knocks = Knocks([first.address, first.fleet])
-    for turn in range(3):
-        answer = host.append(turn)
+    appended, incarnations = [], []
+    probe = ConnectionProbe([first.address, first.fleet])
+    for value in range(3):
+        answer = host.append(value)
         assert answer["done"]
-        kept.append(turn)
-        lives.append(answer["life"])
+        appended.append(value)
+        incarnations.append(answer["life"])
         second = host.start("--take-over")
         assert (second.address, second.fleet) == (first.address, first.fleet)
-        assert first.end(0)[0] == 0  # it leaves by itself
-        assert host.until(lambda: host.values() == kept)
+        assert first.end(0)[0] == 0  # it ends by itself
+        assert host.until(lambda: host.values() == appended)
         Client(second.address).serve_one()
         first = second
-    assert knocks.end() == 0 and knocks.made > 10
-    assert lives == sorted(set(lives)) and first.end(signal.SIGKILL)[0] == -signal.SIGKILL
+    assert probe.end() == 0 and probe.accepted > 10
+    assert incarnations == sorted(set(incarnations)) and first.end(signal.SIGKILL)[0] == -signal.SIGKILL
     host.start()
-    assert host.until(lambda: host.values() == kept)
+    assert host.until(lambda: host.values() == appended)
 
 
-def test_a_second_process_of_the_same_state_is_turned_away_and_harms_nothing(host):
-    # Before: it put a new journal in place, and what the first answered after that was gone with the first.
+def test_a_second_process_with_the_same_state_directory_is_rejected_without_harm(host):
+    # Guards against a second process that replaces the journal: appends that the first process acknowledges after that
+    # would be lost with it.
     first = host.start()
     assert host.append(1)["done"]
     assert "another process runs with this state; end it first, or start with --take-over" in host.fails()
@@ -143,25 +145,25 @@
     assert host.until(lambda: host.values() == [1, 2])
 
 
-def test_a_process_that_dies_while_it_takes_over_leaves_the_fleet_to_the_first(host):
+def test_the_first_process_resumes_its_membership_if_its_successor_dies_during_the_takeover(host):
     first = host.start()
     assert host.append(1)["done"]
-    taker, file = host.talk()
-    with taker, file:
-        for word, answer in (
+    successor, file = host.talk()
+    with successor, file:
+        for command, answer in (
             ("accepts", "error"),
             ("release", "error"),
             ("hand over", "sockets"),
             ("accepts", "error"),
             ("release", "released"),
         ):
-            taker.sendall(json.dumps({"do": word}).encode() + b"\n")
-            told = json.loads(file.readline())
-            assert answer in told, (word, told)
-        assert "error" in host.ask(do="fleet") and "error" in host.append(2)  # the journal is the other's
+            successor.sendall(json.dumps({"do": command}).encode() + b"\n")
+            reply = json.loads(file.readline())
+            assert answer in reply, (command, reply)
+        assert "error" in host.ask(do="fleet") and "error" in host.append(2)  # the successor has the journal
         Client(first.address).serve_one()
         assert "has asked for them and is not ready yet" in host.fails("--take-over")
-        taker.shutdown(socket.SHUT_RDWR)
+        successor.shutdown(socket.SHUT_RDWR)
     assert host.until(lambda: "done" in host.append(3))
     assert host.until(lambda: host.values() == [1, 3])
     socket.create_connection(tuple(first.fleet.rsplit(":", 1))).close()  # the same socket
@@ -170,7 +172,7 @@
     assert second.fleet == first.fleet
 
 
-def test_an_older_program_takes_nothing_over_once_a_newer_form_is_in_force(host):
+def test_an_older_version_cannot_take_over_once_a_newer_format_version_is_in_force(host):
     first = host.start()
     assert host.until(lambda: host.ask(do="form")["waits"] == "")
     assert host.ask(do="form", form=2)["done"]
