--- a/tests/test_fleet_part.py
+++ b/tests/test_fleet_part.py
@@ -1,4 +1,4 @@
-"""Gateways of one fleet on the virtual network, in the shipped code: they meet, agree, and bear each other's faults."""
+"""Fleet members on the virtual network: gossip, convergence of the log, faults of networks, disks and peers."""
 
 import json
 import signal
@@ -45,21 +45,21 @@
 }  # fmt: skip
 
 
-class Beside:
-    """A gateway, as far as a part needs one."""
+class FakeGateway:
+    """A gateway as a fleet member uses it; records the rate limits that it receives."""
 
     def __init__(self, name):
         self.name = name
-        self.bounds = []
+        self.rate_limits = []
         self.request_log = RequestLog()
         self.attempt_observers = []
 
-    def node_rates_received(self, bounds):
-        self.bounds.append(dict(bounds))
+    def node_rates_received(self, rates):
+        self.rate_limits.append(dict(rates))
 
 
 class Fleet:
-    """Parts by name on one network; each has the ports of the others."""
+    """Fleet members by name on one virtual network; each has the addresses of the others."""
 
     def __init__(self, names, seed=1, **changes):
         self.network = VirtualNetwork(seed)
@@ -80,12 +80,12 @@
     def start(self, name, **changes):
         self.lives += 1
 
-        def say(event, **more):
+        def write_log(event, **more):
             self.lines.append((name, event, more))
 
         environment = MemberEnvironment(
-            Beside(name), self.hosts[name], self.journals[name], self.lives,
-            lambda: EPOCH + int(self.network.seconds() * 1000), say,
+            FakeGateway(name), self.hosts[name], self.journals[name], self.lives,
+            lambda: EPOCH + int(self.network.seconds() * 1000), write_log,
         )  # fmt: skip
         part = FleetMember(self.said(name, **changes), environment)
         part.start(where=f"127.0.0.1:{self.ports[name]}")
@@ -93,7 +93,7 @@
         return part
 
     def cut(self, here, there, way=CUT):
-        """The ways between them, both; None mends."""
+        """Sets the network path between two groups of gateways in both directions; None restores it."""
         for a in here:
             for b in there:
                 self.network.set_way(a, b, way)
@@ -118,10 +118,10 @@
 
 
 def bodies(part, channel="c"):
-    return [told.entry.body for told in part.read(channel, "", 10_000)[0]]
+    return [delivery.entry.body for delivery in part.read(channel, "", 10_000)[0]]
 
 
-def test_three_gateways_hold_the_same_and_read_it_in_the_same_order(make_fleet):
+def test_three_gateways_store_the_same_entries_and_read_them_in_the_same_order(make_fleet):
     fleet = make_fleet("abc")
     fleet.run(3)
     for i in range(30):
@@ -134,10 +134,10 @@
     assert {len(part.peer_links.by_peer) for part in fleet.parts.values()} == {2}
 
 
-# --- cut off, gone, back ---
+# --- partitions and restarts ---
 
 
-def test_one_that_was_cut_off_catches_up_and_its_own_entries_come_in(make_fleet):
+def test_a_partitioned_gateway_catches_up_and_its_own_entries_are_received(make_fleet):
     fleet = make_fleet("abc")
     fleet.run(3)
     fleet.cut("c", "ab")
@@ -146,7 +146,7 @@
     for i in range(40):
         fleet.parts["abc"[i % 3]].append("c", i)
     fleet.run(2)
-    # What c has not seen is held back from readers, as c may still say something that comes before it.
+    # Readers do not receive entries past the stability frontier, as c may still append an entry with an earlier position.
     assert len(bodies(fleet.parts["a"])) < 27
     fleet.cut("c", "ab", None)
     fleet.run(5)
@@ -154,10 +154,10 @@
     assert all(sorted(map(int, bodies(part))) == list(range(40)) for part in fleet.parts.values())
 
 
-def test_a_link_that_is_cut_one_way_is_made_anew_and_news_go_round(make_fleet):
+def test_a_link_cut_in_one_direction_is_replaced_and_heartbeats_are_relayed(make_fleet):
     fleet = make_fleet("abc")
     fleet.run(3)
-    fleet.network.set_way("a", "b", CUT)  # b hears nothing from a; a hears b
+    fleet.network.set_way("a", "b", CUT)  # b receives nothing from a; a receives from b
     fleet.run(6)
     assert fleet.reached("b") == "abc"  # through c
     assert fleet.said_of("fleet link down", peer="a", why="nothing was heard for too long")
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(
     "way", [Way(lose=0.1), Way(repeat=0.2), Way(lose=0.05, repeat=0.05, late=(0.0, 0.3))]
 )
-def test_ways_that_lose_repeat_and_delay_spoil_nothing(make_fleet, way):
+def test_logs_converge_over_paths_that_lose_repeat_and_delay(make_fleet, way):
     fleet = make_fleet("abc", seed=3)
     fleet.cut("abc", "abc", way)
     for i in range(100):
@@ -182,49 +182,49 @@
     assert not any(part.peer_errors for part in fleet.parts.values())
 
 
-def test_a_gateway_that_comes_back_does_so_in_a_new_life_with_all_that_it_answered(make_fleet):
+def test_a_restarted_gateway_has_a_new_incarnation_and_all_acknowledged_entries(make_fleet):
     fleet = make_fleet("abc")
     fleet.run(2)
-    lives, values = [], []
+    incarnations, values = [], []
     for i in range(4):
-        lives.append(fleet.parts["a"].log.incarnation)
+        incarnations.append(fleet.parts["a"].log.incarnation)
         values.append(i)
         fleet.parts["a"].append("c", i)
-        fleet.parts["a"].kill()  # before anybody heard of it
+        fleet.parts["a"].kill()  # before a peer receives the entry
         fleet.run(1)
         fleet.start("a")
         fleet.run(4)
-    assert lives == sorted(set(lives)) and fleet.parts["a"].log.incarnation > lives[-1]
+    assert incarnations == sorted(set(incarnations)) and fleet.parts["a"].log.incarnation > incarnations[-1]
     assert len(fleet.dumps()) == 1
     assert [int(body) for body in bodies(fleet.parts["c"])] == values
 
 
-def test_killed_at_any_write_nothing_that_was_answered_is_lost(make_fleet, tmp_path):
-    """The journal is cut at every byte of what four appends wrote, as a kill would leave it."""
+def test_a_kill_at_any_journal_write_loses_no_acknowledged_entry(make_fleet, tmp_path):
+    """Truncates the journal at each byte that four appends wrote, as a kill during a write leaves it."""
     path = tmp_path / "a.log"
     fleet = make_fleet("a")
     fleet.journals["a"] = FileJournal(path, *JOURNAL)
     fleet.parts["a"].kill()
     part = fleet.start("a")
-    ends, life = [], part.log.incarnation
+    ends, incarnation = [], part.log.incarnation
     for i in range(4):
         part.append("c", i)
         ends.append(path.stat().st_size)
     part.kill()
-    whole = path.read_bytes()
-    for size in range(ends[0] - 20, len(whole) + 1):
-        path.write_bytes(whole[:size])
+    complete = path.read_bytes()
+    for size in range(ends[0] - 20, len(complete) + 1):
+        path.write_bytes(complete[:size])
         fleet.journals["a"] = FileJournal(path, *JOURNAL)
         part = fleet.start("a")
-        held = [json.loads(entry.body) for entry in part.log.events("c")]
-        assert held == list(range(sum(end <= size for end in ends)))
-        assert part.log.incarnation > life
+        values = [json.loads(entry.body) for entry in part.log.events("c")]
+        assert values == list(range(sum(end <= size for end in ends)))
+        assert part.log.incarnation > incarnation
         part.kill()
         fleet.run(0.01)
 
 
-class Full(MemoryJournal):
-    """A journal on a disk that is full for a while."""
+class FullDiskJournal(MemoryJournal):
+    """A journal whose writes fail while `full` is set."""
 
     full = False
 
@@ -239,10 +239,10 @@
         super().rewrite(records)
 
 
-def test_a_full_disk_refuses_appends_and_nothing_else(make_fleet):
+def test_on_a_full_disk_only_appends_are_rejected(make_fleet):
     fleet = make_fleet("ab")
     fleet.parts["a"].kill()
-    disk = fleet.journals["a"] = Full()
+    disk = fleet.journals["a"] = FullDiskJournal()
     part = fleet.start("a")
     fleet.run(3)
     disk.full = True
@@ -253,7 +253,7 @@
     fleet.run(5)
     assert fleet.reached("a") == "ab" and len(fleet.dumps()) == 1
     assert part.figures()["fleet_appends_refused_total"] >= 3
-    assert len(fleet.said_of("fleet append refused")) == 1  # one line, however often
+    assert len(fleet.said_of("fleet append refused")) == 1  # one line for all of them
     disk.full = False
     part.append("c", 3)
     part.kill()
@@ -262,7 +262,7 @@
     assert [int(body) for body in bodies(fleet.parts["a"])] == [2, 3]
 
 
-def test_a_full_channel_refuses_with_its_reason_and_the_others_go_on(make_fleet):
+def test_a_full_channel_rejects_appends_with_a_reason_and_other_channels_accept_them(make_fleet):
     fleet = make_fleet("ab", log={**SAID["log"], "channel": 4096.0})
     fleet.run(3)
     with pytest.raises(AppendRejectedError, match="channel c is full"):
@@ -272,7 +272,7 @@
     with pytest.raises(AppendRejectedError, match="no text"):
         fleet.parts["a"].append("\ud800", 1)
     fleet.run(3)
-    # A program that keeps the channel puts a value in place of what is settled, and there is room again.
+    # Replacing the entries behind the frontier by a snapshot frees space in the channel.
     for part in fleet.parts.values():
         part.compact("c", part.log.events("c")[-1].at, {"kept": 0})
     fleet.parts["a"].append("c", 1)
@@ -280,7 +280,7 @@
     assert len(fleet.dumps()) == 1
 
 
-def test_a_lost_disk_is_a_new_gateway_that_gets_the_snapshot(make_fleet):
+def test_a_gateway_that_lost_its_disk_receives_the_snapshot(make_fleet):
     fleet = make_fleet("abc")
     fleet.run(3)
     for i in range(10):
@@ -295,15 +295,15 @@
     fleet.start("c")
     fleet.parts["a"].append("c", 10)
     fleet.run(6)
-    told, cursor = fleet.parts["c"].read("c")
-    assert [each.snapshot is not None for each in told] == [True, False]
-    assert json.loads(told[0].snapshot.value) == {"sum": 45} and told[1].entry.body == b"10"
+    deliveries, cursor = fleet.parts["c"].read("c")
+    assert [each.snapshot is not None for each in deliveries] == [True, False]
+    assert json.loads(deliveries[0].snapshot.value) == {"sum": 45} and deliveries[1].entry.body == b"10"
     assert fleet.parts["c"].read("c", cursor) == ([], cursor)
     assert len(fleet.dumps()) == 1
 
 
 @pytest.mark.parametrize("shift", [-3_000_000.0, 3_000_000.0])
-def test_a_wrong_clock_is_named_and_spoils_neither_order_nor_frontier(make_fleet, shift):
+def test_a_wrong_clock_is_reported_and_affects_neither_order_nor_frontier(make_fleet, shift):
     fleet = make_fleet("abc")
     fleet.parts["b"].kill()
     fleet.journals["b"] = MemoryJournal()
@@ -318,7 +318,7 @@
     assert any("ahead" in note for part in fleet.parts.values() for note in part.log.notes)
 
 
-def test_a_clock_beyond_the_bound_ends_links_with_one_line_and_the_others_go_on(make_fleet):
+def test_links_to_a_gateway_whose_clock_exceeds_the_bound_end_and_others_stay(make_fleet):
     fleet = make_fleet("abc")
     fleet.parts["b"].kill()
     fleet.start("b", shift=7_200_000.0)
@@ -328,19 +328,19 @@
     assert lines and all("s ahead" in more["why"] for _, _, more in lines) and len(lines) < 14
 
 
-# --- peers that break rules ---
+# --- peers that violate the protocol ---
 
 HELLO = {"version_in_force": 1, "fleet": "f", "name": "b", "incarnation": 5}
 
 
 class Liar:
-    """A raw connection to a gateway of the fleet: it says what it is told to, and keeps what it got."""
+    """A raw connection to a gateway of the fleet; records the bytes that it receives."""
 
     def __init__(self, fleet, name):
         liar = self
         self.got, self.ended, self.transport = b"", False, None
 
-        class End(Protocol):
+        class Connection(Protocol):
             def connectionMade(self):
                 liar.transport = self.transport
 
@@ -350,12 +350,13 @@
             def connectionLost(self, reason=None):
                 liar.ended = True
 
-        fleet.network.connectTCP("127.0.0.1", fleet.ports[name], ClientFactory.forProtocol(End))
+        fleet.network.connectTCP("127.0.0.1", fleet.ports[name], ClientFactory.forProtocol(Connection))
         fleet.run(0.01)
 
     def fault(self):
-        _, said, rest = self.got.partition(b'{"m":"fault"')
-        return json.loads((said + rest).split(b"\r\n")[0]) if said else None
+        """Returns the header of the error notice that was received, or None."""
+        _, start, rest = self.got.partition(b'{"m":"fault"')
+        return json.loads((start + rest).split(b"\r\n")[0]) if start else None
 
 
 ROW = ["b", 1, EPOCH, 0, 0, 0, {"life": 5, "zone": 0, "seq": 0, "head": "", "before": []}]
@@ -378,9 +379,9 @@
 
 
 @pytest.mark.parametrize("code", LIES)
-def test_a_peer_that_breaks_a_rule_is_told_which_and_the_others_are_unharmed(make_fleet, code):
+def test_a_peer_that_violates_the_protocol_receives_the_code_and_others_are_unaffected(make_fleet, code):
     fleet = make_fleet("ac")
-    fleet.ports["b"] = 20_900  # nobody listens there
+    fleet.ports["b"] = 20_900  # no listener
     for name in "ac":
         fleet.parts[name].kill()
         fleet.start(name)
@@ -397,26 +398,26 @@
     assert (fleet.dumps(), set(fleet.parts["a"].members.heartbeats)) == before
     assert fleet.reached("a") == "ac"
     if code in ("flood", "bad_row", "bad_entry", "ahead"):
-        again = Liar(fleet, "a")  # it rests, whoever dials
+        again = Liar(fleet, "a")  # the penalty also applies to connections that the peer makes
         again.transport.write(encode_frame(Hello(**HELLO)))
         fleet.run(0.1)
         assert again.ended
         assert len(fleet.said_of("fleet link refused")) == 1
 
 
-def test_connections_that_say_nothing_are_bounded_and_end(make_fleet):
+def test_silent_connections_are_limited_in_number_and_closed(make_fleet):
     fleet = make_fleet("ab")
     fleet.run(1)
-    mute = [Liar(fleet, "a") for _ in range(MAX_UNGREETED_LINKS + 20)]
+    silent = [Liar(fleet, "a") for _ in range(MAX_UNGREETED_LINKS + 20)]
     fleet.run(0.1)
-    up = [each for each in mute if each.transport is not None]
+    up = [each for each in silent if each.transport is not None]
     assert len(up) == MAX_UNGREETED_LINKS and not any(each.ended for each in up)
     fleet.run(3)
     assert all(each.ended for each in up)
     assert fleet.reached("a") == "ab" and len(fleet.parts["a"].peer_links.links) == 1
 
 
-def test_a_peer_that_does_not_read_holds_no_memory_and_is_left(make_fleet):
+def test_a_peer_that_does_not_read_uses_bounded_memory_and_is_disconnected(make_fleet):
     fleet = make_fleet("ab")
     fleet.run(2)
     fleet.hosts["b"].stand_still(True)
@@ -436,18 +437,18 @@
 
 
 class CountingSubsystem:
-    """A subsystem that reports its beats, wants a few entries appended, and limits a node."""
+    """A subsystem that reports its number of beats, appends a few entries and limits a node."""
 
     name = "counting"
 
     def __init__(self, wants=()):
-        self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
+        self.wanted, self.statuses, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
 
     def status(self, now):
         return b'{"turns":%d}' % self.turns
 
-    def status_received(self, name, zone, told, now):
-        self.told[name] = json.loads(told)["turns"]
+    def status_received(self, name, zone, status, now):
+        self.statuses[name] = json.loads(status)["turns"]
 
     def entry_received(self, entry, now):
         self.events.append(entry.body)
@@ -463,18 +464,18 @@
 
 
 class CountingTenant:
-    """The same with the method names of library surface 1, and the two that a tenant need not have."""
+    """The same with the method names of library surface 1, and its two optional methods."""
 
     name = "counting"
 
     def __init__(self, wants=()):
-        self.wanted, self.told, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
+        self.wanted, self.statuses, self.events, self.turns, self.nodes = list(wants), {}, [], 0, {}
 
     def sight(self, now):
         return b'{"turns":%d}' % self.turns
 
     def heard(self, name, zone, told, now):
-        self.told[name] = json.loads(told)["turns"]
+        self.statuses[name] = json.loads(told)["turns"]
 
     def event(self, entry, now):
         self.events.append(entry.body)
@@ -501,11 +502,11 @@
     for name, subsystem in subsystems.items():
         fleet.parts[name].register(subsystem)
     fleet.run(3)
-    assert subsystems["a"].told["b"] >= subsystems["b"].turns - 2 > 5
+    assert subsystems["a"].statuses["b"] >= subsystems["b"].turns - 2 > 5
     assert sorted(e for e in subsystems["a"].events if e in (b'"a"', b'"b"')) == [b'"a"', b'"b"']
     subsystems["a"].nodes = {7: 2.5}
     fleet.run(1)
-    assert fleet.parts["a"].gateway.bounds == [{7: 2.5}]  # told once, when it changed
+    assert fleet.parts["a"].gateway.rate_limits == [{7: 2.5}]  # once, when it changed
     late = CountingSubsystem()
     late.name = "late"
     fleet.parts["b"].register(late)
@@ -515,10 +516,10 @@
     assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
 
 
-def test_the_librarys_part_and_tenant_take_the_calls_of_their_surface():
+def test_part_and_tenant_of_the_library_support_the_calls_of_their_surface():
     network, journal, lines, got = VirtualNetwork(1), MemoryJournal(), [], []
     part = library.Part(
-        SAID, Beside("a"), network.host("a"), journal, seed=1, epoch_ms=lambda: EPOCH + int(network.seconds() * 1000),
+        SAID, FakeGateway("a"), network.host("a"), journal, seed=1, epoch_ms=lambda: EPOCH + int(network.seconds() * 1000),
         say=lambda event, **more: lines.append(event), zone=1, zones=2, cold=0, names=("x", "y"),
     )  # fmt: skip
     part.start(where="127.0.0.1:20000")
@@ -527,7 +528,7 @@
     part.follow("c", "", told=lambda told, cursor: got.extend(told))
     network.advance(3)
     assert tenant.turns > 5 and b"1" in tenant.events and "fleet joined" in lines
-    assert [told.entry.body for told in got] == [b"1"] and part.read("c", cursor="", most=1)[0] == got
+    assert [each.entry.body for each in got] == [b"1"] and part.read("c", cursor="", most=1)[0] == got
     part.stop()
 
 
@@ -537,29 +538,29 @@
     for name, tenant in tenants.items():
         fleet.parts[name].register(library.TenantSubsystem(tenant))
     fleet.run(3)
-    assert tenants["a"].told["b"] >= tenants["b"].turns - 2 > 5
+    assert tenants["a"].statuses["b"] >= tenants["b"].turns - 2 > 5
     assert sorted(e for e in tenants["a"].events if e in (b'"a"', b'"b"')) == [b'"a"', b'"b"']
     tenants["a"].nodes = {7: 2.5}
     fleet.run(1)
-    assert fleet.parts["a"].gateway.bounds == [{7: 2.5}]
+    assert fleet.parts["a"].gateway.rate_limits == [{7: 2.5}]
     assert fleet.parts["a"].report()["counting"] == {"turns": tenants["a"].turns}
     for number in range(60):
         fleet.parts["a"].append("fleet", {"what": "counted", "number": number})
-    fleet.run(130)  # over two whole minutes, in which channel `fleet` is compacted
+    fleet.run(130)  # more than two minutes, in which channel `fleet` is compacted
     assert len(json.loads(fleet.parts["b"].log.snapshot("fleet").value)["counting"]) == 60
     tenants["b"].sight = lambda now: b"not json"
     fleet.run(1)
     assert fleet.parts["a"].peer_errors["bad_sight"] and fleet.reached("a") == "ab"
 
 
-def test_decisions_that_others_replaced_go_and_a_lost_disk_still_knows_what_stands(make_fleet):
+def test_replaced_decisions_are_compacted_and_the_current_one_reaches_a_gateway_without_disk(make_fleet):
     zones = {"window": 2000.0}
     fleet = make_fleet("abc", zones=zones, log={**SAID["log"], "channel": 20_000.0})
     fleet.run(3)
     for number in range(1, 61):
         body = {"what": "zone", "zone": 0, "standing": "in doubt" if number % 2 else "in", "number": number}
         fleet.parts["a"].append("fleet", body)
-    fleet.run(130)  # over two whole minutes
+    fleet.run(130)  # more than two minutes
     for part in fleet.parts.values():
         assert part.log.channel_bytes("fleet") < 10_000 and part.zones.state_of(0)[1] >= 60
     assert len(fleet.dumps("fleet")) == 1
@@ -572,66 +573,67 @@
     assert fleet.parts["c"].log.frontier() > Timestamp(EPOCH, 0)
 
 
-def test_legs_that_ended_and_legs_that_are_silent_are_evidence_once_each():
+def test_ended_and_silent_attempts_count_as_evidence_once_each():
     zones = ZoneController(ZoneSettings(), FleetPlacement(2, "a", 0, 3))
-    books = RequestLog()
-    watch = ZoneSubsystem(zones, books, 15 * SECOND, lambda: EPOCH)
+    request_log = RequestLog()
+    subsystem = ZoneSubsystem(zones, request_log, 15 * SECOND, lambda: EPOCH)
     nodes = [NodeEntry(1, 0, 0, Health.READY, 0), NodeEntry(2, 1, 0, Health.READY, 50 * SECOND)]
-    watch.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
+    subsystem.nodes_are([*nodes, NodeEntry(3, 1, 0, Health.GONE, 0)], 0)
     assert zones.context.nodes.by_node == {1: (0, 0, True, 0), 2: (1, 0, True, 65 * SECOND)}
 
-    def leg(job, node, sent, ended=None, ending=Ending.SERVED):
-        if job not in books.requests:
-            books.add(RequestRecord(job, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
-        story = books.attempt_sent(job, len(books.requests[job].attempts), node, sent)
+    def attempt(request, node, sent, ended=None, ending=Ending.SERVED):
+        if request not in request_log.requests:
+            request_log.add(RequestRecord(request, 0, 0, 1, 2.0, sent, sent + SECOND, sent + SECOND))
+        record = request_log.attempt_sent(request, len(request_log.requests[request].attempts), node, sent)
         if ended is not None:
-            watch.attempt_ended(
-                *books.attempt_ended(job, story.attempts[-1].number, ending, "", ended), ended
+            subsystem.attempt_ended(
+                *request_log.attempt_ended(request, record.attempts[-1].number, ending, "", ended), ended
             )
-        return story
+        return record
 
     now = 100 * SECOND
-    for job in range(10):
-        leg(job, 1, now, now + 30 * MS)
-    assert watch.usual_duration[0] == 30 * MS
-    leg(20, 2, now)
-    watch.beat_passed(now + 200 * MS)
-    assert (
-        2 not in zones.context.observations.by_node
-    )  # four times its usual time, but a pause of one process is as long
+    for request in range(10):
+        attempt(request, 1, now, now + 30 * MS)
+    assert subsystem.usual_duration[0] == 30 * MS
+    attempt(20, 2, now)
+    subsystem.beat_passed(now + 200 * MS)
+    # More than four times the usual duration, but a pause of one process can be as long.
+    assert 2 not in zones.context.observations.by_node
     for beat in range(3):
-        watch.beat_passed(now + 300 * MS + beat * 250 * MS)
+        subsystem.beat_passed(now + 300 * MS + beat * 250 * MS)
     assert zones.context.observations.by_node[2].failures == 1
-    watch.attempt_ended(*books.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
-    assert zones.context.observations.by_node[2].failures == 1  # the same leg, counted already
-    leg(21, 2, now, now + SECOND, Ending.UNREACHABLE)
+    subsystem.attempt_ended(*request_log.attempt_ended(20, 0, Ending.TIMEOUT, "", now + SECOND), now + SECOND)
+    assert zones.context.observations.by_node[2].failures == 1  # the same attempt, already counted
+    attempt(21, 2, now, now + SECOND, Ending.UNREACHABLE)
     assert zones.context.observations.by_node[2].failures == 2
 
 
-def test_of_the_events_a_snapshot_stands_for_those_that_still_matter_are_kept():
+def test_a_snapshot_retains_the_events_that_are_still_relevant():
     zones = ZoneController(ZoneSettings(), FleetPlacement(3, "a", 0, 3))
-    watch = ZoneSubsystem(zones, RequestLog(), 0, lambda: EPOCH)
+    subsystem = ZoneSubsystem(zones, RequestLog(), 0, lambda: EPOCH)
 
     def event(seq, **body):
         return Entry("fleet", "a", 1, seq, Timestamp(EPOCH + seq, 0), (), json.dumps(body).encode())
 
-    def said(seq, zone, number):
+    def zone_event(seq, zone, number):
         return event(seq, what="zone", zone=zone, standing="left", number=number)
 
     events = [
-        said(1, 0, 1), said(2, 0, 3), said(3, 0, 2), said(4, 2, 1), event(5, what="admit"),
+        zone_event(1, 0, 1), zone_event(2, 0, 3), zone_event(3, 0, 2), zone_event(4, 2, 1), event(5, what="admit"),
         event(6, what="lend", zone=0, to="b", units=0.1, until=EPOCH - 700_000),
         event(7, what="lend", zone=0, to="b", units=0.1, until=EPOCH + 5000), event(8, what=7),
     ]  # fmt: skip
-    assert [entry.seq for entry in watch.keeps(events, Timestamp(EPOCH, 0))] == [2, 4, 7]
-    again = watch.keeps([*watch.keeps(events[:4], Timestamp(EPOCH, 0)), *events[4:]], Timestamp(EPOCH, 0))
-    assert again == watch.keeps(events, Timestamp(EPOCH, 0))  # in one step or in two
+    assert [entry.seq for entry in subsystem.keeps(events, Timestamp(EPOCH, 0))] == [2, 4, 7]
+    again = subsystem.keeps(
+        [*subsystem.keeps(events[:4], Timestamp(EPOCH, 0)), *events[4:]], Timestamp(EPOCH, 0)
+    )
+    assert again == subsystem.keeps(events, Timestamp(EPOCH, 0))  # the same in one step and in two
 
 
-# --- for people and programs ---
+# --- operators and host programs ---
 
 
-def test_a_person_leaves_a_zone_for_all_and_takes_it_back_and_each_gateway_says_so(make_fleet):
+def test_an_operator_evacuates_and_restores_a_zone_on_all_gateways_and_each_logs_it(make_fleet):
     fleet = make_fleet("abc", zones={})
     fleet.run(3)
 
@@ -649,19 +651,19 @@
         assert "a number of a zone" in ask(**asked)["error"]
     for word in ("left", "in"):
         assert ask(zone=0, standing=word)["done"]
-        fleet.run(20)  # far longer than a zone in which all is well would stay left by evidence
+        fleet.run(20)  # far longer than a healthy zone would stay evacuated on evidence alone
         stands = [part.report()["zones"]["zones"]["0"] for part in fleet.parts.values()]
         assert {each["standing"] for each in stands} == {word} and all(each["hand"] for each in stands)
     for name in "abc":
-        said = [more for who, event, more in fleet.lines if (who, event) == (name, "zone standing")]
-        assert [(each["zone"], each["standing"], each["by"]) for each in said] == [
+        lines = [more for writer, event, more in fleet.lines if (writer, event) == (name, "zone standing")]
+        assert [(each["zone"], each["standing"], each["by"]) for each in lines] == [
             (0, "left", "a"),
             (0, "in", "a"),
         ]
     assert ask(zone=0, standing="left")["done"] and ask(zone=0, standing="returning")["done"]
     fleet.run(1)
     stands = [part.zones.context.decisions.of(0) for part in fleet.parts.values()]
-    # From here on evidence leads: the pace rises step by step, and nobody has to take it back by hand.
+    # The zone now returns by slow start on evidence alone, without a further action of the operator.
     assert all(each.number >= 4 and not each.by_operator and 0.1 < each.fraction < 0.3 for each in stands)
 
 
@@ -696,7 +698,7 @@
     assert figures["fleet_links"] == 1 and figures["fleet_members_reached"] == 2
 
 
-def test_addresses_come_from_the_registry_where_the_settings_name_none(make_fleet):
+def test_addresses_are_read_from_the_registry_if_the_settings_have_none(make_fleet):
     fleet = make_fleet("ab")
     for name, other in ("ab", "ba"):
         fleet.parts[name].kill()
@@ -716,23 +718,25 @@
     assert fleet.reached("a") == fleet.reached("b") == "ab"
 
 
-def test_a_program_follows_a_channel_from_where_it_left_off(make_fleet):
+def test_a_program_follows_a_channel_from_its_last_cursor(make_fleet):
     fleet = make_fleet("ab")
     fleet.run(3)
-    got = []
-    stop = fleet.parts["b"].follow("c", "", lambda told, cursor: got.append((told, cursor)))
+    batches = []
+    stop = fleet.parts["b"].follow("c", "", lambda deliveries, cursor: batches.append((deliveries, cursor)))
     for i in range(600):
         fleet.parts["a"].append("c", i)
     fleet.run(2)
-    assert [int(each.entry.body) for told, _ in got for each in told] == list(range(600))
+    assert [int(each.entry.body) for deliveries, _ in batches for each in deliveries] == list(range(600))
     stop()
     fleet.parts["a"].append("c", 600)
     fleet.run(2)
     more = []
-    fleet.parts["a"].follow("c", got[-1][1], lambda told, cursor: more.extend(told))  # at another gateway
-    assert [int(each.entry.body) for each in more] == [600] and sum(len(told) for told, _ in got) == 600
+    fleet.parts["a"].follow(
+        "c", batches[-1][1], lambda deliveries, cursor: more.extend(deliveries)
+    )  # at another gateway
+    assert [int(each.entry.body) for each in more] == [600] and sum(len(each) for each, _ in batches) == 600
     with pytest.raises(AppendRejectedError):
-        fleet.parts["a"].follow("c", "nowhere", lambda told, cursor: None)
+        fleet.parts["a"].follow("c", "nowhere", lambda deliveries, cursor: None)
 
 
 GOOD = """
@@ -750,7 +754,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ('"g2", address', '"g1", address', "g.cue:9:55: fleet.peers[1].name is 'g1', as is fleet.peers[0].name"),
         ("127.0.0.1:2", "127.0.0.1:1", "fleet.peers[1].address is '127.0.0.1:1', as is fleet.peers[0].address"),
@@ -766,35 +770,35 @@
         ('name: "f"', 'name: "f", pears: []', "there is no field 'fleet.pears'; did you mean 'peers'?"),
     ],
 )  # fmt: skip
-def test_each_mistake_in_the_settings_is_told_with_its_place(old, new, told):
-    with pytest.raises(SettingsError) as trouble:
+def test_each_error_in_the_settings_is_reported_with_its_position(old, new, message):
+    with pytest.raises(SettingsError) as raised:
         resolve(GOOD.replace(old, new, 1), "g.cue")
-    assert told in str(trouble.value) and len(trouble.value.troubles) == 1
+    assert message in str(raised.value) and len(raised.value.troubles) == 1
 
 
-def test_a_fleet_of_1024_resolves_and_zones_have_the_figures_of_the_module():
+def test_a_fleet_of_1024_is_valid_and_zones_have_the_defaults_of_the_module():
     peers = ", ".join(f'{{name: "p{i:04d}", address: "10.0.{i >> 8}.{i & 255}:7"}}' for i in range(1023))
     start, end = GOOD.index("peers: [") + 8, GOOD.index("]", GOOD.index("peers: ["))
     record = resolve(GOOD[:start] + peers + GOOD[end:], "g.cue")
     assert len(record["fleet"]["peers"]) == 1023
-    # Guards against defaults that drift apart: schema.cue has them for people, the module for its own tests.
-    # What a cold node bears is no default: the rules say it, as the next test has it.
-    elsewhere = ("clock_bound", "cold")
+    # Guards against different defaults in schema.cue, which users read, and in the module, which its tests use.
+    # The rate of a cold node has no default: it follows from the rules, which the next test covers.
+    set_elsewhere = ("clock_bound", "cold")
     assert record["fleet"]["zones"] == {
-        name: value for name, value in ZoneSettings().to_map().items() if name not in elsewhere
+        name: value for name, value in ZoneSettings().to_map().items() if name not in set_elsewhere
     }
-    assert not handover_obstacle(record)  # its journal goes with its sockets
+    assert not handover_obstacle(record)  # the journal is handed over with the sockets
 
 
 @pytest.mark.parametrize(("zones", "cold"), [("zones: {}", 9.0), ("zones: {cold: 2/s}", 2.0)])
-def test_what_the_fleet_begins_at_a_cold_node_is_what_the_rules_say_unless_less_is_named(zones, cold):
+def test_the_rate_of_a_cold_node_follows_from_the_rules_unless_a_lower_one_is_set(zones, cold):
     rules = "\nrules: {cold_units: 18, cold_fall: 2s}\n"
     record = resolve(GOOD.replace("zones: {}", zones) + rules, "g.cue")
     daemon = Daemon(record, HostProgram(VirtualNetwork(1), [], lambda note: None, lambda: None))
     assert daemon.fleet_member.zones.context.cold_node_rate == cold
 
 
-def test_without_the_part_nothing_of_the_room_is_loaded():
+def test_without_a_fleet_section_no_module_of_the_fleet_is_loaded():
     modules = "ochrecourse.gateway.daemon, ochrecourse.cli.serve, ochrecourse.cli.gateway_process, ochrecourse.cli.successor, ochrecourse.service.gateway_service, ochrecourse.service.start_settings"
     text = (
         f"import sys, {modules}; sys.exit(any(name.startswith('ochrecourse.fleet') for name in sys.modules))"
@@ -802,11 +806,11 @@
     assert subprocess.run([sys.executable, "-c", text]).returncode == 0
 
 
-# --- as processes, once ---
+# --- separate processes ---
 
 
 class Process:
-    """One `serve` of a fleet, and its control socket."""
+    """One `serve` process of a fleet, and requests to its control socket."""
 
     def __init__(self, folder, name, ports):
         peers = ", ".join(f'{{name: "{n}", address: "127.0.0.1:{p}"}}' for n, p in ports.items() if n != name)
@@ -837,30 +841,31 @@
 
 
 def free_ports(names):
-    """Ports that were free just now; each is bound again at once."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in names]
-    ports = {name: each.getsockname()[1] for name, each in zip(names, held, strict=True)}
-    for each in held:
+    """Returns ports that were free at the time of the call; the caller binds them at once."""
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in names]
+    ports = {name: each.getsockname()[1] for name, each in zip(names, sockets, strict=True)}
+    for each in sockets:
         each.close()
     return ports
 
 
 def until(holds, seconds=60):
+    """Polls until `holds()` is true; fails after `seconds`."""
     end = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < end, "it did not come about"
         time.sleep(0.05)
 
 
-def test_three_processes_hold_one_log_and_kill_9_loses_nothing_answered(tmp_path):
-    ports, running, answered = free_ports("abc"), {}, []
+def test_three_processes_share_one_log_and_kill_9_loses_no_acknowledged_entry(tmp_path):
+    ports, running, acknowledged = free_ports("abc"), {}, []
     try:
         for name in ports:
             running[name] = Process(tmp_path, name, ports)
         until(lambda: all(each.reached() == 3 for each in running.values()))
         for i in range(30):
             done = running["abc"[i % 3]].ask(do="append", channel="c", value=i)
-            answered.append((done["writer"], done["life"], done["seq"]))
+            acknowledged.append((done["writer"], done["life"], done["seq"]))
             if i == 20:
                 running["b"].process.kill()
                 running["b"].process.wait()
@@ -871,7 +876,7 @@
         )
         read = [each.ask(do="read", channel="c")["entries"] for each in running.values()]
         assert read[0] == read[1] == read[2]
-        assert sorted(answered) == sorted((e["writer"], e["life"], e["seq"]) for e in read[0])
+        assert sorted(acknowledged) == sorted((e["writer"], e["life"], e["seq"]) for e in read[0])
         for each in running.values():
             each.process.send_signal(signal.SIGTERM)
         assert [each.process.wait(20) for each in running.values()] == [0, 0, 0]
