--- a/ochrecourse/cli/control_client.py
+++ b/ochrecourse/cli/control_client.py
@@ -1,4 +1,4 @@
-"""The client side of the control socket, for the commands that speak to a running gateway."""
+"""The client side of the control socket, for commands that query or control a running gateway."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def ask(path: Path, command: str) -> dict[str, Any]:
-    """The answer of a daemon; what goes wrong goes to standard error and ends the process with 2."""
+    """Returns the daemon's answer; on failure prints the error to standard error and exits with status 2."""
     try:
         answer: dict[str, Any] = json.loads(_exchange(path, command))
     except (OSError, ValueError) as error:
@@ -45,6 +45,6 @@
 
 
 def exit_with_result(answer: dict[str, Any]) -> NoReturn:
-    """Prints what a command that changes something did, and ends the process: 0 done, 1 nothing done."""
+    """Prints the result of a command that changes state and exits: 0 if it was done, 1 if not."""
     click.echo(f"{'done' if answer['done'] else 'nothing was done'}: {answer['stage']}")
     sys.exit(0 if answer["done"] else EXIT_NOTHING_DONE)
--- a/ochrecourse/cli/control_requests.py
+++ b/ochrecourse/cli/control_requests.py
@@ -1,4 +1,4 @@
-"""The records of the control socket: one request, and the error that its answer reports."""
+"""The types of the control socket: a request, and the error that an answer reports."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ControlError(OchrecourseError):
-    """A command that is not carried out; the text is the answer's `error`, for the operator."""
+    """A command cannot be carried out; the text is the `error` of the answer."""
 
 
 @dataclass(slots=True)
 class ControlRequest:
-    """One line of the control socket. `arguments` is the whole object, with `do`."""
+    """One line on the control socket. `arguments`: the complete object, including `do`."""
 
     command: str
     arguments: dict[str, Any]
--- a/ochrecourse/cli/fleet_answers.py
+++ b/ochrecourse/cli/fleet_answers.py
@@ -1,4 +1,4 @@
-"""The commands of the control socket that concern the fleet: its report, its log, its zones and its form.
+"""The fleet's commands on the control socket: its report, event log, zones and format version.
 
 Modules of the fleet are imported only when a command needs them: a gateway without a fleet loads none.
 """
@@ -20,8 +20,8 @@
 
 
 def answer_fleet_command(member: Any, request: ControlRequest, on_answer: OnAnswer) -> None:
-    """Carries out one of FLEET_COMMANDS; an append is answered once it is on disk. `member` is None without
-    a fleet. Raises ControlError.
+    """Carries out one of FLEET_COMMANDS. An append is answered once it is on disk. `member` is None if the
+    gateway has no fleet. Raises ControlError.
     """
     if member is None:
         raise ControlError("this gateway's settings have no part fleet, or it is just handed over")
@@ -29,12 +29,12 @@
 
 
 def _answer_at_once(command: Callable[[Any, ControlRequest], Answer]) -> FleetCommand:
-    """A command that waits for nothing."""
+    """Adapts a command that returns its answer without waiting."""
     return lambda member, request, on_answer: on_answer(command(member, request))
 
 
 def _answer_append(on_answer: OnAnswer, fields: tuple[str, ...] = ("writer", "seq")) -> Callable[[Any], None]:
-    """Answers what became of an append (`fleet.log_store.AppendResult`) with these fields of its entry."""
+    """Returns a callback that answers an AppendResult with its error or with these fields of its entry."""
 
     def answer(result: Any) -> None:
         if result.error is not None:
@@ -52,7 +52,7 @@
 
 @contextlib.contextmanager
 def _rejections_reported() -> Iterator[None]:
-    """Turns an append that the fleet's log rejects, or can't store, into a ControlError."""
+    """Turns AppendRejectedError and OSError of the fleet's log into ControlError."""
     from ochrecourse.fleet.log import AppendRejectedError
 
     try:
@@ -119,7 +119,7 @@
 
 
 def _zone(member: Any, request: ControlRequest, on_answer: OnAnswer) -> None:
-    """An operator evacuates a zone, for all gateways that this one reaches, or takes it back."""
+    """Evacuates a zone for all reachable gateways, or restores it."""
     zone = request.arguments.get("zone")
     order = None
     if member.zone_subsystem and type(zone) is int:
@@ -131,7 +131,7 @@
 
 
 def _give_up(member: Any, request: ControlRequest, on_answer: OnAnswer) -> None:
-    """An operator declares that a gateway does not come back, so that the fleet does not wait for it."""
+    """Declares that a gateway will not return, so that the fleet does not wait for it."""
     name = request.arguments.get("name")
     if not isinstance(name, str):
         raise ControlError("give up takes the name of a gateway")
@@ -140,7 +140,7 @@
 
 
 def _form(member: Any, request: ControlRequest, on_answer: OnAnswer) -> None:
-    """Which form is in force and what prevents the next; or, with `form`, an operator raises it."""
+    """Reports the format version in force and what prevents the newest one; raises it if `form` is given."""
     if "form" not in request.arguments:
         report: Answer = member.forms.report()
         newest = report["speaks"][1]
@@ -154,7 +154,7 @@
         member.raise_form(form, _answer_append(on_answer))
 
 
-# In the order in which an answer to an unknown command names them.
+# In the order in which the answer to an unknown command lists them.
 FLEET_COMMANDS: dict[str, FleetCommand] = {
     "fleet": _answer_at_once(_report),
     "append": _append,
