--- a/ochrecourse/fleet/member.py
+++ b/ochrecourse/fleet/member.py
@@ -87,7 +87,7 @@
         self.forms = self.log_state.forms
         self.random_source = self.log_state.random_source
         self.subsystem_host = SubsystemHost(self.network, self.log, self.operator_log, self.peer_errors)
-        self.common = self._make_common()
+        self.common = self._make_exchange_context()
         self.peer_links = self._make_links(now_ns(self.network))
         self.readers = ChannelReaders(self.log)
         self.timer = MemberTimer(
@@ -116,7 +116,7 @@
         )
         self._register_subsystems()
 
-    def _make_common(self) -> ExchangeContext:
+    def _make_exchange_context(self) -> ExchangeContext:
         settings, limits = self.settings, self.settings.log_limits
         max_names_bytes = MAX_CHANNEL_NAME_BYTES * limits.channels
         return ExchangeContext(
@@ -347,12 +347,14 @@
         self.frontier.receive(heartbeat)
         self._new_heartbeats[heartbeat.name] = heartbeat
 
-    def _snapshot_received(self, piece: Snapshot | Holes) -> None:
+    def _snapshot_received(self, received: Snapshot | Holes) -> None:
         """A snapshot, or a message of holes, from a peer was applied."""
         self.frontier.snapshot_received()
-        if isinstance(piece, Snapshot):
-            self.operator_log.write("fleet snapshot taken", channel=piece.channel, upto_ms=piece.upto.ms)
-            self.subsystem_host.snapshot_received(piece)
+        if isinstance(received, Snapshot):
+            self.operator_log.write(
+                "fleet snapshot taken", channel=received.channel, upto_ms=received.upto.ms
+            )
+            self.subsystem_host.snapshot_received(received)
 
     # --- the timer ---
 
