--- a/ochrecourse/standins/bgp_peer.py
+++ b/ochrecourse/standins/bgp_peer.py
@@ -1,7 +1,8 @@
 """A BGP peer for tests, written from the RFCs; it shares no code with the speaker's codec.
 
 It records each route change with its time, and can be set to misbehave: to send no OPEN or no keepalives, or
-to send arbitrary bytes. It implements OPEN, KEEPALIVE, UPDATE and NOTIFICATION as far as the tests need them.
+to send arbitrary bytes. Tests also act on the transport of a connection, for instance to reset it or to stop
+reading. OPEN, KEEPALIVE, UPDATE and NOTIFICATION are implemented as far as the tests need them.
 """
 
 from __future__ import annotations
--- a/ochrecourse/standins/fault_proxy.py
+++ b/ochrecourse/standins/fault_proxy.py
@@ -16,7 +16,7 @@
 
 from ochrecourse.common.runtime import Network
 
-MAX_BUFFERED_BYTES = 8 << 20  # of one end; a link that exceeds it is closed
+MAX_BUFFERED_BYTES = 8 << 20  # per end, to bound memory; a link that exceeds it is closed
 MAX_HEADER_BYTES = 65_536  # a longer header line is forwarded as it is
 DRIP_INTERVAL = 0.02  # s between two writes of a bandwidth-limited direction
 CONNECT_TIMEOUT = 2.0  # s, for the connection to the far gateway
@@ -247,7 +247,8 @@
     def set(self, sources: Iterable[str], targets: Iterable[str], both: bool = True, **state: Any) -> None:
         """Sets faults from the sources to the targets, and in the opposite direction with `both`.
 
-        Once a cut ends, a link that lost bytes meanwhile is closed, as TCP would detect the loss then.
+        Once neither `cut` nor `keeps` is set, a link that lost bytes or an end meanwhile is closed, as TCP
+        would detect the loss then.
         """
         targets = list(targets)
         for source in sources:
--- a/ochrecourse/standins/node_fleet.py
+++ b/ochrecourse/standins/node_fleet.py
@@ -201,7 +201,7 @@
         return recover or (lambda: None)
 
     def _set_state(self, nodes: list[Node], **state: Any) -> Callable[[], None]:
-        """Sets attributes of the processes until recovery; a process started meanwhile is left alone."""
+        """Sets attributes of the processes until recovery; a process started meanwhile is unaffected."""
         processes = [node.process for node in nodes if node.process is not None]
         before = [{name: getattr(process, name) for name in state} for process in processes]
         for process in processes:
--- a/ochrecourse/standins/node_process.py
+++ b/ochrecourse/standins/node_process.py
@@ -20,8 +20,8 @@
 
 
 class NodeKind(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Properties of a kind of node. Durations are in ms; `cancel` (none, queued or all) says which attempts a
-    cancel stops.
+    """Properties of a kind of node. Durations are in ms; `cancel` (none, queued or all) selects the attempts
+    that a cancel stops.
     """
 
     cores: int = 1
@@ -290,7 +290,7 @@
         """What an answer reports of a volume: the share of its rate used overall, and the units served here
         for other gateways since the last report.
         """
-        # Keeps a running total: a sum over 190 gateways took most of the node's time.
+        # From running totals: a sum over 190 gateways took most of the node's time.
         used_by_others = self.shard.total_served[volume] - self.shard.served[volume, gateway]
         already_reported = self.reported_usage[volume, gateway]
         self.reported_usage[volume, gateway] = used_by_others
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,4 +1,4 @@
-"""Days of several gateways as processes of their own: the breaker between them, copies of shards, the judge, each day once."""
+"""Days of several gateways as separate processes: the fault proxy between them, copies of shards, the judge, each day once."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 VIRTUAL = ("capacity",)
 
 
-class Ear(Protocol):
+class RecordingPeer(Protocol):
     def __init__(self):
-        self.heard, self.up = b"", False
+        self.received, self.up = b"", False
 
     def connectionMade(self):
         self.up = True
 
     def dataReceived(self, data):
-        self.heard += data
+        self.received += data
 
     def connectionLost(self, reason=None):
         self.up = False
 
     def numbers(self):
-        return [int(each[7:11]) for each in MessageSplitter().feed(self.heard)]
+        return [int(each[7:11]) for each in MessageSplitter().feed(self.received)]
 
 
 def message(number):
@@ -49,80 +49,82 @@
     return b'{"n": "%04d", "body": %d}\r\n' % (number, len(body)) + body
 
 
-class Between:
-    """A breaker between `a`, which dials, and `b`, which listens."""
+class ProxyHarness:
+    """A fault proxy between `a`, which connects, and `b`, which accepts."""
 
     def __init__(self, seed=1):
         self.network = VirtualNetwork(seed)
-        self.breaker = FaultProxy(self.network, seed)
-        self.theirs = []
-        listens = Factory()
-        listens.buildProtocol = lambda addr: self.theirs.append(Ear()) or self.theirs[-1]
-        self.breaker.set_address("b", "127.0.0.1", self.network.listenTCP(0, listens).getHost().port)
-        self.port = int(self.breaker.address("a", "b").rpartition(":")[2])
+        self.proxy = FaultProxy(self.network, seed)
+        self.accepted_peers = []
+        listening_factory = Factory()
+        listening_factory.buildProtocol = lambda addr: (
+            self.accepted_peers.append(RecordingPeer()) or self.accepted_peers[-1]
+        )
+        self.proxy.set_address("b", "127.0.0.1", self.network.listenTCP(0, listening_factory).getHost().port)
+        self.port = int(self.proxy.address("a", "b").rpartition(":")[2])
 
     def dial(self):
-        own = Ear()
-        dials = ClientFactory()
-        dials.buildProtocol = lambda addr: own
-        self.network.connectTCP("127.0.0.1", self.port, dials)
+        dialled_peer = RecordingPeer()
+        dialling_factory = ClientFactory()
+        dialling_factory.buildProtocol = lambda addr: dialled_peer
+        self.network.connectTCP("127.0.0.1", self.port, dialling_factory)
         self.network.advance(1)
-        return own
+        return dialled_peer
 
     def send(self, end, numbers):
         data = b"".join(map(message, numbers))
-        for at in range(0, len(data), 7):  # however the stream is cut, messages stay whole
+        for at in range(0, len(data), 7):  # in small writes: the proxy reassembles messages
             end.transport.write(data[at : at + 7])
         self.network.advance(1)
 
 
 def test_breaker_passes_messages_both_ways_and_loses_or_repeats_whole_ones():
-    between = Between()
-    own = between.dial()
-    between.send(own, range(50))
-    between.send(between.theirs[0], range(50))
-    assert own.numbers() == between.theirs[0].numbers() == list(range(50))
-    between.breaker.set(["a"], ["b"], both=False, lose=0.3, repeat=0.3)
-    between.send(own, range(50, 150))
-    got = between.theirs[0].numbers()[50:]
+    harness = ProxyHarness()
+    dialled_peer = harness.dial()
+    harness.send(dialled_peer, range(50))
+    harness.send(harness.accepted_peers[0], range(50))
+    assert dialled_peer.numbers() == harness.accepted_peers[0].numbers() == list(range(50))
+    harness.proxy.set(["a"], ["b"], both=False, lose=0.3, repeat=0.3)
+    harness.send(dialled_peer, range(50, 150))
+    got = harness.accepted_peers[0].numbers()[50:]
     assert got == sorted(got) and len(set(got)) < 100 and len(got) > len(set(got))
-    between.send(between.theirs[0], range(50, 60))
-    assert own.numbers() == list(range(60))  # the way back is whole
+    harness.send(harness.accepted_peers[0], range(50, 60))
+    assert dialled_peer.numbers() == list(range(60))  # the opposite direction has no faults
 
 
 def test_breaker_cuts_one_way_holds_a_dead_end_open_and_ends_a_holed_link_when_mended():
-    between = Between()
-    own = between.dial()
-    between.breaker.set(["a"], ["b"], both=False, cut=True)
-    between.send(own, range(5))
-    between.send(between.theirs[0], range(5))
-    assert between.theirs[0].heard == b"" and own.numbers() == list(range(5))
-    late = between.dial()  # accepted, and silence
-    assert late.up and len(between.theirs) == 1
-    between.breaker.set(["a"], ["b"], both=False, cut=False)
-    between.network.advance(1)
-    assert not own.up and not late.up and not between.theirs[0].up
-    own = between.dial()
-    between.breaker.set(["a"], ["b"], keeps=True)
-    between.theirs[1].transport.loseConnection()
-    between.network.advance(1)
-    assert own.up  # half open: nobody told it
-    between.breaker.set(["a"], ["b"], keeps=False)
-    between.network.advance(1)
-    assert not own.up
+    harness = ProxyHarness()
+    dialled_peer = harness.dial()
+    harness.proxy.set(["a"], ["b"], both=False, cut=True)
+    harness.send(dialled_peer, range(5))
+    harness.send(harness.accepted_peers[0], range(5))
+    assert harness.accepted_peers[0].received == b"" and dialled_peer.numbers() == list(range(5))
+    late = harness.dial()  # accepted, but not forwarded
+    assert late.up and len(harness.accepted_peers) == 1
+    harness.proxy.set(["a"], ["b"], both=False, cut=False)
+    harness.network.advance(1)
+    assert not dialled_peer.up and not late.up and not harness.accepted_peers[0].up
+    dialled_peer = harness.dial()
+    harness.proxy.set(["a"], ["b"], keeps=True)
+    harness.accepted_peers[1].transport.loseConnection()
+    harness.network.advance(1)
+    assert dialled_peer.up  # half-open: the close was not forwarded
+    harness.proxy.set(["a"], ["b"], keeps=False)
+    harness.network.advance(1)
+    assert not dialled_peer.up
 
 
 def test_breaker_delays_and_drips_in_order():
-    between = Between()
-    own = between.dial()
-    between.breaker.set(["a"], ["b"], both=False, delay=0.5)
-    between.send(own, range(3))
-    between.breaker.set(["a"], ["b"], both=False, delay=0.0, drip=1000)
-    own.transport.write(b"".join(map(message, range(3, 30))))
-    between.network.advance(0.3)
-    assert 3 <= len(between.theirs[0].numbers()) < 20
-    between.network.advance(5)
-    assert between.theirs[0].numbers() == list(range(30))
+    harness = ProxyHarness()
+    dialled_peer = harness.dial()
+    harness.proxy.set(["a"], ["b"], both=False, delay=0.5)
+    harness.send(dialled_peer, range(3))
+    harness.proxy.set(["a"], ["b"], both=False, delay=0.0, drip=1000)
+    dialled_peer.transport.write(b"".join(map(message, range(3, 30))))
+    harness.network.advance(0.3)
+    assert 3 <= len(harness.accepted_peers[0].numbers()) < 20
+    harness.network.advance(5)
+    assert harness.accepted_peers[0].numbers() == list(range(30))
 
 
 def day_with_copies(**more):
