--- a/ochrecourse/standins/registry.py
+++ b/ochrecourse/standins/registry.py
@@ -219,7 +219,7 @@
 class RegistryChannel(HTTPChannel):
     """An HTTP connection to an endpoint."""
 
-    requestFactory = RegistryRequest  # noqa: N815 (Twisted's name)
+    requestFactory = RegistryRequest
 
 
 class Endpoint(HTTPFactory):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -87,7 +87,9 @@
     )
     moved.path.write_text(moved.text)
     shop.run(60.0)
-    assert not moved.other.requested_paths and len(shop.log) == 2, "after the last retry the file is not read again"
+    assert not moved.other.requested_paths and len(shop.log) == 2, (
+        "after the last retry the file is not read again"
+    )
     moved.path.write_text("{")
     shop.service.reload()
     shop.run(0.2)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -198,7 +198,9 @@
     def reply(words):
         if pause is None:
             return success_reply(words) * 2
-        shop.network.callLater(pause, lambda: [peer.transport.write(success_reply(words)) for peer in shop.node.peers])
+        shop.network.callLater(
+            pause, lambda: [peer.transport.write(success_reply(words)) for peer in shop.node.peers]
+        )
         return success_reply(words)
 
     shop.node.reply = reply
@@ -387,7 +389,9 @@
     path.write_text(json.dumps(start_file))
     shop.service.reload()
     shop.run(0.5)
-    assert other.requested_paths == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
+    assert (
+        other.requested_paths == ["/discovery/hosts?follow=1&since=5"] and shop.service.endpoints.version == 9
+    )
     # The old watch ends once the new one has received a line.
     assert not shop.agent.watches and len(other.watches) == 1
 
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -286,9 +286,11 @@
         client = self.clients[int(words[2], 16)]
         self.check_attempt(client, attempt)
         client.attempts.append(attempt)
-        response = {"good": success_reply(words), "late": success_reply(words), "error": b"-ERR failed\r\n"}.get(
-            kind, b"-BUSY\r\n"
-        )
+        response = {
+            "good": success_reply(words),
+            "late": success_reply(words),
+            "error": b"-ERR failed\r\n",
+        }.get(kind, b"-BUSY\r\n")
         if kind == "reset":
             self.network.callLater(after / 1000, peer.transport.abortConnection)
         elif kind in ("late", "late busy"):
