--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,8 +1,6 @@
-"""Ten lines that embed the library: a gateway and its endpoint list on a virtual clock, one request and
-its outcome.
+"""Embeds the library in ten lines: a gateway and its endpoint list on a virtual clock, and one request.
 
-The storage nodes and the list server are emulators of this project; for real ones hand in a reactor of
-Twisted.
+The storage nodes and the list server are emulators of this project; for real ones, pass a Twisted reactor.
 """
 
 from ochrecourse import library
@@ -17,7 +15,7 @@
 where = ("127.0.0.1", int(fleet.list_address().rpartition(":")[2]))
 
 
-# The ten lines.
+# The ten lines that a program needs.
 class Printer:
     def request_finished(self, gateway: library.Gateway, record: library.RequestRecord) -> None:
         print(f"job {record.trace}: {record.outcome.value}, legs {len(record.attempts)}")
--- a/ochrecourse/cli/admin.py
+++ b/ochrecourse/cli/admin.py
@@ -20,7 +20,7 @@
 
 
 class _MetricName(NamedTuple):
-    """The name of one of the daemon's figures, `family` or `family{label="value"}`, in its components."""
+    """The name of a daemon metric, `family` or `family{label="value"}`, split into its components."""
 
     family: str
     label_names: list[str]
@@ -36,13 +36,13 @@
 
 
 class _MetricsCollector:
-    """Gives the daemon's figures to the Prometheus client at each scrape."""
+    """Exports the daemon's metrics to the Prometheus client at each scrape."""
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     def collect(self) -> Iterable[Metric]:
-        """One metric family for each name, in the order of the daemon's figures."""
+        """Returns one metric family for each family name, in the order of the daemon's metrics."""
         families: dict[str, Any] = {}
         for name, value in self.daemon.figures().items():
             metric = _parse_metric_name(name)
@@ -59,7 +59,7 @@
 
 
 class _AdminResource(Resource):
-    """Answers every path of the admin endpoint."""
+    """Serves every path of the admin endpoint."""
 
     isLeaf = True
 
@@ -70,7 +70,7 @@
         self.registry.register(_MetricsCollector(daemon))
 
     def render_GET(self, request: Any) -> bytes:
-        """The body of the answer to a GET; called by Twisted."""
+        """Returns the response body of a GET request; called by Twisted."""
         request.setHeader(b"content-type", b"text/plain; charset=utf-8")
         if request.path == b"/healthz":
             return b"ok\n"
@@ -85,5 +85,5 @@
 
 
 def admin_site(daemon: Daemon) -> Site:
-    """The Twisted site that serves the admin endpoint of a daemon."""
+    """Returns the Twisted site that serves the admin endpoint of a daemon."""
     return Site(_AdminResource(daemon))  # type: ignore[no-untyped-call]
--- a/ochrecourse/cli/alike.py
+++ b/ochrecourse/cli/alike.py
@@ -1,4 +1,4 @@
-"""`alike`: one scenario through library and daemon, and whether the same requests ended in the same way."""
+"""`alike`: runs one scenario through the library and the daemon and compares the outcome of each request."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
 
 
 class _SocketRuns:
-    """The library on real sockets, then the daemon as a process, each compared with the expected answers."""
+    """Runs the library on sockets, then the daemon as a process; compares both with the expected answers."""
 
     def __init__(self, scenario: Any, expected: Any) -> None:
-        """Installs the process's reactor, so there can be one in a process."""
+        """Installs the process's reactor, so only one instance can be created per process."""
         from ochrecourse.common.monotonic_reactor import install_monotonic_reactor, raise_open_file_limit
 
         self.scenario = scenario
@@ -70,7 +70,7 @@
         self.differences: list[str] = []
 
     def run(self) -> list[str]:
-        """Runs both; returns what differs."""
+        """Runs both; returns a line for each difference."""
         self._start(through_daemon=False)
         self.reactor.run()
         return self.differences
@@ -102,5 +102,5 @@
         else:
             shutil.rmtree(folder, ignore_errors=True)
 
-    def _spawn(self, protocol: Any, words: list[str]) -> Any:
-        return protocol.start(self.reactor, words)
+    def _spawn(self, protocol: Any, arguments: list[str]) -> Any:
+        return protocol.start(self.reactor, arguments)
--- a/ochrecourse/cli/audit.py
+++ b/ochrecourse/cli/audit.py
@@ -1,4 +1,4 @@
-"""`audit`: judges the rules from records."""
+"""`audit`: checks the seven rules against the records of a run."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def _result_map(result: Any, overlaps: list[str]) -> dict[str, Any]:
-    """The findings under the keys that scripts read."""
+    """Returns the findings as a map for `--json`; scripts read its keys."""
     rules = [
         {"rule": finding.rule, "tested": finding.tested, "breaches": finding.breaches}
         for finding in result.findings
--- a/ochrecourse/cli/bgp.py
+++ b/ochrecourse/cli/bgp.py
@@ -1,4 +1,4 @@
-"""`bgp`: the service addresses of a running gateway, shown, drained and undrained over its control socket."""
+"""`bgp`: shows, drains and undrains the service addresses of a running gateway over its control socket."""
 
 from __future__ import annotations
 
--- a/ochrecourse/cli/control_answers.py
+++ b/ochrecourse/cli/control_answers.py
@@ -1,7 +1,8 @@
-"""The commands of the control socket: what a running gateway answers to one line of JSON.
+"""The commands of the control socket, and the response of a running gateway to each.
 
-A line is an object whose `do` names the command; the other members are its arguments. The answer is an object
-too; one with `error` says why nothing was done. The words of both are an interface to operators' scripts.
+A request is one line of JSON: an object whose `do` names the command and whose other members are its
+arguments. The response is an object too; its `error`, if present, is the reason why the command was not
+executed. The keys and texts of both are an interface to operators' scripts.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def parse_request(line: bytes) -> ControlRequest | None:
-    """The request in a line; None if there is none."""
+    """Parses a line; returns None if it is not a valid request."""
     try:
         arguments = json.loads(line)
         command = arguments["do"]
@@ -27,14 +28,14 @@
 
 
 def answer(daemon: Any, line: bytes) -> Answer:
-    """Carries out a command that waits for nothing, and answers it; never raises ControlError."""
+    """Executes a command that completes synchronously; returns its response. Never raises ControlError."""
     answers: list[Answer] = []
     respond(daemon, line, answers.append)
     return answers[0]
 
 
 def respond(daemon: Any, line: bytes, on_answer: OnAnswer) -> None:
-    """Carries out the command in a line; `on_answer` gets its one answer, possibly before this returns."""
+    """Executes the command in a line; calls `on_answer` once with its response, possibly before returning."""
     try:
         _respond(daemon, parse_request(line), on_answer)
     except ControlError as error:
@@ -87,7 +88,7 @@
     return {"done": daemon.accept_registry(), "stage": "the registry is read anew"}
 
 
-# In the order in which an answer to an unknown command names them.
+# The error for an unknown command lists them in this order.
 GATEWAY_COMMANDS: dict[str, Callable[[Any], Answer]] = {
     "show": _show,
     "drain": _drain,
--- a/ochrecourse/cli/control_client.py
+++ b/ochrecourse/cli/control_client.py
@@ -1,4 +1,4 @@
-"""The client side of the control socket, for the commands that speak to a running gateway."""
+"""The client side of the control socket, for the commands that query a running gateway."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def ask(path: Path, command: str) -> dict[str, Any]:
-    """The answer of a daemon; what goes wrong goes to standard error and ends the process with 2."""
+    """Returns the daemon's response to a command; prints an error to standard error and exits with code 2."""
     try:
         answer: dict[str, Any] = json.loads(_exchange(path, command))
     except (OSError, ValueError) as error:
@@ -30,7 +30,7 @@
 
 
 def _exchange(path: Path, command: str) -> bytes:
-    """Sends a command and reads one line. Raises OSError."""
+    """Sends a command and returns the line received in response. Raises OSError."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
         connection.settimeout(TIMEOUT_S)
         connection.connect(str(path))
@@ -45,6 +45,6 @@
 
 
 def exit_with_result(answer: dict[str, Any]) -> NoReturn:
-    """Prints what a command that changes something did, and ends the process: 0 done, 1 nothing done."""
+    """Prints the result of a command that changes state; exits with code 0 if it was done, otherwise 1."""
     click.echo(f"{'done' if answer['done'] else 'nothing was done'}: {answer['stage']}")
     sys.exit(0 if answer["done"] else EXIT_NOTHING_DONE)
--- a/ochrecourse/cli/control_requests.py
+++ b/ochrecourse/cli/control_requests.py
@@ -1,4 +1,4 @@
-"""The records of the control socket: one request, and the error that its answer reports."""
+"""The request type of the control socket, and the error that a response reports."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from ochrecourse.common.errors import OchrecourseError
 
-Answer = dict[str, Any]  # as JSON on the control socket
+Answer = dict[str, Any]  # sent as JSON over the control socket
 
 
 class ControlError(OchrecourseError):
-    """A command that is not carried out; the text is the answer's `error`, for the operator."""
+    """A command was not carried out; the text is sent as the response's `error`, for the operator."""
 
 
 @dataclass(slots=True)
 class ControlRequest:
-    """One line of the control socket. `arguments` is the whole object, with `do`."""
+    """One line received on the control socket. `arguments` is the whole object, including `do`."""
 
     command: str
     arguments: dict[str, Any]
--- a/ochrecourse/cli/control_server.py
+++ b/ochrecourse/cli/control_server.py
@@ -1,9 +1,9 @@
-"""The control socket of a daemon: a Unix socket that only its owner may use.
+"""The server side of a daemon's control socket: a Unix socket that only its owner may use.
 
-One JSON object a line each way: control_answers.py has the commands, handover.py the messages by which the
-next process of this gateway takes over, which this module answers.
+Requests and responses are one JSON object a line. control_answers.py has the commands. This module also
+answers the handover messages of handover.py, by which a successor process takes over the listening sockets.
 
-Imported only once the process's reactor is installed.
+Imported only after the process's reactor is installed.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from ochrecourse.gateway.socket_handover import Handover, HandoverStep
 from ochrecourse.storage.journal import JournalError
 
-MAX_LINE_BYTES = 1 << 18  # holds an append of the longest entry
-REJOIN_INTERVAL_S = 0.5  # between attempts to take the place in the fleet back from a process that ended
+MAX_LINE_BYTES = 1 << 18  # enough for an append of the longest entry
+REJOIN_INTERVAL_S = 0.5  # between attempts to rejoin the fleet after the successor ended
 NOT_HANDED_OVER = "the sockets were not handed over"
 
 
 def serve_control(reactor: Any, path: str, daemon: Any, sockets: ListeningSockets) -> None:
-    """Listens on a path with mode 0600; `sockets` may be handed over. Raises CannotListenError."""
-    Path(path).unlink(missing_ok=True)  # a killed process leaves it behind
+    """Listens on a path with mode 0600; a successor can take over `sockets`. Raises CannotListenError."""
+    Path(path).unlink(missing_ok=True)  # a killed process does not remove it
     server = ControlServer(reactor, daemon, sockets)
     server.listening_port = reactor.listenUNIX(path, server, mode=0o600)
 
 
 class ControlConnection(LineReceiver):
-    """One client of the control socket."""
+    """The connection of one client of the control socket."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -45,11 +45,11 @@
 
     def __init__(self) -> None:
         self._is_answering = False
-        self._waiting_lines: deque[bytes] = deque()  # behind the one that is being answered
+        self._waiting_lines: deque[bytes] = deque()  # received while an earlier one is being answered
         self._is_lost = False
 
     def lineReceived(self, line: bytes) -> None:
-        """Answers a line once those before it are answered, which may have to wait for the disk."""
+        """Answers a line, or queues it while an earlier one is answered, which may wait for the disk."""
         if self._is_answering:
             self._waiting_lines.append(line)
             self.pauseProducing()  # type: ignore[no-untyped-call]
@@ -57,7 +57,7 @@
         self._answer(line)
 
     def _answer(self, line: bytes) -> None:
-        """Answers a command, or a step of a handover."""
+        """Answers a command or a handover message."""
         request = parse_request(line)
         command = request.command if request is not None else ""
         if command == HandoverRequest.SOCKETS:
@@ -91,7 +91,7 @@
 
 
 class ControlServer(Factory):
-    """Makes the connections of the control socket, and hands the sockets over to a successor."""
+    """Accepts connections on the control socket, and hands the listening sockets over to a successor."""
 
     noisy = False
     protocol = ControlConnection
@@ -104,7 +104,7 @@
         self.listening_port: Any = None
 
     def offer_sockets(self, connection: ControlConnection) -> None:
-        """Sends a successor the listening sockets, which this process goes on accepting on."""
+        """Sends the listening sockets to a successor; this process continues to accept on them."""
         obstacle = self.handover.offer(connection, self.daemon.gateway.shutdown.accepts_requests())
         if obstacle:
             connection.send({"error": f"the sockets are not handed over: {obstacle}"})
@@ -114,7 +114,7 @@
         connection.send({"sockets": list(self.sockets.ports)})
 
     def release_fleet(self, connection: ControlConnection) -> None:
-        """Leaves the place in the fleet, and the fleet's journal, to the successor."""
+        """Leaves the fleet and closes its journal, so that the successor can join in its place."""
         if not self.handover.release(connection):
             connection.send({"error": NOT_HANDED_OVER})
             return
@@ -122,13 +122,13 @@
         self.daemon.release_fleet(lambda: connection.send({"released": True}))
 
     def successor_accepts(self, connection: ControlConnection) -> None:
-        """Stops accepting, and finishes what is in flight."""
+        """Stops accepting, and starts to drain: requests in flight are finished."""
         if not self.handover.complete(connection):
             connection.send({"error": NOT_HANDED_OVER})
             return
         self.sockets.close_ports()
         self.sockets.close_unused()
-        # Guards against unlinking the successor's path: this one must be closed before that listens there.
+        # Closing this port unlinks its path, so it is closed before the successor listens on that path.
         self.listening_port.stopListening().addCallback(lambda _: self._finish_handover(connection))
 
     def _finish_handover(self, connection: ControlConnection) -> None:
@@ -136,18 +136,18 @@
         self.daemon.hand_over()
 
     def connection_lost(self, connection: ControlConnection) -> None:
-        """Takes the place in the fleet back if it was released to this successor, which did not accept."""
+        """Rejoins the fleet if this client was a successor that was to join it and did not accept."""
         if self.handover.successor_lost(connection):
             self._rejoin_fleet()
 
     def _rejoin_fleet(self) -> None:
-        """Joins the fleet again, unless another successor has asked meanwhile or this process shuts down."""
+        """Rejoins the fleet, unless another handover has begun or this process is shutting down."""
         superseded = self.handover.step is not HandoverStep.NONE
         if superseded or not self.daemon.gateway.shutdown.accepts_requests():
             return
         try:
             self.daemon.rejoin_fleet(self.sockets.listen)
         except (JournalError, OSError, CannotListenError) as error:
-            # Guards against a successor that is still ending: its lock of the journal ends with it.
+            # The successor may still be exiting; it holds the lock of the journal until it has exited.
             self.daemon.host.log_event("fleet not joined again", why=str(error))
             self.reactor.callLater(REJOIN_INTERVAL_S, self._rejoin_fleet)
--- a/ochrecourse/cli/day.py
+++ b/ochrecourse/cli/day.py
@@ -1,4 +1,4 @@
-"""`day list`, `day run`, `day from-bench`: scripted scenarios listed, run and converted."""
+"""`day list`, `day run`, `day from-bench`: lists, runs and converts scripted scenarios."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class _RunCommand:
-    """The options of `day run`; None leaves the scenario's own value."""
+    """The options of `day run`; None keeps the value of the scenario."""
 
     seed: int | None
     gateways: int | None
--- a/ochrecourse/cli/day_run.py
+++ b/ochrecourse/cli/day_run.py
@@ -1,4 +1,4 @@
-"""`day run` and `day from-bench`: plays one scenario, judges it by the seven rules and prints the result."""
+"""Runs one scenario for `day run` and `day from-bench`, checks the seven rules and prints the result."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class DayRunOptions:
-    """How a scenario is run. `keep`: the folder of what is not to be deleted; `users`: of WebDAV, or 0."""
+    """How to run a scenario. `keep`: folder for files to retain; `users`: number of WebDAV users, or 0."""
 
     virtual: bool
     keep: Path | None
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class FinishedRun:
-    """What a run left to judge. `users` are the emulated WebDAV users, None without them."""
+    """The results of a run, before the rules are checked. `users`: the emulated WebDAV users, if any."""
 
     outcomes: Any
     requests: int
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class JudgedRun:
-    """A run with what the rules say of it. `unanswered`: requests without an end, or users that wait."""
+    """A run and the result of the rules. `unanswered`: requests without an outcome, or unfinished users."""
 
     scenario: Day
     run: FinishedRun
@@ -54,12 +54,12 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a rule was broken, a request is unanswered or the run itself found a fault."""
+        """Whether a rule was broken, a request was not answered or the run reported a fault."""
         return not self.rules.kept() or bool(self.unanswered) or bool(self.run.faults)
 
 
 def run_day(scenario: Day, options: DayRunOptions) -> NoReturn:
-    """Runs a scenario, prints the result and ends the process: 0 every rule was kept, 1 broken."""
+    """Runs a scenario and prints the result; exits with code 0 if every rule was kept, otherwise 1."""
     folder = options.keep or Path(tempfile.mkdtemp(prefix="ochrecourse-"))
     folder.mkdir(parents=True, exist_ok=True)
     run = _run_virtual(scenario, options) if options.virtual else _run_real(scenario, folder, options.users)
@@ -74,7 +74,7 @@
 
 
 def _run_virtual(scenario: Day, options: DayRunOptions) -> FinishedRun:
-    """In this process, on a virtual clock."""
+    """Runs a scenario in this process, on a virtual clock."""
     from ochrecourse.audit.records import encode
     from ochrecourse.lab.play import VirtualPlay
 
@@ -87,7 +87,7 @@
 
 
 def _run_real(scenario: Day, folder: Path, users: int) -> FinishedRun:
-    """With gateways and nodes in processes of their own, on loopback sockets."""
+    """Runs a scenario with gateways and nodes as separate processes on loopback sockets."""
     from ochrecourse.common.monotonic_reactor import (
         CycleCollector,
         install_monotonic_reactor,
@@ -96,7 +96,7 @@
 
     reactor = install_monotonic_reactor()
 
-    # Guards against the global reactor: these import Twisted, which would install another one.
+    # Imported after the reactor is installed: these import Twisted, which would install its default reactor.
     from ochrecourse.audit.records import read
     from ochrecourse.lab.real import RealPlay
 
@@ -104,7 +104,7 @@
     play = RealPlay(scenario, reactor, folder, reactor.stop, users)
     play.start()
     clients: Any = play.people or play.load
-    # Guards against clients that stand still and take that for late answers.
+    # Guards against garbage collection pauses of the clients, which they would measure as late answers.
     CycleCollector(reactor, lambda: False, lambda: clients.conns)
     reactor.run()
     counts = {f"{CLIENT_COUNT_PREFIX} {name}": count for name, count in clients.counts.items()}
@@ -126,7 +126,7 @@
 
 
 def _result_map(judged: JudgedRun) -> dict[str, Any]:
-    """The result under the keys that scripts read."""
+    """Returns the result as a map for `--json`; scripts read its keys."""
     from ochrecourse.lab.report import outcome_map
 
     findings = [
@@ -164,7 +164,7 @@
 
 
 def _print_screen(judged: JudgedRun) -> None:
-    """One screen: the scenario, the outcomes, the attempts, the rules."""
+    """Prints the scenario, the outcomes, the attempts and the rules on one screen."""
     from rich.console import Console
 
     from ochrecourse.lab.report import outcome_lines
--- a/ochrecourse/cli/days.py
+++ b/ochrecourse/cli/days.py
@@ -1,4 +1,4 @@
-"""Scenarios by name or file, for all commands that take one."""
+"""Loads a scenario by name or from a file, for all commands that take one."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def day_or_exit(name: str, seed: int | None) -> Day:
-    """A built-in scenario or one from a file, with `seed` in place of its own if there is one.
+    """Returns a built-in scenario or one from a file; `seed`, if not None, replaces its own seed.
 
-    What is wrong with it goes to standard error and ends the command with 2.
+    Prints an invalid scenario's error to standard error and exits with code 2.
     """
     try:
         path = Path(name)
--- a/ochrecourse/cli/gateway_process.py
+++ b/ochrecourse/cli/gateway_process.py
@@ -1,6 +1,6 @@
-"""One process of `serve`: a daemon with its log, its signals, its health page and its control socket.
+"""The process of `serve`: a daemon with its log, signal handlers, admin endpoint and control socket.
 
-Imported only once the process's reactor is installed.
+Imported only after the process's reactor is installed.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class StartError(OchrecourseError):
-    """The process can't start; the text is for the operator."""
+    """The process cannot start; the text is for the operator."""
 
     def __init__(self, text: str, exit_code: int) -> None:
         super().__init__(text)
@@ -53,28 +53,28 @@
 
 
 class GatewayProcess:
-    """The daemon of one process and what stands round it. `settings` is the resolved record of `file`."""
+    """The daemon and its process-level services. `settings` is the resolved record of `file`."""
 
     def __init__(self, file: Path, settings: Any, reactor: Any, take_over: bool) -> None:
-        """`take_over`: the sockets are those of the process that runs now. Raises StartError."""
+        """`take_over`: use the listening sockets of the running process. Raises StartError."""
         self.file = file
         self.settings = settings
         self.reactor = reactor
-        self.failure = ""  # why a process that began to start ends
+        self.failure = ""  # the reason why this process ends before it serves
         self.log_writer = BackgroundWriter(sys.stderr)
         log_settings = settings["log"]
         log = make_logger(log_settings["form"], log_settings["level"], self.log_writer)
         self.log = log.bind(gateway=settings["gateway"]["name"])
         self.sampler = LogSampler(log_settings["sample"])
-        if take_over and "webdav" in settings:  # before its state is touched, which the running process has
+        if take_over and "webdav" in settings:  # before the state is opened, which the running process uses
             obstacle = handover_obstacle(settings)
             raise StartError(f"ochrecourse: nothing was taken over: {obstacle}", EXIT_NOT_STARTED)
         self.open_files = raise_open_file_limit()
         self.predecessor = PredecessorWait(self.log.info)
-        for number in (signal.SIGTERM, signal.SIGINT):  # until there is a daemon to drain
+        for number in (signal.SIGTERM, signal.SIGINT):  # until a daemon exists that can drain
             signal.signal(number, _end_before_start)
         self.daemon = self._make_daemon(join_later=take_over)
-        # Before the first line on standard output: who reads it may send a signal at once.
+        # Before the first line on standard output: a reader of that line may send a signal at once.
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, self._on_signal)
         self.sockets = ListeningSockets(reactor)
@@ -106,7 +106,7 @@
         self.predecessor.until(lock.acquire, lambda error: isinstance(error, StateLockedError))
 
     def _listen(self, name: str, port: int, factory: Any, host: str) -> Any:
-        """Opens a port (`Listen`), after a process that was just killed if need be."""
+        """Opens a port (`Listen`); waits until a predecessor that was just killed has released it."""
         return self.predecessor.until(lambda: self.sockets.listen(name, port, factory, host), is_port_in_use)
 
     def _admin_address(self) -> tuple[str, int] | None:
@@ -119,7 +119,7 @@
         return address
 
     def start(self) -> None:
-        """Watches the endpoint list, accepts and says where. Raises StartError."""
+        """Watches the endpoint list, accepts connections and prints the addresses. Raises StartError."""
         try:
             self.daemon.watch_endpoints()
             lines = self.accept(self._listen)
@@ -130,7 +130,7 @@
             raise StartError(f"ochrecourse: cannot listen: {error.socketError}", EXIT_NOT_STARTED) from None
 
     def accept(self, listen: Listen) -> list[str]:
-        """Accepts from now on; returns the lines that say where. Raises CannotListenError."""
+        """Opens the listening ports; returns lines that name their addresses. Raises CannotListenError."""
         daemon = self.daemon
         host, port = daemon.listen(listen)
         if self.admin_address is not None:
@@ -149,19 +149,19 @@
         return lines
 
     def announce(self, lines: list[str]) -> None:
-        """Prints where it accepts, once all is open: who reads it asks at the control socket at once."""
+        """Prints the addresses once all ports are open: a reader may use the control socket at once."""
         for line in lines:
             click.echo(line)
         sys.stdout.flush()
 
     def fail(self, reason: str) -> None:
-        """Ends a process that can't take over; only the first reason counts."""
+        """Ends a process that cannot take over; only the first reason is kept."""
         if not self.failure:
             self.failure = reason
             self.reactor.stop()
 
     def run(self) -> None:
-        """Runs until the daemon has drained. Raises StartError if it ended before it served."""
+        """Runs until the daemon has drained. Raises StartError if `fail` was called."""
         daemon, webdav = self.daemon, self.daemon.webdav
         CycleCollector(
             self.reactor,
@@ -189,7 +189,7 @@
         self.reactor.callFromThread(action)
 
     def reload(self) -> None:
-        """Reads the settings again and takes over what may change."""
+        """Reloads the settings and applies those that may change at run time."""
         try:
             settings = load(self.file)
         except SettingsError as error:
--- a/ochrecourse/cli/handover_client.py
+++ b/ochrecourse/cli/handover_client.py
@@ -15,20 +15,20 @@
 
 CONNECT_TIMEOUT_S = 5
 
-# Sends a request; the callback is called when it has been answered, or the other process has ended.
+# Sends a request; calls the callback when it has been answered or the running process has ended.
 SendRequest = Callable[[HandoverRequest, Callable[[], None]], None]
 SocketsReceived = Callable[[dict[str, int], SendRequest], None]
 
 
 @implementer(IFileDescriptorReceiver)
 class HandoverConnection(LineReceiver):
-    """Asks for the sockets once it is connected."""
+    """The successor's connection; requests the listening sockets once it is established."""
 
     delimiter = b"\n"
     factory: Any  # a HandoverClientFactory
 
     def connectionMade(self) -> None:
-        """Asks for the listening sockets."""
+        """Requests the listening sockets."""
         self.descriptors: list[int] = []
         self.pending_callback: Callable[[], None] | None = None
         self.sockets_received = False
@@ -36,11 +36,11 @@
         self._send(HandoverRequest.SOCKETS)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """A descriptor; the answer that follows names them in this order."""
+        """Stores a descriptor; the response that follows names the sockets in the same order."""
         self.descriptors.append(descriptor)
 
     def lineReceived(self, line: bytes) -> None:
-        """The answer to the last request."""
+        """Handles the response to the last request."""
         answer = json.loads(line)
         if "error" in answer:
             self.finished = True
@@ -54,7 +54,7 @@
             self.factory.on_sockets(descriptors, self.send_request)
 
     def send_request(self, request: HandoverRequest, callback: Callable[[], None]) -> None:
-        """Sends a request; `callback` is called at once if the other process has already ended."""
+        """Sends a request; calls `callback` at once if the running process has already ended."""
         if self.finished:
             callback()
             return
@@ -62,14 +62,14 @@
         self._send(request)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The other process closed the connection or ended."""
+        """The running process closed the connection or ended."""
         if self.finished:
             return
         self.finished = True
         if self.pending_callback is not None:
             self._call_pending()
         elif not self.sockets_received:
-            # Guards against no process at all: with the sockets here, nobody else accepts on them now.
+            # With the sockets it continues: no other process accepts on them now.
             self.factory.on_failure("the running gateway ended before its sockets were taken over")
 
     def _call_pending(self) -> None:
@@ -82,7 +82,7 @@
 
 
 class HandoverClientFactory(ClientFactory):
-    """Makes the one connection of a handover."""
+    """Creates the one connection of a handover."""
 
     noisy = False
     protocol = HandoverConnection
@@ -92,17 +92,17 @@
         self.on_failure = on_failure
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Nobody listens at the path."""
+        """No process listens on the path."""
         self.on_failure(f"no gateway answers there: {reason.getErrorMessage()}")
 
 
 def request_sockets(
     reactor: Any, path: str, on_sockets: SocketsReceived, on_failure: Callable[[str], None]
 ) -> None:
-    """Asks the process at a control socket for its listening sockets.
+    """Requests the listening sockets of the process at a control socket.
 
-    `on_sockets` gets descriptors by name, and a function that sends the further requests. `on_failure` gets a
-    sentence for the operator; then the other process goes on.
+    `on_sockets` is called with the descriptors by name and a function that sends further requests.
+    `on_failure` is called with a message for the operator; the running process then continues to serve.
     """
     factory = HandoverClientFactory(on_sockets, on_failure)
     reactor.connectUNIX(path, factory, timeout=CONNECT_TIMEOUT_S)
--- a/ochrecourse/cli/load.py
+++ b/ochrecourse/cli/load.py
@@ -1,4 +1,4 @@
-"""`load day`, `load webdav`: simulated clients against gateways that run already."""
+"""`load day`, `load webdav`: simulated clients that send load to running gateways."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 EXIT_FAULTS = 1
 EXIT_BAD_CALL = 2
 MAX_FAULTS_SHOWN = 20
-STOP_DELAY_S = 0.5  # from the last answer until the run stops
+STOP_DELAY_S = 0.5  # between the last answer and the end of the run
 
 seed_option = click.option("--seed", default=None, type=int, help="The day's seed, in place of its own.")
 records_option = click.option(
@@ -25,13 +25,13 @@
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="The outcomes as JSON.")
 
-# Makes and starts the clients, from the reactor, the day, the gateways' addresses and the recorder.
+# Creates and starts the clients, given the reactor, the day, the gateways' addresses and the recorder.
 StartClients = Callable[[Any, Day, Any, Any], Any]
 
 
 @dataclass(slots=True)
 class LoadOptions:
-    """What the commands have in common; `gateways` are HOST:PORT, `seed` takes the place of the day's own."""
+    """Options common to both commands; `gateways` are HOST:PORT, `seed` replaces the day's own."""
 
     day: str
     gateways: tuple[str, ...]
@@ -97,7 +97,7 @@
 
 
 def _run(options: LoadOptions, start: StartClients) -> Any:
-    """Runs the clients that `start` makes until they stop the reactor, and prints their outcomes."""
+    """Runs the clients that `start` creates until they stop the reactor, and prints their outcomes."""
     import msgspec
 
     from ochrecourse.common.monotonic_reactor import (
@@ -110,14 +110,14 @@
     day = msgspec.structs.replace(day_or_exit(options.day, options.seed), gateways=len(addresses))
     reactor = install_monotonic_reactor()
 
-    # Guards against the global reactor: what follows imports Twisted, which would install another one.
+    # Imported after the reactor is installed: this imports Twisted, which would install its default reactor.
     from ochrecourse.audit.records import ToFile, nowhere
 
     raise_open_file_limit()
     recorder = ToFile(options.records) if options.records else None
     address_getters = {number: lambda number=number: addresses[number] for number in range(len(addresses))}
     clients = start(reactor, day, address_getters, recorder or nowhere)
-    # Guards against clients that stand still for some 80 ms and take that for a late answer.
+    # Guards against garbage collection pauses of some 80 ms, which clients would measure as late answers.
     CycleCollector(reactor, lambda: False, lambda: clients.conns)
     reactor.run()
     if recorder:
@@ -127,7 +127,7 @@
 
 
 def _parse_gateways(gateways: tuple[str, ...]) -> list[tuple[str, int]]:
-    """Addresses of HOST:PORT; the first that is none goes to standard error and ends the command with 2."""
+    """Parses HOST:PORT addresses; prints the first invalid one to standard error and exits with code 2."""
     from ochrecourse.settings.addresses import parse_address
 
     addresses = []
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -1,7 +1,7 @@
-"""Structured logging: JSON lines or a console, one line a request, sampled under load.
+"""Structured logging as JSON lines or to a console: one line for each request, sampled under load.
 
-The texts and keys of the lines are an interface: operators search for them. `request_line_fields` maps this
-code's names to them.
+The event names and keys of the lines are an interface, because operators search for them.
+`request_line_fields` maps the names of this code to them.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 def make_logger(form: str, level: str, file: BackgroundWriter) -> Any:
-    """A logger that writes to `file`.
+    """Returns a logger that writes to `file`.
 
-    `form` is json, console, or auto, which means console where standard error is a terminal; `level` is a key
-    of LOG_LEVELS.
+    `form` is "json", "console" or "auto" (console if standard error is a terminal); `level` is a key of
+    LOG_LEVELS.
     """
     console = form == "console" or (form == "auto" and sys.stderr.isatty())
     renderer: Any = structlog.dev.ConsoleRenderer() if console else structlog.processors.JSONRenderer()
@@ -48,10 +48,10 @@
 
 
 class BackgroundWriter:
-    """A file written by a thread of its own. Lines that do not fit its queue are dropped and counted.
+    """Writes to a file in a separate thread. Lines that exceed the queue's capacity are dropped and counted.
 
-    Guards against a reader of the log that stands still: a full pipe would block the event loop in the middle
-    of a request.
+    Guards against a log reader that has stopped reading: a write to a full pipe would block the event loop in
+    the middle of a request.
     """
 
     def __init__(self, file: TextIO, max_queued_lines: int = MAX_QUEUED_LINES) -> None:
@@ -72,7 +72,7 @@
         """Does nothing: the thread flushes after each line."""
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Waits until the queued lines are written, `timeout_s` seconds at most."""
+        """Waits until the queued lines are written, for `timeout_s` seconds at most."""
         with contextlib.suppress(queue.Full):
             self.lines.put_nowait(None)
         self.thread.join(timeout_s)
@@ -83,19 +83,19 @@
                 self.file.write(text)
                 self.file.flush()
             except OSError:
-                # Guards against a log whose reader has closed it: the gateway serves on.
+                # The log's reader has closed the pipe: the gateway continues to serve without its log.
                 self.dropped += 1
 
 
 class RequestLogWriter:
-    """Writes one line for each finished request, sampled; the sampler puts unsuccessful ones first."""
+    """Writes one log line for each finished request, sampled; the sampler prefers unsuccessful requests."""
 
     def __init__(self, log: Any, sampler: LogSampler) -> None:
         self.log = log
         self.sampler = sampler
 
     def request_finished(self, gateway: Gateway, record: RequestRecord) -> None:
-        """Called by the gateway with the record of each finished request."""
+        """Logs a finished request, if sampled; called by the gateway."""
         # A request that was served without an attempt was answered from the object cache.
         successful = record.outcome is RequestOutcome.SERVED and len(record.attempts) <= 1
         if not self.sampler.should_log(successful, now_ns(gateway.clock)):
@@ -108,7 +108,7 @@
 
 
 def request_line_fields(gateway: Gateway, record: RequestRecord) -> dict[str, Any]:
-    """The fields of a finished request's line, under the keys that operators search for; times in ms."""
+    """Returns the fields of a finished request's line, by the keys that operators search for; times in ms."""
     settings_index = gateway.settings_index
     return {
         "job": record.number,
@@ -136,7 +136,7 @@
 
 
 class AccessLog:
-    """Writes one line for each WebDAV request, sampled like those of RequestLogWriter."""
+    """Writes one log line for each WebDAV request, sampled as RequestLogWriter does."""
 
     def __init__(self, log: Any, sampler: LogSampler, clock: Clock) -> None:
         self.log = log
@@ -144,7 +144,7 @@
         self.clock = clock
 
     def __call__(self, **fields: Any) -> None:
-        """Called by the WebDAV server with the fields of the line of each finished request."""
+        """Logs a finished request, if sampled; called by the WebDAV server with the fields of the line."""
         successful = fields["how"] in SUCCESSFUL_WEBDAV_OUTCOMES
         if self.sampler.should_log(successful, now_ns(self.clock)):
             self.log.info("request", **fields)
--- a/ochrecourse/cli/main.py
+++ b/ochrecourse/cli/main.py
@@ -1,7 +1,7 @@
-"""`ochrecourse`: the sub-commands, each imported only when it is called.
+"""The command `ochrecourse`; each sub-command is imported only when it is called.
 
-Exit codes: 0 done; 1 the run or the check found something wrong (a broken rule, bad settings); 2 the call
-itself was wrong or something it needs is missing; 130 interrupted.
+Exit codes: 0 success; 1 the run or the check found an error (a broken rule, invalid settings); 2 the command
+line was wrong or something that the command needs is missing; 130 interrupted.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     help_line: str
 
 
-# The help lines stand here so that `--help` imports no command.
+# The help lines are here so that `--help` imports no command.
 COMMANDS = {
     "serve": CommandEntry("ochrecourse.cli.serve", "serve", "Run a gateway with the settings of FILE."),
     "check": CommandEntry(
@@ -56,11 +56,11 @@
     """A group whose commands are imported only when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names, in the order in which help shows them."""
+        """Returns the names of the commands in the order of the help."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Imports a command; None if there is none of that name."""
+        """Imports and returns a command; None if there is no command of that name."""
         if cmd_name not in COMMANDS:
             return None
         entry = COMMANDS[cmd_name]
--- a/ochrecourse/cli/members.py
+++ b/ochrecourse/cli/members.py
@@ -1,4 +1,4 @@
-"""`members`: the endpoint list of a running gateway, shown and accepted over its control socket."""
+"""`members`: shows, watches and accepts the endpoint list of a running gateway over its control socket."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 def report_lines(report: Mapping[str, Any]) -> list[str]:
-    """The report on the endpoint list in words, a line each."""
+    """Formats the report on the endpoint list as lines of text."""
     age = "never came in this life" if report["age_s"] is None else f"{report['age_s']} s old"
     connection = "connected" if report["connected"] else "not connected"
     lines = [f"list       from a {report['from']}, {connection}, version {report['epoch']}, {age}"]
--- a/ochrecourse/cli/nodes.py
+++ b/ochrecourse/cli/nodes.py
@@ -48,7 +48,7 @@
 
     reactor = install_monotonic_reactor()
 
-    # Guards against the global reactor: this imports Twisted, which would install another one.
+    # Imported after the reactor is installed: this imports Twisted, which would install its default reactor.
     from ochrecourse.cli.storage_nodes import run_storage_nodes
 
     run_storage_nodes(reactor, scenario, records, wait)
--- a/ochrecourse/cli/serve.py
+++ b/ochrecourse/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: the daemon, a thin wrapper of settings, logging, signals and a health page round the library."""
+"""`serve`: runs a gateway as a daemon, the library with settings, logging, signals and an admin endpoint."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
     reactor = install_monotonic_reactor()
 
-    # Guards against the global reactor: what follows imports Twisted, which would install another one.
+    # Imported after the reactor is installed: these import Twisted, which would install its default reactor.
     from ochrecourse.cli.gateway_process import GatewayProcess, StartError
     from ochrecourse.cli.successor import Successor
 
--- a/ochrecourse/cli/settings.py
+++ b/ochrecourse/cli/settings.py
@@ -1,4 +1,4 @@
-"""`check` and `show`: settings files checked, and shown as they resolve."""
+"""`check` and `show`: checks settings files, and shows the settings with every default resolved."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from ochrecourse.settings.syntax import InvalidSettingError
 from ochrecourse.settings.writer import write
 
-EXIT_MISTAKES = 1
+EXIT_INVALID_SETTINGS = 1
 
 
 def read_or_exit(path: Path) -> dict[str, object]:
-    """The record of a settings file; its mistakes go to standard error and end the command with 1."""
+    """Returns the record of a settings file; prints its errors to standard error and exits with code 1."""
     try:
         return load(path)
     except SettingsError as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_MISTAKES)
+        sys.exit(EXIT_INVALID_SETTINGS)
 
 
 @click.command()
@@ -30,17 +30,17 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a mistake.")
 def check(files: tuple[Path, ...], as_json: bool) -> None:
     """Check settings FILES; one line for each mistake, exit code 1 if there is any."""
-    mistakes = 0
+    error_count = 0
     for path in files:
         try:
             load(path)
         except SettingsError as error:
-            mistakes += len(error.errors)
+            error_count += len(error.errors)
             for problem in error.errors:
                 click.echo(_as_json(problem) if as_json else str(problem))
-    if not mistakes and not as_json:
+    if not error_count and not as_json:
         click.echo(f"{len(files)} file{'s' * (len(files) > 1)} without a mistake")
-    sys.exit(EXIT_MISTAKES if mistakes else 0)
+    sys.exit(EXIT_INVALID_SETTINGS if error_count else 0)
 
 
 def _as_json(problem: InvalidSettingError) -> str:
--- a/ochrecourse/cli/storage_nodes.py
+++ b/ochrecourse/cli/storage_nodes.py
@@ -1,6 +1,6 @@
-"""The process of `node` and `nodes`: emulated storage nodes whose faults are injected from standard input.
+"""The process of `node` and `nodes`: emulated storage nodes with faults injected from standard input.
 
-Imported only once the process's reactor is installed.
+Imported only after the process's reactor is installed.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from ochrecourse.lab.loop_watch import LoopWatch
 from ochrecourse.lab.play import make_fleet, play_troubles
 
-START_LINE = ["go"]  # begins the scenario's own faults
+START_LINE = ["go"]  # starts the faults of the scenario
 DEFAULT_NUMBERS = ("0.2", "0", "0", "5")  # share of the nodes, size, extra, seconds
-NUMBERS_END = 1 + len(DEFAULT_NUMBERS)  # the words before are the kind of fault and its numbers
+NUMBERS_END = 1 + len(DEFAULT_NUMBERS)  # the words before this index are the kind of fault and its numbers
 USAGE = "a line is KIND PART SIZE EXTRA SECONDS [PRODUCT, PLAN or ZONE], numbers from the second word on"
 
 
 class StdinCommands(LineReceiver):
-    """Reads faults from standard input, a line each."""
+    """Reads commands from standard input, one a line."""
 
     delimiter = b"\n"
 
@@ -38,7 +38,7 @@
         self.on_end = on_end
 
     def lineReceived(self, line: bytes) -> None:
-        """One line, in words."""
+        """Splits a line into words and passes them on."""
         self.on_line(line.decode("utf-8", "replace").split())
 
     def connectionLost(self, reason: Any = None) -> None:
@@ -47,9 +47,10 @@
 
 
 def run_storage_nodes(reactor: Any, scenario: Day, records: Path | None, wait: bool) -> None:
-    """Runs the nodes and the list server of a scenario until a signal.
+    """Runs the nodes and the list server of a scenario until SIGTERM or SIGINT.
 
-    With `wait` the scenario's faults begin only with START_LINE, and the end of standard input ends the run.
+    With `wait`, the faults of the scenario start when START_LINE is read, and the end of standard input ends
+    the run.
     """
     raise_open_file_limit()
     recorder = ToFile(records) if records else None
@@ -91,7 +92,7 @@
 
 
 def inject_fault(reactor: Any, emulated: Any, words: list[str]) -> str:
-    """Injects the fault that a line names, for its time; returns what is wrong with the line, if anything."""
+    """Injects the fault in a line, for its duration; returns the error in the line, or an empty string."""
     kind = words[0]
     if kind not in TROUBLES + ZONE_TROUBLES:
         return f"there is no trouble {kind!r}; there are {', '.join(TROUBLES + ZONE_TROUBLES)}"
--- a/ochrecourse/cli/successor.py
+++ b/ochrecourse/cli/successor.py
@@ -1,9 +1,10 @@
-"""`serve --take-over`: the steps by which this process takes the place of the one that runs now.
+"""`serve --take-over`: the steps by which this process replaces the running one.
 
-The sockets first, then the endpoint list, then the journal of the fleet, and only then does it accept. Until
-that is confirmed the running process goes on as before. cli/handover.py describes the messages.
+It obtains the listening sockets, then the endpoint list, then the journal of the fleet, and only then accepts
+connections. The running process continues as before until this is confirmed. cli/handover.py describes the
+messages.
 
-Imported only once the process's reactor is installed.
+Imported only after the process's reactor is installed.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Successor:
-    """The process that takes over."""
+    """The process that takes over from the running one."""
 
     def __init__(self, process: GatewayProcess) -> None:
         self.process = process
@@ -29,7 +30,7 @@
         self.settings = process.settings
 
     def start(self) -> None:
-        """Asks the running process for its sockets. Raises StartError if the settings don't say where."""
+        """Requests the running process's sockets. Raises StartError if no control socket is set."""
         control = self.process.control_path
         if not control:
             raise StartError(
@@ -41,7 +42,7 @@
         request_sockets(self.reactor, control, self._sockets_received, self.process.fail)
 
     def _sockets_received(self, descriptors: dict[str, int], send_request: SendRequest) -> None:
-        """The endpoint list first: until it is there, the running process serves better than this one."""
+        """Waits for the endpoint list first: until then, the running process serves better than this one."""
         self.process.sockets.descriptors = descriptors
         addresses = {name: socket_address(descriptor) for name, descriptor in descriptors.items()}
         moved = socket_mismatch(self.settings, addresses)
@@ -59,7 +60,7 @@
             self._accept(send_request)
 
     def _join_fleet(self, send_request: SendRequest, waited_s: float = 0.0) -> None:
-        """The journal of the fleet is this process's; one that was just killed may lock it for a moment."""
+        """Opens the fleet's journal; a process that was just killed may still lock it for a moment."""
         if self.process.failure:
             return
         try:
@@ -82,7 +83,7 @@
         send_request(HandoverRequest.ACCEPTS, lambda: self._control_path_free(lines))
 
     def _control_path_free(self, lines: list[str]) -> None:
-        """The process before this one has closed its control socket."""
+        """Opens the control socket: the previous process has closed its own, on the same path."""
         process = self.process
         try:
             serve_control(self.reactor, process.control_path, self.daemon, process.sockets)
@@ -93,7 +94,7 @@
         process.announce(lines)
 
     def _timed_out(self) -> None:
-        """Guards against a running process that hangs: it takes the connection and never answers."""
+        """Guards against a running process that hangs: it accepts the connection and never answers."""
         if self.daemon.client_port is None and self.daemon.gateway.shutdown.accepts_requests():
             received = self.process.sockets.descriptors
             missing = "list of nodes came" if received else "answer came from the running gateway"
--- a/ochrecourse/cli/together.py
+++ b/ochrecourse/cli/together.py
@@ -1,6 +1,6 @@
-"""`day run` for the scenarios of a fleet: plays them shared, alone or both, and judges them.
+"""`day run` for scenarios of a fleet: runs them in the mode shared, alone or both, and checks the rules.
 
-"Shared" gateways are members of one fleet; "alone" is the same scenario with gateways that share nothing.
+"Shared": the gateways are members of one fleet. "Alone": the same scenario with gateways that share nothing.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class FleetRunOptions:
-    """The options of `day run` that a scenario of a fleet takes; `gateways` None is the default number."""
+    """The options of `day run` that apply to a scenario of a fleet; `gateways` None: the default number."""
 
     seed: int
     gateways: int | None
@@ -39,7 +39,7 @@
 
 
 def run_fleet_scenario(name: str, options: FleetRunOptions) -> NoReturn:
-    """Ends the process: 0 only if the seven rules and what the scenario requires were kept."""
+    """Exits with code 0 only if the seven rules and the requirements of the scenario were kept."""
     from ochrecourse.lab.day import BadDay
     from ochrecourse.lab.together import GATEWAYS, together
 
@@ -68,9 +68,9 @@
 
 
 def play_scenario(scenario: Any, folder: Path, modes: list[bool]) -> list[Any]:
-    """Plays a scenario once for each mode (True: alone), one after the other; the finished plays.
+    """Runs a scenario once for each mode (True: alone), one after the other; returns the finished runs.
 
-    Installs the process's reactor and runs it, so it can be called once in a process.
+    Installs the process's reactor and runs it, so it can be called only once per process.
     """
     from ochrecourse.common.monotonic_reactor import (
         CycleCollector,
@@ -80,7 +80,7 @@
 
     reactor = install_monotonic_reactor()
 
-    # Guards against the global reactor: this imports Twisted, which would install another one.
+    # Imported after the reactor is installed: this imports Twisted, which would install its default reactor.
     from ochrecourse.lab.rolling_play import RollingPlay
 
     play_class = RollingPlay if scenario.newest else scenario.player()
@@ -104,7 +104,7 @@
 
 
 def judge_play(scenario: Any, play: Any, alone: bool) -> dict[str, Any]:
-    """The result of a play, under the keys that scripts read."""
+    """Returns the result of a run as a map for `--json`; scripts read its keys."""
     from ochrecourse.audit.judge import audit
     from ochrecourse.audit.records import read
     from ochrecourse.audit.together import read as read_control_answers
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -1,11 +1,11 @@
 """The gateway as a library: the names that other programs may rely on. See docs/library.md.
 
-`SURFACE` counts up when one of these names changes its meaning or goes; names that are added leave it. What
-is not named here may change with any version.
+`SURFACE` is incremented when one of these names changes its meaning or is removed, but not when names are
+added. Names that are not in this module may change with any version.
 
-The first part of `__all__` holds the current names. The rest are the names of earlier versions: they work as
-before and issue a `DeprecationWarning` where a program calls one or reads a field by one. Nothing behind this
-module knows them.
+`__all__` contains the current names and those of earlier versions. The latter work as before and issue a
+`DeprecationWarning` where a program calls one or reads a field by one. The rest of the package does not use
+them.
 """
 
 from __future__ import annotations
@@ -90,12 +90,12 @@
 
 
 def _warn(old: str, new: str, further: int = 0) -> None:
-    """Issues the warning on the line of the program that used `old`; `further`: calls between it and here."""
+    """Issues the warning for the line of the program that used `old`; `further`: additional stack frames."""
     warnings.warn(f"{old} is deprecated, use {new}", DeprecationWarning, stacklevel=CALLER + further)
 
 
 class _RenamedField:
-    """A field that is still read and written by its old name."""
+    """A descriptor that reads and writes a renamed field by its old name."""
 
     def __init__(self, new: str) -> None:
         self.new = new
@@ -116,14 +116,14 @@
 
 
 def _add_old_field(owner: type, old: str, new: str, owner_name: str) -> None:
-    """Lets programs read a field by its old name, also of the values that the gateway makes itself."""
+    """Adds the old name of a field to a class, so that it also applies to values that the gateway creates."""
     field = _RenamedField(new)
     field.old = f"{owner_name}.{old}"
     setattr(owner, old, field)
 
 
 def _new_keywords(owner: str, old_to_new: Mapping[str, str], named: dict[str, Any]) -> dict[str, Any]:
-    """The keywords of a call by their new names. An old name wins, for `dataclasses.replace` gives both."""
+    """Maps old keywords to new ones. An old one takes precedence, as `dataclasses.replace` passes both."""
     for old, new in old_to_new.items():
         if old in named:
             _warn(f"{owner}({old}=)", f"{new}=", further=1)
@@ -150,28 +150,28 @@
 class Asker(Protocol):
     """The old form of `ResponseHandler`, which `Gateway.take` still accepts.
 
-    Exactly one of `fulfilled`, `denied` and `written_off` is called, if any client is left. After `fulfilled`
-    come the pieces of the answer's body; `broke_off` says that the rest will not come.
+    Exactly one of `fulfilled`, `denied` and `written_off` is called, unless the client has disconnected.
+    `fulfilled` is followed by the chunks of the answer's body; `broke_off` means that no more follow.
     """
 
     def fulfilled(self, job: int, size: int, shard: int) -> None:
-        """The answer begins: its bytes, and the shard that holds the object."""
+        """The answer begins; `size` in bytes, `shard` stores the object."""
 
     def piece(self, job: int, data: bytes) -> None:
-        """More of the answer's body."""
+        """The next chunk of the answer's body."""
 
     def broke_off(self, job: int) -> None:
-        """The rest of an answer that had begun will not come."""
+        """The rest of an answer that had begun will not follow."""
 
     def denied(self, job: int, come_back: int) -> None:
-        """The request is rejected; a retry may succeed after `come_back` ns, 0: not known."""
+        """The request is rejected; a retry may succeed after `come_back` ns (0: not known)."""
 
     def written_off(self, job: int) -> None:
         """The request failed."""
 
 
 class _AskerHandler:
-    """Calls an `Asker` as the `ResponseHandler` that the gateway knows."""
+    """Adapts an `Asker` to the `ResponseHandler` that the gateway calls."""
 
     __slots__ = ("asker",)
 
@@ -183,11 +183,11 @@
         self.asker.fulfilled(request_id, size, shard)
 
     def body_chunk(self, request_id: int, data: bytes) -> None:
-        """More of the answer's body."""
+        """The next chunk of the answer's body."""
         self.asker.piece(request_id, data)
 
     def aborted(self, request_id: int) -> None:
-        """The rest of the answer will not come."""
+        """The rest of the answer will not follow."""
         self.asker.broke_off(request_id)
 
     def rejected(self, request_id: int, retry_after: int) -> None:
@@ -200,7 +200,7 @@
 
 
 class Gateway(current.Gateway):
-    """One host; see `gateway.Gateway`. Accepts the old calls, and observers of the old form."""
+    """The gateway of a host; see `gateway.Gateway`. Accepts old calls, and observers of the old form."""
 
     def __init__(  # noqa: PLR0913 (programs of library surface 1 call it so)
         self,
@@ -245,7 +245,7 @@
         self.response_consumed(job, size)
 
 
-BadRequest = BadRequestError  # the same class, so that either name catches what `submit` raises
+BadRequest = BadRequestError  # the same class, so that either name catches an error of `submit`
 
 
 class Spool(RequestBody):
@@ -334,13 +334,13 @@
 
 
 class _JobOverObserver:
-    """Calls an `Observer` as the `RequestObserver` that the gateway knows."""
+    """Adapts an `Observer` to the `RequestObserver` that the gateway calls."""
 
     def __init__(self, observer: Observer) -> None:
         self.observer = observer
 
     def request_finished(self, gateway: current.Gateway, record: RequestRecord) -> None:
-        """Hands on the record, which does not change any more, under its old names."""
+        """Passes on the record, which is final, with its old field names."""
         self.observer.job_over(cast("Gateway", gateway), _job_story(record))
 
 
@@ -357,7 +357,7 @@
 
 
 def _current_observers(observers: Sequence[RequestObserver | Observer]) -> Sequence[RequestObserver]:
-    """The same sequence if all have the current form, for its owner may add to it later."""
+    """Adapts old observers. Returns the same sequence if there are none, as its owner may add to it."""
     if all(hasattr(each, "request_finished") for each in observers):
         return cast("Sequence[RequestObserver]", observers)
     _warn("Observer.job_over", "RequestObserver.request_finished", further=1)
@@ -398,7 +398,7 @@
 
 # --- the fleet ---
 
-AppendRefused = AppendRejectedError  # the same class, so that either name catches what `append` raises
+AppendRefused = AppendRejectedError  # the same class, so that either name catches an error of `append`
 Stamp = Timestamp
 Told = Delivery
 _add_old_field(Timestamp, "turn", "counter", "Stamp")
@@ -430,7 +430,7 @@
 
 
 class TenantSubsystem:
-    """A `Tenant` as a subsystem of a fleet member; `name`, `keeps` and `report` are the tenant's."""
+    """Adapts a `Tenant` to a subsystem of a fleet member; other attributes are those of the tenant."""
 
     name: str
 
@@ -441,7 +441,7 @@
         return getattr(self._tenant, name)
 
     def status(self, now: int) -> bytes | None:
-        """Its status for the next heartbeat."""
+        """Returns the status for the next heartbeat."""
         return self._tenant.sight(now)
 
     def status_received(self, name: str, zone: int, status: bytes, now: int) -> None:
@@ -449,19 +449,19 @@
         self._tenant.heard(name, zone, status, now)
 
     def entry_received(self, entry: Entry, now: int) -> None:
-        """An entry is new in the log."""
+        """A new entry was added to the log."""
         self._tenant.event(entry, now)
 
     def next_entry(self, now: int, reached: Mapping[str, int]) -> tuple[str, object] | None:
-        """Channel and value of an entry to append."""
+        """Returns channel and value of an entry to append, if any."""
         return self._tenant.wants(now, reached)
 
     def node_rates(self, now: int) -> Mapping[int, float]:
-        """Units a second that this gateway may begin at a node."""
+        """Returns by node the units a second that this gateway may start there."""
         return self._tenant.bounds(now)
 
     def beat_passed(self, now: int) -> None:
-        """A beat has passed."""
+        """A heartbeat interval has passed."""
         self._tenant.turn(now)
 
 
