--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Listening sockets handed to the next process: who may, what each step needs, and a rolling restart on real sockets."""
+"""Handover of the listening sockets to a successor: its conditions, its steps, and real processes on sockets."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from ochrecourse.gateway.socket_handover import Handover, HandoverStep, handover_obstacle, socket_mismatch
 
 pytestmark = pytest.mark.long
-PLAIN = {"gateway": {"name": "g0", "seed": 0, "listen": "127.0.0.1:7000", "admin": ""}}
+SETTINGS = {"gateway": {"name": "g0", "seed": 0, "listen": "127.0.0.1:7000", "admin": ""}}
 
 
 @pytest.mark.parametrize(
@@ -28,47 +28,47 @@
         ({"gateway": {"seed": 5}}, "name their jobs alike"),
     ],
 )
-def test_what_stands_handover_obstacle_is_said(more, why):
-    told = handover_obstacle({**PLAIN, **more})
-    assert (why in told) if why else told == ""
-    assert bool(Handover({**PLAIN, **more}).offer("taker", True)) == bool(why)
+def test_handover_obstacle_names_the_setting_that_prevents_a_handover(more, why):
+    obstacle = handover_obstacle({**SETTINGS, **more})
+    assert (why in obstacle) if why else obstacle == ""
+    assert bool(Handover({**SETTINGS, **more}).offer("successor", True)) == bool(why)
 
 
 @pytest.mark.parametrize(
-    ("listen", "held", "moved"),
+    ("listen", "inherited", "moved"),
     [
         ("127.0.0.1:7000", "127.0.0.1:7000", False), ("127.0.0.1:0", "127.0.0.1:7000", False),
         ("127.0.0.1:7001", "127.0.0.1:7000", True), ("127.0.0.2:7000", "127.0.0.1:7000", True),
         ("[::1]:7000", "::1:7000", False),
     ],
 )  # fmt: skip
-def test_sockets_that_the_settings_put_elsewhere_are_not_taken(listen, held, moved):
-    record = {"gateway": {**PLAIN["gateway"], "listen": listen}}
-    assert bool(socket_mismatch(record, {"native": held})) == moved
+def test_sockets_at_other_addresses_than_the_settings_are_not_taken_over(listen, inherited, moved):
+    record = {"gateway": {**SETTINGS["gateway"], "listen": listen}}
+    assert bool(socket_mismatch(record, {"native": inherited})) == moved
 
 
-def test_a_socket_of_no_setting_any_more_is_no_move():
-    assert not socket_mismatch(PLAIN, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
+def test_a_socket_that_the_settings_no_longer_have_is_no_mismatch():
+    assert not socket_mismatch(SETTINGS, {"native": "127.0.0.1:7000", "admin": "127.0.0.1:9"})
 
 
-def test_one_taker_at_a_time_and_each_step_once():
-    handover = Handover(PLAIN)
+def test_one_successor_at_a_time_and_each_step_once():
+    handover = Handover(SETTINGS)
     assert not handover.complete("a") and handover.step is HandoverStep.NONE  # it did not ask
     assert handover.offer("a", True) == "" and "not ready" in handover.offer("b", True)
     assert not handover.complete("b")
     handover.successor_lost("b")
     assert handover.step is HandoverStep.OFFERED
-    handover.successor_lost("a")  # it ended before its word: as if nobody had asked
+    handover.successor_lost("a")  # it ended before it accepted: the handover is undone
     assert handover.step is HandoverStep.NONE and not handover.complete("a")
     assert handover.offer("b", True) == "" and handover.complete("b") and not handover.complete("b")
     handover.successor_lost("b")
     assert handover.step is HandoverStep.GIVEN and "leaving" in handover.offer("c", True)
 
 
-def test_of_a_fleet_the_journal_goes_before_the_sockets_and_comes_back_if_the_taker_ends():
-    handover = Handover({**PLAIN, "fleet": {"listen": "127.0.0.1:0"}})
+def test_fleet_journal_is_released_before_the_sockets_and_returns_if_the_successor_ends():
+    handover = Handover({**SETTINGS, "fleet": {"listen": "127.0.0.1:0"}})
     assert not handover.release("a")
-    assert handover.offer("a", True) == "" and not handover.complete("a")  # it has not got the journal
+    assert handover.offer("a", True) == "" and not handover.complete("a")  # the journal is not released to it
     assert not handover.release("b") and handover.release("a") and not handover.release("a")
     assert handover.step is HandoverStep.RELEASED and "not ready" in handover.offer("b", True)
     assert (
@@ -78,55 +78,58 @@
     )
     assert handover.offer("b", True) == "" and not handover.successor_lost(
         "b"
-    )  # it had not got the journal yet
+    )  # the journal was not released to it yet
     assert handover.offer("b", True) == "" and handover.release("b") and handover.complete("b")
     assert not handover.successor_lost("b") and handover.step is HandoverStep.GIVEN
 
 
-def test_a_gateway_that_leaves_gives_nothing():
-    assert "leaving" in Handover(PLAIN).offer("a", False)
+def test_a_gateway_that_drains_hands_over_nothing():
+    assert "leaving" in Handover(SETTINGS).offer("a", False)
 
 
 def members(path):
+    """The JSON report of `members show` of the gateway with this control socket."""
     done = subprocess.run(
         ochrecourse("members", "show", path, "--json"), capture_output=True, text=True, timeout=LONG
     )
     return json.loads(done.stdout)
 
 
-def test_process_that_can_not_take_over_ends_and_the_running_one_goes_on(gateway, running, tmp_path):  # noqa: F811
+def test_process_that_can_not_take_over_ends_and_the_running_one_continues(gateway, running, tmp_path):  # noqa: F811
     control = tmp_path / "control"
     first = gateway(control=str(control), seed=7)
     Client(first.address).serve_one()
 
-    def refused():
-        words = ochrecourse("serve", gateway.path, "--take-over")
-        done = subprocess.run(words, capture_output=True, text=True, timeout=LONG)
+    def failed_takeover():
+        command = ochrecourse("serve", gateway.path, "--take-over")
+        done = subprocess.run(command, capture_output=True, text=True, timeout=LONG)
         assert "Traceback" not in done.stderr and not done.stdout
         return done.returncode, done.stderr
 
-    code, said = refused()
-    assert code == 2 and "nothing was taken over" in said and "gateway.seed is set" in said
+    code, errors = failed_takeover()
+    assert code == 2 and "nothing was taken over" in errors and "gateway.seed is set" in errors
     Client(first.address).serve_one()
     text = gateway.path.read_text()
     gateway.path.write_text(text.replace(str(control), ""))
-    assert refused()[0] == 1
+    assert failed_takeover()[0] == 1
     gateway.path.write_text(text.replace(str(control), str(tmp_path / "nobody")))
-    code, said = refused()
-    assert code == 2 and "no gateway answers there" in said
+    code, errors = failed_takeover()
+    assert code == 2 and "no gateway answers there" in errors
     Client(first.address).serve_one()
     assert first.end()[0] == 0
 
 
-def test_control_socket_is_there_before_the_first_line_says_where_it_listens(gateway, tmp_path):  # noqa: F811
-    # Guards against who reads the first line, asks, and finds no control socket: the whole fleet's tests once did.
+def test_control_socket_exists_before_the_first_line_names_the_address(gateway, tmp_path):  # noqa: F811
+    # Guards against a client that reads the first line and finds no control socket yet, as tests of the fleet once did.
     path = tmp_path / "control"
     first = gateway(control=str(path))  # for its settings
     assert first.end()[0] == 0 and not path.exists()
     reads, writes = os.pipe()
     os.set_blocking(writes, False)
     full = 0
-    with contextlib.suppress(BlockingIOError):  # until its lines have no room left
+    with contextlib.suppress(
+        BlockingIOError
+    ):  # until the pipe is full, so that the process blocks at its first line
         while True:
             full += os.write(writes, b"\n" * 4096)
     os.set_blocking(writes, True)
@@ -139,9 +142,9 @@
                 "no control socket while the first line waits"
             )
             time.sleep(0.02)
-        with open(reads, "rb") as told:
-            assert told.read(full) == b"\n" * full
-            assert told.readline().startswith(b"listening ")
+        with open(reads, "rb") as output:
+            assert output.read(full) == b"\n" * full
+            assert output.readline().startswith(b"listening ")
             second.send_signal(signal.SIGTERM)
             assert second.wait(LONG) == 0
     finally:
@@ -149,12 +152,12 @@
         second.wait()
 
 
-def test_settings_that_moved_are_not_taken_over(gateway, running, tmp_path):  # noqa: F811
+def test_takeover_fails_if_the_listen_address_has_changed(gateway, running, tmp_path):  # noqa: F811
     first = gateway(control=str(tmp_path / "control"))
     Client(first.address).serve_one()
     with socket.create_server(("127.0.0.1", 0)) as other:
-        at = f"127.0.0.1:{other.getsockname()[1]}"
-    gateway.path.write_text(gateway.path.read_text().replace('listen: "127.0.0.1:0"', f'listen: "{at}"'))
+        address = f"127.0.0.1:{other.getsockname()[1]}"
+    gateway.path.write_text(gateway.path.read_text().replace('listen: "127.0.0.1:0"', f'listen: "{address}"'))
     done = subprocess.run(
         ochrecourse("serve", gateway.path, "--take-over"), capture_output=True, text=True, timeout=LONG
     )
@@ -163,57 +166,60 @@
     assert first.end(signal.SIGTERM)[0] == 0
 
 
-def test_process_that_holds_the_sockets_serves_though_the_first_one_died_meanwhile(
+def test_successor_with_the_sockets_serves_though_the_first_process_was_killed(
     gateway,  # noqa: F811
     running,  # noqa: F811
     tmp_path,
 ):
-    # Guards against nobody at all: the sockets are here, so the end of who gave them is no reason to end too.
+    # Guards against a successor that ends, because its predecessor did, when it is the only one with the sockets.
     path = tmp_path / "control"
-    first = gateway(control=str(path))  # for its settings and the list that it keeps
+    first = gateway(control=str(path))  # for its settings and the endpoint list that it stores
     Client(first.address).serve_one()
     assert first.end(signal.SIGKILL)[0] == -signal.SIGKILL
     path.unlink()
-    (tmp_path / "g0.nodes").unlink()  # so that it must wait for the list, and the end comes first
-    with socket.create_server(("127.0.0.1", 0)) as held, socket.socket(socket.AF_UNIX) as control:
-        at = f"127.0.0.1:{held.getsockname()[1]}"
+    (tmp_path / "g0.nodes").unlink()  # so that it must wait for the list, and the connection ends first
+    with socket.create_server(("127.0.0.1", 0)) as listening, socket.socket(socket.AF_UNIX) as control:
+        address = f"127.0.0.1:{listening.getsockname()[1]}"
         control.bind(str(path))
         control.listen()
 
-        def give():
-            taker, _ = control.accept()
-            with taker:
-                assert json.loads(taker.makefile("rb").readline()) == {"do": "hand over"}
-                socket.send_fds(taker, [b'{"sockets": ["native"]}\n'], [held.fileno()])
+        def hand_over():
+            successor, _ = control.accept()
+            with successor:
+                assert json.loads(successor.makefile("rb").readline()) == {"do": "hand over"}
+                socket.send_fds(successor, [b'{"sockets": ["native"]}\n'], [listening.fileno()])
 
-        giving = threading.Thread(target=give)
-        giving.start()
+        handover_thread = threading.Thread(target=hand_over)
+        handover_thread.start()
         second = running("serve", gateway.path, "--take-over")
-        giving.join()
-    assert second.address == at
+        handover_thread.join()
+    assert second.address == address
     Client(second.address).serve_one()
     assert second.end()[0] == 0 and os.path.exists(path) is False
 
 
 @pytest.mark.parametrize(
-    ("gives", "why"), [(False, "no answer came from the running gateway"), (True, "no list of nodes came")]
+    ("hands_over", "why"),
+    [(False, "no answer came from the running gateway"), (True, "no list of nodes came")],
 )
-def test_process_that_waits_in_vain_ends_in_one_sentence(gateway, tmp_path, gives, why):  # noqa: F811
+def test_successor_that_times_out_ends_with_one_sentence(gateway, tmp_path, hands_over, why):  # noqa: F811
     path = tmp_path / "control"
     first = gateway(control=str(path))  # for its settings
     assert first.end(signal.SIGKILL)[0] == -signal.SIGKILL
-    for left in (path, tmp_path / "g0.nodes"):
-        left.unlink(missing_ok=True)
+    for leftover in (path, tmp_path / "g0.nodes"):
+        leftover.unlink(missing_ok=True)
     gateway.path.write_text(gateway.path.read_text().replace(gateway.nodes.address, "127.0.0.1:1"))
-    soon = "from ochrecourse.cli import handover, main; handover.TAKEOVER_TIMEOUT_S = 0.5; main.main()"
-    with socket.create_server(("127.0.0.1", 0)) as held, socket.socket(socket.AF_UNIX) as control:
+    short_timeout = (
+        "from ochrecourse.cli import handover, main; handover.TAKEOVER_TIMEOUT_S = 0.5; main.main()"
+    )
+    with socket.create_server(("127.0.0.1", 0)) as listening, socket.socket(socket.AF_UNIX) as control:
         control.bind(str(path))
         control.listen()
-        words = [sys.executable, "-c", soon, "serve", str(gateway.path), "--take-over"]
-        second = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
-        taker, _ = control.accept()
-        with taker:
-            if gives:
-                socket.send_fds(taker, [b'{"sockets": ["native"]}\n'], [held.fileno()])
-            said, errors = second.communicate(timeout=LONG)
-    assert second.returncode == 2 and why in errors and not said and "Traceback" not in errors
+        command = [sys.executable, "-c", short_timeout, "serve", str(gateway.path), "--take-over"]
+        second = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+        successor, _ = control.accept()
+        with successor:
+            if hands_over:
+                socket.send_fds(successor, [b'{"sockets": ["native"]}\n'], [listening.fileno()])
+            output, errors = second.communicate(timeout=LONG)
+    assert second.returncode == 2 and why in errors and not output and "Traceback" not in errors
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The names that earlier versions of the library promised: each works as before and issues a warning."""
+"""Public names of earlier versions of the library: each works as before and issues a deprecation warning."""
 
 import dataclasses
 import warnings
@@ -95,23 +95,23 @@
 
 
 class OneNode:
-    """A library gateway with one storage node, whose answers the test gives."""
+    """A library gateway with one storage node whose answers are supplied by the test."""
 
     def __init__(self, observers=()):
         self.network = library.VirtualNetwork(seed=1)
-        self.dials = []
+        self.pending_connections = []
         self.gateway = library.Gateway(
             values=FLAT,
             seed=7,
             clock=self.network,
-            open_connection=self._dialled,
+            open_connection=self._open_connection,
             name="n0",
             observers=observers,
         )
         self.gateway.endpoint_list_received(library.ListKind.FULL, [NODE], {7: ("h", 1)})
 
-    def _dialled(self, dispatcher, connection, address):
-        self.dials.append(connection)
+    def _open_connection(self, dispatcher, connection, address):
+        self.pending_connections.append(connection)
 
     def now(self):
         return round(self.network.seconds() * SECOND)
@@ -120,15 +120,17 @@
         return library.Request("read", "p0", 5, timeout, self.now(), shard=0, units=2.0, trace="a")
 
     def attempt(self, request_id):
-        """The attempt of a request, once its connection is up."""
-        for dial in self.dials:
-            self.gateway.nodes.connections[dial.number] = wire = FakeNodeConnection(dial)
-            self.gateway.nodes.connection_opened(wire)
-        self.dials.clear()
+        """Opens the dialled connections; returns the attempt of a request."""
+        for connection in self.pending_connections:
+            self.gateway.nodes.connections[connection.number] = node_connection = FakeNodeConnection(
+                connection
+            )
+            self.gateway.nodes.connection_opened(node_connection)
+        self.pending_connections.clear()
         return self.gateway.in_flight[request_id].attempt
 
     def serve(self, request_id, body=b"abcd", event=AttemptEvent.SERVED):
-        """The node's answer to a request, with the first bytes of its body."""
+        """Supplies the node's answer to a request, with the first bytes of its body."""
         attempt = self.attempt(request_id)
         self.gateway.response_began(attempt, m.AttemptServed(id=1, size=4, body=4, shard=3))
         self.gateway.response_data(attempt, body)
@@ -140,13 +142,13 @@
     return OneNode()
 
 
-def test_every_renamed_class_stands_beside_its_new_name():
+def test_each_renamed_class_is_exported_by_both_names():
     for old, new in RENAMED_CLASSES.items():
         assert {old, new} <= set(library.__all__)
     assert all(hasattr(library, name) for name in library.__all__) and library.SURFACE == 1
 
 
-def test_the_page_lists_each_old_name_beside_its_new_one():
+def test_the_page_lists_each_old_name_with_its_new_one():
     text = (ROOT / "docs" / "library.md").read_text()
     for old, new in RENAMED_CLASSES.items():
         assert f"| `{old}` | `{new}` |" in text
@@ -166,7 +168,7 @@
     assert one_node.gateway.entries == {8: ready} and one_node.gateway.addresses[8] == ("h", 2)
 
 
-def test_list_came_takes_its_old_keywords(one_node):
+def test_list_came_accepts_its_old_keywords(one_node):
     with pytest.warns(DeprecationWarning):
         one_node.gateway.list_came(kind=library.ListKind.FULL, entries=[], addresses={})
     assert one_node.gateway.entries == {}
@@ -232,15 +234,17 @@
 
 
 def test_room_is_response_consumed(one_node, monkeypatch):
-    granted = []
+    consumed = []
     job = one_node.gateway.submit(one_node.request(), NewHandler())
     attempt = one_node.attempt(job)
-    monkeypatch.setattr(one_node.gateway.nodes, "response_consumed", lambda *words: granted.append(words))
+    monkeypatch.setattr(
+        one_node.gateway.nodes, "response_consumed", lambda *arguments: consumed.append(arguments)
+    )
     with pytest.warns(
         DeprecationWarning, match=r"Gateway\.room is deprecated, use Gateway\.response_consumed"
     ):
         one_node.gateway.room(job, 512)
-    assert granted == [(attempt, 512)]
+    assert consumed == [(attempt, 512)]
 
 
 def test_drain_and_stop_keep_their_names(one_node):
@@ -262,7 +266,7 @@
         one_node.gateway.cancel(request_id)
 
 
-def test_a_list_of_current_observers_stays_the_callers_own():
+def test_a_list_of_current_observers_is_not_copied():
     observers = [NewObserver()]
     assert OneNode(observers).gateway.observers is observers
 
@@ -270,7 +274,7 @@
 # --- Request and its body ---
 
 
-def test_request_takes_product_and_plan(one_node):
+def test_request_accepts_product_and_plan(one_node):
     with pytest.warns(DeprecationWarning) as issued:
         request = library.Request(product="read", plan="p0", volume=5, timeout=SECOND, read_at=9)
     assert [str(each.message) for each in issued] == [
@@ -332,10 +336,10 @@
     with pytest.warns(DeprecationWarning, match=r"Observer\.job_over is deprecated") as issued:
         one_node = OneNode(observers=[observer])
     assert issued[0].filename == __file__
-    job = one_node.gateway.submit(one_node.request(), _Reader())
+    job = one_node.gateway.submit(one_node.request(), _StreamingHandler())
     one_node.serve(job)
-    [(told_by, story)] = observer.stories
-    assert told_by is one_node.gateway
+    [(observed_gateway, story)] = observer.stories
+    assert observed_gateway is one_node.gateway
     assert isinstance(story, library.JobStory) and isinstance(story, library.RequestRecord)
     assert isinstance(story.attempts[0], library.LegStory) and story.why() == "answered"
     with pytest.warns(DeprecationWarning):
@@ -346,11 +350,11 @@
         assert story.legs[0].why == AttemptEvent.SERVED.value
 
 
-def test_old_and_current_observers_beside_each_other():
+def test_old_and_current_observers_of_one_gateway():
     old, new = OldObserver(), NewObserver()
     with pytest.warns(DeprecationWarning):
         one_node = OneNode(observers=[old, new])
-    job = one_node.gateway.submit(one_node.request(), _Reader())
+    job = one_node.gateway.submit(one_node.request(), _StreamingHandler())
     one_node.serve(job)
     assert len(old.stories) == len(new.records) == 1
     assert type(new.records[0][1]) is RequestRecord and new.records[0][0] is one_node.gateway
@@ -371,7 +375,7 @@
         assert getattr(leg, old) == getattr(leg, new)
 
 
-def test_stories_are_made_with_their_old_keywords():
+def test_stories_are_created_with_their_old_keywords():
     with pytest.warns(DeprecationWarning):
         leg = library.LegStory(number=0, node=7, sent=5, why="failed")
         story = library.JobStory(
@@ -386,7 +390,7 @@
 # --- the endpoint list and the fleet ---
 
 
-def test_follower_is_a_list_server_watcher_that_hands_on_news():
+def test_follower_is_a_list_server_watcher_that_delivers_news():
     network = library.VirtualNetwork(seed=1)
     servers = make_fleet(quiet(), network, lambda record: None)
     where = ("127.0.0.1", int(servers.list_address().rpartition(":")[2]))
@@ -400,7 +404,7 @@
     assert received[0].kind is library.ListKind.FULL and received[0].entries and received[0].addresses
 
 
-def test_news_is_made_in_its_old_order():
+def test_news_is_created_with_its_old_argument_order():
     news = library.News(library.ListKind.FULL, [NODE], {7: ("h", 1)})
     assert (news.kind, news.entries, news.addresses) == (library.ListKind.FULL, [NODE], {7: ("h", 1)})
 
@@ -419,16 +423,16 @@
         assert entry.life == entry.incarnation == 5
 
 
-def test_a_stamp_is_shown_as_before():
+def test_a_stamp_is_formatted_as_before():
     assert f"{library.Stamp(1000, 7)}" == "Stamp(ms=1000, turn=7)"
 
 
-def test_names_that_did_not_change_are_there():
+def test_unchanged_names_still_exist():
     for name in ("start", "append", "read", "follow", "compact", "dump", "report", "lodge", "stop"):
         assert callable(getattr(library.Part, name))
     assert library.Ending.FULFILLED is library.Ending.SERVED
 
 
-class _Reader(NewHandler):
+class _StreamingHandler(NewHandler):
     def body_chunk(self, request_id, data):
         self.calls.append(("body_chunk", request_id, data))
