--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback sockets: the daemon's signals, kill -9 and restart, many clients, a day from end to end."""
+"""Tests with real processes on loopback sockets: signals, kill -9 and restart, many clients, BGP and WebDAV."""
 
 import http.client
 import json
@@ -19,25 +19,26 @@
 from ochrecourse.wire import messages as m
 
 pytestmark = pytest.mark.long
-LONG = 120  # s that anything here may take at the most, beside busy neighbours; nothing is judged by it
+LONG = 120  # s: timeout of each operation, generous for a busy machine; no result depends on it
 
 
-def ochrecourse(*words):
-    return [sys.executable, "-m", "ochrecourse", *map(str, words)]
+def ochrecourse(*arguments):
+    """The command line of `ochrecourse` with these arguments."""
+    return [sys.executable, "-m", "ochrecourse", *map(str, arguments)]
 
 
 class Running:
-    """A process of ours; `first` is its first line."""
+    """A process of `ochrecourse`; `first` is its first line of output, `address` the last word of that line."""
 
-    def __init__(self, *words):
+    def __init__(self, *arguments):
         self.process = subprocess.Popen(
-            ochrecourse(*words), stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+            ochrecourse(*arguments), stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
         self.first = self.process.stdout.readline().decode().strip()
         self.address = self.first.rpartition(" ")[2]
 
     def end(self, number=signal.SIGTERM):
-        """Its exit code and what it logged."""
+        """Sends a signal and waits for the end; returns the exit code and standard error."""
         if self.process.poll() is None:
             self.process.send_signal(number)
         _, errors = self.process.communicate(timeout=LONG)
@@ -45,7 +46,7 @@
 
 
 class Client:
-    """A blocking client."""
+    """A blocking client of the native protocol."""
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
@@ -57,12 +58,12 @@
         self.socket.sendall(m.encode(message, body))
 
     def hear(self):
-        """The next message; None when the connection is over."""
+        """Receives the next message; None if the connection is closed."""
         while b"\r\n" not in self.data:
-            got = self.socket.recv(65_536)
-            if not got:
+            received = self.socket.recv(65_536)
+            if not received:
                 return None
-            self.data += got
+            self.data += received
         line, _, self.data = self.data.partition(b"\r\n")
         message = m.decode(line)
         while len(self.data) < message.body:
@@ -71,18 +72,18 @@
         return message
 
     def ask(self, number, product="page-read", plan="open", **more):
-        told = {"tenant": plan, "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
-        self.say(m.SubmitRequest(id=number, request_class=product, **told))
+        fields = {"tenant": plan, "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
+        self.say(m.SubmitRequest(id=number, request_class=product, **fields))
 
     def serve_one(self):
-        """Asks until a job is fulfilled: a gateway that has just started may not have its list yet."""
+        """Sends requests until one is served: a gateway that has just started may not have its endpoint list yet."""
         for number in range(1, 1000):
             self.ask(number)
             if isinstance(self.answer(), m.RequestServed):
                 return
 
     def answer(self):
-        """The next final answer."""
+        """Receives the next final answer; None if the connection is closed."""
         while (message := self.hear()) is not None:
             if isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed | m.ErrorNotice):
                 return message
@@ -91,11 +92,11 @@
 
 @pytest.fixture
 def running():
-    """Starts processes and ends those that are left."""
+    """A function that starts processes; those still running are killed at the end of the test."""
     started = []
 
-    def start(*words):
-        started.append(Running(*words))
+    def start(*arguments):
+        started.append(Running(*arguments))
         return started[-1]
 
     yield start
@@ -107,7 +108,7 @@
 
 @pytest.fixture
 def gateway(running, tmp_path):
-    """Storage nodes, and a way to start a gateway before them; its settings file beside it."""
+    """Starts storage nodes; a function that starts a gateway for them, with the path of its settings file."""
     day = msgspec.structs.replace(quiet(), nodes=2, gateways=1)
     (tmp_path / "day.json").write_bytes(msgspec.json.encode(day))
     nodes = running("nodes", tmp_path / "day.json", "--wait", "--records", tmp_path / "nodes.jsonl")
@@ -123,7 +124,7 @@
     return start
 
 
-def test_sighup_takes_over_what_may_change_and_names_the_rest(gateway):
+def test_sighup_applies_settings_that_may_change_and_names_the_rest(gateway):
     serving = gateway()
     text = gateway.path.read_text()
     gateway.path.write_text(text.replace("travel: 40ms", "travel: 30ms") + "clients: open_jobs: 7\n")
@@ -131,9 +132,9 @@
     line = ""
     while "settings read again" not in line:
         line = serving.process.stderr.readline().decode()
-    told = json.loads(line)
-    assert told["in_force"] == ["clients.open_jobs: 20000 to 7"]
-    assert told["needs_restart"] == ["gateway.travel: 40.0 to 30.0"]
+    fields = json.loads(line)
+    assert fields["in_force"] == ["clients.open_jobs: 20000 to 7"]
+    assert fields["needs_restart"] == ["gateway.travel: 40.0 to 30.0"]
     gateway.path.write_text("gateway: 5")
     serving.process.send_signal(signal.SIGHUP)
     while "not taken over" not in line:
@@ -141,7 +142,7 @@
     assert serving.end()[0] == 0
 
 
-def test_after_kill_9_a_gateway_serves_from_its_kept_list_alone(gateway, running):
+def test_after_kill_9_a_gateway_serves_from_its_stored_list_only(gateway, running):
     serving = gateway()
     client = Client(serving.address)
     client.serve_one()
@@ -149,16 +150,16 @@
     serving.process.kill()
     assert serving.end()[0] == -signal.SIGKILL
     gateway.path.write_text(gateway.path.read_text().replace(gateway.nodes.address, "127.0.0.1:1"))
-    again = running("serve", gateway.path)  # no list server answers at that address
-    client = Client(again.address)
+    restarted = running("serve", gateway.path)  # no list server answers at that address
+    client = Client(restarted.address)
     client.serve_one()
-    assert again.end()[0] == 0
+    assert restarted.end()[0] == 0
 
 
 def test_health_ready_and_metrics_pages(gateway):
-    # An address of its own: a port that was free a moment ago may be a neighbour's by now.
-    with socket.create_server(("127.0.0.9", 0)) as free:
-        port = free.getsockname()[1]
+    # A separate loopback address: on 127.0.0.1, another test could have taken the free port by now.
+    with socket.create_server(("127.0.0.9", 0)) as unused:
+        port = unused.getsockname()[1]
     serving = gateway(admin=f"127.0.0.9:{port}")
 
     def page(name):
@@ -178,8 +179,8 @@
     )
 
 
-def test_a_thousand_clients_within_a_moment_are_all_served(gateway):
-    serving = gateway()  # nobody reads its log meanwhile
+def test_a_thousand_clients_at_once_are_all_answered(gateway):
+    serving = gateway()  # its log is not read meanwhile
     Client(serving.address).serve_one()
     clients = [Client(serving.address) for _ in range(1000)]
     for client in clients:
@@ -196,7 +197,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "told"),
+    ("arguments", "code", "message"),
     [
         (["serve", "none.cue"], 1, "none.cue:1:1: No such file"),
         (["check", "none.cue"], 1, "No such file"),
@@ -207,68 +208,72 @@
         (["fly"], 2, "No such command"),
     ],
 )
-def test_a_wrong_call_is_told_in_words_with_its_exit_code(tmp_path, words, code, told):
+def test_a_wrong_call_prints_an_error_and_ends_with_its_exit_code(tmp_path, arguments, code, message):
     environment = {**os.environ, "PYTHONPATH": os.getcwd()}
     ran = subprocess.run(
-        ochrecourse(*words), capture_output=True, text=True, timeout=LONG, cwd=tmp_path, env=environment
+        ochrecourse(*arguments), capture_output=True, text=True, timeout=LONG, cwd=tmp_path, env=environment
     )
-    assert ran.returncode == code and told in ran.stdout + ran.stderr and "Traceback" not in ran.stderr
+    assert ran.returncode == code and message in ran.stdout + ran.stderr and "Traceback" not in ran.stderr
 
 
 class RawPeer:
-    """A BGP peer over blocking sockets, a few lines that share nothing with the speaker: it keeps what it is told."""
+    """A minimal BGP peer on blocking sockets, independent of the speaker's code."""
 
     OPEN = "04fc58{:04x}0a000009080206010400010001"  # AS 64600, a hold time, IPv4 unicast
 
     def __init__(self):
-        self.hold_time = 90  # s, longer than any command that is run meanwhile may take
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(LONG)
-        self.port = self.door.getsockname()[1]
+        self.hold_time = 90  # s, longer than any command that is run meanwhile
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.settimeout(LONG)
+        self.port = self.listener.getsockname()[1]
         self.end = None
 
-    def meet(self):
-        """Takes the speaker's connection up to Established."""
-        self.end, _ = self.door.accept()
+    def establish(self):
+        """Accepts the speaker's connection and exchanges messages up to the state Established."""
+        self.end, _ = self.listener.accept()
         self.end.settimeout(LONG)
-        self.open()
-        self.until(1)
-        self.say(4)
-        self.until(4)
+        self.send_open()
+        self.receive_until(1)
+        self.send(4)
+        self.receive_until(4)
 
-    def open(self):
-        self.say(1, bytes.fromhex(self.OPEN.format(self.hold_time)))
+    def send_open(self):
+        self.send(1, bytes.fromhex(self.OPEN.format(self.hold_time)))
 
-    def say(self, kind, body=b""):
+    def send(self, kind, body=b""):
         self.end.sendall(b"\xff" * 16 + (19 + len(body)).to_bytes(2, "big") + bytes((kind,)) + body)
 
-    def hear(self):
-        """The next message's type and body; None at the end of the connection."""
-        head = self.exactly(19)
-        return None if head is None else (head[18], self.exactly(int.from_bytes(head[16:18], "big") - 19))
+    def receive(self):
+        """Receives a message; returns its type and body, or None if the connection is closed."""
+        head = self.receive_exactly(19)
+        return (
+            None
+            if head is None
+            else (head[18], self.receive_exactly(int.from_bytes(head[16:18], "big") - 19))
+        )
 
-    def exactly(self, size):
+    def receive_exactly(self, size):
         data = b""
         while len(data) < size:
-            got = self.end.recv(size - len(data))
-            if not got:
+            received = self.end.recv(size - len(data))
+            if not received:
                 return None
-            data += got
+            data += received
         return data
 
-    def until(self, kind):
-        """The body of the next message of a kind; keepalives are answered meanwhile."""
-        while (told := self.hear()) is not None:
-            if told[0] == kind:
-                return told[1]
-            if told[0] == 4:
-                self.say(4)
+    def receive_until(self, kind):
+        """Receives up to a message of this type and returns its body; answers keepalives meanwhile."""
+        while (message := self.receive()) is not None:
+            if message[0] == kind:
+                return message[1]
+            if message[0] == 4:
+                self.send(4)
         raise AssertionError(f"the connection ended before a message of type {kind}")
 
 
 @pytest.fixture
 def announced(gateway, tmp_path):
-    """A gateway whose service address a peer has just been told of; the peer, the process and its control socket."""
+    """A gateway with settings that announce a service address to a BGP peer: peer, gateway and control socket."""
     peer = RawPeer()
     (tmp_path / "g0.cue").write_text("")
     control = tmp_path / "control"
@@ -294,56 +299,56 @@
 def test_a_daemon_announces_when_it_serves_and_drains_in_order(announced, running):
     peer, gateway, control = announced
     serving = running("serve", gateway.path)
-    peer.meet()
-    assert peer.until(2).endswith(NLRI)
-    shown = subprocess.run(ochrecourse("bgp", "show", control), capture_output=True, text=True, timeout=LONG)
-    assert "192.0.2.10/32: announced" in shown.stdout and "p: established" in shown.stdout
+    peer.establish()
+    assert peer.receive_until(2).endswith(NLRI)
+    show = subprocess.run(ochrecourse("bgp", "show", control), capture_output=True, text=True, timeout=LONG)
+    assert "192.0.2.10/32: announced" in show.stdout and "p: established" in show.stdout
     assert oct(control.stat().st_mode)[-3:] == "600"
-    drained = subprocess.run(
-        ochrecourse("bgp", "drain", control), capture_output=True, text=True, timeout=LONG
-    )
-    assert drained.returncode == 0 and drained.stdout == "done: last_choice\n"
-    while bytes.fromhex("ffff0000") not in (told := peer.until(2)):  # graceful shutdown
-        assert told.endswith(NLRI)  # on a busy machine it begins less preferred and is announced once more
-    assert peer.until(2) == bytes.fromhex("0005") + NLRI + bytes(2)
-    assert peer.until(3) == b"\6\2\7drained"
+    drain = subprocess.run(ochrecourse("bgp", "drain", control), capture_output=True, text=True, timeout=LONG)
+    assert drain.returncode == 0 and drain.stdout == "done: last_choice\n"
+    while bytes.fromhex("ffff0000") not in (update := peer.receive_until(2)):  # graceful shutdown
+        assert update.endswith(NLRI)  # on a busy machine it is first less preferred, then announced again
+    assert peer.receive_until(2) == bytes.fromhex("0005") + NLRI + bytes(2)
+    assert peer.receive_until(3) == b"\6\2\7drained"
     assert serving.end()[0] == 0
 
 
-def test_ttl_security_takes_only_what_passed_no_router_and_sends_so_itself(announced, running):
+def test_ttl_security_accepts_and_sends_only_packets_of_the_maximum_ttl(announced, running):
     peer, gateway, _ = announced
     gateway.path.write_text(
         gateway.path.read_text().replace("hold_time: 90s", "hold_time: 90s, ttl_security: true")
     )
-    peer.door.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 255)
+    peer.listener.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 255)
     running("serve", gateway.path)
-    peer.end, _ = peer.door.accept()
+    peer.end, _ = peer.listener.accept()
     peer.end.settimeout(LONG)
-    peer.until(1)  # it has set its own options by now
-    peer.end.setsockopt(socket.IPPROTO_IP, 21, 255)  # IP_MINTTL: from now on with 255 only
-    peer.open()
-    peer.until(4)
-    peer.say(4)
-    assert peer.until(2).endswith(NLRI)
+    peer.receive_until(1)  # the speaker has set its socket options by now
+    peer.end.setsockopt(
+        socket.IPPROTO_IP, 21, 255
+    )  # IP_MINTTL: accepts only packets with TTL 255 from now on
+    peer.send_open()
+    peer.receive_until(4)
+    peer.send(4)
+    assert peer.receive_until(2).endswith(NLRI)
 
 
-def test_a_killed_daemon_takes_its_address_with_its_connection(announced, running):
+def test_a_killed_daemon_withdraws_its_address_by_closing_its_connection(announced, running):
     peer, gateway, _ = announced
     serving = running("serve", gateway.path)
-    peer.meet()
-    peer.until(2)
+    peer.establish()
+    peer.receive_until(2)
     serving.process.kill()
-    while peer.hear() is not None:
-        pass  # the end of the connection is what a peer goes by
+    while peer.receive() is not None:
+        pass  # a peer withdraws the address when the connection ends
 
 
-def test_a_file_is_saved_and_fetched_over_webdav_on_real_sockets(gateway, running):
+def test_a_file_is_stored_and_fetched_over_webdav_on_real_sockets(gateway, running):
     serving = gateway()
     assert serving.end()[0] == 0
-    # Guards against a verdict that hangs on a busy machine: nothing is turned away for want of time.
-    patient = re.sub(r"(promised|client_timeout): \d+ms", r"\1: 20000ms", gateway.path.read_text())
+    # Long time limits, so that a busy machine does not make the gateway reject a request.
+    long_timeouts = re.sub(r"(promised|client_timeout): \d+ms", r"\1: 20000ms", gateway.path.read_text())
     gateway.path.write_text(
-        patient
+        long_timeouts
         + """webdav: {
 	products: [{method: "GET", product: "page-read"}, {method: "PUT", product: "note-save"}]
 	volumes: [{plan: "gold"}]
@@ -352,27 +357,27 @@
     )
     serving = running("serve", gateway.path)
     host, _, port = serving.process.stdout.readline().decode().split()[1].rpartition(":")
-    Client(serving.address).serve_one()  # it has its list of nodes
+    Client(serving.address).serve_one()  # it has its endpoint list
     client = http.client.HTTPConnection(host, int(port), timeout=LONG)
 
-    def ask(method, path, body=None):
+    def send_request(method, path, body=None):
         client.request(method, path, body)
         answer = client.getresponse()
         return answer.status, answer.read()
 
     data = bytes(range(256)) * 2000
-    assert ask("MKCOL", "/week")[0] == 201 and ask("PUT", "/week/f", data)[0] == 201
-    assert ask("GET", "/week/f") == (200, data) and ask("GET", "/none")[0] == 404
+    assert send_request("MKCOL", "/week")[0] == 201 and send_request("PUT", "/week/f", data)[0] == 201
+    assert send_request("GET", "/week/f") == (200, data) and send_request("GET", "/none")[0] == 404
     serving.end(signal.SIGKILL)
-    again = running("serve", gateway.path)
-    host, _, port = again.process.stdout.readline().decode().split()[1].rpartition(":")
-    Client(again.address).serve_one()
+    restarted = running("serve", gateway.path)
+    host, _, port = restarted.process.stdout.readline().decode().split()[1].rpartition(":")
+    Client(restarted.address).serve_one()
     client = http.client.HTTPConnection(host, int(port), timeout=LONG)
-    assert ask("GET", "/week/f") == (200, data)  # names outlive kill -9
-    assert again.end()[0] == 0
+    assert send_request("GET", "/week/f") == (200, data)  # names are still there after kill -9
+    assert restarted.end()[0] == 0
 
 
-def test_a_tree_of_another_kind_is_told_and_left_alone(gateway, tmp_path):
+def test_a_file_that_is_no_webdav_tree_is_reported_and_not_changed(gateway, tmp_path):
     serving = gateway()
     assert serving.end()[0] == 0
     gateway.path.write_text(gateway.path.read_text() + "webdav: {products: [], volumes: []}\n")
