--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the deploy file asks of `build`: it must not pass where what `run` imports is not there."""
+"""The commands of the deploy file: `build` must fail if the libraries that `run` imports were not installed."""
 
 import os
 import subprocess
@@ -8,65 +8,67 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-# In place of the interpreter: it makes an environment whose installer ends as told and notes that it was asked.
-MAKES = """#!/bin/sh
+# Replaces the interpreter: creates an environment whose installer records each call and ends with the given code.
+FAKE_PYTHON = """#!/bin/sh
 mkdir -p .venv/bin
-printf '#!/bin/sh\\necho asked >> asked.txt\\nexit {ends}\\n' > .venv/bin/pip
+printf '#!/bin/sh\\necho called >> calls.txt\\nexit {exit_code}\\n' > .venv/bin/pip
 printf '#!/bin/sh\\nexit 0\\n' > .venv/bin/python
 chmod +x .venv/bin/pip .venv/bin/python
 """
 
 
-def build(folder, ends):
-    """Exit code of `build` in a folder where the installer ends with this code, and how often it was asked in all."""
+def build(folder, exit_code):
+    """Runs `build` with an installer that ends with `exit_code`; returns the exit code and the installer's total calls."""
     (folder / "bin").mkdir(exist_ok=True)
     python = folder / "bin" / "python3"
-    python.write_text(MAKES.format(ends=ends))
+    python.write_text(FAKE_PYTHON.format(exit_code=exit_code))
     python.chmod(0o755)
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
+    command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     path = f"{folder / 'bin'}{os.pathsep}{os.environ['PATH']}"
     code = subprocess.run(
-        ["/bin/sh", "-c", told], cwd=folder, env={"PATH": path}, check=False, timeout=60
+        ["/bin/sh", "-c", command], cwd=folder, env={"PATH": path}, check=False, timeout=60
     ).returncode
-    asked = folder / "asked.txt"
-    return code, len(asked.read_text().split()) if asked.exists() else 0
+    calls = folder / "calls.txt"
+    return code, len(calls.read_text().split()) if calls.exists() else 0
 
 
-def test_policy_names_every_module_of_the_decisions():
-    """Guards against a rule in a file that the deploy file does not declare."""
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+def test_policy_names_every_module_of_the_scheduler():
+    """Guards against a scheduling rule in a file that the deploy file does not declare."""
+    declared = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     modules = (ROOT / "ochrecourse" / "scheduler").glob("*.py")
-    assert named == sorted(
+    assert declared == sorted(
         f"ochrecourse/scheduler/{each.name}" for each in modules if each.stem != "__init__"
     )
 
 
-@pytest.mark.parametrize("old", [None, "an older list\n"])
-def test_build_fails_where_the_install_failed_and_is_tried_again(tmp_path, old):
-    # Guards against an environment without the libraries that passes for built: `run` would then end at its first import.
+@pytest.mark.parametrize("previous", [None, "an older list\n"])
+def test_build_fails_if_the_installation_failed_and_installs_again_next_time(tmp_path, previous):
+    # Guards against a build that passes without the libraries installed: `run` would then end at its first import.
     (tmp_path / "requirements.txt").write_text("wanted==1\n")
-    if old is not None:
+    if previous is not None:
         (tmp_path / ".venv").mkdir()
-        (tmp_path / ".venv" / "requirements.txt").write_text(old)
-    failed, _ = build(tmp_path, ends=1)
+        (tmp_path / ".venv" / "requirements.txt").write_text(previous)
+    failed, _ = build(tmp_path, exit_code=1)
     assert failed != 0
-    assert build(tmp_path, ends=0) == (0, 2)
+    assert build(tmp_path, exit_code=0) == (0, 2)
 
 
-def test_build_installs_once_for_one_list_and_again_for_another(tmp_path):
+def test_build_installs_once_for_the_same_requirements_and_again_for_changed_ones(tmp_path):
     (tmp_path / "requirements.txt").write_text("wanted==1\n")
-    assert build(tmp_path, ends=0) == (0, 1)
-    assert build(tmp_path, ends=0) == (0, 1)
+    assert build(tmp_path, exit_code=0) == (0, 1)
+    assert build(tmp_path, exit_code=0) == (0, 1)
     (tmp_path / "requirements.txt").write_text("wanted==2\n")
-    assert build(tmp_path, ends=0) == (0, 2)
+    assert build(tmp_path, exit_code=0) == (0, 2)
 
 
-def test_a_reload_in_the_first_moments_of_run_does_not_end_it(tmp_path):
-    # Guards against SIGHUP's default action before the interpreter has run a statement of the program.
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+def test_sighup_before_the_interpreter_has_started_does_not_end_run(tmp_path):
+    # Guards against SIGHUP's default action before the interpreter has executed a statement of the program.
+    command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     interpreter = tmp_path / ".venv" / "bin" / "python"
     interpreter.parent.mkdir(parents=True)
     interpreter.write_text("#!/bin/sh\nkill -HUP $$\necho went on\n")
     interpreter.chmod(0o755)
-    ran = subprocess.run(["/bin/sh", "-c", told], cwd=tmp_path, capture_output=True, check=False, timeout=60)
+    ran = subprocess.run(
+        ["/bin/sh", "-c", command], cwd=tmp_path, capture_output=True, check=False, timeout=60
+    )
     assert (ran.returncode, ran.stdout) == (0, b"went on\n")
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The pages for readers of the code name files, classes and methods that are there."""
+"""Files, classes and methods that pages about the code name must exist."""
 
 import ast
 import re
@@ -18,28 +18,28 @@
 
 
 def classes():
-    """Names of classes and module-level tables with the names that stand in them, over the whole package."""
+    """The names of all classes and module-level variables of the package, each class with the names of its methods."""
     found = {}
     for path in (ROOT / "ochrecourse").rglob("*.py"):
         for node in ast.parse(path.read_text()).body:
             if isinstance(node, ast.ClassDef):
-                inside = {each.name for each in node.body if isinstance(each, ast.FunctionDef)}
-                found.setdefault(node.name, set()).update(inside)
+                methods = {each.name for each in node.body if isinstance(each, ast.FunctionDef)}
+                found.setdefault(node.name, set()).update(methods)
             for target in [node.target] if isinstance(node, ast.AnnAssign) else getattr(node, "targets", []):
                 found.setdefault(getattr(target, "id", ""), set())
     return found
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_files_that_a_page_names_are_there(page):
+def test_files_that_a_page_names_exist(page):
     files = [each for each in quoted(page) if FILE.fullmatch(each)]
     assert len(files) > 20
-    places = (ROOT, ROOT / "ochrecourse", ROOT / "docs", ROOT / "ochrecourse" / "settings")
-    assert [each for each in files if not any((place / each).is_file() for place in places)] == []
+    folders = (ROOT, ROOT / "ochrecourse", ROOT / "docs", ROOT / "ochrecourse" / "settings")
+    assert [each for each in files if not any((folder / each).is_file() for folder in folders)] == []
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_classes_and_methods_that_a_page_names_are_there(page):
+def test_classes_and_methods_that_a_page_names_exist(page):
     known = classes()
     names = [match for each in quoted(page) if (match := NAME.fullmatch(each))]
     assert len(names) > 20
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,13 +1,13 @@
-"""The list of tests that CI passes over: each entry complete, each test there."""
+"""The list of tests whose failures CI ignores: each entry is complete and its test exists."""
 
 import re
 
 from conftest import KNOWN_RED, known_red
 
 
-def test_each_line_names_a_test_a_command_with_its_seed_what_was_seen_and_an_issue():
-    told = known_red()
-    for line in told.values():
+def test_each_line_names_a_test_a_command_with_its_seed_a_cause_and_an_issue():
+    entries = known_red()
+    for line in entries.values():
         test, command, cause, issue = line.split(" | ")
         file, name = test.split("::")
         function = name.partition("[")[0]
