--- a/examples/embed.py
+++ b/examples/embed.py
@@ -15,7 +15,7 @@
 where = ("127.0.0.1", int(fleet.list_address().rpartition(":")[2]))
 
 
-# The ten lines that a program needs.
+# The ten lines.
 class Printer:
     def request_finished(self, gateway: library.Gateway, record: library.RequestRecord) -> None:
         print(f"job {record.trace}: {record.outcome.value}, legs {len(record.attempts)}")
--- a/ochrecourse/cli/handover_client.py
+++ b/ochrecourse/cli/handover_client.py
@@ -69,7 +69,7 @@
         if self.pending_callback is not None:
             self._call_pending()
         elif not self.sockets_received:
-            # With the sockets it continues: no other process accepts on them now.
+            # Once it has the sockets, this process continues: no other process accepts on them now.
             self.factory.on_failure("the running gateway ended before its sockets were taken over")
 
     def _call_pending(self) -> None:
--- a/ochrecourse/cli/logs.py
+++ b/ochrecourse/cli/logs.py
@@ -83,7 +83,7 @@
                 self.file.write(text)
                 self.file.flush()
             except OSError:
-                # The log's reader has closed the pipe: the gateway continues to serve without its log.
+                # The log's reader has closed the pipe: the line is dropped and the gateway serves on.
                 self.dropped += 1
 
 
--- a/ochrecourse/library.py
+++ b/ochrecourse/library.py
@@ -1,7 +1,7 @@
 """The gateway as a library: the names that other programs may rely on. See docs/library.md.
 
 `SURFACE` is incremented when one of these names changes its meaning or is removed, but not when names are
-added. Names that are not in this module may change with any version.
+added. All other names may change with any version.
 
 `__all__` contains the current names and those of earlier versions. The latter work as before and issue a
 `DeprecationWarning` where a program calls one or reads a field by one. The rest of the package does not use
@@ -430,7 +430,7 @@
 
 
 class TenantSubsystem:
-    """Adapts a `Tenant` to a subsystem of a fleet member; other attributes are those of the tenant."""
+    """Adapts a `Tenant` to a fleet subsystem; `name`, `keeps` and `report` are those of the tenant."""
 
     name: str
 
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -93,14 +93,14 @@
     peer.establish()
     peer.receive_until(2)
     serving.process.send_signal(signal.SIGSTOP)
-    peer.end.settimeout(4)
+    peer.connection.settimeout(4)
     with pytest.raises(
         TimeoutError
     ):  # no message for longer than the hold time: a peer then withdraws the routes
         while True:
             peer.receive()
     serving.process.send_signal(signal.SIGCONT)
-    peer.end.settimeout(LONG)
+    peer.connection.settimeout(LONG)
     assert peer.receive_until(3)[0] == 4  # the notification that its own hold timer has expired
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -52,12 +52,12 @@
         host, _, port = address.rpartition(":")
         self.socket = socket.create_connection((host, int(port)), timeout=LONG)
         self.data = b""
-        self.say(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
+        self.send(m.Hello(version=m.PROTOCOL_VERSION, role="client"))
 
-    def say(self, message, body=b""):
+    def send(self, message, body=b""):
         self.socket.sendall(m.encode(message, body))
 
-    def hear(self):
+    def receive(self):
         """Receives the next message; None if the connection is closed."""
         while b"\r\n" not in self.data:
             received = self.socket.recv(65_536)
@@ -73,7 +73,7 @@
 
     def ask(self, number, product="page-read", plan="open", **more):
         fields = {"tenant": plan, "volume": 1, "timeout_ms": 5000, "shard": 0, "key": 7, **more}
-        self.say(m.SubmitRequest(id=number, request_class=product, **fields))
+        self.send(m.SubmitRequest(id=number, request_class=product, **fields))
 
     def serve_one(self):
         """Sends requests until one is served: a gateway that has just started may not have its endpoint list yet."""
@@ -84,7 +84,7 @@
 
     def answer(self):
         """Receives the next final answer; None if the connection is closed."""
-        while (message := self.hear()) is not None:
+        while (message := self.receive()) is not None:
             if isinstance(message, m.RequestServed | m.RequestRejected | m.RequestFailed | m.ErrorNotice):
                 return message
         return None
@@ -226,12 +226,12 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(LONG)
         self.port = self.listener.getsockname()[1]
-        self.end = None
+        self.connection = None
 
     def establish(self):
         """Accepts the speaker's connection and exchanges messages up to the state Established."""
-        self.end, _ = self.listener.accept()
-        self.end.settimeout(LONG)
+        self.connection, _ = self.listener.accept()
+        self.connection.settimeout(LONG)
         self.send_open()
         self.receive_until(1)
         self.send(4)
@@ -241,7 +241,7 @@
         self.send(1, bytes.fromhex(self.OPEN.format(self.hold_time)))
 
     def send(self, kind, body=b""):
-        self.end.sendall(b"\xff" * 16 + (19 + len(body)).to_bytes(2, "big") + bytes((kind,)) + body)
+        self.connection.sendall(b"\xff" * 16 + (19 + len(body)).to_bytes(2, "big") + bytes((kind,)) + body)
 
     def receive(self):
         """Receives a message; returns its type and body, or None if the connection is closed."""
@@ -255,7 +255,7 @@
     def receive_exactly(self, size):
         data = b""
         while len(data) < size:
-            received = self.end.recv(size - len(data))
+            received = self.connection.recv(size - len(data))
             if not received:
                 return None
             data += received
@@ -320,10 +320,10 @@
     )
     peer.listener.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, 255)
     running("serve", gateway.path)
-    peer.end, _ = peer.listener.accept()
-    peer.end.settimeout(LONG)
+    peer.connection, _ = peer.listener.accept()
+    peer.connection.settimeout(LONG)
     peer.receive_until(1)  # the speaker has set its socket options by now
-    peer.end.setsockopt(
+    peer.connection.setsockopt(
         socket.IPPROTO_IP, 21, 255
     )  # IP_MINTTL: accepts only packets with TTL 255 from now on
     peer.send_open()
