--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,8 +1,6 @@
-"""Ten lines that embed the library: a gateway and its endpoint list on a virtual clock, one request and
-its outcome.
+"""Embeds the library in ten lines: a gateway and its endpoint list on a virtual clock, and one request.
 
-The storage nodes and the list server are emulators of this project; for real ones hand in a reactor of
-Twisted.
+The storage nodes and the list server are emulators of this project; for real ones, pass a Twisted reactor.
 """
 
 from ochrecourse import library
