--- a/benchmarks/announcements.py
+++ b/benchmarks/announcements.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ochrecourse.audit.announcements import judge
+from ochrecourse.audit.announcements import judge_announcements
 from ochrecourse.audit.judge import audit
 from ochrecourse.bgp.fitness import DrainSettings, FitnessSettings, GatewayStatus
 from ochrecourse.bgp.session import SessionSettings
@@ -41,7 +41,7 @@
     """Delays, breaches and needless withdrawals of one day."""
     name, seed = job
     day = msgspec.structs.replace(quiet(seed), length_s=10.0, load=0.35, troubles=[FAULTS[name]])
-    found = judge(VirtualPlay(day, announces=True).run().records, ALLOWANCE)
+    found = judge_announcements(VirtualPlay(day, announces=True).run().records, ALLOWANCE)
     return name, found.delays, len(found.breaches), found.needless
 
 
@@ -62,7 +62,7 @@
         Trouble(kind="heavy_tail", at_s=240.0, len_s=40.0, size=10.0, extra=0.02, which="page-read"),
     ]
     day = msgspec.structs.replace(quiet(seed), length_s=300.0, load=0.3, nodes=5, troubles=troubles)
-    found = judge(VirtualPlay(day, announces=True).run().records, ALLOWANCE)
+    found = judge_announcements(VirtualPlay(day, announces=True).run().records, ALLOWANCE)
     play.bgp_record = usual
     return found.told, found.withdrawals, found.needless, 300.0 * day.gateways / 3600
 
--- a/benchmarks/calendars.py
+++ b/benchmarks/calendars.py
@@ -134,10 +134,10 @@
     said = []
     for n, (written, settings) in enumerate(site.editions, 1):
         first = calendars.date_at(settings["zone"], written)
-        walked = calendars.walk(settings["zone"], site.first - dt.timedelta(days=1), 440)
-        said.append((n, written + NOTICE, calendars.instants(settings, first, DAYS, walked)))
+        walked = calendars.walk_local_clock(settings["zone"], site.first - dt.timedelta(days=1), 440)
+        said.append((n, written + NOTICE, calendars.purge_instants(settings, first, DAYS, walked)))
     # What came between the last two beats may not be told yet.
-    expected = calendars.played(said, site.ms - BOUND)
+    expected = calendars.purge_outcomes(said, site.ms - BOUND)
     told: Counter[tuple[str, str]] = Counter()
     differ = []
     for body in site.fired:
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -74,12 +74,12 @@
         began = time.monotonic()
         for at, index, down in rolls(self.day):
             time.sleep(max(0.0, began + at - time.monotonic()))
-            note(r.Killed(t=time.monotonic_ns(), gateway=f"g{index}"))
+            note(r.GatewayKilled(t=time.monotonic_ns(), gateway=f"g{index}"))
             self.gateways[index].kill()
             self.gateways[index].wait()
             time.sleep(down)
             self.gateways[index] = self.gateway(index)
-            note(r.Started(t=time.monotonic_ns(), gateway=f"g{index}"))
+            note(r.GatewayStarted(t=time.monotonic_ns(), gateway=f"g{index}"))
 
     def end(self) -> list[int]:
         """Asks all gateways to drain, then the nodes to end; exit codes of the gateways."""
@@ -98,7 +98,7 @@
     folder = Path(tempfile.mkdtemp(prefix="crowd-"))
     street = Street(folder)
     doors = [f"127.0.0.1:{door}" for _, door in street.ports]
-    done = r.ToFile(folder / "done.jsonl")
+    done = r.RecordFile(folder / "done.jsonl")
     words = ("load", "webdav", folder / "day.json", *doors, "--people", people, "--json")
     load = subprocess.Popen(
         command(*words, "--records", folder / "clients.jsonl"),
--- a/benchmarks/rush.py
+++ b/benchmarks/rush.py
@@ -106,10 +106,10 @@
     ended: Counter[tuple[str, bool]] = Counter()
     (close,) = closes
     for each in play.records:
-        if isinstance(each, r.LegCame):
+        if isinstance(each, r.AttemptReceived):
             legs[(each.t - close) // BIN] += 1
             by_node[each.node, (each.t - close) // BIN] += 1
-        elif isinstance(each, r.Told) and -BEFORE <= (each.t - close) / SECOND < AFTER:
+        elif isinstance(each, r.ResponseReceived) and -BEFORE <= (each.t - close) / SECOND < AFTER:
             ended[each.how, each.t >= close] += 1
     before = [legs[n] for n in range(-round(BEFORE * 4), -4)]
     after = [legs[n] for n in range(-4, round(AFTER * 4))]
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -6,13 +6,13 @@
 """
 
 from ochrecourse import library
-from ochrecourse.audit.records import nowhere
+from ochrecourse.audit.records import discard
 from ochrecourse.lab.alike import Client, record_of
 from ochrecourse.lab.days import quiet
 from ochrecourse.lab.play import make_fleet
 
 network = library.VirtualNetwork(seed=1)
-fleet = make_fleet(quiet(), network, nowhere)
+fleet = make_fleet(quiet(), network, discard)
 values = library.plain_map(record_of(quiet(), fleet.list_address()))
 where = ("127.0.0.1", int(fleet.list_address().rpartition(":")[2]))
 
@@ -29,5 +29,5 @@
 library.ListServerWatcher(context, where).start()
 network.advance(0.5)
 request = library.Request("page-read", "gold", 1, 10**9, round(network.now * 1e9), shard=0, trace="a")
-gateway.submit(request, Client(gateway, nowhere, {1: "a"}))
+gateway.submit(request, Client(gateway, discard, {1: "a"}))
 network.advance(1.0)
--- a/ochrecourse/audit/worse_absence.py
+++ b/ochrecourse/audit/absence.py
@@ -11,11 +11,11 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import Finding
-from ochrecourse.audit.together import Appended, ReadOn
+from ochrecourse.audit.fleet_state import AppendEnded, EntriesRead
 
 
-def late_are_marked(
-    appended: Sequence[Appended], reads: Sequence[ReadOn], apart: Iterable[str], start: int, end: int
+def judge_late_marks(
+    appended: Sequence[AppendEnded], reads: Sequence[EntriesRead], apart: Iterable[str], start: int, end: int
 ) -> Finding:
     """What gateways that were let go kept between two times (ns) is told as late, to whoever got it, and to
     one at the least."""
@@ -38,7 +38,7 @@
     return finding
 
 
-class Jobs(msgspec.Struct):
+class RequestOutcomes(msgspec.Struct):
     """Jobs first asked for within a span: how many, the share of all payoff that came in time, the share that
     came late or not at all, and the 99th percentile of what was fulfilled, in ms."""
 
@@ -48,16 +48,16 @@
     p99: float
 
 
-def jobs_between(
+def request_outcomes(
     records: Iterable[r.Record], start: int, end: int, promised: Mapping[str, int], worth: Mapping[str, float]
-) -> Jobs:
+) -> RequestOutcomes:
     """`promised` in ns and `worth` by product."""
-    asked: dict[str, r.Asked] = {}
+    asked: dict[str, r.RequestSent] = {}
     done: dict[str, int] = {}
     for each in sorted(records, key=lambda each: each.t):
-        if isinstance(each, r.Asked):
+        if isinstance(each, r.RequestSent):
             asked.setdefault(_job(each.trace), each)
-        elif isinstance(each, r.Told) and each.how == "fulfilled":
+        elif isinstance(each, r.ResponseReceived) and each.how == "fulfilled":
             done.setdefault(_job(each.trace), each.t)
     whole = got = 0.0
     late, spans = 0, []
@@ -75,7 +75,7 @@
     count = sum(start <= first.t < end for first in asked.values())
     spans.sort()
     p99 = spans[len(spans) * 99 // 100] / 1e6 if spans else 0.0
-    return Jobs(count, got / whole if whole else 0.0, late / count if count else 0.0, p99)
+    return RequestOutcomes(count, got / whole if whole else 0.0, late / count if count else 0.0, p99)
 
 
 def _job(trace: str) -> str:
--- a/ochrecourse/audit/announcements.py
+++ b/ochrecourse/audit/announcements.py
@@ -17,11 +17,13 @@
 from ochrecourse.audit import records as r
 
 SECOND = 1_000_000_000
-IN_A_ROW = 3  # probes that fail together before service counts as lost; one denial on a busy day is none
+MIN_FAILED_PROBES = (
+    3  # probes that fail together before service counts as lost; one denial on a busy day is none
+)
 
 
 @dataclass
-class Announcements:
+class AnnouncementReport:
     """What was found, times in ns."""
 
     losses: int = 0  # times that service was lost while the address was announced
@@ -36,34 +38,34 @@
 Span = tuple[int, int]
 
 
-def judge(records: Iterable[r.Record], allowance: int) -> Announcements:
+def judge_announcements(records: Iterable[r.Record], allowance: int) -> AnnouncementReport:
     """Judges all records of a run; `allowance` in ns."""
-    tables: dict[str, list[r.Announced]] = defaultdict(list)
-    probes: dict[str, list[r.Probed]] = defaultdict(list)
+    tables: dict[str, list[r.RouteChanged]] = defaultdict(list)
+    probes: dict[str, list[r.ProbeEnded]] = defaultdict(list)
     last = 0
     for record in records:
         last = max(last, record.t)
-        if isinstance(record, r.Announced):
+        if isinstance(record, r.RouteChanged):
             tables[record.gateway].append(record)
-        elif isinstance(record, r.Probed):
+        elif isinstance(record, r.ProbeEnded):
             probes[record.gateway].append(record)
-    found = Announcements()
+    found = AnnouncementReport()
     for gateway, mine in probes.items():
         _judge_one(found, gateway, tables[gateway], mine, last, allowance)
     return found
 
 
 def _judge_one(
-    found: Announcements,
+    found: AnnouncementReport,
     gateway: str,
-    table: list[r.Announced],
-    probes: list[r.Probed],
+    table: list[r.RouteChanged],
+    probes: list[r.ProbeEnded],
     last: int,
     allowance: int,
 ) -> None:
     probes.sort(key=lambda probe: probe.asked)
-    up = spans_of([(change.t, change.up) for change in table], last)
-    lost = losses_of(probes, last)
+    up = announced_spans([(change.t, change.up) for change in table], last)
+    lost = service_losses(probes, last)
     found.told += len(table)
     for start, end in lost:
         for first, until in up:
@@ -88,7 +90,7 @@
     found.unannounced += _served_time(served, up)
 
 
-def spans_of(changes: list[tuple[int, bool]], last: int) -> list[Span]:
+def announced_spans(changes: list[tuple[int, bool]], last: int) -> list[Span]:
     """From changes in order of time to the spans in which it was up."""
     spans, since = [], -1
     for t, is_up in changes:
@@ -102,19 +104,19 @@
     return spans
 
 
-def losses_of(probes: list[r.Probed], last: int) -> list[Span]:
+def service_losses(probes: list[r.ProbeEnded], last: int) -> list[Span]:
     """Spans without service: from the first probe of a run that failed to the next that was served."""
     spans: list[Span] = []
     since, count = -1, 0
     for probe in probes:
         if probe.how == "fulfilled":
-            if count >= IN_A_ROW:
+            if count >= MIN_FAILED_PROBES:
                 spans.append((since, probe.asked))
             since, count = -1, 0
         else:
             since = probe.asked if since < 0 else since
             count += 1
-    if count >= IN_A_ROW:
+    if count >= MIN_FAILED_PROBES:
         spans.append((since, last))
     return spans
 
--- a/ochrecourse/audit/calendars.py
+++ b/ochrecourse/audit/calendars.py
@@ -24,10 +24,10 @@
 EPOCH = dt.date(1970, 1, 1)
 MARGIN = 2  # days walked before and after: local dates are at most 14 hours from those of UTC
 
-Moment = tuple[str, str]  # a rule and a local date
+Occurrence = tuple[str, str]  # a rule and a local date
 
 
-class Walk(NamedTuple):
+class LocalClockWalk(NamedTuple):
     """A zone's clock: `reached`, by UTC minute from `start` on, the farthest local minute since 1970."""
 
     start: int
@@ -35,26 +35,26 @@
 
 
 @functools.lru_cache(maxsize=64)
-def zone_of(name: str) -> ZoneInfo:
+def load_zone(name: str) -> ZoneInfo:
     with importlib.resources.files("tzdata").joinpath("zoneinfo", *name.split("/")).open("rb") as file:
         return ZoneInfo.from_file(file)
 
 
 @functools.lru_cache(maxsize=64)
-def walk(zone: str, first: dt.date, days: int) -> Walk:
-    clock, start = zone_of(zone), ((first - EPOCH).days - MARGIN) * DAY
+def walk_local_clock(zone: str, first: dt.date, days: int) -> LocalClockWalk:
+    clock, start = load_zone(zone), ((first - EPOCH).days - MARGIN) * DAY
     reached, farthest = array("q"), -(1 << 60)
     for minute in range(start, start + (days + 2 * MARGIN) * DAY):
         local = dt.datetime.fromtimestamp(60 * minute, clock)
         day = local.toordinal() - EPOCH.toordinal()
         farthest = max(farthest, day * DAY + local.hour * 60 + local.minute)
         reached.append(farthest)
-    return Walk(start, reached)
+    return LocalClockWalk(start, reached)
 
 
-def changes(zone: str, year: int) -> list[dt.date]:
+def clock_changes(zone: str, year: int) -> list[dt.date]:
     """The days of a year on which a zone's clock is set, by UTC."""
-    clock, told = zone_of(zone), []
+    clock, told = load_zone(zone), []
     first = dt.datetime(year, 1, 1, tzinfo=dt.UTC)
     for n in range(365):
         day = first + dt.timedelta(days=n)
@@ -65,21 +65,23 @@
 
 def date_at(zone: str, ms: int) -> dt.date:
     """The local date at an instant."""
-    return dt.datetime.fromtimestamp(ms / 1000, zone_of(zone)).date()
+    return dt.datetime.fromtimestamp(ms / 1000, load_zone(zone)).date()
 
 
 @functools.lru_cache(maxsize=64)
-def free(country: str, region: str, years: tuple[int, ...]) -> frozenset[str]:
+def public_holidays(country: str, region: str, years: tuple[int, ...]) -> frozenset[str]:
     """Public holidays of a country or region."""
     found = holidays.country_holidays(country, subdiv=region or None, years=years)
     return frozenset(str(each) for each in found)
 
 
-def instants(site: Mapping[str, Any], first: dt.date, days: int, walked: Walk) -> dict[Moment, int]:
+def purge_instants(
+    site: Mapping[str, Any], first: dt.date, days: int, walked: LocalClockWalk
+) -> dict[Occurrence, int]:
     """Each moment of a site, as settings name it, on so many local dates: the instant, ms since 1970."""
     closed = set(site["holidays"])
     if site["country"]:
-        closed |= free(site["country"], site["region"], (first.year, first.year + 1))
+        closed |= public_holidays(site["country"], site["region"], (first.year, first.year + 1))
     told = {}
     for rule in site["rules"]:
         special = {each["date"]: each["at"] for each in rule["exceptions"]}
@@ -97,7 +99,7 @@
     return told
 
 
-def _instant(date: dt.date, at: str, walked: Walk) -> int:
+def _instant(date: dt.date, at: str, walked: LocalClockWalk) -> int:
     hour, minute, second = map(int, f"{at}:00".split(":")[:3])
     wanted = (date - EPOCH).days * DAY + hour * 60 + minute
     found = bisect.bisect_left(walked.reached, wanted)
@@ -105,11 +107,13 @@
     return (60 * (walked.start + found) + (second if exists else 0)) * 1000
 
 
-def played(editions: Iterable[tuple[int, int, dict[Moment, int]]], end: int) -> dict[Moment, tuple[int, int]]:
+def purge_outcomes(
+    editions: Iterable[tuple[int, int, dict[Occurrence, int]]], end: int
+) -> dict[Occurrence, tuple[int, int]]:
     """Each moment up to `end`: by which edition, and when. `editions`: number, from when in force, instants,
     in that order; a moment comes once, by the first that says so.
     """
-    told: dict[Moment, tuple[int, int]] = {}
+    told: dict[Occurrence, tuple[int, int]] = {}
     each = sorted(editions, key=lambda edition: edition[1])
     for n, (number, start, said) in enumerate(each):
         until = each[n + 1][1] if n + 1 < len(each) else end + 1
--- a/ochrecourse/audit/capacity.py
+++ b/ochrecourse/audit/capacity.py
@@ -18,39 +18,42 @@
 ADVISED = SECOND // 4  # that a client may come after the moment it was told, to count as come back then
 
 
-class Job(msgspec.Struct):
+class RequestTry(msgspec.Struct):
     """A try of a job, as its client saw it."""
 
-    asked: r.Asked
-    told: r.Told | None = None
+    asked: r.RequestSent
+    told: r.ResponseReceived | None = None
 
 
-def jobs(records: Iterable[r.Record]) -> list[Job]:
+def request_tries(records: Iterable[r.Record]) -> list[RequestTry]:
     """In the order in which they were asked for."""
-    by: dict[tuple[str, int, int], Job] = {}
+    by: dict[tuple[str, int, int], RequestTry] = {}
     for each in records:
-        if isinstance(each, r.Asked):
-            by[each.gateway, each.conn, each.id] = Job(each)
-        elif isinstance(each, r.Told) and (job := by.get((each.gateway, each.conn, each.id))) is not None:
+        if isinstance(each, r.RequestSent):
+            by[each.gateway, each.conn, each.id] = RequestTry(each)
+        elif (
+            isinstance(each, r.ResponseReceived)
+            and (job := by.get((each.gateway, each.conn, each.id))) is not None
+        ):
             job.told = each
     return list(by.values())
 
 
-def only_in(records: Iterable[r.Record], zone: int) -> set[int]:
+def shards_only_in(records: Iterable[r.Record], zone: int) -> set[int]:
     """Shards that no node of another zone ever held."""
     held: dict[int, set[int]] = defaultdict(set)
     for each in records:
-        if isinstance(each, r.NodeUp):
+        if isinstance(each, r.NodeStarted):
             held[each.shard].add(each.zone)
     return {shard for shard, zones in held.items() if zones == {zone}}
 
 
-def denied_at_once(records: Sequence[r.Record], zone: int, start: int, end: int, most: int) -> Finding:
+def judge_fast_denials(records: Sequence[r.Record], zone: int, start: int, end: int, most: int) -> Finding:
     """While a zone is known to be lost, jobs for shards that it alone holds are denied at once, but for at
     most `most` that are tried as probes."""
     finding = Finding("what only a lost zone holds is denied at once")
-    shards, late = only_in(records, zone), 0
-    for job in jobs(records):
+    shards, late = shards_only_in(records, zone), 0
+    for job in request_tries(records):
         if job.asked.shard not in shards or not start <= job.asked.t < end:
             continue
         finding.tested += 1
@@ -61,13 +64,13 @@
     return finding
 
 
-def still_tried(records: Sequence[r.Record], zone: int, back: int, within: int) -> Finding:
+def judge_recovery(records: Sequence[r.Record], zone: int, back: int, within: int) -> Finding:
     """After a zone is back, each shard that it alone holds is served again in time."""
     finding = Finding("what only a lost zone held is served again once it is back")
     served: dict[int, int] = {}
-    shards = only_in(records, zone)
+    shards = shards_only_in(records, zone)
     asked: set[int] = set()
-    for job in jobs(records):
+    for job in request_tries(records):
         if job.asked.shard in shards and back <= job.asked.t < back + within:
             asked.add(job.asked.shard)
             if job.told is not None and job.told.how == "fulfilled":
@@ -79,18 +82,18 @@
     return finding
 
 
-def never_fell(records: Iterable[r.Record]) -> Finding:
+def judge_node_overload(records: Iterable[r.Record]) -> Finding:
     """No node is pushed over by more than it bears."""
     finding = Finding("no node is pushed over")
     for each in records:
-        if isinstance(each, r.NodeUp):
+        if isinstance(each, r.NodeStarted):
             finding.tested += 1
-        elif isinstance(each, r.NodeDown) and each.fell:
+        elif isinstance(each, r.NodeStopped) and each.fell:
             finding.breach(each.t, f"node {each.node} fell")
     return finding
 
 
-class Advice(msgspec.Struct):
+class RetryAdvice(msgspec.Struct):
     """Denials that told when to come back, and of the clients that came then, how many were served."""
 
     told: int = 0
@@ -98,12 +101,12 @@
     served: int = 0
 
 
-def advice(records: Sequence[r.Record], start: int, end: int) -> Advice:
+def retry_advice(records: Sequence[r.Record], start: int, end: int) -> RetryAdvice:
     """Of denials between two times."""
-    tries: dict[str, list[Job]] = defaultdict(list)
-    for job in jobs(records):
+    tries: dict[str, list[RequestTry]] = defaultdict(list)
+    for job in request_tries(records):
         tries[job.asked.trace.split(".")[0]].append(job)
-    found = Advice()
+    found = RetryAdvice()
     for of in tries.values():
         for job, after in zip(of, [*of[1:], None], strict=True):
             told = job.told
@@ -117,12 +120,12 @@
     return found
 
 
-def by_plan(records: Sequence[r.Record], start: int, end: int) -> dict[str, float]:
+def served_share_by_class(records: Sequence[r.Record], start: int, end: int) -> dict[str, float]:
     """Of the jobs first asked for between two times, by plan: the part of the units that was fulfilled."""
     units: dict[str, float] = defaultdict(float)
     served: dict[str, float] = defaultdict(float)
-    first: dict[str, Job] = {}
-    for job in jobs(records):
+    first: dict[str, RequestTry] = {}
+    for job in request_tries(records):
         trace = job.asked.trace.split(".")[0]
         begun = first.setdefault(trace, job)
         if not start <= begun.asked.t < end:
--- a/ochrecourse/audit/worse_timing.py
+++ b/ochrecourse/audit/copy_reuse.py
@@ -8,17 +8,19 @@
 from ochrecourse.audit.judge import Finding
 
 
-def used_again(records: Iterable[r.Record], moments: Mapping[str, int], products: Collection[str]) -> Finding:
+def judge_copy_use(
+    records: Iterable[r.Record], moments: Mapping[str, int], products: Collection[str]
+) -> Finding:
     """Of the edges of each moment (by gateway, ns) some answered from copies before it, and some after it.
     Guards against a rule that is kept by never using a copy.
     """
     finding = Finding("copies were used before each moment and again after it")
-    product = {(e.gateway, e.conn, e.id): e.product for e in records if isinstance(e, r.Asked)}
+    product = {(e.gateway, e.conn, e.id): e.product for e in records if isinstance(e, r.RequestSent)}
     given: dict[str, set[int]] = {}
     before: set[int] = set()
     after: set[int] = set()
     for each in records:
-        if not isinstance(each, r.Told) or not each.made or each.gateway not in moments:
+        if not isinstance(each, r.ResponseReceived) or not each.made or each.gateway not in moments:
             continue
         if product.get((each.gateway, each.conn, each.id)) not in products:
             continue
--- a/ochrecourse/audit/together.py
+++ b/ochrecourse/audit/fleet_state.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import rolling
+from ochrecourse.audit import rolling_restarts
 from ochrecourse.audit.judge import SECOND, Finding
 
 AWAY = 0.95  # share of new legs that go elsewhere, from when on a lost zone counts as left
@@ -25,7 +25,7 @@
 IDLE = 2  # legs at a node below which it could have served one more at once
 
 
-class Seen(r.Record, tag="seen"):
+class ZoneStateSample(r.Record, tag="seen"):
     """Standing and number of each zone whose standing was ever said, as a gateway holds them. `copies`:
     whether it uses copies, empty if so, else why not, None if it has no site; `wall_ms`: the wall clock of
     who asked.
@@ -37,7 +37,7 @@
     wall_ms: int = 0
 
 
-class Appended(r.Record, tag="appended"):
+class AppendEnded(r.Record, tag="appended"):
     """An append was asked for at `asked`. `how`: kept, refused, or lost with its connection."""
 
     gateway: str
@@ -47,7 +47,7 @@
     how: str
 
 
-class ReadOn(r.Record, tag="read_on"):
+class EntriesRead(r.Record, tag="read_on"):
     """What a reader got next, from its cursor on: for each entry its value and whether it came late."""
 
     gateway: str
@@ -56,7 +56,7 @@
     entries: list[tuple[str, bool]]
 
 
-class Dumped(r.Record, tag="dumped"):
+class ChannelDump(r.Record, tag="dumped"):
     """All that a gateway holds of a channel in the end; `values` in the one order."""
 
     gateway: str
@@ -65,7 +65,7 @@
     values: list[str]
 
 
-class Settled(r.Record, tag="settled"):
+class PurgeSettled(r.Record, tag="settled"):
     """One settlement that a gateway's log holds: an edge fired a rule's moment, by which edition."""
 
     gateway: str
@@ -75,8 +75,10 @@
     edition: str
 
 
-Any_ = Seen | Appended | ReadOn | Dumped | Settled | rolling.Records
-_decoder = msgspec.json.Decoder(Any_)
+ControlRecord = (
+    ZoneStateSample | AppendEnded | EntriesRead | ChannelDump | PurgeSettled | rolling_restarts.RollingRecord
+)
+_decoder = msgspec.json.Decoder(ControlRecord)
 
 
 def read(path: Path) -> list[Any]:
@@ -84,7 +86,7 @@
     return [_decoder.decode(line) for line in path.read_bytes().splitlines()]
 
 
-class Reach:
+class Reachability:
     """Which pairs of gateways can talk, as far as anything was broken."""
 
     def __init__(self, names: Sequence[str]) -> None:
@@ -93,13 +95,13 @@
         self.since: dict[frozenset[str], int] = {}
 
     def take(self, record: r.Record) -> None:
-        if isinstance(record, r.Killed):
+        if isinstance(record, r.GatewayKilled):
             self.out[record.gateway].add("down")
-        elif isinstance(record, r.Started):
+        elif isinstance(record, r.GatewayStarted):
             self.out[record.gateway].discard("down")
-        elif isinstance(record, r.Stopped):
+        elif isinstance(record, r.GatewayPaused):
             (set.discard if record.on else set.add)(self.out[record.gateway], "still")
-        elif isinstance(record, r.Apart):
+        elif isinstance(record, r.NetworkPartitioned):
             for pair in {frozenset((a, b)) for a in record.some for b in record.others if a != b}:
                 self.apart[pair] += -1 if record.on else 1
         else:
@@ -112,25 +114,25 @@
                 self.since.setdefault(pair, record.t)
 
 
-_BREAKS = (r.Killed, r.Started, r.Stopped, r.Apart)
+_BREAKS = (r.GatewayKilled, r.GatewayStarted, r.GatewayPaused, r.NetworkPartitioned)
 
 
-def equal_standing(
-    names: Sequence[str], records: Iterable[r.Record], seen: Iterable[Seen], bound: int
+def judge_equal_states(
+    names: Sequence[str], records: Iterable[r.Record], seen: Iterable[ZoneStateSample], bound: int
 ) -> tuple[Finding, int]:
     """Gateways that can talk hold the same standing of every zone within `bound` ns of a difference. Also
     returns the longest difference, in ns.
     """
     longest = 0
     finding = Finding("one standing among those that reach each other")
-    reach = Reach(names)
-    last: dict[str, Seen] = {}
+    reach = Reachability(names)
+    last: dict[str, ZoneStateSample] = {}
     differ: dict[frozenset[str], int] = {}
     events = sorted(
         [*(each for each in records if isinstance(each, _BREAKS)), *seen], key=lambda each: each.t
     )
     for event in events:
-        if not isinstance(event, Seen):
+        if not isinstance(event, ZoneStateSample):
             reach.take(event)
             continue
         last[event.gateway] = event
@@ -156,7 +158,9 @@
     return finding, longest
 
 
-def standing_is(seen: Iterable[Seen], zones: Sequence[str], bad: str, start: int, end: int) -> Finding:
+def judge_false_state(
+    seen: Iterable[ZoneStateSample], zones: Sequence[str], bad: str, start: int, end: int
+) -> Finding:
     """No gateway holds one of these zones as `bad` between two times."""
     finding = Finding(f"nobody holds a zone as {bad} that is well")
     for each in seen:
@@ -168,21 +172,21 @@
     return finding
 
 
-def away_after(records: Iterable[r.Record], lost: set[int], start: int, end: int) -> float:
+def seconds_until_evacuated(records: Iterable[r.Record], lost: set[int], start: int, end: int) -> float:
     """Seconds from `start` until, in each later bin before `end`, so many of all legs went to nodes that are
     not lost.
     """
     there: Counter[int] = Counter()
     whole: Counter[int] = Counter()
     for each in records:
-        if isinstance(each, r.LegCame) and start <= each.t < end:
+        if isinstance(each, r.AttemptReceived) and start <= each.t < end:
             whole[(each.t - start) // BIN] += 1
             there[(each.t - start) // BIN] += each.node in lost
     late = [at for at, count in there.items() if count > max(FEW, (1 - AWAY) * whole[at])]
     return (max(late, default=-1) + 1) * BIN / SECOND
 
 
-class ColdSums(msgspec.Struct):
+class SlowStartLoad(msgspec.Struct):
     """What cold nodes got: the most units in the rule's span, and the most work against what they can do."""
 
     units: float = 0.0
@@ -190,19 +194,19 @@
     legs: int = 0
 
 
-def cold_sums(records: Iterable[r.Record], span: int) -> ColdSums:
+def slow_start_load(records: Iterable[r.Record], span: int) -> SlowStartLoad:
     """Over all nodes and gateways, while a node is cold."""
-    sums = ColdSums()
-    ups: dict[int, list[r.NodeUp]] = defaultdict(list)
-    legs: dict[int, list[r.LegCame]] = defaultdict(list)
+    sums = SlowStartLoad()
+    ups: dict[int, list[r.NodeStarted]] = defaultdict(list)
+    legs: dict[int, list[r.AttemptReceived]] = defaultdict(list)
     for each in records:
-        if isinstance(each, r.NodeUp) and each.cold_for:
+        if isinstance(each, r.NodeStarted) and each.cold_for:
             ups[each.node].append(each)
-        elif isinstance(each, r.LegCame):
+        elif isinstance(each, r.AttemptReceived):
             legs[each.node].append(each)
     for node, starts in ups.items():
         for up in starts:
-            window: deque[r.LegCame] = deque()
+            window: deque[r.AttemptReceived] = deque()
             for leg in sorted(legs[node], key=lambda each: each.t):
                 if not up.t <= leg.t <= up.t + up.cold_for:
                     continue
@@ -220,32 +224,32 @@
     return sums
 
 
-def cold_kept(records: Iterable[r.Record], span: int, units: float) -> Finding:
+def judge_slow_start_load(records: Iterable[r.Record], span: int, units: float) -> Finding:
     """No cold node got more than so many units within the span from all gateways together."""
     finding = Finding("the sum at each cold node within the limit")
-    sums = cold_sums(records, span)
+    sums = slow_start_load(records, span)
     finding.tested = sums.legs
     if sums.units > units:
         finding.breach(0, f"a cold node got {sums.units:.0f} units within the span; at most {units:.0f}")
     return finding
 
 
-def denied_elsewhere(records: Iterable[r.Record], lost: set[int], start: int, end: int) -> int:
+def count_avoidable_denials(records: Iterable[r.Record], lost: set[int], start: int, end: int) -> int:
     """Jobs denied between two times though a node that holds their shard, in another zone, was idle."""
     shard_of: dict[int, int] = {}
     asked: dict[tuple[str, int, int], int] = {}
     out: dict[int, set[tuple[int, int]]] = defaultdict(set)
     count = 0
     for each in sorted(records, key=lambda each: each.t):
-        if isinstance(each, r.NodeUp):
+        if isinstance(each, r.NodeStarted):
             shard_of[each.node] = each.shard
-        elif isinstance(each, r.Asked):
+        elif isinstance(each, r.RequestSent):
             asked[each.gateway, each.conn, each.id] = each.shard
-        elif isinstance(each, r.LegCame):
+        elif isinstance(each, r.AttemptReceived):
             out[each.node].add((each.conn, each.id))
-        elif isinstance(each, r.LegOver | r.LegGivenUp):
+        elif isinstance(each, r.AttemptEnded | r.AttemptCancelled):
             out[each.node].discard((each.conn, each.id))
-        elif isinstance(each, r.Told) and each.how == "denied" and start <= each.t <= end:
+        elif isinstance(each, r.ResponseReceived) and each.how == "denied" and start <= each.t <= end:
             shard = asked.get((each.gateway, each.conn, each.id), -1)
             count += any(
                 len(out[node]) < IDLE
@@ -258,10 +262,10 @@
 # --- logs ---
 
 
-def logs_equal(dumps: Sequence[Dumped], names: Sequence[str]) -> Finding:
+def judge_equal_logs(dumps: Sequence[ChannelDump], names: Sequence[str]) -> Finding:
     """Every gateway holds each channel alike, byte for byte."""
     finding = Finding("logs equal byte for byte")
-    by_channel: dict[str, dict[str, Dumped]] = defaultdict(dict)
+    by_channel: dict[str, dict[str, ChannelDump]] = defaultdict(dict)
     for each in dumps:
         by_channel[each.channel][each.gateway] = each
     for channel, held in by_channel.items():
@@ -276,7 +280,7 @@
     return finding
 
 
-def nothing_lost(appended: Sequence[Appended], dumps: Sequence[Dumped]) -> Finding:
+def judge_durability(appended: Sequence[AppendEnded], dumps: Sequence[ChannelDump]) -> Finding:
     """What was answered as kept is in every log, once; what was refused is in none."""
     finding = Finding("nothing answered is lost, nothing is there twice")
     for dump in dumps:
@@ -295,7 +299,7 @@
     return finding
 
 
-def one_order(reads: Sequence[ReadOn], dumps: Sequence[Dumped]) -> Finding:
+def judge_read_order(reads: Sequence[EntriesRead], dumps: Sequence[ChannelDump]) -> Finding:
     """Each reader got, less what it was told came late, a prefix of one order, each entry once."""
     finding = Finding("readers' streams are prefixes of one order, late ones marked")
     got: dict[tuple[str, int, str], list[tuple[str, bool]]] = defaultdict(list)
@@ -326,7 +330,9 @@
     return finding
 
 
-def read_to_the_end(reads: Sequence[ReadOn], dumps: Sequence[Dumped], names: Sequence[str]) -> Finding:
+def judge_complete_reads(
+    reads: Sequence[EntriesRead], dumps: Sequence[ChannelDump], names: Sequence[str]
+) -> Finding:
     """Once all can talk again, the last reader of each gateway gets all that its log holds."""
     finding = Finding("after they met readers got everything")
     got: dict[tuple[str, str], dict[int, int]] = defaultdict(dict)
--- a/ochrecourse/audit/worse_lives.py
+++ b/ochrecourse/audit/gateway_restarts.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 
 from ochrecourse.audit.judge import Finding
-from ochrecourse.audit.together import Seen
+from ochrecourse.audit.fleet_state import ZoneStateSample
 
 
-def numbers_rise(seen: Iterable[Seen]) -> Finding:
+def judge_state_numbers(seen: Iterable[ZoneStateSample]) -> Finding:
     """The number of a zone's standing never goes back at a gateway that keeps its journal. One that was said
     and is not known any more went back too."""
     finding = Finding("no standing goes back, over restarts too")
--- a/ochrecourse/audit/judge.py
+++ b/ochrecourse/audit/judge.py
@@ -105,7 +105,7 @@
     on.
     """
 
-    came: r.LegCame
+    came: r.AttemptReceived
     order: int
     end: int = -1
     how: str = ""
@@ -118,19 +118,19 @@
 
     def __init__(self, figures: Figures) -> None:
         self.figures = figures
-        self.asked: dict[tuple[str, int, int], r.Asked] = {}
-        self.told: dict[tuple[str, int, int], list[r.Told]] = defaultdict(list)
-        self.left: dict[tuple[str, int, int], r.Left] = {}
-        self.lost: dict[int, r.ConnLost] = {}
+        self.asked: dict[tuple[str, int, int], r.RequestSent] = {}
+        self.told: dict[tuple[str, int, int], list[r.ResponseReceived]] = defaultdict(list)
+        self.left: dict[tuple[str, int, int], r.CancelSent] = {}
+        self.lost: dict[int, r.ConnectionLost] = {}
         self.killed: dict[str, list[int]] = defaultdict(list)
-        self.stopped: dict[str, list[r.Stopped]] = defaultdict(list)
-        self.ups: dict[int, list[r.NodeUp]] = defaultdict(list)
-        self.downs: dict[int, list[r.NodeDown]] = defaultdict(list)
+        self.stopped: dict[str, list[r.GatewayPaused]] = defaultdict(list)
+        self.ups: dict[int, list[r.NodeStarted]] = defaultdict(list)
+        self.downs: dict[int, list[r.NodeStopped]] = defaultdict(list)
         self.legs: dict[tuple[int, int, int], _Leg] = {}
         self.jobs: dict[str, list[_Leg]] = defaultdict(list)  # legs by mark
-        self.effects: list[r.Effect] = []
-        self.list_told: list[r.ListTold] = []
-        self.loop_late: list[r.LoopLate] = []
+        self.effects: list[r.EffectApplied] = []
+        self.list_told: list[r.NodeHealthSent] = []
+        self.loop_late: list[r.EventLoopStalled] = []
         self.last = 0
         self.count = 0
 
@@ -139,43 +139,43 @@
         for record in records:
             self.count += 1
             self.last = max(self.last, record.t)
-            if isinstance(record, r.Asked):
+            if isinstance(record, r.RequestSent):
                 self.asked[record.gateway, record.conn, record.id] = record
-            elif isinstance(record, r.Told):
+            elif isinstance(record, r.ResponseReceived):
                 self.told[record.gateway, record.conn, record.id].append(record)
-            elif isinstance(record, r.Left):
+            elif isinstance(record, r.CancelSent):
                 self.left[record.gateway, record.conn, record.id] = record
-            elif isinstance(record, r.ConnLost):
+            elif isinstance(record, r.ConnectionLost):
                 self.lost[record.conn] = record
-            elif isinstance(record, r.Killed):
+            elif isinstance(record, r.GatewayKilled):
                 self.killed[record.gateway].append(record.t)
-            elif isinstance(record, r.Stopped):
+            elif isinstance(record, r.GatewayPaused):
                 self.stopped[record.gateway].append(record)
-            elif isinstance(record, r.NodeUp):
+            elif isinstance(record, r.NodeStarted):
                 self.ups[record.node].append(record)
-            elif isinstance(record, r.NodeDown):
+            elif isinstance(record, r.NodeStopped):
                 self.downs[record.node].append(record)
-            elif isinstance(record, r.LegCame):
+            elif isinstance(record, r.AttemptReceived):
                 leg = _Leg(record, self.count)
                 self.legs[record.node, record.conn, record.id] = leg
                 self.jobs[record.mark].append(leg)
-            elif isinstance(record, r.Effect):
+            elif isinstance(record, r.EffectApplied):
                 self.effects.append(record)
-            elif isinstance(record, r.ListTold):
+            elif isinstance(record, r.NodeHealthSent):
                 self.list_told.append(record)
-            elif isinstance(record, r.LoopLate):
+            elif isinstance(record, r.EventLoopStalled):
                 self.loop_late.append(record)
             else:
                 held.append(record)
         for record in held:
-            if isinstance(record, r.LegOver | r.LegGivenUp):
+            if isinstance(record, r.AttemptEnded | r.AttemptCancelled):
                 self._over(record)
 
-    def _over(self, record: r.LegOver | r.LegGivenUp) -> None:
+    def _over(self, record: r.AttemptEnded | r.AttemptCancelled) -> None:
         leg = self.legs.get((record.node, record.conn, record.id))
         if leg is None:
             return
-        if isinstance(record, r.LegGivenUp):
+        if isinstance(record, r.AttemptCancelled):
             leg.given_up = record.t
         elif leg.end < 0:
             leg.end, leg.how = record.t, record.how
@@ -235,7 +235,9 @@
                 )
         return finding
 
-    def _late_answer(self, finding: Finding, lag: ClientLag, asked: r.Asked, told: r.Told, name: str) -> None:
+    def _late_answer(
+        self, finding: Finding, lag: ClientLag, asked: r.RequestSent, told: r.ResponseReceived, name: str
+    ) -> None:
         """An answer was read after its timeout: a breach unless the clients' own loop was as late, by its
         record.
         """
@@ -268,8 +270,8 @@
 
     def _no_effect_twice(self) -> Finding:
         finding = Finding(RULES[1])
-        ran: dict[str, list[r.Effect]] = defaultdict(list)
-        traces: dict[str, list[r.Effect]] = defaultdict(list)
+        ran: dict[str, list[r.EffectApplied]] = defaultdict(list)
+        traces: dict[str, list[r.EffectApplied]] = defaultdict(list)
         for effect in self.effects:
             ran[effect.mark].append(effect)
             traces[effect.trace].append(effect)
@@ -361,7 +363,7 @@
 
     def _cold(self) -> Finding:
         finding = Finding(RULES[3])
-        by_node: dict[int, list[r.LegCame]] = defaultdict(list)
+        by_node: dict[int, list[r.AttemptReceived]] = defaultdict(list)
         for leg in self.legs.values():
             by_node[leg.came.node].append(leg.came)
         for node, ups in self.ups.items():
@@ -381,8 +383,8 @@
                     finding.breach(down.t, f"node {node} fell over while it was cold")
         return finding
 
-    def _pushed(self, finding: Finding, up: r.NodeUp, legs: list[r.LegCame]) -> None:
-        window: deque[r.LegCame] = deque()
+    def _pushed(self, finding: Finding, up: r.NodeStarted, legs: list[r.AttemptReceived]) -> None:
+        window: deque[r.AttemptReceived] = deque()
         work = 0.0
         for leg in legs:
             window.append(leg)
@@ -418,7 +420,7 @@
                     continue
                 finding.tested += 1
                 self._after(finding, gateway, key, before, leg)
-            latest: dict[int, tuple[int, r.LegCame]] = {}  # by connection of the client
+            latest: dict[int, tuple[int, r.AttemptReceived]] = {}  # by connection of the client
             for leg in legs:
                 asked = asked_at.get(leg.came.trace)
                 if asked is None or seen.setdefault(leg.came.mark, leg.came.t) != leg.came.t:
@@ -483,7 +485,7 @@
 
     def _limits(self) -> Finding:
         finding = Finding(RULES[6])
-        firsts: dict[str, list[r.LegCame]] = defaultdict(list)
+        firsts: dict[str, list[r.AttemptReceived]] = defaultdict(list)
         for legs in self.jobs.values():
             held = [leg for leg in legs if leg.how != "moot"]
             if held and str(held[0].came.volume) in self.figures.limits:
--- a/ochrecourse/audit/loop_lag.py
+++ b/ochrecourse/audit/loop_lag.py
@@ -20,7 +20,7 @@
     """The stalls of the clients' process. All times are in ns."""
 
     def __init__(self, records: Iterable[r.Record]) -> None:
-        late = [each for each in records if isinstance(each, r.LoopLate) and each.process == CLIENTS]
+        late = [each for each in records if isinstance(each, r.EventLoopStalled) and each.process == CLIENTS]
         self._stalls = sorted((each.t, each.t - each.late) for each in late)  # end and start
         self._ends = [end for end, _ in self._stalls]
 
--- a/ochrecourse/audit/worse_grey.py
+++ b/ochrecourse/audit/partial_reachability.py
@@ -10,10 +10,10 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import SECOND, Finding
-from ochrecourse.audit.together import Reach, Seen
+from ochrecourse.audit.fleet_state import Reachability, ZoneStateSample
 
 
-class Joined(Reach):
+class TransitiveReachability(Reachability):
     """Groups of gateways that can talk, directly or over others, and since when each pair can."""
 
     def __init__(self, names: Sequence[str]) -> None:
@@ -35,22 +35,22 @@
         self.joined = {pair: self.joined.get(pair, record.t) for pair in pairs}
 
 
-def equal_among(
-    names: Sequence[str], records: Iterable[r.Record], seen: Iterable[Seen], bound: int
+def judge_equal_states_over_peers(
+    names: Sequence[str], records: Iterable[r.Record], seen: Iterable[ZoneStateSample], bound: int
 ) -> tuple[Finding, int]:
     """Gateways with a way to talk, over others too, hold the same standing of every zone within `bound` ns of
     a difference. Also returns the longest difference, in ns.
     """
     finding, longest = Finding("one standing among those with a way to talk, over others too"), 0
-    joined = Joined(names)
-    last: dict[str, Seen] = {}
+    joined = TransitiveReachability(names)
+    last: dict[str, ZoneStateSample] = {}
     differ: dict[frozenset[str], int] = {}
-    struck = (r.Killed, r.Started, r.Stopped, r.Apart)
+    struck = (r.GatewayKilled, r.GatewayStarted, r.GatewayPaused, r.NetworkPartitioned)
     events = sorted([*(each for each in records if isinstance(each, struck)), *seen], key=lambda each: each.t)
     for event in events:
-        if not isinstance(event, Seen):
+        if not isinstance(event, ZoneStateSample):
             joined.take(event)
-            if isinstance(event, r.Killed):
+            if isinstance(event, r.GatewayKilled):
                 last.pop(event.gateway, None)
             continue
         last[event.gateway] = event
--- a/ochrecourse/audit/purges.py
+++ b/ochrecourse/audit/purges.py
@@ -11,11 +11,11 @@
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import MS, Finding
 from ochrecourse.audit.loop_lag import ClientLag
-from ochrecourse.audit.together import Seen, Settled
+from ochrecourse.audit.fleet_state import ZoneStateSample, PurgeSettled
 
 
-def purged_once(
-    settled: Sequence[Settled], edges: Sequence[str], moments: Sequence[tuple[str, str]]
+def judge_single_purges(
+    settled: Sequence[PurgeSettled], edges: Sequence[str], moments: Sequence[tuple[str, str]]
 ) -> Finding:
     """Every gateway's log says of each edge that it fired each moment once, all by one edition."""
     finding = Finding("each purge once an edge, from one edition")
@@ -36,7 +36,7 @@
     return finding
 
 
-def old_answers(
+def judge_stale_responses(
     records: Sequence[r.Record],
     moments: Mapping[str, int],
     slack: int,
@@ -49,14 +49,14 @@
     sockets, for the words of a breach.
     """
     finding = Finding("no answer after the moment rests on a copy from before it")
-    evidence = AnswerEvidence(records, held)
+    evidence = ResponseEvidence(records, held)
     lag = ClientLag(records)
-    stops: dict[str, list[r.Stopped]] = defaultdict(list)
+    stops: dict[str, list[r.GatewayPaused]] = defaultdict(list)
     for each in records:
-        if isinstance(each, r.Stopped):
+        if isinstance(each, r.GatewayPaused):
             stops[each.gateway].append(each)
     for each in records:
-        if not isinstance(each, r.Told) or not each.made or each.gateway not in moments:
+        if not isinstance(each, r.ResponseReceived) or not each.made or each.gateway not in moments:
             continue
         job, at = evidence.asked.get((each.gateway, each.conn, each.id)), moments[each.gateway]
         if job is None or job.product not in products or each.t < at:
@@ -78,23 +78,23 @@
     return finding
 
 
-class AnswerEvidence:
+class ResponseEvidence:
     """What records show of how an answer came about."""
 
     def __init__(self, records: Iterable[r.Record], held: Iterable[object]) -> None:
-        self.asked: dict[tuple[str, int, int], r.Asked] = {}
-        self.legs: dict[tuple[str, str], r.LegCame] = {}  # by gateway and trace, the last
-        self.seen: dict[str, list[Seen]] = defaultdict(list)
+        self.asked: dict[tuple[str, int, int], r.RequestSent] = {}
+        self.legs: dict[tuple[str, str], r.AttemptReceived] = {}  # by gateway and trace, the last
+        self.seen: dict[str, list[ZoneStateSample]] = defaultdict(list)
         for each in records:
-            if isinstance(each, r.Asked):
+            if isinstance(each, r.RequestSent):
                 self.asked[each.gateway, each.conn, each.id] = each
-            elif isinstance(each, r.LegCame):
+            elif isinstance(each, r.AttemptReceived):
                 self.legs[each.gateway, each.trace] = each
         for looked in held:
-            if isinstance(looked, Seen):
+            if isinstance(looked, ZoneStateSample):
                 self.seen[looked.gateway].append(looked)
 
-    def words(self, job: r.Asked, told: r.Told, at: int) -> str:
+    def words(self, job: r.RequestSent, told: r.ResponseReceived, at: int) -> str:
         """When the read was asked, by whose attempt it was answered, and how its gateway stood then."""
         when = f"asked {abs(job.t - at) / MS:.0f} ms {'after' if job.t >= at else 'before'} the moment"
         leg = self.legs.get((told.gateway, told.trace))
@@ -116,7 +116,7 @@
         return f"{(t - last.t) / MS:.0f} ms before: {copies}, wall clock {stepped_ms:+.0f} ms off"
 
 
-def _stood_still(stops: Sequence[r.Stopped], since: int, until: int) -> int:
+def _stood_still(stops: Sequence[r.GatewayPaused], since: int, until: int) -> int:
     """For how many ns of a span a gateway's process stood still."""
     total, began = 0, None
     for each in sorted(stops, key=lambda stop: stop.t):
@@ -128,7 +128,7 @@
     return total
 
 
-def from_copies(records: Iterable[r.Record]) -> int:
+def count_copy_responses(records: Iterable[r.Record]) -> int:
     """Answers that carry the time of one that a client got before: reads that no node was asked for."""
-    made = [each.made for each in records if isinstance(each, r.Told) and each.made]
+    made = [each.made for each in records if isinstance(each, r.ResponseReceived) and each.made]
     return len(made) - len(set(made))
--- a/ochrecourse/audit/records.py
+++ b/ochrecourse/audit/records.py
@@ -20,7 +20,7 @@
     t: int
 
 
-class Asked(Record, tag="asked"):
+class RequestSent(Record, tag="asked"):
     """A client sent a job on one of its connections; `timeout` in ns."""
 
     gateway: str
@@ -37,7 +37,7 @@
     shard: int = -1
 
 
-class Told(Record, tag="told"):
+class ResponseReceived(Record, tag="told"):
     """A client heard something final about a job. `how`: fulfilled, denied, written_off, refused, left."""
 
     gateway: str
@@ -49,7 +49,7 @@
     come_back: int = 0  # ns after which a denial says that there is room
 
 
-class Left(Record, tag="left"):
+class CancelSent(Record, tag="left"):
     """A client stopped waiting before its timeout and said so."""
 
     gateway: str
@@ -58,33 +58,33 @@
     trace: str
 
 
-class ConnLost(Record, tag="conn_lost"):
+class ConnectionLost(Record, tag="conn_lost"):
     """A client's connection ended."""
 
     gateway: str
     conn: int
 
 
-class Killed(Record, tag="killed"):
+class GatewayKilled(Record, tag="killed"):
     """A gateway's process was killed."""
 
     gateway: str
 
 
-class Started(Record, tag="started"):
+class GatewayStarted(Record, tag="started"):
     """A gateway's process runs."""
 
     gateway: str
 
 
-class Stopped(Record, tag="stopped"):
+class GatewayPaused(Record, tag="stopped"):
     """A gateway's process stands still from now on, or runs on (`on`)."""
 
     gateway: str
     on: bool = False
 
 
-class Apart(Record, tag="apart"):
+class NetworkPartitioned(Record, tag="apart"):
     """Nothing passes between gateways of one group and of the other from now on, or again (`on`)."""
 
     some: list[str]
@@ -92,7 +92,7 @@
     on: bool = False
 
 
-class NodeUp(Record, tag="node_up"):
+class NodeStarted(Record, tag="node_up"):
     """A node started. `capacity`: core-ns of work a second when warm; `cold_for` in ns, 0 if it is warm."""
 
     node: int
@@ -103,14 +103,14 @@
     cold_for: int = 0
 
 
-class NodeDown(Record, tag="node_down"):
+class NodeStopped(Record, tag="node_down"):
     """A node's process ended. `fell`: pushed over while cold."""
 
     node: int
     fell: bool = False
 
 
-class LegCame(Record, tag="leg_came"):
+class AttemptReceived(Record, tag="leg_came"):
     """A leg's header reached a node; `work` in core-ns."""
 
     node: int
@@ -127,7 +127,7 @@
     work: float
 
 
-class LegOver(Record, tag="leg_over"):
+class AttemptEnded(Record, tag="leg_over"):
     """A leg ended at its node. `how`: done, failed, full, moot (not held here), cancelled, cut."""
 
     node: int
@@ -136,7 +136,7 @@
     how: str
 
 
-class LegGivenUp(Record, tag="given_up"):
+class AttemptCancelled(Record, tag="given_up"):
     """The gateway's cancel of a leg reached its node."""
 
     node: int
@@ -144,7 +144,7 @@
     id: int
 
 
-class Effect(Record, tag="effect"):
+class EffectApplied(Record, tag="effect"):
     """A leg had its effect at a node."""
 
     node: int
@@ -154,7 +154,7 @@
     units: float
 
 
-class ListTold(Record, tag="list_told"):
+class NodeHealthSent(Record, tag="list_told"):
     """The list server told a gateway of a node. `started`: when the node was started, 0 if long ago."""
 
     gateway: str
@@ -163,7 +163,7 @@
     started: int
 
 
-class Announced(Record, tag="announced"):
+class RouteChanged(Record, tag="announced"):
     """A BGP peer was told of a gateway's address, or that it is gone (`up` false). `med` as told, 0
     without.
     """
@@ -173,7 +173,7 @@
     med: int = 0
 
 
-class Probed(Record, tag="probed"):
+class ProbeEnded(Record, tag="probed"):
     """A probe job through a gateway's address was answered or given up; `asked`: when it was sent."""
 
     gateway: str
@@ -181,7 +181,7 @@
     how: str
 
 
-class LoopLate(Record, tag="loop_late"):
+class EventLoopStalled(Record, tag="loop_late"):
     """The event loop of the process that records this did not turn for `late` ns up to now. `process`:
     "clients" or "nodes".
     """
@@ -190,23 +190,25 @@
     late: int
 
 
-class Trouble(Record, tag="trouble"):
+class FaultChanged(Record, tag="trouble"):
     """Something was broken on purpose, or mended."""
 
     kind: str
     what: str
 
 
-Any = (
-    Asked | Told | Left | ConnLost | Killed | Started | Stopped | Apart | NodeUp | NodeDown |
-    LegCame | LegOver | LegGivenUp | Effect | ListTold | Announced | Probed | LoopLate | Trouble
+AnyRecord = (
+    RequestSent | ResponseReceived | CancelSent | ConnectionLost |
+    GatewayKilled | GatewayStarted | GatewayPaused | NetworkPartitioned | NodeStarted | NodeStopped |
+    AttemptReceived | AttemptEnded | AttemptCancelled | EffectApplied |
+    NodeHealthSent | RouteChanged | ProbeEnded | EventLoopStalled | FaultChanged
 )  # fmt: skip
 
-_decoder = msgspec.json.Decoder(Any)
+_decoder = msgspec.json.Decoder(AnyRecord)
 _encoder = msgspec.json.Encoder()
 
 
-class BadRecord(Exception):
+class InvalidRecordError(Exception):
     """A line of a record that is not one; the text names file and line."""
 
 
@@ -216,11 +218,11 @@
     def __call__(self, record: Record, /) -> None: ...
 
 
-def nowhere(record: Record) -> None:
+def discard(record: Record) -> None:
     """For runs that keep no record."""
 
 
-class ToFile:
+class RecordFile:
     """Records into a file, buffered; `close` writes the rest."""
 
     def __init__(self, path: Path) -> None:
@@ -237,7 +239,7 @@
     return _encoder.encode(record)
 
 
-def read(paths: Iterable[Path]) -> Iterator[Any]:
+def read(paths: Iterable[Path]) -> Iterator[AnyRecord]:
     """All records of some files, a file after the other; a cut last line (a killed process) is skipped.
     Raises BadRecord.
     """
@@ -249,4 +251,4 @@
                 except msgspec.DecodeError as trouble:
                     if not line.endswith(b"\n"):
                         continue
-                    raise BadRecord(f"{path}:{number}: {trouble}") from None
+                    raise InvalidRecordError(f"{path}:{number}: {trouble}") from None
--- a/ochrecourse/audit/rolling.py
+++ b/ochrecourse/audit/rolling_restarts.py
@@ -12,7 +12,7 @@
 from ochrecourse.audit.judge import SECOND, Finding
 
 
-class Rolled(r.Record, tag="rolled"):
+class ProcessReplaced(r.Record, tag="rolled"):
     """One process was replaced by the next, which speaks forms up to `newest`. `how`: taken (its sockets were
     handed over), left (it was asked to leave, then the next began), or kept (the next was to take over and
     could not). `code`: with which the process that left, or could not, ended; `took` in ns."""
@@ -24,7 +24,7 @@
     took: int
 
 
-class Dialled(r.Record, tag="dialled"):
+class HandoverConnection(r.Record, tag="dialled"):
     """A stranger connected to a socket of a gateway while it was handed over; `ok`: it was accepted."""
 
     gateway: str
@@ -32,7 +32,7 @@
     ok: bool
 
 
-class RaiseAsked(r.Record, tag="raise_asked"):
+class VersionRaiseRequested(r.Record, tag="raise_asked"):
     """A form was to be raised; `why` it was not, empty if it was."""
 
     gateway: str
@@ -40,32 +40,32 @@
     why: str
 
 
-class FormHeld(r.Record, tag="form_held"):
+class VersionInForce(r.Record, tag="form_held"):
     """The form in force, as a gateway has it in the end."""
 
     gateway: str
     form: int
 
 
-Records = Rolled | Dialled | RaiseAsked | FormHeld
+RollingRecord = ProcessReplaced | HandoverConnection | VersionRaiseRequested | VersionInForce
 
 
-def never_refused(held: Iterable[object]) -> Finding:
+def judge_handover_connections(held: Iterable[object]) -> Finding:
     """Whoever connects while the sockets change hands is accepted."""
     finding = Finding("no connection refused at handed-over sockets")
     for each in held:
-        if isinstance(each, Dialled):
+        if isinstance(each, HandoverConnection):
             finding.tested += 1
             if not each.ok:
                 finding.breach(each.t, f"{each.gateway} refused a connection at its {each.what} socket")
     return finding
 
 
-def left_well(held: Iterable[object], wanted: Sequence[tuple[str, str]]) -> Finding:
+def judge_replacements(held: Iterable[object], wanted: Sequence[tuple[str, str]]) -> Finding:
     """Every process that was replaced ended with 0, one that could not take over with 2, all of `wanted`
     (gateway, how) and in that order."""
     finding = Finding("each process leaves with all answered, and one that can't take over harms nobody")
-    rolls = [each for each in held if isinstance(each, Rolled)]
+    rolls = [each for each in held if isinstance(each, ProcessReplaced)]
     for each in rolls:
         finding.tested += 1
         if each.code != (2 if each.how == "kept" else 0):
@@ -76,22 +76,22 @@
     return finding
 
 
-def raised_rightly(held: Sequence[object], began: Mapping[str, int]) -> Finding:
+def judge_version_raise(held: Sequence[object], began: Mapping[str, int]) -> Finding:
     """A form was raised once all gateways' programs spoke it and not before, and all hold it in the end.
     `began`: the newest form that each spoke at first."""
     finding = Finding("the form rises once all speak it, and is one in the end")
     newest, in_force = dict(began), 1
     for each in held:
-        if isinstance(each, Rolled) and each.how != "kept":
+        if isinstance(each, ProcessReplaced) and each.how != "kept":
             newest[each.gateway] = each.newest
-        elif isinstance(each, RaiseAsked):
+        elif isinstance(each, VersionRaiseRequested):
             finding.tested += 1
             lacking = sorted(name for name, form in newest.items() if form < each.form)
             if not each.why and lacking:
                 finding.breach(each.t, f"form {each.form} was raised though {lacking} do not speak it")
             if not each.why:
                 in_force = each.form
-    last = {each.gateway: each.form for each in held if isinstance(each, FormHeld)}
+    last = {each.gateway: each.form for each in held if isinstance(each, VersionInForce)}
     for name in newest:
         finding.tested += 1
         if last.get(name) != in_force:
@@ -101,16 +101,16 @@
     return finding
 
 
-def figures(held: Iterable[object]) -> dict[str, float]:
+def replacement_figures(held: Iterable[object]) -> dict[str, float]:
     """Spans in s."""
     took: list[float] = []
     dials = refused = 0
     for each in held:
-        if isinstance(each, Rolled) and each.how != "kept":
+        if isinstance(each, ProcessReplaced) and each.how != "kept":
             took.append(each.took / SECOND)
-        elif isinstance(each, Dialled):
+        elif isinstance(each, HandoverConnection):
             dials += 1
-        elif isinstance(each, RaiseAsked):
+        elif isinstance(each, VersionRaiseRequested):
             refused += bool(each.why)
     return {
         "processes replaced": len(took),
--- a/ochrecourse/cli/audit.py
+++ b/ochrecourse/cli/audit.py
@@ -33,13 +33,13 @@
     With --webdav, a request that had two legs out at once counts too, whichever jobs these belonged to.
     """
     from ochrecourse.audit.judge import SHOWN, audit
-    from ochrecourse.audit.records import BadRecord, read
+    from ochrecourse.audit.records import InvalidRecordError, read
     from ochrecourse.lab.figures import figures_of
     from ochrecourse.lab.people import overlapping
 
     try:
         all_records = list(read(records))
-    except BadRecord as error:
+    except InvalidRecordError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_BAD_RECORDS)
     result = audit(figures_of(day_or_exit(name, seed), webdav), all_records)
--- a/ochrecourse/cli/load.py
+++ b/ochrecourse/cli/load.py
@@ -111,12 +111,12 @@
     reactor = install_monotonic_reactor()
 
     # Guards against the global reactor: what follows imports Twisted, which would install another one.
-    from ochrecourse.audit.records import ToFile, nowhere
+    from ochrecourse.audit.records import RecordFile, discard
 
     raise_open_file_limit()
-    recorder = ToFile(options.records) if options.records else None
+    recorder = RecordFile(options.records) if options.records else None
     address_getters = {number: lambda number=number: addresses[number] for number in range(len(addresses))}
-    clients = start(reactor, day, address_getters, recorder or nowhere)
+    clients = start(reactor, day, address_getters, recorder or discard)
     # Guards against clients that stand still for some 80 ms and take that for a late answer.
     CycleCollector(reactor, lambda: False, lambda: clients.conns)
     reactor.run()
--- a/ochrecourse/cli/storage_nodes.py
+++ b/ochrecourse/cli/storage_nodes.py
@@ -16,7 +16,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from ochrecourse.audit.loop_lag import NODES
-from ochrecourse.audit.records import ToFile, nowhere
+from ochrecourse.audit.records import RecordFile, discard
 from ochrecourse.common.monotonic_reactor import raise_open_file_limit
 from ochrecourse.lab.day import TROUBLES, ZONE_TROUBLES, Day
 from ochrecourse.lab.loop_watch import LoopWatch
@@ -52,8 +52,8 @@
     With `wait` the scenario's faults begin only with START_LINE, and the end of standard input ends the run.
     """
     raise_open_file_limit()
-    recorder = ToFile(records) if records else None
-    emulated = make_fleet(scenario, reactor, recorder or nowhere)
+    recorder = RecordFile(records) if records else None
+    emulated = make_fleet(scenario, reactor, recorder or discard)
 
     def on_line(words: list[str]) -> None:
         if words == START_LINE:
@@ -67,7 +67,7 @@
         if wait:
             reactor.callLater(0, reactor.stop)
 
-    loop_watch = LoopWatch(reactor, NODES, recorder or nowhere)
+    loop_watch = LoopWatch(reactor, NODES, recorder or discard)
     loop_watch.start()
     _stop_on_signals(reactor)
     click.echo(f"list {emulated.list_address()}")
--- a/ochrecourse/cli/together.py
+++ b/ochrecourse/cli/together.py
@@ -107,7 +107,7 @@
     """The result of a play, under the keys that scripts read."""
     from ochrecourse.audit.judge import audit
     from ochrecourse.audit.records import read
-    from ochrecourse.audit.together import read as read_control_answers
+    from ochrecourse.audit.fleet_state import read as read_control_answers
     from ochrecourse.common.time_units import MS
     from ochrecourse.lab.figures import figures_of
     from ochrecourse.lab.report import outcome_map
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -135,7 +135,7 @@
 
     def _told(self, job: int, how: str) -> None:
         now = now_ns(self.gateway.clock)
-        self.record(r.Told(t=now, gateway=NAME, conn=1, id=job, trace=self.traces[job], how=how))
+        self.record(r.ResponseReceived(t=now, gateway=NAME, conn=1, id=job, trace=self.traces[job], how=how))
 
 
 class InLibrary:
@@ -189,7 +189,7 @@
         job = self.gateway.next_request_id()
         self.client.traces[job] = request.trace
         self.record(
-            r.Asked(
+            r.RequestSent(
                 t=request.read_at, gateway=NAME, conn=1, id=job, trace=request.trace,
                 product=request.request_class,
                 plan=request.tenant, volume=request.volume, key=request.key, units=request.units,
@@ -279,7 +279,7 @@
         """`spawn` starts the program with these words."""
         self.spawn = spawn
         (self.folder / "day.json").write_bytes(msgspec.json.encode(self.scenario.day))
-        self.record = r.ToFile(self.folder / "clients.jsonl")
+        self.record = r.RecordFile(self.folder / "clients.jsonl")
         child = Child(self.folder / "nodes.log", self._listed, self._nodes_over)
         day, records = str(self.folder / "day.json"), str(self.folder / "nodes.jsonl")
         self.nodes = spawn(child, ["nodes", day, "--wait", "--records", records])
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -47,7 +47,7 @@
 
     def _strike(self, fault: Fault) -> None:
         what = f"zone {fault.zone}, gateways {list(fault.who)}, {fault.len_s:g} s, size {fault.size:g}"
-        self.play.record(r.Trouble(t=now_ns(self.network), kind=fault.kind, what=what))
+        self.play.record(r.FaultChanged(t=now_ns(self.network), kind=fault.kind, what=what))
         mend = getattr(self, f"_{fault.kind}", self._of_nodes)(fault)
         self.reach.changed()
 
@@ -127,7 +127,7 @@
             self.network.callLater(AWAKE, wait, seat)
 
         for seat in seats:
-            self.play.record(r.Stopped(t=now_ns(self.network), gateway=seat.name))
+            self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name))
             wait(seat)
 
         def mend() -> None:
@@ -135,7 +135,7 @@
             over = True
             for seat in seats:
                 self.network.host(seat.name).stand_still(False)
-                self.play.record(r.Stopped(t=now_ns(self.network), gateway=seat.name, on=True))
+                self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
 
         return mend
 
@@ -185,13 +185,13 @@
         struck = [self.seats[index] for index in fault.who if self.seats[index].runs()]
         for seat in struck:
             self.network.host(seat.name).stand_still(True)
-            self.play.record(r.Stopped(t=now_ns(self.network), gateway=seat.name))
+            self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name))
 
         def mend() -> None:
             for seat in struck:
                 if self.network.host(seat.name).still:
                     self.network.host(seat.name).stand_still(False)
-                    self.play.record(r.Stopped(t=now_ns(self.network), gateway=seat.name, on=True))
+                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
 
         return mend
 
@@ -271,7 +271,7 @@
             if seat.daemon is not None:
                 if self.network.host(seat.name).still:
                     self.network.host(seat.name).stand_still(False)
-                    self.play.record(r.Stopped(t=now_ns(self.network), gateway=seat.name, on=True))
+                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
                 if silent and self.world.sharing and self.world.notes:
                     self.play.notes.write(seat)  # answered just before the power goes: it must outlive that
                 seat.kill()
--- a/ochrecourse/lab/fleet_judge.py
+++ b/ochrecourse/lab/fleet_judge.py
@@ -124,16 +124,16 @@
     """The largest sum at any cold node over the time of the rule, as a part of what pushes it over."""
     rules, worst = play.day.rules, 0.0
     fall = round(rules.fall_ms * MS)
-    ups: dict[int, list[r.NodeUp]] = defaultdict(list)
-    came: dict[int, list[r.LegCame]] = defaultdict(list)
+    ups: dict[int, list[r.NodeStarted]] = defaultdict(list)
+    came: dict[int, list[r.AttemptReceived]] = defaultdict(list)
     for record in play.records:
-        if isinstance(record, r.NodeUp) and record.cold_for:
+        if isinstance(record, r.NodeStarted) and record.cold_for:
             ups[record.node].append(record)
-        elif isinstance(record, r.LegCame):
+        elif isinstance(record, r.AttemptReceived):
             came[record.node].append(record)
     for node, starts in ups.items():
         for up in starts:
-            window: deque[r.LegCame] = deque()
+            window: deque[r.AttemptReceived] = deque()
             work = 0.0
             for leg in came[node]:
                 if not up.t <= leg.t <= up.t + up.cold_for:
@@ -157,11 +157,11 @@
     zone_of: dict[int, int] = {}
     turns: dict[int, list[tuple[int, bool]]] = defaultdict(list)
     for record in play.records:
-        if isinstance(record, r.NodeUp):
+        if isinstance(record, r.NodeStarted):
             holders[record.shard].append(record.node)
             zone_of[record.node] = record.zone
             turns[record.node].append((record.t, True))
-        elif isinstance(record, r.NodeDown):
+        elif isinstance(record, r.NodeStopped):
             turns[record.node].append((record.t, False))
     began = round(play.began * SECOND)
     bad = [
@@ -182,15 +182,15 @@
     )
 
 
-def last_answers(play: FleetPlay) -> Iterable[tuple[r.Asked, str]]:
+def last_answers(play: FleetPlay) -> Iterable[tuple[r.RequestSent, str]]:
     """The last try of each job, and how it was answered."""
-    last: dict[str, tuple[r.Asked, str]] = {}
-    asked: dict[tuple[str, int, int], r.Asked] = {}
+    last: dict[str, tuple[r.RequestSent, str]] = {}
+    asked: dict[tuple[str, int, int], r.RequestSent] = {}
     for record in play.records:
-        if isinstance(record, r.Asked):
+        if isinstance(record, r.RequestSent):
             asked[record.gateway, record.conn, record.id] = record
             last[record.trace.split(".")[0]] = (record, "no answer")
-        elif isinstance(record, r.Told):
+        elif isinstance(record, r.ResponseReceived):
             job = asked[record.gateway, record.conn, record.id]
             if last[job.trace.split(".")[0]][0] is job:
                 last[job.trace.split(".")[0]] = (job, record.how)
--- a/ochrecourse/lab/fleet_site.py
+++ b/ochrecourse/lab/fleet_site.py
@@ -167,12 +167,12 @@
     def _old_answers(self, moment: int) -> None:
         """Nobody who asks after the moment is given what a node made before it."""
         at = round((moment - self.wall(0)) * MS) + round(self.play.began * 1e9)
-        asked: dict[tuple[str, int, int], r.Asked] = {}
+        asked: dict[tuple[str, int, int], r.RequestSent] = {}
         made: Counter[int] = Counter()
         for each in self.play.records:
-            if isinstance(each, r.Asked):
+            if isinstance(each, r.RequestSent):
                 asked[each.gateway, each.conn, each.id] = each
-            elif isinstance(each, r.Told) and each.made:
+            elif isinstance(each, r.ResponseReceived) and each.made:
                 made[each.made] += 1
                 job = asked[each.gateway, each.conn, each.id]
                 if job.t >= at > each.made and job.product == PRODUCT:
--- a/ochrecourse/lab/fleet_told.py
+++ b/ochrecourse/lab/fleet_told.py
@@ -75,7 +75,7 @@
     start, end = began + round(back * SECOND), began + round((back + cold) * SECOND)
     came = sum(
         each.units for each in play.records
-        if isinstance(each, r.LegCame) and each.node in inside and start <= each.t < end
+        if isinstance(each, r.AttemptReceived) and each.node in inside and start <= each.t < end
     )  # fmt: skip
     return came / (len(inside) * play.rates()["cold"] * cold)
 
--- a/ochrecourse/lab/load.py
+++ b/ochrecourse/lab/load.py
@@ -253,7 +253,7 @@
             trace=this.trace(),
         )
         self.load.record(
-            r.Asked(
+            r.RequestSent(
                 t=now_ns(self.clock),
                 gateway=self.factory.name,
                 conn=self.conn,
@@ -275,7 +275,7 @@
 
     def leave(self, this: Try) -> None:
         self.load.record(
-            r.Left(
+            r.CancelSent(
                 t=now_ns(self.clock),
                 gateway=self.factory.name,
                 conn=self.conn,
@@ -290,7 +290,9 @@
 
     def connection_ended(self, mid_message: bool) -> None:
         if self.met:
-            self.load.record(r.ConnLost(t=now_ns(self.clock), gateway=self.factory.name, conn=self.conn))
+            self.load.record(
+                r.ConnectionLost(t=now_ns(self.clock), gateway=self.factory.name, conn=self.conn)
+            )
         tries, self.tries = self.tries, {}
         self.factory.lost(self)
         for this in tries.values():
@@ -510,7 +512,7 @@
         if told is not None:
             assert this.line is not None
             self.record(
-                r.Told(
+                r.ResponseReceived(
                     t=now,
                     gateway=this.line.factory.name,
                     conn=this.line.conn,
--- a/ochrecourse/lab/people.py
+++ b/ochrecourse/lab/people.py
@@ -122,7 +122,9 @@
 
     def _over(self, talk: HttpClientProtocol) -> None:
         people = self.people
-        people.record(r.ConnLost(t=now_ns(people.network), gateway=f"g{self.gateway}", conn=talk.number))
+        people.record(
+            r.ConnectionLost(t=now_ns(people.network), gateway=f"g{self.gateway}", conn=talk.number)
+        )
         if talk is self.talk:
             self.talk = None
 
@@ -529,7 +531,7 @@
         worth = self._worth(this, volume, size)
         self.outcomes.due += worth
         self.record(
-            r.Asked(
+            r.RequestSent(
                 t=this.sent,
                 gateway=f"g{line.gateway}",
                 conn=this.conn,
@@ -563,7 +565,7 @@
             how = "fulfilled" if answer.complete else "written_off"
         if this.product is not None:
             self.record(
-                r.Told(
+                r.ResponseReceived(
                     t=now,
                     gateway=f"g{this.line.gateway}",
                     conn=this.conn,
@@ -596,7 +598,7 @@
         if this.product is not None:
             now = now_ns(self.network)
             self.record(
-                r.Left(t=now, gateway=f"g{line.gateway}", conn=this.conn, id=this.id, trace=this.trace)
+                r.CancelSent(t=now, gateway=f"g{line.gateway}", conn=this.conn, id=this.id, trace=this.trace)
             )
         return this
 
@@ -646,18 +648,18 @@
 
     A resend has the trace of its first try, with a point and a number behind.
     """
-    began: dict[tuple[int, int, int], r.LegCame] = {}
+    began: dict[tuple[int, int, int], r.AttemptReceived] = {}
     ended: dict[tuple[int, int, int], int] = {}
     downs: defaultdict[int, list[int]] = defaultdict(list)
     for record in records:
-        if isinstance(record, r.LegCame):
+        if isinstance(record, r.AttemptReceived):
             began[record.node, record.conn, record.id] = record
-        elif isinstance(record, r.LegOver | r.LegGivenUp):
+        elif isinstance(record, r.AttemptEnded | r.AttemptCancelled):
             # A leg's cancel and the next leg take different ways; an end is known before the next is sent.
-            end = record.t - (TRAVEL if isinstance(record, r.LegGivenUp) else 0)
+            end = record.t - (TRAVEL if isinstance(record, r.AttemptCancelled) else 0)
             key = record.node, record.conn, record.id
             ended[key] = min(end, ended.get(key, end))
-        elif isinstance(record, r.NodeDown):
+        elif isinstance(record, r.NodeStopped):
             downs[record.node].append(record.t)
     spans: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
     for key, came in began.items():
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -118,7 +118,9 @@
         now = now_ns(self.play.network)
         started = 0 if line.started_ms_ago < 0 else now - round(line.started_ms_ago * MS)
         for seat in self.play.seats:
-            told = r.ListTold(t=now, gateway=seat.name, node=line.node, health=line.health, started=started)
+            told = r.NodeHealthSent(
+                t=now, gateway=seat.name, node=line.node, health=line.health, started=started
+            )
             self.play.record(told)
         self._put(line)
 
@@ -187,14 +189,14 @@
         _, self.port = self.daemon.start()
         if self.daemon.webdav_port is not None:
             self.door_port = self.daemon.webdav_port.getHost().port
-        play.record(r.Started(t=now_ns(play.network), gateway=self.name))
+        play.record(r.GatewayStarted(t=now_ns(play.network), gateway=self.name))
 
     def kill(self) -> None:
         """Ends the gateway as kill -9 does: connections break, nothing is said, only the kept list stays."""
         if self.daemon is None:
             return
         play = self.play
-        play.record(r.Killed(t=now_ns(play.network), gateway=self.name))
+        play.record(r.GatewayKilled(t=now_ns(play.network), gateway=self.name))
         self.copy = self.daemon.endpoint_watcher.endpoint_list.snapshot(now_ns(play.network))
         play.add_up(self.daemon)
         self.daemon.kill()
@@ -268,7 +270,7 @@
     def _announced(self, prefix: str, said: dict[str, Any] | None) -> None:
         index = next(each.index for each in self.seats if service_address(each.index) == prefix)
         med = said.get("med", 0) if said else 0
-        self.record(r.Announced(t=now_ns(self.network), gateway=f"g{index}", up=said is not None, med=med))
+        self.record(r.RouteChanged(t=now_ns(self.network), gateway=f"g{index}", up=said is not None, med=med))
 
     def steer(self, hosts: Sequence[int], first: int) -> int | None:
         """Where a client that goes by the peer's table sends a job: its own gateway if that is announced no
--- a/ochrecourse/lab/real.py
+++ b/ochrecourse/lab/real.py
@@ -92,7 +92,7 @@
         if self.process is not None:
             self.killed = True
             self.at = self.door_at = None
-            self.play.record(r.Killed(t=now_ns(self.play.reactor), gateway=self.name))
+            self.play.record(r.GatewayKilled(t=now_ns(self.play.reactor), gateway=self.name))
             self.process.signalProcess("KILL")
 
     def _says(self, line: str) -> None:
@@ -101,7 +101,7 @@
         if what == "listening":
             self.port = int(port)
             self.at = (host, self.port)
-            self.play.record(r.Started(t=now_ns(self.play.reactor), gateway=self.name))
+            self.play.record(r.GatewayStarted(t=now_ns(self.play.reactor), gateway=self.name))
         elif what == "webdav":
             self.door_port = int(port)
             self.door_at = (host, self.door_port)
@@ -134,7 +134,7 @@
         self.reactor = reactor
         self.folder = folder
         self.over = over
-        self.record = r.ToFile(folder / "clients.jsonl")
+        self.record = r.RecordFile(folder / "clients.jsonl")
         self.loop_watch = LoopWatch(reactor, CLIENTS, self.record)
         self.places = [self.place(index) for index in range(day.gateways)]
         addresses = {place.index: lambda place=place: place.at for place in self.places}
--- a/ochrecourse/lab/rolling_play.py
+++ b/ochrecourse/lab/rolling_play.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import rolling as seen
+from ochrecourse.audit import rolling_restarts as seen
 from ochrecourse.lab.real import Child
 from ochrecourse.lab.together import Step, Together
 from ochrecourse.lab.together_play import Gate, TogetherPlay
@@ -104,7 +104,9 @@
     def apart(self, on: bool) -> None:
         """Nobody reaches it while no process runs."""
         others = [place.name for place in self.play.places if place is not self]
-        self.play.record(r.Apart(t=now_ns(self.play.reactor), some=[self.name], others=others, on=on))
+        self.play.record(
+            r.NetworkPartitioned(t=now_ns(self.play.reactor), some=[self.name], others=others, on=on)
+        )
 
     def said(self, what: str, host: str, port: str) -> None:
         super().said(what, host, port)
@@ -179,7 +181,9 @@
         now = now_ns(self.reactor)
         newest = place.newest
         self.kept(
-            seen.Rolled(t=now, gateway=place.name, how=how, newest=newest, code=code, took=now - place.began)
+            seen.ProcessReplaced(
+                t=now, gateway=place.name, how=how, newest=newest, code=code, took=now - place.began
+            )
         )
         self._done()
 
@@ -203,7 +207,7 @@
 
     def _dialled(self, name: str, what: str, ok: bool) -> None:
         if not self.ending:
-            self.kept(seen.Dialled(t=now_ns(self.reactor), gateway=name, what=what, ok=ok))
+            self.kept(seen.HandoverConnection(t=now_ns(self.reactor), gateway=name, what=what, ok=ok))
 
     def _raise(self, place: RollingGate, tries: int) -> None:
         if self.alone:
@@ -216,7 +220,7 @@
                 self.reactor.callLater(RAISE, self._raise, place, tries - 1)
                 return
             self.kept(
-                seen.RaiseAsked(t=now_ns(self.reactor), gateway=place.name, form=NEWER, why=why)
+                seen.VersionRaiseRequested(t=now_ns(self.reactor), gateway=place.name, form=NEWER, why=why)
             )  # fmt: skip
             self._done()
 
@@ -247,7 +251,7 @@
             self.reactor.callLater(WAIT, self._look_at_end)
             return
         for name, form in self.forms.items():
-            self.kept(seen.FormHeld(t=now_ns(self.reactor), gateway=name, form=form))
+            self.kept(seen.VersionInForce(t=now_ns(self.reactor), gateway=name, form=form))
         super().served()
 
     def _form_held(self, name: str, answer: dict[str, Any] | None) -> None:
--- a/ochrecourse/lab/together.py
+++ b/ochrecourse/lab/together.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import rolling
+from ochrecourse.audit import rolling_restarts
 from ochrecourse.audit import purges
-from ochrecourse.audit import together as seen
-from ochrecourse.audit import worse_grey as grey
-from ochrecourse.audit import worse_lives as lives
+from ochrecourse.audit import fleet_state as seen
+from ochrecourse.audit import partial_reachability as grey
+from ochrecourse.audit import gateway_restarts as lives
 from ochrecourse.audit.judge import Finding
 from ochrecourse.lab.day import BadDay, Day, Habits, Plan, Product, RuleFigures, Trouble, cold_units
 from ochrecourse.common.time_units import MS, SECOND
@@ -305,12 +305,12 @@
 def came(this: Together, records: Sequence[Any], held: Sequence[Any], payoff: float, alone: bool) -> Came:
     """Judges a day. `held`: what was asked over control sockets; `alone`: only figures are wanted."""
     names = [f"g{index}" for index in range(this.day.gateways)]
-    begun = next(each.t for each in records if isinstance(each, r.Trouble) and each.kind == BEGINS)
+    begun = next(each.t for each in records if isinstance(each, r.FaultChanged) and each.kind == BEGINS)
     lost = (begun + round(this.lost[0] * SECOND), begun + round(this.lost[1] * SECOND))
     told = Came([], {"payoff in time": round(payoff, 4)})
-    standings = [each for each in held if isinstance(each, seen.Seen)]
+    standings = [each for each in held if isinstance(each, seen.ZoneStateSample)]
     if this.zone and not alone:
-        equal, longest = seen.equal_standing(names, records, standings, round(this.agree_s * SECOND))
+        equal, longest = seen.judge_equal_states(names, records, standings, round(this.agree_s * SECOND))
         told.findings.append(equal)
         told.figures["s that two that can talk differed, longest"] = round(longest / SECOND, 2)
     if this.leave_s:
@@ -322,13 +322,15 @@
         told.figures |= figures
         told.findings += [] if alone else findings
     elif this.zone and not alone:
-        told.findings.append(seen.standing_is(standings, ZONES, "left", begun, 1 << 62))
+        told.findings.append(seen.judge_false_state(standings, ZONES, "left", begun, 1 << 62))
         told.findings.append(_one_in_the_end(standings, names))
     if this.rises and not alone:
-        told.findings += [lives.numbers_rise(standings), _one_in_the_end(standings, names)]
+        told.findings += [lives.judge_state_numbers(standings), _one_in_the_end(standings, names)]
     if this.well and not alone:
-        told.findings.append(seen.standing_is(standings, this.well, "left", begun, 1 << 62))
-        equal, longest = grey.equal_among(names, records, standings, round(this.agree_s * SECOND))
+        told.findings.append(seen.judge_false_state(standings, this.well, "left", begun, 1 << 62))
+        equal, longest = grey.judge_equal_states_over_peers(
+            names, records, standings, round(this.agree_s * SECOND)
+        )
         told.findings.append(equal)
         told.figures["s that two with a way to talk differed, longest"] = round(longest / SECOND, 2)
     if this.channels and not alone:
@@ -341,11 +343,11 @@
         _closes(this, told, records, held, names, begun, alone)
     this.beyond(told, records, held, names, alone)
     if this.newest:
-        told.figures |= rolling.figures(held)
-        told.findings.append(rolling.never_refused(held))
+        told.figures |= rolling_restarts.replacement_figures(held)
+        told.findings.append(rolling_restarts.judge_handover_connections(held))
         if not alone:
-            told.findings.append(rolling.left_well(held, replaced(this)))
-            told.findings.append(rolling.raised_rightly(held, this.newest))
+            told.findings.append(rolling_restarts.judge_replacements(held, replaced(this)))
+            told.findings.append(rolling_restarts.judge_version_raise(held, this.newest))
     return told
 
 
@@ -363,14 +365,14 @@
     this: Together, told: Came, records: Sequence[Any], lost: tuple[int, int], alone: bool
 ) -> None:
     zone = ZONES.index(this.zone)
-    nodes = {each.node for each in records if isinstance(each, r.NodeUp) and each.zone == zone}
-    away = seen.away_after(records, nodes, *lost)
-    sums = seen.cold_sums(records, round(this.day.rules.fall_ms * MS))
+    nodes = {each.node for each in records if isinstance(each, r.NodeStarted) and each.zone == zone}
+    away = seen.seconds_until_evacuated(records, nodes, *lost)
+    sums = seen.slow_start_load(records, round(this.day.rules.fall_ms * MS))
     told.figures |= {
         "s until 95% of new legs are away": round(away, 2),
         "units at a cold node, largest sum in the span": sums.units,
         "times what a cold node can do, largest": round(sums.times, 2),
-        "denied though a node elsewhere was idle": seen.denied_elsewhere(records, nodes, *lost),
+        "denied though a node elsewhere was idle": seen.count_avoidable_denials(records, nodes, *lost),
     }
     if not alone:
         left = Finding("new legs keep away from the lost zone", tested=1)
@@ -378,10 +380,10 @@
             left.breach(lost[0], f"it took {away:.1f} s; {this.leave_s:g} s are allowed")
         # What the rule lets the slowest node bear as it comes up, and one job that is under way as it ends.
         most = 2 * cold_units(this.day) + this.day.most_units
-        told.findings += [left, seen.cold_kept(records, round(this.day.rules.fall_ms * MS), most)]
+        told.findings += [left, seen.judge_slow_start_load(records, round(this.day.rules.fall_ms * MS), most)]
 
 
-def _one_in_the_end(standings: Sequence[seen.Seen], names: Sequence[str]) -> Finding:
+def _one_in_the_end(standings: Sequence[seen.ZoneStateSample], names: Sequence[str]) -> Finding:
     finding = Finding("one standing holds after they met")
     last = {each.gateway: each for each in standings}
     finding.tested = len(last)
@@ -392,12 +394,16 @@
 
 
 def _logs(told: Came, held: Sequence[Any], names: Sequence[str]) -> None:
-    dumps = [each for each in held if isinstance(each, seen.Dumped)]
-    appended = [each for each in held if isinstance(each, seen.Appended)]
-    reads = [each for each in held if isinstance(each, seen.ReadOn)]
+    dumps = [each for each in held if isinstance(each, seen.ChannelDump)]
+    appended = [each for each in held if isinstance(each, seen.AppendEnded)]
+    reads = [each for each in held if isinstance(each, seen.EntriesRead)]
     told.findings += [
-        seen.logs_equal(dumps, names), seen.nothing_lost(appended, dumps), seen.one_order(reads, dumps),
-        seen.read_to_the_end(reads, [each for each in dumps if not each.channel.startswith("bulk-")], names),
+        seen.judge_equal_logs(dumps, names),
+        seen.judge_durability(appended, dumps),
+        seen.judge_read_order(reads, dumps),
+        seen.judge_complete_reads(
+            reads, [each for each in dumps if not each.channel.startswith("bulk-")], names
+        ),
     ]  # fmt: skip
     if not appended:
         return
@@ -416,16 +422,19 @@
 ) -> None:  # fmt: skip
     products = {"page-read"}
     told.figures |= {
-        "answers from copies": purges.from_copies(records),
-        "legs": sum(isinstance(each, r.LegCame) for each in records),
+        "answers from copies": purges.count_copy_responses(records),
+        "legs": sum(isinstance(each, r.AttemptReceived) for each in records),
     }
     if alone:
         return
     # Clients and nodes are on the clock by which the day began; edges have their own, right or wrong.
     moments = dict.fromkeys(names, begun + round(this.close_s * SECOND))
-    old = purges.old_answers(records, moments, round(TRAVEL * MS), products, held)
+    old = purges.judge_stale_responses(records, moments, round(TRAVEL * MS), products, held)
     if not told.figures["answers from copies"]:
         old.breach(0, "no answer came from a copy at all")
-    settled = [each for each in held if isinstance(each, seen.Settled)]
+    settled = [each for each in held if isinstance(each, seen.PurgeSettled)]
     dates = sorted({each.date for each in settled})
-    told.findings += [old, purges.purged_once(settled, names, [(RULE, date) for date in dates or [""]])]
+    told.findings += [
+        old,
+        purges.judge_single_purges(settled, names, [(RULE, date) for date in dates or [""]]),
+    ]
--- a/ochrecourse/lab/together_play.py
+++ b/ochrecourse/lab/together_play.py
@@ -25,7 +25,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import together as seen
+from ochrecourse.audit import fleet_state as seen
 from ochrecourse.lab.real import END_TIME, START_TIME, Place, RealPlay
 from ochrecourse.lab.together import (
     BEGINS, CHANNELS, RULE, SETTLE, SITE, TIME_ZONE, ZONES, Step, Together,
@@ -166,7 +166,7 @@
     def stand_still(self, still: bool) -> None:
         if self.process is not None and self.still is not still:
             self.still = still
-            self.play.record(r.Stopped(t=now_ns(self.play.reactor), gateway=self.name, on=not still))
+            self.play.record(r.GatewayPaused(t=now_ns(self.play.reactor), gateway=self.name, on=not still))
             os.kill(self.process.pid, signal.SIGSTOP if still else signal.SIGCONT)
 
 
@@ -187,7 +187,7 @@
         self.state.mkdir(exist_ok=True)
         for left in self.state.glob("*.log"):
             left.unlink()  # journals of a run before would be read as this one's
-        self.kept = r.ToFile(folder / "seen.jsonl")
+        self.kept = r.RecordFile(folder / "seen.jsonl")
         self.reports: dict[str, dict[str, Any]] = {}  # each gateway's last one
         self.load.steer = self._steer
         self.ended = False
@@ -211,14 +211,14 @@
 
     def struck(self) -> None:
         self.began = round(time.time() * 1000)
-        self.record(r.Trouble(t=now_ns(self.reactor), kind=BEGINS, what=self.together.day.name))
+        self.record(r.FaultChanged(t=now_ns(self.reactor), kind=BEGINS, what=self.together.day.name))
         for step in self.together.steps:
             self.reactor.callLater(step.at_s, getattr(self, f"_{step.do}"), step)
         if not self.alone:
             self._look()
 
     def _apart(self, some: list[str], others: list[str], on: bool) -> None:
-        self.record(r.Apart(t=now_ns(self.reactor), some=some, others=others, on=on))
+        self.record(r.NetworkPartitioned(t=now_ns(self.reactor), some=some, others=others, on=on))
 
     def _ways(self, step: Step) -> None:
         some = [self.places[index].name for index in step.who]
@@ -226,7 +226,9 @@
         others = [self.places[index].name for index in rest]
         before = {name: getattr(self.breaker.way(some[0], others[-1]), name) for name in step.state}
         self.breaker.set(some, others, step.both, **step.state)
-        self.record(r.Trouble(t=now_ns(self.reactor), kind="ways", what=f"{some} to {others}: {step.state}"))
+        self.record(
+            r.FaultChanged(t=now_ns(self.reactor), kind="ways", what=f"{some} to {others}: {step.state}")
+        )
         if step.state.get("cut"):
             self._apart(some, others, False)
         self.reactor.callLater(step.len_s, self._mend, step, some, others, before)
@@ -316,7 +318,7 @@
         def heard(answer: dict[str, Any] | None) -> None:
             how = "lost" if answer is None else "refused" if "error" in answer else "kept"
             self.kept(
-                seen.Appended(
+                seen.AppendEnded(
                     t=now_ns(self.reactor), gateway=place.name, channel=channel, value=value,
                     asked=asked, how=how,
                 )
@@ -343,7 +345,7 @@
             zones = answer.get("zones", {}).get("zones", {})
             purges = answer.get("purges", {})
             self.kept(
-                seen.Seen(
+                seen.ZoneStateSample(
                     t=now_ns(self.reactor),
                     gateway=place.name,
                     zones={
@@ -374,7 +376,7 @@
             place.had[channel] += len(entries)
             if entries:
                 self.kept(
-                    seen.ReadOn(
+                    seen.EntriesRead(
                         t=now_ns(self.reactor), gateway=place.name, reader=reader, channel=channel,
                         entries=entries,
                     )
@@ -417,7 +419,7 @@
                 return
             for (name, of), data in dumps.items():
                 self.kept(
-                    seen.Dumped(
+                    seen.ChannelDump(
                         t=now_ns(self.reactor), gateway=name, channel=of,
                         digest=hashlib.blake2b(data, digest_size=16).hexdigest(), values=values_of(data),
                     )
@@ -441,7 +443,7 @@
             body = json.loads(value)
             if body.get("what") == "fired":
                 self.kept(
-                    seen.Settled(
+                    seen.PurgeSettled(
                         t=now_ns(self.reactor), gateway=gateway, edge=body["edge"], rule=body["rule"],
                         date=body["date"], edition=str(body["edition"]),
                     )
--- a/ochrecourse/lab/worse_absence.py
+++ b/ochrecourse/lab/worse_absence.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import together as seen
-from ochrecourse.audit import worse_absence as absence
+from ochrecourse.audit import fleet_state as seen
+from ochrecourse.audit import absence
 from ochrecourse.lab.together import BEGINS, CHANNELS, GATEWAYS, Came, Step, Together, _day
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -57,11 +57,11 @@
 
 def judged(this: Together, told: Came, records: Sequence[Any], held: Sequence[Any], alone: bool) -> None:
     """Adds what such a day asks beyond equal logs, and its figures."""
-    begun = next(each.t for each in records if isinstance(each, r.Trouble) and each.kind == BEGINS)
+    begun = next(each.t for each in records if isinstance(each, r.FaultChanged) and each.kind == BEGINS)
     met = begun + round(this.cut[1] * SECOND)
     promised = {each.name: round(each.promised_ms * MS) for each in this.day.products}
     worth = {each.name: each.payoff for each in this.day.products}
-    jobs = absence.jobs_between(records, met, met + round(CATCH_UP * SECOND), promised, worth)
+    jobs = absence.request_outcomes(records, met, met + round(CATCH_UP * SECOND), promised, worth)
     told.figures |= {
         "jobs while the sites catch up": jobs.count,
         "payoff in time while they catch up": round(jobs.payoff, 4),
@@ -70,10 +70,10 @@
     }
     if alone:
         return
-    appended = [each for each in held if isinstance(each, seen.Appended)]
-    reads = [each for each in held if isinstance(each, seen.ReadOn)]
+    appended = [each for each in held if isinstance(each, seen.AppendEnded)]
+    reads = [each for each in held if isinstance(each, seen.EntriesRead)]
     names = [f"g{index}" for index in this.apart]
     start = begun + round((this.cut[0] + MARGIN) * SECOND)
-    told.findings.append(absence.late_are_marked(appended, reads, names, start, met))
+    told.findings.append(absence.judge_late_marks(appended, reads, names, start, met))
     bulk = [each for each in appended if each.channel.startswith("bulk-") and each.how == "kept"]
     told.figures["entries of the backlog"] = len(bulk)
--- a/ochrecourse/lab/worse_capacity.py
+++ b/ochrecourse/lab/worse_capacity.py
@@ -12,7 +12,7 @@
 from ochrecourse.audit import capacity as seen
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import Finding
-from ochrecourse.audit.together import cold_kept, cold_sums
+from ochrecourse.audit.fleet_state import judge_slow_start_load, slow_start_load
 from ochrecourse.lab.day import Day, Trouble, cold_units
 from ochrecourse.common.time_units import MS, SECOND
 
@@ -51,18 +51,18 @@
     # Each probe is a job of a unit at the least, and one more may be on its way as the time begins.
     probes = round(PROBED * SOLE * (FIRST[1] - FIRST[0] - KNOWN)) + SOLE
     fall = round(day.rules.fall_ms * MS)
-    told = seen.advice(records, at(FIRST[0]), at(LENGTH))
-    sums = cold_sums(records, fall)
+    told = seen.retry_advice(records, at(FIRST[0]), at(LENGTH))
+    sums = slow_start_load(records, fall)
     # What the rule lets the slowest node bear as it comes up, and one job that is under way as it ends.
     most = 2 * cold_units(day) + day.most_units
     borne = Finding("no cold node gets half of what pushes it over", tested=sums.legs)
     if sums.times > day.rules.multiple / 2:
         borne.breach(begun, f"{sums.times:.2f} times what it can do; {day.rules.multiple:g} push it over")
     findings = [
-        seen.denied_at_once(records, 1, start, end, probes),
-        seen.still_tried(records, 1, at(FIRST[1]), round(BACK * SECOND)),
-        seen.never_fell(records),
-        cold_kept(records, fall, most),
+        seen.judge_fast_denials(records, 1, start, end, probes),
+        seen.judge_recovery(records, 1, at(FIRST[1]), round(BACK * SECOND)),
+        seen.judge_node_overload(records),
+        judge_slow_start_load(records, fall, most),
         borne,
     ]
     figures = {
@@ -73,7 +73,7 @@
         "of them served": told.served,
         **{
             f"part of {plan}'s units served while lost": round(part, 3)
-            for plan, part in seen.by_plan(records, start, end).items()
+            for plan, part in seen.served_share_by_class(records, start, end).items()
         },
     }
     return findings, figures
--- a/ochrecourse/lab/worse_capacity_play.py
+++ b/ochrecourse/lab/worse_capacity_play.py
@@ -12,7 +12,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit.judge import Finding, audit
-from ochrecourse.audit.together import Seen
+from ochrecourse.audit.fleet_state import ZoneStateSample
 from ochrecourse.lab.day import Day
 from ochrecourse.lab.figures import figures_of
 from ochrecourse.lab.fleet_faults import Faults
@@ -67,20 +67,20 @@
 
     def __init__(self, seed: int = 1, gateways: int = GATEWAYS) -> None:
         super().__init__(world_of(seed, gateways))
-        self.held: list[Seen] = []  # what gateways told of zones, each time they were asked
+        self.held: list[ZoneStateSample] = []  # what gateways told of zones, each time they were asked
 
     def run_faults(self) -> None:
-        self.record(r.Trouble(t=now_ns(self.network), kind=BEGINS, what=NAME))
+        self.record(r.FaultChanged(t=now_ns(self.network), kind=BEGINS, what=NAME))
         super().run_faults()
 
     def _sample(self) -> None:
         self.held += [self._ask(seat) for seat in self.seats if seat.runs()]
         super()._sample()
 
-    def _ask(self, seat: FleetSeat) -> Seen:
+    def _ask(self, seat: FleetSeat) -> ZoneStateSample:
         told = seat.zones().report()["zones"]
         zones = {self.day.zones[int(zone)]: (each["standing"], each["number"]) for zone, each in told.items()}
-        return Seen(t=now_ns(self.network), gateway=seat.name, zones=zones)
+        return ZoneStateSample(t=now_ns(self.network), gateway=seat.name, zones=zones)
 
 
 class Judged(NamedTuple):
--- a/ochrecourse/lab/worse_timing.py
+++ b/ochrecourse/lab/worse_timing.py
@@ -14,8 +14,8 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit import purges
-from ochrecourse.audit import together as seen
-from ochrecourse.audit import worse_timing as judged
+from ochrecourse.audit import fleet_state as seen
+from ochrecourse.audit import copy_reuse as judged
 from ochrecourse.lab.together import NOTICE, TRAVEL, Came, Step, Together, _day
 from ochrecourse.common.time_units import MS
 
@@ -58,30 +58,30 @@
         self, told: Came, records: Sequence[Any], held: Sequence[Any], names: list[str], alone: bool
     ) -> None:
         told.figures |= {
-            "answers from copies": purges.from_copies(records),
-            "legs": sum(isinstance(each, r.LegCame) for each in records),
+            "answers from copies": purges.count_copy_responses(records),
+            "legs": sum(isinstance(each, r.AttemptReceived) for each in records),
         }
         if alone:
             return
         moments: dict[str, int] = {}
         closes = {each.what.split()[0]: int(each.what.split()[1]) for each in records if _is_close(each)}
-        settled = [each for each in held if isinstance(each, seen.Settled)]
+        settled = [each for each in held if isinstance(each, seen.PurgeSettled)]
         for site in self.sites:
             edges = [names[index] for index in site.edges]
             moments |= dict.fromkeys(edges, closes[site.name])
             its = [each for each in settled if each.rule == site.rule]
             dates = sorted({each.date for each in its}) or [""]
-            once = purges.purged_once(its, edges, [(site.rule, date) for date in dates])
+            once = purges.judge_single_purges(its, edges, [(site.rule, date) for date in dates])
             once.rule = f"{site.name}: {once.rule}"
             told.findings.append(once)
-        old = purges.old_answers(records, moments, round(TRAVEL * MS), set(PRODUCTS), held)
+        old = purges.judge_stale_responses(records, moments, round(TRAVEL * MS), set(PRODUCTS), held)
         if not told.figures["answers from copies"]:
             old.breach(0, "no answer came from a copy at all")
-        told.findings += [old, judged.used_again(records, moments, PRODUCTS)]
+        told.findings += [old, judged.judge_copy_use(records, moments, PRODUCTS)]
 
 
 def _is_close(record: Any) -> bool:
-    return isinstance(record, r.Trouble) and record.kind == CLOSES
+    return isinstance(record, r.FaultChanged) and record.kind == CLOSES
 
 
 def two_closes(seed: int, gateways: int) -> Closes:
--- a/ochrecourse/standins/fleet.py
+++ b/ochrecourse/standins/fleet.py
@@ -123,7 +123,7 @@
             return None
         node.machine.end()
         node.machine = None
-        self.record(r.NodeDown(t=now_ns(self.network), node=node.number, fell=fell))
+        self.record(r.NodeStopped(t=now_ns(self.network), node=node.number, fell=fell))
         node.ports.cut_all()
         return node.listening.stopListening()
 
@@ -179,7 +179,9 @@
         else:
             struck = self.chance.sample(living, min(count, len(living)))
         self.record(
-            r.Trouble(t=now_ns(self.network), kind=kind, what=f"nodes {sorted(n.number for n in struck)}")
+            r.FaultChanged(
+                t=now_ns(self.network), kind=kind, what=f"nodes {sorted(n.number for n in struck)}"
+            )
         )
         how = getattr(self, f"_{kind}", None)
         mend: Callable[[], None] | None = how(struck, size, extra, span, which) if how else None
@@ -307,7 +309,7 @@
                 self.kill(node)
             elif node.machine is not None:
                 node.machine.lose_power()
-                self.record(r.NodeDown(t=now_ns(self.network), node=node.number))
+                self.record(r.NodeStopped(t=now_ns(self.network), node=node.number))
             if span > self.silent_notice:
                 self.tell(node, "gone", 0, self.silent_notice)
 
--- a/ochrecourse/standins/listserver.py
+++ b/ochrecourse/standins/listserver.py
@@ -47,7 +47,9 @@
         for line in lines:
             started = 0 if line.started_ms_ago < 0 else now - round(line.started_ms_ago * MS)
             self.server.record(
-                r.ListTold(t=now, gateway=self.gateway, node=line.node, health=line.health, started=started)
+                r.NodeHealthSent(
+                    t=now, gateway=self.gateway, node=line.node, health=line.health, started=started
+                )
             )
         self.send_message(m.EndpointListMessage(kind=kind, epoch=epoch), m.encode_list(lines))
 
--- a/ochrecourse/standins/machine.py
+++ b/ochrecourse/standins/machine.py
@@ -199,7 +199,7 @@
         if kind.pause_every_ms:
             self.set_pauses(kind.pause_every_ms, kind.pause_ms)
         record(
-            r.NodeUp(
+            r.NodeStarted(
                 t=self.started,
                 node=number,
                 shard=shard.number,
@@ -392,7 +392,7 @@
         self.shard.whole[work.volume] += work.units  # type: ignore[assignment]
         self.meter.served(work.volume, work.units, now)
         self.record(
-            r.Effect(
+            r.EffectApplied(
                 t=now,
                 node=self.number,
                 mark=work.mark,
--- a/ochrecourse/standins/node.py
+++ b/ochrecourse/standins/node.py
@@ -116,8 +116,8 @@
         elif after is StreamState.COMPLETE:
             self.machine.offer(work)
 
-    def _came(self, message: m.SendAttempt, work: Work, now: int) -> r.LegCame:
-        return r.LegCame(
+    def _came(self, message: m.SendAttempt, work: Work, now: int) -> r.AttemptReceived:
+        return r.AttemptReceived(
             t=now,
             node=self.machine.number,
             gateway=self.gateway,
@@ -135,7 +135,7 @@
 
     def _cancel(self, number: int, after: StreamState | None) -> None:
         self.machine.record(
-            r.LegGivenUp(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number)
+            r.AttemptCancelled(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number)
         )
         work = self.legs.pop(number, None)
         answering = self.answers.pop(number, None)
@@ -151,7 +151,7 @@
 
     def _over(self, number: int, how: str) -> None:
         self.machine.record(
-            r.LegOver(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number, how=how)
+            r.AttemptEnded(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number, how=how)
         )
 
     def _reply(self, number: int, work: Work, how: str) -> None:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit.announcements import judge
+from ochrecourse.audit.announcements import judge_announcements
 from ochrecourse.audit.judge import audit
 from ochrecourse.bgp import speaker
 from ochrecourse.bgp.fitness import AnnouncementState, Fitness
@@ -36,7 +36,7 @@
 )
 def test_no_address_is_announced_for_more_than_a_second_after_its_service_is_lost(day, losses):
     played = VirtualPlay(day, announces=True).run()
-    found = judge(played.records, round(1.1 * SECOND))
+    found = judge_announcements(played.records, round(1.1 * SECOND))
     assert found.losses >= losses and not found.breaches and not found.needless
     assert audit(figures_of(day), played.records).kept()
 
@@ -48,7 +48,9 @@
             return self.state
 
     monkeypatch.setattr(speaker, "Fitness", AlwaysAnnounced)
-    found = judge(VirtualPlay(day_with_fault("all_gone"), announces=True).run().records, round(1.1 * SECOND))
+    found = judge_announcements(
+        VirtualPlay(day_with_fault("all_gone"), announces=True).run().records, round(1.1 * SECOND)
+    )
     assert found.breaches and "beyond what is allowed" in found.breaches[0]
 
 
@@ -64,12 +66,12 @@
 
 
 def announced(t, up, gateway="g0"):
-    return r.Announced(t=t * SECOND // 10, gateway=gateway, up=up)
+    return r.RouteChanged(t=t * SECOND // 10, gateway=gateway, up=up)
 
 
 def probes(outcomes, gateway="g0"):
     return [
-        r.Probed(
+        r.ProbeEnded(
             t=(i + 1) * SECOND // 10,
             gateway=gateway,
             asked=i * SECOND // 10,
@@ -91,7 +93,7 @@
     ],
 )
 def test_announcements_are_judged_by_the_probes(changes, outcomes, losses, breaches, needless):
-    found = judge([*changes, *probes(outcomes)], SECOND)
+    found = judge_announcements([*changes, *probes(outcomes)], SECOND)
     assert (found.losses, len(found.breaches), found.needless) == (losses, breaches, needless)
 
 
@@ -130,7 +132,7 @@
     calm, expiring = (play.run() for play in plays)
     assert plays[0].peer.sessions == 2 and plays[1].peer.sessions >= 6
     assert {note[:2] for end in ends for note in end.notes} == {(4, 0)}
-    changes = [each for each in expiring.records if isinstance(each, r.Announced)]
+    changes = [each for each in expiring.records if isinstance(each, r.RouteChanged)]
     assert changes[-1].up and sum(not each.up for each in changes) >= 4
     assert audit(figures_of(day), expiring.records).kept()
     assert expiring.outcomes.endings["fulfilled"] > 0.98 * calm.outcomes.endings["fulfilled"]
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -124,32 +124,32 @@
 
 
 def asked(t, number, product="read", key=0, timeout=SECOND):
-    return r.Asked(
+    return r.RequestSent(
         t=t, gateway="g0", conn=1, id=number, trace=str(number), product=product, plan="p", volume=2, key=key, units=1.0,
         timeout=timeout,
     )  # fmt: skip
 
 
 def told(t, number, how="fulfilled"):
-    return r.Told(t=t, gateway="g0", conn=1, id=number, trace=str(number), how=how)
+    return r.ResponseReceived(t=t, gateway="g0", conn=1, id=number, trace=str(number), how=how)
 
 
 def leg(t, number, job, node=70, product="read", key=0, leg_number=0, units=1.0, volume=2, work=0.0):
-    return r.LegCame(
+    return r.AttemptReceived(
         t=t, node=node, gateway="g0", conn=5, id=number, mark=f"g0/1/{job}", trace=str(job), number=leg_number,
         product=product, volume=volume, key=key, units=units, work=work,
     )  # fmt: skip
 
 
 def over(t, number, how="done", node=70):
-    return r.LegOver(t=t, node=node, conn=5, id=number, how=how)
+    return r.AttemptEnded(t=t, node=node, conn=5, id=number, how=how)
 
 
 def up(node, shard=0):
-    return r.NodeUp(t=0, node=node, shard=shard, zone=0, capacity=SECOND)
+    return r.NodeStarted(t=0, node=node, shard=shard, zone=0, capacity=SECOND)
 
 
-END = r.Trouble(t=99 * SECOND, kind="end", what="")
+END = r.FaultChanged(t=99 * SECOND, kind="end", what="")
 
 
 @pytest.mark.parametrize(
@@ -158,9 +158,9 @@
         (1, [asked(0, 1), told(5, 1), told(6, 1, "denied")], "was answered ['fulfilled', 'denied']"),
         (1, [asked(0, 1), told(SECOND + 5 * MS, 1)], "5.0 ms after its timeout"),
         (1, [asked(0, 1)], "never answered"),
-        (1, [asked(0, 1), r.ConnLost(t=5, gateway="g0", conn=1)], "its gateway was not killed"),
+        (1, [asked(0, 1), r.ConnectionLost(t=5, gateway="g0", conn=1)], "its gateway was not killed"),
         (1, [told(5, 8)], "which was never asked"),
-        (1, [asked(0, 1), r.Left(t=5, gateway="g0", conn=1, id=1, trace="1"), told(50 * MS, 1)], "after its client had left"),
+        (1, [asked(0, 1), r.CancelSent(t=5, gateway="g0", conn=1, id=1, trace="1"), told(50 * MS, 1)], "after its client had left"),
         (2, [leg(0, 1, 1), leg(50 * MS, 2, 1, leg_number=1), over(90 * MS, 1)], "while leg 0 was out"),
         (2, [leg(0, 1, 1, product="bind"), over(5, 1, "failed"), leg(9, 2, 1, product="bind", leg_number=1)], "binding job"),
         (2, [leg(0, 1, 1, product="mark"), over(5, 1, "failed"), leg(3 * SECOND, 2, 1, product="mark", leg_number=1)],
@@ -168,15 +168,15 @@
         (2, [up(70), up(71, 1), leg(0, 1, 1, product="mark"), over(5, 1, "failed"),
              leg(9, 2, 1, node=71, product="mark", leg_number=1)], "outside the group"),
         (2, [asked(0, 1, "bind"), leg(1, 1, 1, product="bind"),
-             r.Effect(t=2, node=70, mark="g0/1/1", trace="1", product="bind", units=1.0), told(3, 1, "denied")],
+             r.EffectApplied(t=2, node=70, mark="g0/1/1", trace="1", product="bind", units=1.0), told(3, 1, "denied")],
          "denied though it ran"),
-        (3, [r.ListTold(t=0, gateway="g0", node=70, health="draining", started=0), leg(SECOND + 20 * MS, 1, 1)],
+        (3, [r.NodeHealthSent(t=0, gateway="g0", node=70, health="draining", started=0), leg(SECOND + 20 * MS, 1, 1)],
          "1020 ms after it heard"),
-        (4, [r.NodeUp(t=0, node=70, shard=0, zone=0, capacity=SECOND, cold_from=0.2, cold_for=9 * SECOND),
+        (4, [r.NodeStarted(t=0, node=70, shard=0, zone=0, capacity=SECOND, cold_from=0.2, cold_for=9 * SECOND),
              *(leg(i, i, i, work=0.3 * SECOND) for i in range(1, 6))], "times what it could do"),
-        (4, [r.NodeDown(t=5, node=70, fell=True)], "fell over"),
+        (4, [r.NodeStopped(t=5, node=70, fell=True)], "fell over"),
         (5, [leg(0, 1, 1, product="bind", key=9), leg(50 * MS, 2, 2, product="bind", key=9), over(90 * MS, 1)], "was over"),
-        (5, [leg(0, 1, 1, product="bind", key=9), r.LegGivenUp(t=5, node=70, conn=5, id=1),
+        (5, [leg(0, 1, 1, product="bind", key=9), r.AttemptCancelled(t=5, node=70, conn=5, id=1),
              leg(100 * MS, 2, 2, product="bind", key=9)], "may run on"),
         (5, [asked(0, 1, "bind", 9), asked(1, 2, "bind", 9), leg(5, 1, 2, product="bind", key=9), over(6, 1),
              leg(7, 2, 1, product="bind", key=9)], "taken later"),
@@ -196,11 +196,11 @@
     "records",
     [
         [asked(0, 1), told(5, 1), asked(9, 2, timeout=200 * SECOND)],  # the second is not due yet
-        [asked(0, 1), r.ConnLost(t=5, gateway="g0", conn=1), r.Killed(t=4, gateway="g0")],
+        [asked(0, 1), r.ConnectionLost(t=5, gateway="g0", conn=1), r.GatewayKilled(t=4, gateway="g0")],
         [leg(0, 1, 1, product="mark"), over(5, 1, "failed"), leg(9, 2, 1, product="mark", leg_number=1)],
         [leg(0, 1, 1, product="bind"), over(5, 1, "full"), leg(9, 2, 1, product="bind", leg_number=1)],
-        [r.ListTold(t=0, gateway="g0", node=70, health="draining", started=0), leg(SECOND - 1, 1, 1)],
-        [leg(0, 1, 1, product="bind", key=9), r.LegGivenUp(t=5, node=70, conn=5, id=1),
+        [r.NodeHealthSent(t=0, gateway="g0", node=70, health="draining", started=0), leg(SECOND - 1, 1, 1)],
+        [leg(0, 1, 1, product="bind", key=9), r.AttemptCancelled(t=5, node=70, conn=5, id=1),
          leg(300 * MS, 2, 2, product="bind", key=9)],
         [leg(i * SECOND, i, i, units=8.0, volume=1) for i in range(1, 9)],
     ],
@@ -212,14 +212,14 @@
 
 def test_records_survive_a_file_and_a_cut_last_line(tmp_path):
     path = tmp_path / "r.jsonl"
-    to_file = r.ToFile(path)
+    to_file = r.RecordFile(path)
     for each in (asked(0, 1), told(5, 1)):
         to_file(each)
     to_file.close()
     path.write_bytes(path.read_bytes() + b'{"r":"told","t":')
     assert list(r.read([path])) == [asked(0, 1), told(5, 1)]
     path.write_bytes(b'{"r":"told"}\n' + path.read_bytes())
-    with pytest.raises(r.BadRecord, match="jsonl:1"):
+    with pytest.raises(r.InvalidRecordError, match="jsonl:1"):
         list(r.read([path]))
 
 
@@ -239,7 +239,7 @@
 
 
 def loop_late(t, late, process="clients"):
-    return r.LoopLate(t=t, process=process, late=late)
+    return r.EventLoopStalled(t=t, process=process, late=late)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -27,16 +27,16 @@
 def instants_around(zone, change):
     """The instants in the days around a clock change: those of the site calendars and those of the reference."""
     first, site = change - dt.timedelta(days=2), every_quarter(zone)
-    local_times = calendars.walk(zone, first, 5)
+    local_times = calendars.walk_local_clock(zone, first, 5)
     computed = {(rule, date): ms for rule, date, ms in site_calendars.edition(site, 1, first, 5)["instants"]}
-    return computed, calendars.instants(site, first, 5, local_times)
+    return computed, calendars.purge_instants(site, first, 5, local_times)
 
 
 def test_each_quarter_of_an_hour_around_each_clock_change():
     compared = 0
     for zone in ZONES:
         for year in YEARS:
-            for change in calendars.changes(zone, year):
+            for change in calendars.clock_changes(zone, year):
                 computed, expected = instants_around(zone, change)
                 assert computed == expected, f"{zone} around {change}"
                 compared += 1
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ochrecourse.audit.judge import audit
-from ochrecourse.audit.records import ListTold, Started
+from ochrecourse.audit.records import NodeHealthSent, GatewayStarted
 from ochrecourse.lab.bench_day import from_bench_file
 from ochrecourse.lab.day import TROUBLES, BadDay, Trouble, read
 from ochrecourse.lab.days import built_in, names
@@ -60,9 +60,9 @@
     play, verdict, lost = judge(day)
     assert verdict.kept() and not lost, [again(day), *verdict.lines()]
     records = play.played.records
-    starts = [each for each in records if isinstance(each, Started)]
+    starts = [each for each in records if isinstance(each, GatewayStarted)]
     assert len(starts) == 2 * gateways
-    assert any(isinstance(each, ListTold) and each.health == "draining" for each in records)
+    assert any(isinstance(each, NodeHealthSent) and each.health == "draining" for each in records)
     assert verdict.findings[2].tested and verdict.findings[3].tested
 
 
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from ochrecourse.audit import capacity as capacity
+from ochrecourse.audit import capacity
 from ochrecourse.audit import records as r
 from ochrecourse.fleet.zone_nodes import ZoneNodes
 from ochrecourse.fleet.zone_state import ZoneState
@@ -46,7 +46,7 @@
 def test_a_lack_of_capacity_breaks_no_rule_and_overloads_no_node(overloaded):
     play, judged = overloaded
     assert judged.kinds() == [], judged.lines()
-    assert not capacity.never_fell(play.records).breaches
+    assert not capacity.judge_node_overload(play.records).breaches
     assert 0 < judged.figures["cold_share"] < 1
     evacuated = {zone for _, _, zone, word, _ in play.seen.changes if word == ZoneState.EVACUATED.name}
     assert evacuated == {1, 2}  # both were lost; evacuating the last one would be a breach
@@ -57,9 +57,9 @@
     known = FIRST.at_s + judged.figures["one_standing_s"] + 1
     end = FIRST.at_s + FIRST.len_s
     max_probes = round(2.0 * 6 * (end - known)) + 6  # setting `probes`: 2 units/s at each of six nodes
-    denied = capacity.denied_at_once(play.records, 1, at(play, known), at(play, end), max_probes)
+    denied = capacity.judge_fast_denials(play.records, 1, at(play, known), at(play, end), max_probes)
     assert denied.tested > 100 and not denied.breaches, denied.breaches
-    served = capacity.still_tried(play.records, 1, at(play, end), 8 * S)
+    served = capacity.judge_recovery(play.records, 1, at(play, end), 8 * S)
     assert served.tested == 6 and not served.breaches, served.breaches
 
 
@@ -155,21 +155,21 @@
 
 
 def request(t, number=1, shard=0, conn=1, retry=0, plan="gold"):
-    return r.Asked(
+    return r.RequestSent(
         t=round(t * S), gateway="g0", conn=conn, id=number * 10 + retry, trace=f"{number}.{retry}", product="p", plan=plan,
         volume=1, key=7, units=1, timeout=S, shard=shard, retry=retry > 0,
     )  # fmt: skip
 
 
 def answer(t, number=1, how="denied", retry=0, come_back=0.0):
-    return r.Told(
+    return r.ResponseReceived(
         t=round(t * S), gateway="g0", conn=1, id=number * 10 + retry, trace=f"{number}.{retry}", how=how,
         come_back=round(come_back * S),
     )  # fmt: skip
 
 
 UPS = [
-    r.NodeUp(t=0, node=n, shard=n % 10, zone=n // 10, capacity=1e9) for n in (10, 11, 1, 21)
+    r.NodeStarted(t=0, node=n, shard=n % 10, zone=n // 10, capacity=1e9) for n in (10, 11, 1, 21)
 ]  # shard 0 is in zone 1 only
 
 
@@ -184,16 +184,16 @@
 )
 def test_requests_that_wait_for_a_lost_zone_are_found(told_at, how, max_probes, broken):
     records = [*UPS, request(2), answer(told_at, how=how), request(2, 2, shard=1)]
-    finding = capacity.denied_at_once(records, 1, S, 3 * S, max_probes)
+    finding = capacity.judge_fast_denials(records, 1, S, 3 * S, max_probes)
     assert finding.tested == 1 and bool(finding.breaches) is broken
 
 
 def test_a_shard_that_is_not_served_again_and_an_overloaded_node_are_found():
     records = [*UPS, request(2), answer(2.1, how="fulfilled")]
-    assert not capacity.still_tried(records, 1, S, 3 * S).breaches
-    assert capacity.still_tried([*UPS, request(2), answer(2.1)], 1, S, 3 * S).breaches
-    assert not capacity.never_fell(records).breaches
-    assert capacity.never_fell([*UPS, r.NodeDown(t=S, node=10, fell=True)]).breaches
+    assert not capacity.judge_recovery(records, 1, S, 3 * S).breaches
+    assert capacity.judge_recovery([*UPS, request(2), answer(2.1)], 1, S, 3 * S).breaches
+    assert not capacity.judge_node_overload(records).breaches
+    assert capacity.judge_node_overload([*UPS, r.NodeStopped(t=S, node=10, fell=True)]).breaches
 
 
 def test_retries_after_the_advised_time_are_counted():
@@ -203,9 +203,9 @@
     ):
         records += [request(1, number), answer(1, number, come_back=0.5)]
         records += [request(again, number, retry=1), answer(again + 0.1, number, how, retry=1)]
-    found = capacity.advice(records, 0, 9 * S)
+    found = capacity.retry_advice(records, 0, 9 * S)
     assert (found.told, found.came, found.served) == (4, 2, 1)
-    assert capacity.by_plan([*records, request(1, 9, plan="open"), answer(1, 9)], 0, 9 * S) == {
+    assert capacity.served_share_by_class([*records, request(1, 9, plan="open"), answer(1, 9)], 0, 9 * S) == {
         "gold": 0.75,
         "open": 0.0,
     }
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
 
 from ochrecourse.audit import records as r
 from ochrecourse.audit import purges
-from ochrecourse.audit import together as seen
+from ochrecourse.audit import fleet_state as seen
 from ochrecourse.lab.day import BadDay, Trouble, check, volumes
 from ochrecourse.lab.days import quiet
 from ochrecourse.lab.play import make_fleet
@@ -146,7 +146,9 @@
     assert all(shard.objects == {7: [b"x"]} for shard in same)
     mend = fleet.strike("zone_lost", 0, 0, 0, 6, "south")
     lost = [node for node in fleet.nodes.values() if node.shard.zone == 1]
-    assert all(node.machine.silent for node in lost) and sum(isinstance(x, r.NodeDown) for x in records) == 3
+    assert (
+        all(node.machine.silent for node in lost) and sum(isinstance(x, r.NodeStopped) for x in records) == 3
+    )
     mend()
     assert all(node.machine.cold_for and not node.machine.silent for node in lost)
     fleet.strike("zone_apart", 0, 0, 0, 6, "south")
@@ -175,7 +177,7 @@
 
 
 def held(t, gateway, **zones):
-    return seen.Seen(t=round(t * S), gateway=gateway, zones=zones)
+    return seen.ZoneStateSample(t=round(t * S), gateway=gateway, zones=zones)
 
 
 def looks(until, **by_gateway):
@@ -194,31 +196,31 @@
         ([], {"g1": [(1, "south", LEFT)]}, False),
         ([], {"g1": [(4, "south", LEFT)]}, True),
         ([], {"g1": []}, True),  # never says so
-        ([r.Killed(t=0, gateway="g1")], {"g1": []}, False),
-        ([r.Stopped(t=0, gateway="g1")], {"g1": []}, False),
-        ([r.Stopped(t=0, gateway="g1"), r.Stopped(t=1 * S, gateway="g1", on=True)], {"g1": []}, True),
-        ([r.Apart(t=0, some=["g1"], others=["g0", "g2"])], {"g1": []}, False),
-        ([r.Apart(t=0, some=["g1"], others=["g0"])], {"g1": []}, True),  # g2 still talks to both
-        ([r.Apart(t=0, some=["g1"], others=["g0", "g2"]), r.Apart(t=6 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": [(8, "south", LEFT)]}, False),
-        ([r.Apart(t=0, some=["g1"], others=["g0", "g2"]), r.Apart(t=3 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": []}, True),
+        ([r.GatewayKilled(t=0, gateway="g1")], {"g1": []}, False),
+        ([r.GatewayPaused(t=0, gateway="g1")], {"g1": []}, False),
+        ([r.GatewayPaused(t=0, gateway="g1"), r.GatewayPaused(t=1 * S, gateway="g1", on=True)], {"g1": []}, True),
+        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"])], {"g1": []}, False),
+        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0"])], {"g1": []}, True),  # g2 still talks to both
+        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"]), r.NetworkPartitioned(t=6 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": [(8, "south", LEFT)]}, False),
+        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"]), r.NetworkPartitioned(t=3 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": []}, True),
     ],
 )  # fmt: skip
 def test_standings_that_differ_for_too_long_are_found(breaks, told, broken):
-    started = [r.Started(t=0, gateway=name) for name in NAMES]
+    started = [r.GatewayStarted(t=0, gateway=name) for name in NAMES]
     told = {"g0": [(0, "south", LEFT)], "g2": [(0, "south", LEFT)], **told}
-    finding, longest = seen.equal_standing(NAMES, [*started, *breaks], looks(10, **told), 3 * S)
+    finding, longest = seen.judge_equal_states(NAMES, [*started, *breaks], looks(10, **told), 3 * S)
     assert bool(finding.breaches) is broken is (longest > 3 * S) and finding.tested
 
 
 def test_a_zone_that_is_well_and_left_is_found():
     told = list(looks(5, g0=[(2, "south", ("in doubt", 1)), (3, "south", LEFT)]))
-    assert seen.standing_is(told, ["south"], "left", 0, 10 * S).breaches
-    assert not seen.standing_is(told, ["south"], "left", 0, 3 * S - 1).breaches
-    assert not seen.standing_is(told, ["north"], "left", 0, 10 * S).breaches
+    assert seen.judge_false_state(told, ["south"], "left", 0, 10 * S).breaches
+    assert not seen.judge_false_state(told, ["south"], "left", 0, 3 * S - 1).breaches
+    assert not seen.judge_false_state(told, ["north"], "left", 0, 10 * S).breaches
 
 
 def leg(t, node, units=2.0, number=0, gateway="g0"):
-    return r.LegCame(
+    return r.AttemptReceived(
         t=round(t * S), node=node, gateway=gateway, conn=1, id=number, mark=f"m{number}", trace=f"{number}.0",
         number=0, product="page-read", volume=1, key=7, units=units, work=units * 4e6,
     )  # fmt: skip
@@ -227,28 +229,33 @@
 def test_when_new_legs_are_away_from_a_lost_zone():
     legs = [leg(step / 100, 100 + (step % 3), number=step) for step in range(300)]
     legs += [leg(3 + step / 100, 100 + 2 * (step % 2), number=300 + step) for step in range(500)]
-    assert seen.away_after(legs, {101}, S, 8 * S) == 2.0
-    assert seen.away_after([*legs, *(leg(6, 101, number=1000 + n) for n in range(9))], {101}, S, 8 * S) > 5.0
-    assert seen.away_after([*legs, leg(6, 101, number=1000)], {101}, S, 8 * S) == 2.0  # a probe
+    assert seen.seconds_until_evacuated(legs, {101}, S, 8 * S) == 2.0
+    assert (
+        seen.seconds_until_evacuated(
+            [*legs, *(leg(6, 101, number=1000 + n) for n in range(9))], {101}, S, 8 * S
+        )
+        > 5.0
+    )
+    assert seen.seconds_until_evacuated([*legs, leg(6, 101, number=1000)], {101}, S, 8 * S) == 2.0  # a probe
 
 
 def test_sums_at_a_cold_node_are_over_all_gateways_and_end_with_the_cold():
-    up = r.NodeUp(t=0, node=100, shard=0, zone=0, capacity=1e9, cold_from=0.5, cold_for=4 * S)
+    up = r.NodeStarted(t=0, node=100, shard=0, zone=0, capacity=1e9, cold_from=0.5, cold_for=4 * S)
     legs = [
         leg(1, 100, 10, 1, "g0"),
         leg(1.2, 100, 10, 2, "g1"),
         leg(3, 100, 10, 3, "g2"),
         leg(5, 100, 50, 4),
     ]
-    sums = seen.cold_sums([up, *legs], 3 * S // 2)
+    sums = seen.slow_start_load([up, *legs], 3 * S // 2)
     assert (sums.units, sums.legs) == (20, 3) and 0.05 < sums.times < 0.15
-    assert seen.cold_kept([up, *legs], 3 * S // 2, 19).breaches
-    assert not seen.cold_kept([up, *legs], 3 * S // 2, 20).breaches
+    assert seen.judge_slow_start_load([up, *legs], 3 * S // 2, 19).breaches
+    assert not seen.judge_slow_start_load([up, *legs], 3 * S // 2, 20).breaches
 
 
 def test_a_denial_counts_where_a_node_elsewhere_was_idle():
-    ups = [r.NodeUp(t=0, node=n, shard=0, zone=n - 100, capacity=1e9) for n in (100, 101)]
-    asked = r.Asked(
+    ups = [r.NodeStarted(t=0, node=n, shard=0, zone=n - 100, capacity=1e9) for n in (100, 101)]
+    asked = r.RequestSent(
         t=S,
         gateway="g0",
         conn=1,
@@ -262,36 +269,38 @@
         timeout=S,
         shard=0,
     )
-    told = r.Told(t=2 * S, gateway="g0", conn=1, id=1, trace="1.0", how="denied")
-    assert seen.denied_elsewhere([*ups, asked, told], {100}, 0, 9 * S) == 1
+    told = r.ResponseReceived(t=2 * S, gateway="g0", conn=1, id=1, trace="1.0", how="denied")
+    assert seen.count_avoidable_denials([*ups, asked, told], {100}, 0, 9 * S) == 1
     busy = [leg(1.5, 101, number=n) for n in (1, 2)]
-    assert seen.denied_elsewhere([*ups, asked, told, *busy], {100}, 0, 9 * S) == 0
-    assert seen.denied_elsewhere([*ups, asked, told], {100, 101}, 0, 9 * S) == 0
+    assert seen.count_avoidable_denials([*ups, asked, told, *busy], {100}, 0, 9 * S) == 0
+    assert seen.count_avoidable_denials([*ups, asked, told], {100, 101}, 0, 9 * S) == 0
 
 
 def dump(gateway, *values, digest=""):
-    return seen.Dumped(t=0, gateway=gateway, channel="c", digest=digest or repr(values), values=list(values))
+    return seen.ChannelDump(
+        t=0, gateway=gateway, channel="c", digest=digest or repr(values), values=list(values)
+    )
 
 
 def appended(value, how):
-    return seen.Appended(t=0, gateway="g0", channel="c", value=value, asked=0, how=how)
+    return seen.AppendEnded(t=0, gateway="g0", channel="c", value=value, asked=0, how=how)
 
 
 def test_logs_that_differ_lack_or_repeat_entries_are_found():
     same = [dump(name, "a", "b") for name in NAMES]
-    assert not seen.logs_equal(same, NAMES).breaches
-    assert seen.logs_equal(same[:2], NAMES).breaches
-    assert seen.logs_equal([*same[:2], dump("g2", "b", "a")], NAMES).breaches
+    assert not seen.judge_equal_logs(same, NAMES).breaches
+    assert seen.judge_equal_logs(same[:2], NAMES).breaches
+    assert seen.judge_equal_logs([*same[:2], dump("g2", "b", "a")], NAMES).breaches
     kept = [appended("a", "kept"), appended("b", "lost"), appended("x", "lost"), appended("y", "refused")]
-    assert not seen.nothing_lost(kept, same).breaches  # an append without an answer may be there or not
-    assert seen.nothing_lost([appended("c", "kept")], same).breaches
-    assert seen.nothing_lost([appended("a", "refused")], same).breaches
-    assert seen.nothing_lost([], [dump("g0", "a", "a")]).breaches
+    assert not seen.judge_durability(kept, same).breaches  # an append without an answer may be there or not
+    assert seen.judge_durability([appended("c", "kept")], same).breaches
+    assert seen.judge_durability([appended("a", "refused")], same).breaches
+    assert seen.judge_durability([], [dump("g0", "a", "a")]).breaches
 
 
 def stream(gateway, *entries, reader=1, t=0):
     told = [(each.rstrip("!"), each.endswith("!")) for each in entries]
-    return seen.ReadOn(t=t, gateway=gateway, reader=reader, channel="c", entries=told)
+    return seen.EntriesRead(t=t, gateway=gateway, reader=reader, channel="c", entries=told)
 
 
 @pytest.mark.parametrize(
@@ -308,28 +317,30 @@
     ],
 )
 def test_streams_that_are_no_prefixes_of_one_order_are_found(reads, broken):
-    assert bool(seen.one_order(reads, [dump("g0", "a", "b", "c")]).breaches) is broken
+    assert bool(seen.judge_read_order(reads, [dump("g0", "a", "b", "c")]).breaches) is broken
 
 
 def test_readers_that_get_no_further_are_found():
     dumps = [dump("g0", "a", "b"), dump("g1", "a", "b")]
     whole = [stream("g0", "a", "b"), stream("g1", "a"), stream("g1", "a", "b", reader=2)]
-    assert not seen.read_to_the_end(whole, dumps, NAMES).breaches
-    assert seen.read_to_the_end(whole[:2], dumps, NAMES).breaches
+    assert not seen.judge_complete_reads(whole, dumps, NAMES).breaches
+    assert seen.judge_complete_reads(whole[:2], dumps, NAMES).breaches
 
 
 def settled(edge, edition="g0/1/1", gateway="g0"):
-    return seen.Settled(t=0, gateway=gateway, edge=edge, rule="close", date="2026-12-02", edition=edition)
+    return seen.PurgeSettled(
+        t=0, gateway=gateway, edge=edge, rule="close", date="2026-12-02", edition=edition
+    )
 
 
 def test_purges_that_are_owed_doubled_or_from_two_editions_are_found():
     moments = [("close", "2026-12-02")]
     once = [settled(name) for name in NAMES]
-    assert not purges.purged_once(once, NAMES, moments).breaches
-    assert purges.purged_once(once[:2], NAMES, moments).breaches
-    assert purges.purged_once([*once, settled("g1")], NAMES, moments).breaches
-    assert purges.purged_once([*once[:2], settled("g2", "g1/1/4")], NAMES, moments).breaches
-    assert purges.purged_once([], NAMES, moments).breaches
+    assert not purges.judge_single_purges(once, NAMES, moments).breaches
+    assert purges.judge_single_purges(once[:2], NAMES, moments).breaches
+    assert purges.judge_single_purges([*once, settled("g1")], NAMES, moments).breaches
+    assert purges.judge_single_purges([*once[:2], settled("g2", "g1/1/4")], NAMES, moments).breaches
+    assert purges.judge_single_purges([], NAMES, moments).breaches
 
 
 @pytest.mark.parametrize(
@@ -344,10 +355,10 @@
 )
 def test_answers_from_before_the_moment_are_found(asked, told, made, broken):
     records = [
-        r.Asked(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-        r.Told(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
+        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
     ]  # fmt: skip
-    finding = purges.old_answers(records, {"g0": 10 * S}, S // 4, {"p"})
+    finding = purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"})
     assert bool(finding.breaches) is broken and finding.tested == (told > 10)
 
 
@@ -362,28 +373,28 @@
 )
 def test_what_a_node_made_is_on_its_way_while_the_process_stands_still(asked, told, made, broken):
     records = [
-        r.Asked(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-        r.Stopped(t=round(9.5 * S), gateway="g0"),
-        r.Stopped(t=12 * S, gateway="g0", on=True),
-        r.Told(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
+        r.GatewayPaused(t=round(9.5 * S), gateway="g0"),
+        r.GatewayPaused(t=12 * S, gateway="g0", on=True),
+        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
     ]  # fmt: skip
-    assert bool(purges.old_answers(records, {"g0": 10 * S}, S // 4, {"p"}).breaches) is broken
+    assert bool(purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"}).breaches) is broken
 
 
 def test_a_breach_of_old_answers_says_when_it_was_asked_how_answered_and_how_its_gateway_stood():
     def read(conn, asked, made, told):
         return [
-            r.Asked(t=round(asked * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-            r.Told(t=round(told * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", how="fulfilled", made=round(made * S)),
+            r.RequestSent(t=round(asked * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
+            r.ResponseReceived(t=round(told * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", how="fulfilled", made=round(made * S)),
         ]  # fmt: skip
 
-    leg = r.LegCame(t=9 * S, node=1, gateway="g0", conn=9, id=1, mark="m", trace="2.0", number=0, product="p", volume=1, key=7, units=1.0, work=1.0)  # fmt: skip
+    leg = r.AttemptReceived(t=9 * S, node=1, gateway="g0", conn=9, id=1, mark="m", trace="2.0", number=0, product="p", volume=1, key=7, units=1.0, work=1.0)  # fmt: skip
     records = [*read(1, 10.1, 9.5, 10.2), *read(2, 8.9, 9.2, 11.0), *read(3, 8.9, 9.2, 11.0), leg]
     held = [
-        seen.Seen(t=9 * S, gateway="g0", zones={}, copies="", wall_ms=9000),
-        seen.Seen(t=10 * S, gateway="g0", zones={}, copies="too few edges", wall_ms=10_400),
+        seen.ZoneStateSample(t=9 * S, gateway="g0", zones={}, copies="", wall_ms=9000),
+        seen.ZoneStateSample(t=10 * S, gateway="g0", zones={}, copies="too few edges", wall_ms=10_400),
     ]
-    told = purges.old_answers(records, {"g0": 10 * S}, S // 4, {"p"}, held).breaches
+    told = purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"}, held).breaches
     assert "asked 100 ms after the moment, answered from a copy 600 ms old as it was asked" in told[0]
     assert "200 ms before: copies not used: too few edges, wall clock +400 ms off" in told[0]
     assert "asked 1100 ms before the moment, answered by its own leg" in told[1]
@@ -393,11 +404,11 @@
 @pytest.mark.parametrize("asked, broken", [(9.9, False), (10.05, True)])
 def test_an_old_answer_is_excused_by_the_clients_own_lateness_only_if_asked_before_the_moment(asked, broken):
     records = [
-        r.Asked(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-        r.Told(t=round(10.5 * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=9 * S),
-        r.LoopLate(t=round(10.5 * S), process="clients", late=round(0.3 * S)),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
+        r.ResponseReceived(t=round(10.5 * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=9 * S),
+        r.EventLoopStalled(t=round(10.5 * S), process="clients", late=round(0.3 * S)),
     ]  # fmt: skip
-    finding = purges.old_answers(records, {"g0": 10 * S}, S // 4, {"p"})
+    finding = purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"})
     assert bool(finding.breaches) is broken and finding.excused == (not broken)
 
 
@@ -427,9 +438,11 @@
         # The judge of old answers finds some in these very records, were the site to close a little later.
         assert told["figures"]["answers from copies"] > 100
         records = list(r.read([tmp_path / "shared" / "clients.jsonl"]))
-        begun = next(each.t for each in records if isinstance(each, r.Trouble) and each.kind == BEGINS)
+        begun = next(each.t for each in records if isinstance(each, r.FaultChanged) and each.kind == BEGINS)
         for late, broken in ((0, False), (4, True)):
             moments = dict.fromkeys(
                 ("g0", "g1", "g4", "g5"), begun + round((together(name).close_s + late) * S)
             )
-            assert bool(purges.old_answers(records, moments, S // 4, {"page-read"}).breaches) is broken
+            assert (
+                bool(purges.judge_stale_responses(records, moments, S // 4, {"page-read"}).breaches) is broken
+            )
--- a/tests/test_together_worse.py
+++ b/tests/test_together_worse.py
@@ -10,10 +10,10 @@
 from twisted.internet.task import Clock
 
 from ochrecourse.audit import records as r
-from ochrecourse.audit import together as seen
-from ochrecourse.audit import worse_absence as absence
-from ochrecourse.audit import worse_lives as lives
-from ochrecourse.audit import worse_timing as timing
+from ochrecourse.audit import fleet_state as seen
+from ochrecourse.audit import absence
+from ochrecourse.audit import gateway_restarts as lives
+from ochrecourse.audit import copy_reuse as timing
 from ochrecourse.lab.rolling_play import LONGEST, RollingPlay
 from ochrecourse.lab.together import together
 
@@ -38,12 +38,12 @@
 
 
 def kept(value, t=5, gateway="g1", channel="c", how="kept"):
-    return seen.Appended(t=t * S, gateway=gateway, channel=channel, value=value, asked=t * S, how=how)
+    return seen.AppendEnded(t=t * S, gateway=gateway, channel=channel, value=value, asked=t * S, how=how)
 
 
 def read(*entries, gateway="g0"):
     told = [(each.rstrip("!"), each.endswith("!")) for each in entries]
-    return seen.ReadOn(t=9 * S, gateway=gateway, reader=1, channel="c", entries=told)
+    return seen.EntriesRead(t=9 * S, gateway=gateway, reader=1, channel="c", entries=told)
 
 
 @pytest.mark.parametrize(
@@ -61,19 +61,19 @@
     ],
 )
 def test_what_was_written_while_let_go_and_is_not_told_as_late_is_found(appended, reads, broken):
-    finding = absence.late_are_marked(appended, reads, ["g1"], 2 * S, 10 * S)
+    finding = absence.judge_late_marks(appended, reads, ["g1"], 2 * S, 10 * S)
     assert len(finding.breaches) == broken
 
 
 def test_jobs_of_a_span_are_weighed_by_their_first_try_and_first_answer():
     def asked(job, t, product="p"):
-        return r.Asked(
+        return r.RequestSent(
             t=round(t * S), gateway="g0", conn=1, id=1, trace=job, product=product, plan="", volume=1, key=1, units=1,
             timeout=S,
         )  # fmt: skip
 
     def told(job, t, how="fulfilled"):
-        return r.Told(t=round(t * S), gateway="g0", conn=1, id=1, trace=job, how=how)
+        return r.ResponseReceived(t=round(t * S), gateway="g0", conn=1, id=1, trace=job, how=how)
 
     records = [
         asked("1.0", 0.5), told("1.0", 0.6),  # before the span
@@ -82,7 +82,7 @@
         asked("4.0", 1.5, "q"), told("4.0", 2.0),
         asked("5.0", 1.6, "q"),  # never
     ]  # fmt: skip
-    jobs = absence.jobs_between(records, S, 2 * S, {"p": S, "q": S}, {"p": 1.0, "q": 3.0})
+    jobs = absence.request_outcomes(records, S, 2 * S, {"p": S, "q": S}, {"p": 1.0, "q": 3.0})
     assert (jobs.count, jobs.payoff, jobs.late, jobs.p99) == (4, 0.5, 0.5, 2100.0)
 
 
@@ -90,7 +90,7 @@
 
 
 def given(t, made, gateway="g0", number=0):
-    asked = r.Asked(
+    asked = r.RequestSent(
         t=round(t * S),
         gateway=gateway,
         conn=1,
@@ -103,7 +103,7 @@
         units=1,
         timeout=S,
     )
-    return asked, r.Told(
+    return asked, r.ResponseReceived(
         t=round(t * S) + 1,
         gateway=gateway,
         conn=1,
@@ -125,7 +125,7 @@
 )
 def test_copies_that_are_not_used_around_a_moment_are_found(answers, broken):
     records = [each for n, (t, made) in enumerate(answers) for each in given(t, made, number=n)]
-    finding = timing.used_again(records, {"g0": 10 * S}, {"p"})
+    finding = timing.judge_copy_use(records, {"g0": 10 * S}, {"p"})
     assert len(finding.breaches) == broken and finding.tested == len(answers)
 
 
@@ -161,7 +161,7 @@
 )
 def test_standings_that_go_back_over_a_restart_are_found(told, broken):
     looks = [
-        seen.Seen(t=at * S, gateway=name, zones={"south": (word, number)} if word else {})
+        seen.ZoneStateSample(t=at * S, gateway=name, zones={"south": (word, number)} if word else {})
         for at, (name, word, number) in enumerate(told)
     ]
-    assert len(lives.numbers_rise(looks).breaches) == broken
+    assert len(lives.judge_state_numbers(looks).breaches) == broken
