--- a/benchmarks/rush.py
+++ b/benchmarks/rush.py
@@ -110,7 +110,7 @@
             legs[(each.t - close) // BIN] += 1
             by_node[each.node, (each.t - close) // BIN] += 1
         elif isinstance(each, r.ResponseReceived) and -BEFORE <= (each.t - close) / SECOND < AFTER:
-            ended[each.how, each.t >= close] += 1
+            ended[each.outcome, each.t >= close] += 1
     before = [legs[n] for n in range(-round(BEFORE * 4), -4)]
     after = [legs[n] for n in range(-4, round(AFTER * 4))]
     gateways = [seat.daemon.gateway for seat in play.seats]
--- a/ochrecourse/audit/absence.py
+++ b/ochrecourse/audit/absence.py
@@ -27,7 +27,7 @@
             late[value] = late.get(value, True) and is_late
     channels = {each.channel for each in reads}
     for one in appended:
-        if one.gateway in names and one.how == "kept" and start <= one.asked and one.t <= end:
+        if one.gateway in names and one.outcome == "kept" and start <= one.requested_at and one.t <= end:
             if one.channel not in channels:
                 continue
             finding.tested += 1
@@ -57,19 +57,19 @@
     for each in sorted(records, key=lambda each: each.t):
         if isinstance(each, r.RequestSent):
             asked.setdefault(_job(each.trace), each)
-        elif isinstance(each, r.ResponseReceived) and each.how == "fulfilled":
+        elif isinstance(each, r.ResponseReceived) and each.outcome == "fulfilled":
             done.setdefault(_job(each.trace), each.t)
     whole = got = 0.0
     late, spans = 0, []
     for job, first in asked.items():
         if not start <= first.t < end:
             continue
-        whole += worth[first.product]
+        whole += worth[first.request_class]
         span = done.get(job, 1 << 62) - first.t
         if job in done:
             spans.append(span)
-        if span <= promised[first.product]:
-            got += worth[first.product]
+        if span <= promised[first.request_class]:
+            got += worth[first.request_class]
         else:
             late += 1
     count = sum(start <= first.t < end for first in asked.values())
--- a/ochrecourse/audit/announcements.py
+++ b/ochrecourse/audit/announcements.py
@@ -63,8 +63,8 @@
     last: int,
     allowance: int,
 ) -> None:
-    probes.sort(key=lambda probe: probe.asked)
-    up = announced_spans([(change.t, change.up) for change in table], last)
+    probes.sort(key=lambda probe: probe.sent_at)
+    up = announced_spans([(change.t, change.is_announced) for change in table], last)
     lost = service_losses(probes, last)
     found.told += len(table)
     for start, end in lost:
@@ -80,7 +80,7 @@
                 found.breaches.append(
                     f"at {(start + allowance) / SECOND:.3f} s: {text}{start / SECOND:.3f} s"
                 )
-    served = [probe.asked for probe in probes if probe.how == "fulfilled"]
+    served = [probe.sent_at for probe in probes if probe.outcome == "fulfilled"]
     for _, until in up:
         if until < last:
             found.withdrawals += 1
@@ -109,12 +109,12 @@
     spans: list[Span] = []
     since, count = -1, 0
     for probe in probes:
-        if probe.how == "fulfilled":
+        if probe.outcome == "fulfilled":
             if count >= MIN_FAILED_PROBES:
-                spans.append((since, probe.asked))
+                spans.append((since, probe.sent_at))
             since, count = -1, 0
         else:
-            since = probe.asked if since < 0 else since
+            since = probe.sent_at if since < 0 else since
             count += 1
     if count >= MIN_FAILED_PROBES:
         spans.append((since, last))
--- a/ochrecourse/audit/capacity.py
+++ b/ochrecourse/audit/capacity.py
@@ -58,7 +58,7 @@
             continue
         finding.tested += 1
         told = job.told
-        late += told is None or told.how != "denied" or told.t - job.asked.t > SOON
+        late += told is None or told.outcome != "denied" or told.t - job.asked.t > SOON
     if late > most:
         finding.breach(start, f"{late} of {finding.tested} waited for the lost zone; {most} may be tried")
     return finding
@@ -73,7 +73,7 @@
     for job in request_tries(records):
         if job.asked.shard in shards and back <= job.asked.t < back + within:
             asked.add(job.asked.shard)
-            if job.told is not None and job.told.how == "fulfilled":
+            if job.told is not None and job.told.outcome == "fulfilled":
                 served.setdefault(job.asked.shard, job.told.t)
     for shard in sorted(asked):
         finding.tested += 1
@@ -88,7 +88,7 @@
     for each in records:
         if isinstance(each, r.NodeStarted):
             finding.tested += 1
-        elif isinstance(each, r.NodeStopped) and each.fell:
+        elif isinstance(each, r.NodeStopped) and each.overloaded:
             finding.breach(each.t, f"node {each.node} fell")
     return finding
 
@@ -110,13 +110,13 @@
     for of in tries.values():
         for job, after in zip(of, [*of[1:], None], strict=True):
             told = job.told
-            if told is None or told.how != "denied" or not told.come_back or not start <= told.t < end:
+            if told is None or told.outcome != "denied" or not told.retry_after or not start <= told.t < end:
                 continue
             found.told += 1
-            if after is None or not 0 <= after.asked.t - told.t - told.come_back <= ADVISED:
+            if after is None or not 0 <= after.asked.t - told.t - told.retry_after <= ADVISED:
                 continue
             found.came += 1
-            found.served += after.told is not None and after.told.how == "fulfilled"
+            found.served += after.told is not None and after.told.outcome == "fulfilled"
     return found
 
 
@@ -131,7 +131,7 @@
         if not start <= begun.asked.t < end:
             continue
         if begun is job:
-            units[job.asked.plan] += job.asked.units
-        if job.told is not None and job.told.how == "fulfilled":
-            served[job.asked.plan] += job.asked.units
+            units[job.asked.tenant] += job.asked.units
+        if job.told is not None and job.told.outcome == "fulfilled":
+            served[job.asked.tenant] += job.asked.units
     return {plan: served[plan] / whole for plan, whole in sorted(units.items())}
--- a/ochrecourse/audit/fleet_state.py
+++ b/ochrecourse/audit/fleet_state.py
@@ -37,14 +37,14 @@
     wall_ms: int = 0
 
 
-class AppendEnded(r.Record, tag="appended"):
+class AppendEnded(r.Record, tag="appended", rename={"requested_at": "asked", "outcome": "how"}):
     """An append was asked for at `asked`. `how`: kept, refused, or lost with its connection."""
 
     gateway: str
     channel: str
     value: str
-    asked: int
-    how: str
+    requested_at: int
+    outcome: str
 
 
 class EntriesRead(r.Record, tag="read_on"):
@@ -100,10 +100,10 @@
         elif isinstance(record, r.GatewayStarted):
             self.out[record.gateway].discard("down")
         elif isinstance(record, r.GatewayPaused):
-            (set.discard if record.on else set.add)(self.out[record.gateway], "still")
+            (set.discard if record.resumed else set.add)(self.out[record.gateway], "still")
         elif isinstance(record, r.NetworkPartitioned):
-            for pair in {frozenset((a, b)) for a in record.some for b in record.others if a != b}:
-                self.apart[pair] += -1 if record.on else 1
+            for pair in {frozenset((a, b)) for a in record.group for b in record.other_group if a != b}:
+                self.apart[pair] += -1 if record.healed else 1
         else:
             return
         for one, other in combinations(self.out, 2):
@@ -249,7 +249,7 @@
             out[each.node].add((each.conn, each.id))
         elif isinstance(each, r.AttemptEnded | r.AttemptCancelled):
             out[each.node].discard((each.conn, each.id))
-        elif isinstance(each, r.ResponseReceived) and each.how == "denied" and start <= each.t <= end:
+        elif isinstance(each, r.ResponseReceived) and each.outcome == "denied" and start <= each.t <= end:
             shard = asked.get((each.gateway, each.conn, each.id), -1)
             count += any(
                 len(out[node]) < IDLE
@@ -289,9 +289,9 @@
             if each.channel != dump.channel:
                 continue
             finding.tested += 1
-            if each.how == "kept" and not held[each.value]:
+            if each.outcome == "kept" and not held[each.value]:
                 finding.breach(each.t, f"{each.value} was kept at {each.gateway}; {dump.gateway} has it not")
-            if each.how == "refused" and held[each.value]:
+            if each.outcome == "refused" and held[each.value]:
                 finding.breach(each.t, f"{each.value} was refused, and {dump.gateway} has it")
         for value, count in held.items():
             if count > 1:
--- a/ochrecourse/audit/judge.py
+++ b/ochrecourse/audit/judge.py
@@ -108,7 +108,7 @@
     came: r.AttemptReceived
     order: int
     end: int = -1
-    how: str = ""
+    outcome: str = ""
     given_up: int = -1
     effects: int = 0
 
@@ -158,7 +158,7 @@
             elif isinstance(record, r.AttemptReceived):
                 leg = _Leg(record, self.count)
                 self.legs[record.node, record.conn, record.id] = leg
-                self.jobs[record.mark].append(leg)
+                self.jobs[record.idempotency_key].append(leg)
             elif isinstance(record, r.EffectApplied):
                 self.effects.append(record)
             elif isinstance(record, r.NodeHealthSent):
@@ -178,7 +178,7 @@
         if isinstance(record, r.AttemptCancelled):
             leg.given_up = record.t
         elif leg.end < 0:
-            leg.end, leg.how = record.t, record.how
+            leg.end, leg.outcome = record.t, record.outcome
 
     def verdict(self) -> Verdict:
         for legs in self.jobs.values():
@@ -206,9 +206,9 @@
             left = self.left.get(key)
             lost = self.lost.get(asked.conn)
             finding.tested += 1
-            name = f"job {asked.trace} of {asked.product} at {asked.gateway}"
-            if len(told) > 1 and [each.how for each in told] != ["fulfilled", "written_off"]:
-                finding.breach(told[1].t, f"{name} was answered {[each.how for each in told]}")
+            name = f"job {asked.trace} of {asked.request_class} at {asked.gateway}"
+            if len(told) > 1 and [each.outcome for each in told] != ["fulfilled", "written_off"]:
+                finding.breach(told[1].t, f"{name} was answered {[each.outcome for each in told]}")
             if self._stood_still(asked.gateway, asked.t, due):
                 continue  # nobody can answer while its process is stopped
             if told and told[0].t > due:
@@ -224,7 +224,7 @@
                 told
                 and left is not None
                 and told[0].t > left.t + self.figures.travel
-                and told[0].how != "left"
+                and told[0].outcome != "left"
             ):
                 finding.breach(told[0].t, f"{name} was answered after its client had left")
         for key, told in self.told.items():
@@ -257,7 +257,7 @@
         for each in self.stopped[gateway]:
             if each.t > end:
                 break
-            if not each.on:
+            if not each.resumed:
                 stopped = True
             elif each.t < start:
                 stopped = False
@@ -273,10 +273,10 @@
         ran: dict[str, list[r.EffectApplied]] = defaultdict(list)
         traces: dict[str, list[r.EffectApplied]] = defaultdict(list)
         for effect in self.effects:
-            ran[effect.mark].append(effect)
+            ran[effect.idempotency_key].append(effect)
             traces[effect.trace].append(effect)
         for mark, legs in self.jobs.items():
-            rule = self.figures.products.get(legs[0].came.product, ProductRule())
+            rule = self.figures.products.get(legs[0].came.request_class, ProductRule())
             finding.tested += rule.effect != "safe" or len(legs) > 1
             if len(legs) > self.figures.max_legs:
                 finding.breach(legs[-1].came.t, f"job {mark} had {len(legs)} legs")
@@ -285,13 +285,15 @@
             self._legs_of(finding, mark, legs, rule)
         for key, told in self.told.items():
             asked = self.asked.get(key)
-            if asked is None or told[0].how != "denied":
+            if asked is None or told[0].outcome != "denied":
                 continue
-            rule = self.figures.products.get(asked.product, ProductRule())
+            rule = self.figures.products.get(asked.request_class, ProductRule())
             if rule.effect == "unsafe" or (rule.effect == "keyed" and rule.group != "all"):
                 finding.tested += 1
                 if traces[asked.trace]:
-                    finding.breach(told[0].t, f"{asked.product} job {asked.trace} was denied though it ran")
+                    finding.breach(
+                        told[0].t, f"{asked.request_class} job {asked.trace} was denied though it ran"
+                    )
         return finding
 
     def _legs_of(self, finding: Finding, mark: str, legs: list[_Leg], rule: ProductRule) -> None:
@@ -317,7 +319,7 @@
                     finding.breach(
                         came.t, f"job {mark} was repeated outside the group that drops its repeats"
                     )
-            if first is None and leg.how not in ("full", "moot"):
+            if first is None and leg.outcome not in ("full", "moot"):
                 first = leg
 
     def _group(self, leg: _Leg, rule: ProductRule) -> tuple[str, int]:
@@ -379,7 +381,7 @@
                 self._pushed(finding, up, came)
         for node, downs in self.downs.items():
             for down in downs:
-                if down.fell:
+                if down.overloaded:
                     finding.breach(down.t, f"node {node} fell over while it was cold")
         return finding
 
@@ -408,22 +410,22 @@
         asked_at = {asked.trace: asked for asked in self.asked.values()}
         by_key: dict[tuple[str, int, str], list[_Leg]] = defaultdict(list)
         for leg in self.legs.values():
-            rule = self.figures.products.get(leg.came.product)
+            rule = self.figures.products.get(leg.came.request_class)
             if rule is not None and rule.in_order and leg.came.key:
-                life = leg.came.mark.rpartition("/")[0]
+                life = leg.came.idempotency_key.rpartition("/")[0]
                 by_key[leg.came.gateway, leg.came.key, life].append(leg)
         for (gateway, key, _), legs in by_key.items():
             legs.sort(key=lambda leg: (leg.came.t, leg.order))
             seen: dict[str, int] = {}
             for before, leg in pairwise(legs):
-                if before.came.mark == leg.came.mark:
+                if before.came.idempotency_key == leg.came.idempotency_key:
                     continue
                 finding.tested += 1
                 self._after(finding, gateway, key, before, leg)
             latest: dict[int, tuple[int, r.AttemptReceived]] = {}  # by connection of the client
             for leg in legs:
                 asked = asked_at.get(leg.came.trace)
-                if asked is None or seen.setdefault(leg.came.mark, leg.came.t) != leg.came.t:
+                if asked is None or seen.setdefault(leg.came.idempotency_key, leg.came.t) != leg.came.t:
                     continue
                 last = latest.get(asked.conn)
                 if last is not None and asked.id < last[0]:
@@ -437,19 +439,22 @@
 
     def _after(self, finding: Finding, gateway: str, key: int, before: _Leg, leg: _Leg) -> None:
         t, travel = leg.came.t, self.figures.travel
-        names = f"{gateway} sent {leg.came.mark} of key {key}"
+        names = f"{gateway} sent {leg.came.idempotency_key} of key {key}"
         ended = [each for each in (before.end, before.given_up) if each >= 0]
         if not ended:
             if not self._node_down(before, t):
-                finding.breach(t, f"{names} while {before.came.mark} was out")
+                finding.breach(t, f"{names} while {before.came.idempotency_key} was out")
             return
         if min(ended) > t + travel:
-            finding.breach(t, f"{names} {(min(ended) - t) / MS:.0f} ms before {before.came.mark} was over")
-        unsure = (before.given_up >= 0 and before.how in ("", "cancelled")) or before.how == "cut"
+            finding.breach(
+                t, f"{names} {(min(ended) - t) / MS:.0f} ms before {before.came.idempotency_key} was over"
+            )
+        unsure = (before.given_up >= 0 and before.outcome in ("", "cancelled")) or before.outcome == "cut"
         if unsure and t < min(ended) + self.figures.settle - travel:
             finding.breach(
                 t,
-                f"{names} {(t - min(ended)) / MS:.0f} ms after {before.came.mark}, a leg of which may run on",
+                f"{names} {(t - min(ended)) / MS:.0f} ms after {before.came.idempotency_key}, "
+                "a leg of which may run on",
             )
 
     # --- 6 ---
@@ -464,7 +469,7 @@
         further: dict[tuple[str, str], list[int]] = defaultdict(list)
         for leg in self.legs.values():
             if leg.came.number > 0:
-                life = leg.came.mark.rpartition("/")[0]
+                life = leg.came.idempotency_key.rpartition("/")[0]
                 further[leg.came.gateway, life].append(leg.came.t)
         window, travel = self.figures.budget_window, self.figures.travel
         for (gateway, _), times in further.items():
@@ -487,7 +492,7 @@
         finding = Finding(RULES[6])
         firsts: dict[str, list[r.AttemptReceived]] = defaultdict(list)
         for legs in self.jobs.values():
-            held = [leg for leg in legs if leg.how != "moot"]
+            held = [leg for leg in legs if leg.outcome != "moot"]
             if held and str(held[0].came.volume) in self.figures.limits:
                 firsts[str(held[0].came.volume)].append(held[0].came)
         for volume, sent in firsts.items():
--- a/ochrecourse/audit/loop_lag.py
+++ b/ochrecourse/audit/loop_lag.py
@@ -21,7 +21,7 @@
 
     def __init__(self, records: Iterable[r.Record]) -> None:
         late = [each for each in records if isinstance(each, r.EventLoopStalled) and each.process == CLIENTS]
-        self._stalls = sorted((each.t, each.t - each.late) for each in late)  # end and start
+        self._stalls = sorted((each.t, each.t - each.duration) for each in late)  # end and start
         self._ends = [end for end, _ in self._stalls]
 
     def earliest_arrival(self, read_at: int) -> int:
--- a/ochrecourse/audit/purges.py
+++ b/ochrecourse/audit/purges.py
@@ -56,15 +56,15 @@
         if isinstance(each, r.GatewayPaused):
             stops[each.gateway].append(each)
     for each in records:
-        if not isinstance(each, r.ResponseReceived) or not each.made or each.gateway not in moments:
+        if not isinstance(each, r.ResponseReceived) or not each.made_at or each.gateway not in moments:
             continue
         job, at = evidence.asked.get((each.gateway, each.conn, each.id)), moments[each.gateway]
-        if job is None or job.product not in products or each.t < at:
+        if job is None or job.request_class not in products or each.t < at:
             continue
         finding.tested += 1
-        if each.made >= at:
+        if each.made_at >= at:
             continue
-        fetched = job.t <= each.made
+        fetched = job.t <= each.made_at
         still = _stood_still(stops[each.gateway], at, each.t) if fetched else 0
         allowed_until = at + slack + still
         if job.t < at and lag.earliest_arrival(each.t) <= allowed_until:
@@ -73,7 +73,8 @@
         finding.breach(
             each.t,
             f"{each.gateway} answered {each.trace} {(each.t - at) / MS:.0f} ms after the moment "
-            f"with what was made {(at - each.made) / MS:.0f} ms before it; {evidence.words(job, each, at)}",
+            f"with what was made {(at - each.made_at) / MS:.0f} ms before it; "
+            f"{evidence.words(job, each, at)}",
         )
     return finding
 
@@ -98,12 +99,12 @@
         """When the read was asked, by whose attempt it was answered, and how its gateway stood then."""
         when = f"asked {abs(job.t - at) / MS:.0f} ms {'after' if job.t >= at else 'before'} the moment"
         leg = self.legs.get((told.gateway, told.trace))
-        if leg is not None and leg.t <= told.made:
+        if leg is not None and leg.t <= told.made_at:
             way = "answered by its own leg"
-        elif job.t <= told.made:
+        elif job.t <= told.made_at:
             way = "answered by another read's leg"
         else:
-            way = f"answered from a copy {(job.t - told.made) / MS:.0f} ms old as it was asked"
+            way = f"answered from a copy {(job.t - told.made_at) / MS:.0f} ms old as it was asked"
         return f"{when}, {way}; {self._state(told.gateway, told.t)}"
 
     def _state(self, gateway: str, t: int) -> str:
@@ -120,7 +121,7 @@
     """For how many ns of a span a gateway's process stood still."""
     total, began = 0, None
     for each in sorted(stops, key=lambda stop: stop.t):
-        if not each.on:
+        if not each.resumed:
             began = each.t
         elif began is not None:
             total += max(0, min(each.t, until) - max(began, since))
@@ -130,5 +131,5 @@
 
 def count_copy_responses(records: Iterable[r.Record]) -> int:
     """Answers that carry the time of one that a client got before: reads that no node was asked for."""
-    made = [each.made for each in records if isinstance(each, r.ResponseReceived) and each.made]
+    made = [each.made_at for each in records if isinstance(each, r.ResponseReceived) and each.made_at]
     return len(made) - len(set(made))
--- a/ochrecourse/audit/records.py
+++ b/ochrecourse/audit/records.py
@@ -20,15 +20,15 @@
     t: int
 
 
-class RequestSent(Record, tag="asked"):
+class RequestSent(Record, tag="asked", rename={"request_class": "product", "tenant": "plan"}):
     """A client sent a job on one of its connections; `timeout` in ns."""
 
     gateway: str
     conn: int
     id: int
     trace: str
-    product: str
-    plan: str
+    request_class: str
+    tenant: str
     volume: int
     key: int
     units: float
@@ -37,16 +37,18 @@
     shard: int = -1
 
 
-class ResponseReceived(Record, tag="told"):
+class ResponseReceived(
+    Record, tag="told", rename={"outcome": "how", "made_at": "made", "retry_after": "come_back"}
+):
     """A client heard something final about a job. `how`: fulfilled, denied, written_off, refused, left."""
 
     gateway: str
     conn: int
     id: int
     trace: str
-    how: str
-    made: int = 0  # when a node made this answer, where the day's answers carry that; ns of the same clock
-    come_back: int = 0  # ns after which a denial says that there is room
+    outcome: str
+    made_at: int = 0  # when a node made this answer, where the day's answers carry that; ns of the same clock
+    retry_after: int = 0  # ns after which a denial says that there is room
 
 
 class CancelSent(Record, tag="left"):
@@ -77,19 +79,21 @@
     gateway: str
 
 
-class GatewayPaused(Record, tag="stopped"):
+class GatewayPaused(Record, tag="stopped", rename={"resumed": "on"}):
     """A gateway's process stands still from now on, or runs on (`on`)."""
 
     gateway: str
-    on: bool = False
+    resumed: bool = False
 
 
-class NetworkPartitioned(Record, tag="apart"):
+class NetworkPartitioned(
+    Record, tag="apart", rename={"group": "some", "other_group": "others", "healed": "on"}
+):
     """Nothing passes between gateways of one group and of the other from now on, or again (`on`)."""
 
-    some: list[str]
-    others: list[str]
-    on: bool = False
+    group: list[str]
+    other_group: list[str]
+    healed: bool = False
 
 
 class NodeStarted(Record, tag="node_up"):
@@ -103,37 +107,37 @@
     cold_for: int = 0
 
 
-class NodeStopped(Record, tag="node_down"):
+class NodeStopped(Record, tag="node_down", rename={"overloaded": "fell"}):
     """A node's process ended. `fell`: pushed over while cold."""
 
     node: int
-    fell: bool = False
+    overloaded: bool = False
 
 
-class AttemptReceived(Record, tag="leg_came"):
+class AttemptReceived(Record, tag="leg_came", rename={"idempotency_key": "mark", "request_class": "product"}):
     """A leg's header reached a node; `work` in core-ns."""
 
     node: int
     gateway: str
     conn: int
     id: int
-    mark: str
+    idempotency_key: str
     trace: str
     number: int
-    product: str
+    request_class: str
     volume: int
     key: int
     units: float
     work: float
 
 
-class AttemptEnded(Record, tag="leg_over"):
+class AttemptEnded(Record, tag="leg_over", rename={"outcome": "how"}):
     """A leg ended at its node. `how`: done, failed, full, moot (not held here), cancelled, cut."""
 
     node: int
     conn: int
     id: int
-    how: str
+    outcome: str
 
 
 class AttemptCancelled(Record, tag="given_up"):
@@ -144,13 +148,13 @@
     id: int
 
 
-class EffectApplied(Record, tag="effect"):
+class EffectApplied(Record, tag="effect", rename={"idempotency_key": "mark", "request_class": "product"}):
     """A leg had its effect at a node."""
 
     node: int
-    mark: str
+    idempotency_key: str
     trace: str
-    product: str
+    request_class: str
     units: float
 
 
@@ -163,38 +167,38 @@
     started: int
 
 
-class RouteChanged(Record, tag="announced"):
+class RouteChanged(Record, tag="announced", rename={"is_announced": "up"}):
     """A BGP peer was told of a gateway's address, or that it is gone (`up` false). `med` as told, 0
     without.
     """
 
     gateway: str
-    up: bool
+    is_announced: bool
     med: int = 0
 
 
-class ProbeEnded(Record, tag="probed"):
+class ProbeEnded(Record, tag="probed", rename={"sent_at": "asked", "outcome": "how"}):
     """A probe job through a gateway's address was answered or given up; `asked`: when it was sent."""
 
     gateway: str
-    asked: int
-    how: str
+    sent_at: int
+    outcome: str
 
 
-class EventLoopStalled(Record, tag="loop_late"):
+class EventLoopStalled(Record, tag="loop_late", rename={"duration": "late"}):
     """The event loop of the process that records this did not turn for `late` ns up to now. `process`:
     "clients" or "nodes".
     """
 
     process: str
-    late: int
+    duration: int
 
 
-class FaultChanged(Record, tag="trouble"):
+class FaultChanged(Record, tag="trouble", rename={"description": "what"}):
     """Something was broken on purpose, or mended."""
 
     kind: str
-    what: str
+    description: str
 
 
 AnyRecord = (
--- a/ochrecourse/audit/rolling_restarts.py
+++ b/ochrecourse/audit/rolling_restarts.py
@@ -12,39 +12,43 @@
 from ochrecourse.audit.judge import SECOND, Finding
 
 
-class ProcessReplaced(r.Record, tag="rolled"):
+class ProcessReplaced(
+    r.Record,
+    tag="rolled",
+    rename={"method": "how", "newest_version": "newest", "exit_code": "code", "duration": "took"},
+):
     """One process was replaced by the next, which speaks forms up to `newest`. `how`: taken (its sockets were
     handed over), left (it was asked to leave, then the next began), or kept (the next was to take over and
     could not). `code`: with which the process that left, or could not, ended; `took` in ns."""
 
     gateway: str
-    how: str
-    newest: int
-    code: int
-    took: int
+    method: str
+    newest_version: int
+    exit_code: int
+    duration: int
 
 
-class HandoverConnection(r.Record, tag="dialled"):
+class HandoverConnection(r.Record, tag="dialled", rename={"socket": "what", "accepted": "ok"}):
     """A stranger connected to a socket of a gateway while it was handed over; `ok`: it was accepted."""
 
     gateway: str
-    what: str
-    ok: bool
+    socket: str
+    accepted: bool
 
 
-class VersionRaiseRequested(r.Record, tag="raise_asked"):
+class VersionRaiseRequested(r.Record, tag="raise_asked", rename={"version": "form", "refusal": "why"}):
     """A form was to be raised; `why` it was not, empty if it was."""
 
     gateway: str
-    form: int
-    why: str
+    version: int
+    refusal: str
 
 
-class VersionInForce(r.Record, tag="form_held"):
+class VersionInForce(r.Record, tag="form_held", rename={"version": "form"}):
     """The form in force, as a gateway has it in the end."""
 
     gateway: str
-    form: int
+    version: int
 
 
 RollingRecord = ProcessReplaced | HandoverConnection | VersionRaiseRequested | VersionInForce
@@ -56,8 +60,8 @@
     for each in held:
         if isinstance(each, HandoverConnection):
             finding.tested += 1
-            if not each.ok:
-                finding.breach(each.t, f"{each.gateway} refused a connection at its {each.what} socket")
+            if not each.accepted:
+                finding.breach(each.t, f"{each.gateway} refused a connection at its {each.socket} socket")
     return finding
 
 
@@ -68,9 +72,11 @@
     rolls = [each for each in held if isinstance(each, ProcessReplaced)]
     for each in rolls:
         finding.tested += 1
-        if each.code != (2 if each.how == "kept" else 0):
-            finding.breach(each.t, f"a process of {each.gateway} ({each.how}) ended with code {each.code}")
-    done = [(each.gateway, each.how) for each in rolls]
+        if each.exit_code != (2 if each.method == "kept" else 0):
+            finding.breach(
+                each.t, f"a process of {each.gateway} ({each.method}) ended with code {each.exit_code}"
+            )
+    done = [(each.gateway, each.method) for each in rolls]
     if done != list(wanted):
         finding.breach(0, f"replaced were {done}, not {list(wanted)}")
     return finding
@@ -82,16 +88,16 @@
     finding = Finding("the form rises once all speak it, and is one in the end")
     newest, in_force = dict(began), 1
     for each in held:
-        if isinstance(each, ProcessReplaced) and each.how != "kept":
-            newest[each.gateway] = each.newest
+        if isinstance(each, ProcessReplaced) and each.method != "kept":
+            newest[each.gateway] = each.newest_version
         elif isinstance(each, VersionRaiseRequested):
             finding.tested += 1
-            lacking = sorted(name for name, form in newest.items() if form < each.form)
-            if not each.why and lacking:
-                finding.breach(each.t, f"form {each.form} was raised though {lacking} do not speak it")
-            if not each.why:
-                in_force = each.form
-    last = {each.gateway: each.form for each in held if isinstance(each, VersionInForce)}
+            lacking = sorted(name for name, form in newest.items() if form < each.version)
+            if not each.refusal and lacking:
+                finding.breach(each.t, f"form {each.version} was raised though {lacking} do not speak it")
+            if not each.refusal:
+                in_force = each.version
+    last = {each.gateway: each.version for each in held if isinstance(each, VersionInForce)}
     for name in newest:
         finding.tested += 1
         if last.get(name) != in_force:
@@ -106,12 +112,12 @@
     took: list[float] = []
     dials = refused = 0
     for each in held:
-        if isinstance(each, ProcessReplaced) and each.how != "kept":
-            took.append(each.took / SECOND)
+        if isinstance(each, ProcessReplaced) and each.method != "kept":
+            took.append(each.duration / SECOND)
         elif isinstance(each, HandoverConnection):
             dials += 1
         elif isinstance(each, VersionRaiseRequested):
-            refused += bool(each.why)
+            refused += bool(each.refusal)
     return {
         "processes replaced": len(took),
         "s of a replacement, longest": round(max(took, default=0.0), 2),
--- a/ochrecourse/lab/alike.py
+++ b/ochrecourse/lab/alike.py
@@ -135,7 +135,9 @@
 
     def _told(self, job: int, how: str) -> None:
         now = now_ns(self.gateway.clock)
-        self.record(r.ResponseReceived(t=now, gateway=NAME, conn=1, id=job, trace=self.traces[job], how=how))
+        self.record(
+            r.ResponseReceived(t=now, gateway=NAME, conn=1, id=job, trace=self.traces[job], outcome=how)
+        )
 
 
 class InLibrary:
@@ -191,8 +193,8 @@
         self.record(
             r.RequestSent(
                 t=request.read_at, gateway=NAME, conn=1, id=job, trace=request.trace,
-                product=request.request_class,
-                plan=request.tenant, volume=request.volume, key=request.key, units=request.units,
+                request_class=request.request_class,
+                tenant=request.tenant, volume=request.volume, key=request.key, units=request.units,
                 timeout=request.timeout, retry=False,
             )
         )  # fmt: skip
--- a/ochrecourse/lab/fleet_faults.py
+++ b/ochrecourse/lab/fleet_faults.py
@@ -47,7 +47,7 @@
 
     def _strike(self, fault: Fault) -> None:
         what = f"zone {fault.zone}, gateways {list(fault.who)}, {fault.len_s:g} s, size {fault.size:g}"
-        self.play.record(r.FaultChanged(t=now_ns(self.network), kind=fault.kind, what=what))
+        self.play.record(r.FaultChanged(t=now_ns(self.network), kind=fault.kind, description=what))
         mend = getattr(self, f"_{fault.kind}", self._of_nodes)(fault)
         self.reach.changed()
 
@@ -135,7 +135,7 @@
             over = True
             for seat in seats:
                 self.network.host(seat.name).stand_still(False)
-                self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
+                self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, resumed=True))
 
         return mend
 
@@ -191,7 +191,7 @@
             for seat in struck:
                 if self.network.host(seat.name).still:
                     self.network.host(seat.name).stand_still(False)
-                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
+                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, resumed=True))
 
         return mend
 
@@ -271,7 +271,7 @@
             if seat.daemon is not None:
                 if self.network.host(seat.name).still:
                     self.network.host(seat.name).stand_still(False)
-                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, on=True))
+                    self.play.record(r.GatewayPaused(t=now_ns(self.network), gateway=seat.name, resumed=True))
                 if silent and self.world.sharing and self.world.notes:
                     self.play.notes.write(seat)  # answered just before the power goes: it must outlive that
                 seat.kill()
--- a/ochrecourse/lab/fleet_judge.py
+++ b/ochrecourse/lab/fleet_judge.py
@@ -193,5 +193,5 @@
         elif isinstance(record, r.ResponseReceived):
             job = asked[record.gateway, record.conn, record.id]
             if last[job.trace.split(".")[0]][0] is job:
-                last[job.trace.split(".")[0]] = (job, record.how)
+                last[job.trace.split(".")[0]] = (job, record.outcome)
     return last.values()
--- a/ochrecourse/lab/fleet_site.py
+++ b/ochrecourse/lab/fleet_site.py
@@ -172,13 +172,13 @@
         for each in self.play.records:
             if isinstance(each, r.RequestSent):
                 asked[each.gateway, each.conn, each.id] = each
-            elif isinstance(each, r.ResponseReceived) and each.made:
-                made[each.made] += 1
+            elif isinstance(each, r.ResponseReceived) and each.made_at:
+                made[each.made_at] += 1
                 job = asked[each.gateway, each.conn, each.id]
-                if job.t >= at > each.made and job.product == PRODUCT:
+                if job.t >= at > each.made_at and job.request_class == PRODUCT:
                     self.play.seen.breach(
                         "old copy", each.t / 1e9 - self.play.began,
                         f"{each.gateway} answered {each.trace}, asked {(job.t - at) / MS:.0f} ms after the "
-                        f"close, with what was made {(at - each.made) / MS:.0f} ms before it",
+                        f"close, with what was made {(at - each.made_at) / MS:.0f} ms before it",
                     )  # fmt: skip
         self.play.seen.from_copies = sum(count - 1 for count in made.values())
--- a/ochrecourse/lab/load.py
+++ b/ochrecourse/lab/load.py
@@ -259,8 +259,8 @@
                 conn=self.conn,
                 id=this.id,
                 trace=this.trace(),
-                product=product.name,
-                plan=message.tenant,
+                request_class=product.name,
+                tenant=message.tenant,
                 volume=message.volume,
                 key=key,
                 units=call.units,
@@ -518,9 +518,9 @@
                     conn=this.line.conn,
                     id=this.id,
                     trace=this.trace(),
-                    how=told,
-                    made=int.from_bytes(body, "big") if self.day.dated and len(body) == 8 else 0,
-                    come_back=round(message.retry_after_ms * MS)
+                    outcome=told,
+                    made_at=int.from_bytes(body, "big") if self.day.dated and len(body) == 8 else 0,
+                    retry_after=round(message.retry_after_ms * MS)
                     if isinstance(message, m.RequestRejected)
                     else 0,
                 )
--- a/ochrecourse/lab/loop_watch.py
+++ b/ochrecourse/lab/loop_watch.py
@@ -36,5 +36,5 @@
             return
         now = now_ns(self.clock)
         if self.lag.timer_fired(self._due, now):
-            self.record(r.EventLoopStalled(t=now, process=self.process, late=now - self._due))
+            self.record(r.EventLoopStalled(t=now, process=self.process, duration=now - self._due))
         self.start()
--- a/ochrecourse/lab/people.py
+++ b/ochrecourse/lab/people.py
@@ -537,8 +537,8 @@
                 conn=this.conn,
                 id=this.id,
                 trace=this.trace,
-                product=this.product.name,
-                plan=plan.name,
+                request_class=this.product.name,
+                tenant=plan.name,
                 volume=volume_of((f"v{volume.number}",)),
                 key=0,
                 units=units_of(size, UNIT, self.day.most_units),
@@ -571,7 +571,7 @@
                     conn=this.conn,
                     id=this.id,
                     trace=this.trace,
-                    how=how,
+                    outcome=how,
                 )
             )
             if how == "fulfilled":
--- a/ochrecourse/lab/play.py
+++ b/ochrecourse/lab/play.py
@@ -270,7 +270,11 @@
     def _announced(self, prefix: str, said: dict[str, Any] | None) -> None:
         index = next(each.index for each in self.seats if service_address(each.index) == prefix)
         med = said.get("med", 0) if said else 0
-        self.record(r.RouteChanged(t=now_ns(self.network), gateway=f"g{index}", up=said is not None, med=med))
+        self.record(
+            r.RouteChanged(
+                t=now_ns(self.network), gateway=f"g{index}", is_announced=said is not None, med=med
+            )
+        )
 
     def steer(self, hosts: Sequence[int], first: int) -> int | None:
         """Where a client that goes by the peer's table sends a job: its own gateway if that is announced no
--- a/ochrecourse/lab/prober.py
+++ b/ochrecourse/lab/prober.py
@@ -105,7 +105,7 @@
             self.network.connectTCP(where[0], where[1], self, timeout=2)
 
     def tell(self, asked: int, how: str) -> None:
-        self.record(r.ProbeEnded(t=now_ns(self.network), gateway=self.gateway, asked=asked, how=how))
+        self.record(r.ProbeEnded(t=now_ns(self.network), gateway=self.gateway, sent_at=asked, outcome=how))
 
     def buildProtocol(self, addr: Any) -> _ProbeLine:
         self.dialling = False
--- a/ochrecourse/lab/rolling_play.py
+++ b/ochrecourse/lab/rolling_play.py
@@ -105,7 +105,9 @@
         """Nobody reaches it while no process runs."""
         others = [place.name for place in self.play.places if place is not self]
         self.play.record(
-            r.NetworkPartitioned(t=now_ns(self.play.reactor), some=[self.name], others=others, on=on)
+            r.NetworkPartitioned(
+                t=now_ns(self.play.reactor), group=[self.name], other_group=others, healed=on
+            )
         )
 
     def said(self, what: str, host: str, port: str) -> None:
@@ -182,7 +184,12 @@
         newest = place.newest
         self.kept(
             seen.ProcessReplaced(
-                t=now, gateway=place.name, how=how, newest=newest, code=code, took=now - place.began
+                t=now,
+                gateway=place.name,
+                method=how,
+                newest_version=newest,
+                exit_code=code,
+                duration=now - place.began,
             )
         )
         self._done()
@@ -207,7 +214,7 @@
 
     def _dialled(self, name: str, what: str, ok: bool) -> None:
         if not self.ending:
-            self.kept(seen.HandoverConnection(t=now_ns(self.reactor), gateway=name, what=what, ok=ok))
+            self.kept(seen.HandoverConnection(t=now_ns(self.reactor), gateway=name, socket=what, accepted=ok))
 
     def _raise(self, place: RollingGate, tries: int) -> None:
         if self.alone:
@@ -220,8 +227,10 @@
                 self.reactor.callLater(RAISE, self._raise, place, tries - 1)
                 return
             self.kept(
-                seen.VersionRaiseRequested(t=now_ns(self.reactor), gateway=place.name, form=NEWER, why=why)
-            )  # fmt: skip
+                seen.VersionRaiseRequested(
+                    t=now_ns(self.reactor), gateway=place.name, version=NEWER, refusal=why
+                )
+            )
             self._done()
 
         place.ear.ask(heard, do="form", form=NEWER)
@@ -251,7 +260,7 @@
             self.reactor.callLater(WAIT, self._look_at_end)
             return
         for name, form in self.forms.items():
-            self.kept(seen.VersionInForce(t=now_ns(self.reactor), gateway=name, form=form))
+            self.kept(seen.VersionInForce(t=now_ns(self.reactor), gateway=name, version=form))
         super().served()
 
     def _form_held(self, name: str, answer: dict[str, Any] | None) -> None:
--- a/ochrecourse/lab/together.py
+++ b/ochrecourse/lab/together.py
@@ -407,10 +407,10 @@
     ]  # fmt: skip
     if not appended:
         return
-    answers = [each.t - each.asked for each in appended if each.how == "kept"]
+    answers = [each.t - each.requested_at for each in appended if each.outcome == "kept"]
     told.figures |= {
         "appends kept": len(answers),
-        "appends whose answer was lost": sum(each.how == "lost" for each in appended),
+        "appends whose answer was lost": sum(each.outcome == "lost" for each in appended),
         "ms of an append in the mean": round(sum(answers) / max(1, len(answers)) / MS, 1),
         "entries marked late": len({v for each in reads for v, late in each.entries if late}),
     }
--- a/ochrecourse/lab/together_play.py
+++ b/ochrecourse/lab/together_play.py
@@ -166,7 +166,9 @@
     def stand_still(self, still: bool) -> None:
         if self.process is not None and self.still is not still:
             self.still = still
-            self.play.record(r.GatewayPaused(t=now_ns(self.play.reactor), gateway=self.name, on=not still))
+            self.play.record(
+                r.GatewayPaused(t=now_ns(self.play.reactor), gateway=self.name, resumed=not still)
+            )
             os.kill(self.process.pid, signal.SIGSTOP if still else signal.SIGCONT)
 
 
@@ -211,14 +213,14 @@
 
     def struck(self) -> None:
         self.began = round(time.time() * 1000)
-        self.record(r.FaultChanged(t=now_ns(self.reactor), kind=BEGINS, what=self.together.day.name))
+        self.record(r.FaultChanged(t=now_ns(self.reactor), kind=BEGINS, description=self.together.day.name))
         for step in self.together.steps:
             self.reactor.callLater(step.at_s, getattr(self, f"_{step.do}"), step)
         if not self.alone:
             self._look()
 
     def _apart(self, some: list[str], others: list[str], on: bool) -> None:
-        self.record(r.NetworkPartitioned(t=now_ns(self.reactor), some=some, others=others, on=on))
+        self.record(r.NetworkPartitioned(t=now_ns(self.reactor), group=some, other_group=others, healed=on))
 
     def _ways(self, step: Step) -> None:
         some = [self.places[index].name for index in step.who]
@@ -227,7 +229,9 @@
         before = {name: getattr(self.breaker.way(some[0], others[-1]), name) for name in step.state}
         self.breaker.set(some, others, step.both, **step.state)
         self.record(
-            r.FaultChanged(t=now_ns(self.reactor), kind="ways", what=f"{some} to {others}: {step.state}")
+            r.FaultChanged(
+                t=now_ns(self.reactor), kind="ways", description=f"{some} to {others}: {step.state}"
+            )
         )
         if step.state.get("cut"):
             self._apart(some, others, False)
@@ -320,7 +324,7 @@
             self.kept(
                 seen.AppendEnded(
                     t=now_ns(self.reactor), gateway=place.name, channel=channel, value=value,
-                    asked=asked, how=how,
+                    requested_at=asked, outcome=how,
                 )
             )  # fmt: skip
 
--- a/ochrecourse/lab/worse_absence.py
+++ b/ochrecourse/lab/worse_absence.py
@@ -75,5 +75,5 @@
     names = [f"g{index}" for index in this.apart]
     start = begun + round((this.cut[0] + MARGIN) * SECOND)
     told.findings.append(absence.judge_late_marks(appended, reads, names, start, met))
-    bulk = [each for each in appended if each.channel.startswith("bulk-") and each.how == "kept"]
+    bulk = [each for each in appended if each.channel.startswith("bulk-") and each.outcome == "kept"]
     told.figures["entries of the backlog"] = len(bulk)
--- a/ochrecourse/lab/worse_capacity_play.py
+++ b/ochrecourse/lab/worse_capacity_play.py
@@ -70,7 +70,7 @@
         self.held: list[ZoneStateSample] = []  # what gateways told of zones, each time they were asked
 
     def run_faults(self) -> None:
-        self.record(r.FaultChanged(t=now_ns(self.network), kind=BEGINS, what=NAME))
+        self.record(r.FaultChanged(t=now_ns(self.network), kind=BEGINS, description=NAME))
         super().run_faults()
 
     def _sample(self) -> None:
--- a/ochrecourse/lab/worse_timing.py
+++ b/ochrecourse/lab/worse_timing.py
@@ -64,7 +64,11 @@
         if alone:
             return
         moments: dict[str, int] = {}
-        closes = {each.what.split()[0]: int(each.what.split()[1]) for each in records if _is_close(each)}
+        closes = {
+            each.description.split()[0]: int(each.description.split()[1])
+            for each in records
+            if _is_close(each)
+        }
         settled = [each for each in held if isinstance(each, seen.PurgeSettled)]
         for site in self.sites:
             edges = [names[index] for index in site.edges]
--- a/ochrecourse/lab/worse_timing_play.py
+++ b/ochrecourse/lab/worse_timing_play.py
@@ -84,7 +84,7 @@
         ((_, _, instant),) = body["instants"]
         away = instant - self.shift - time.time() * 1000  # ms
         told = f"{site.name} {now_ns(self.reactor) + round(away * MS)}"
-        self.record(r.FaultChanged(t=now_ns(self.reactor), kind=CLOSES, what=told))
+        self.record(r.FaultChanged(t=now_ns(self.reactor), kind=CLOSES, description=told))
         for index in step.who:
             self.places[index].ear.ask(
                 self._edition_told, do="append", channel=f"calendar/{site.name}", value=body
--- a/ochrecourse/standins/fleet.py
+++ b/ochrecourse/standins/fleet.py
@@ -123,7 +123,7 @@
             return None
         node.machine.end()
         node.machine = None
-        self.record(r.NodeStopped(t=now_ns(self.network), node=node.number, fell=fell))
+        self.record(r.NodeStopped(t=now_ns(self.network), node=node.number, overloaded=fell))
         node.ports.cut_all()
         return node.listening.stopListening()
 
@@ -180,7 +180,7 @@
             struck = self.chance.sample(living, min(count, len(living)))
         self.record(
             r.FaultChanged(
-                t=now_ns(self.network), kind=kind, what=f"nodes {sorted(n.number for n in struck)}"
+                t=now_ns(self.network), kind=kind, description=f"nodes {sorted(n.number for n in struck)}"
             )
         )
         how = getattr(self, f"_{kind}", None)
--- a/ochrecourse/standins/machine.py
+++ b/ochrecourse/standins/machine.py
@@ -395,9 +395,9 @@
             r.EffectApplied(
                 t=now,
                 node=self.number,
-                mark=work.mark,
+                idempotency_key=work.mark,
                 trace=work.trace,
-                product=work.product,
+                request_class=work.product,
                 units=work.units,
             )
         )
--- a/ochrecourse/standins/node.py
+++ b/ochrecourse/standins/node.py
@@ -123,10 +123,10 @@
             gateway=self.gateway,
             conn=self.conn,
             id=message.id,
-            mark=message.idempotency_key,
+            idempotency_key=message.idempotency_key,
             trace=message.trace,
             number=message.number,
-            product=message.request_class,
+            request_class=message.request_class,
             volume=message.volume,
             key=message.key,
             units=message.units,
@@ -151,7 +151,9 @@
 
     def _over(self, number: int, how: str) -> None:
         self.machine.record(
-            r.AttemptEnded(t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number, how=how)
+            r.AttemptEnded(
+                t=now_ns(self.clock), node=self.machine.number, conn=self.conn, id=number, outcome=how
+            )
         )
 
     def _reply(self, number: int, work: Work, how: str) -> None:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -66,7 +66,7 @@
 
 
 def announced(t, up, gateway="g0"):
-    return r.RouteChanged(t=t * SECOND // 10, gateway=gateway, up=up)
+    return r.RouteChanged(t=t * SECOND // 10, gateway=gateway, is_announced=up)
 
 
 def probes(outcomes, gateway="g0"):
@@ -74,8 +74,8 @@
         r.ProbeEnded(
             t=(i + 1) * SECOND // 10,
             gateway=gateway,
-            asked=i * SECOND // 10,
-            how="fulfilled" if outcome == "+" else "no answer",
+            sent_at=i * SECOND // 10,
+            outcome="fulfilled" if outcome == "+" else "no answer",
         )
         for i, outcome in enumerate(outcomes)
     ]
@@ -133,6 +133,6 @@
     assert plays[0].peer.sessions == 2 and plays[1].peer.sessions >= 6
     assert {note[:2] for end in ends for note in end.notes} == {(4, 0)}
     changes = [each for each in expiring.records if isinstance(each, r.RouteChanged)]
-    assert changes[-1].up and sum(not each.up for each in changes) >= 4
+    assert changes[-1].is_announced and sum(not each.is_announced for each in changes) >= 4
     assert audit(figures_of(day), expiring.records).kept()
     assert expiring.outcomes.endings["fulfilled"] > 0.98 * calm.outcomes.endings["fulfilled"]
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -125,31 +125,31 @@
 
 def asked(t, number, product="read", key=0, timeout=SECOND):
     return r.RequestSent(
-        t=t, gateway="g0", conn=1, id=number, trace=str(number), product=product, plan="p", volume=2, key=key, units=1.0,
+        t=t, gateway="g0", conn=1, id=number, trace=str(number), request_class=product, tenant="p", volume=2, key=key, units=1.0,
         timeout=timeout,
     )  # fmt: skip
 
 
 def told(t, number, how="fulfilled"):
-    return r.ResponseReceived(t=t, gateway="g0", conn=1, id=number, trace=str(number), how=how)
+    return r.ResponseReceived(t=t, gateway="g0", conn=1, id=number, trace=str(number), outcome=how)
 
 
 def leg(t, number, job, node=70, product="read", key=0, leg_number=0, units=1.0, volume=2, work=0.0):
     return r.AttemptReceived(
-        t=t, node=node, gateway="g0", conn=5, id=number, mark=f"g0/1/{job}", trace=str(job), number=leg_number,
-        product=product, volume=volume, key=key, units=units, work=work,
+        t=t, node=node, gateway="g0", conn=5, id=number, idempotency_key=f"g0/1/{job}", trace=str(job), number=leg_number,
+        request_class=product, volume=volume, key=key, units=units, work=work,
     )  # fmt: skip
 
 
 def over(t, number, how="done", node=70):
-    return r.AttemptEnded(t=t, node=node, conn=5, id=number, how=how)
+    return r.AttemptEnded(t=t, node=node, conn=5, id=number, outcome=how)
 
 
 def up(node, shard=0):
     return r.NodeStarted(t=0, node=node, shard=shard, zone=0, capacity=SECOND)
 
 
-END = r.FaultChanged(t=99 * SECOND, kind="end", what="")
+END = r.FaultChanged(t=99 * SECOND, kind="end", description="")
 
 
 @pytest.mark.parametrize(
@@ -168,13 +168,13 @@
         (2, [up(70), up(71, 1), leg(0, 1, 1, product="mark"), over(5, 1, "failed"),
              leg(9, 2, 1, node=71, product="mark", leg_number=1)], "outside the group"),
         (2, [asked(0, 1, "bind"), leg(1, 1, 1, product="bind"),
-             r.EffectApplied(t=2, node=70, mark="g0/1/1", trace="1", product="bind", units=1.0), told(3, 1, "denied")],
+             r.EffectApplied(t=2, node=70, idempotency_key="g0/1/1", trace="1", request_class="bind", units=1.0), told(3, 1, "denied")],
          "denied though it ran"),
         (3, [r.NodeHealthSent(t=0, gateway="g0", node=70, health="draining", started=0), leg(SECOND + 20 * MS, 1, 1)],
          "1020 ms after it heard"),
         (4, [r.NodeStarted(t=0, node=70, shard=0, zone=0, capacity=SECOND, cold_from=0.2, cold_for=9 * SECOND),
              *(leg(i, i, i, work=0.3 * SECOND) for i in range(1, 6))], "times what it could do"),
-        (4, [r.NodeStopped(t=5, node=70, fell=True)], "fell over"),
+        (4, [r.NodeStopped(t=5, node=70, overloaded=True)], "fell over"),
         (5, [leg(0, 1, 1, product="bind", key=9), leg(50 * MS, 2, 2, product="bind", key=9), over(90 * MS, 1)], "was over"),
         (5, [leg(0, 1, 1, product="bind", key=9), r.AttemptCancelled(t=5, node=70, conn=5, id=1),
              leg(100 * MS, 2, 2, product="bind", key=9)], "may run on"),
@@ -239,7 +239,7 @@
 
 
 def loop_late(t, late, process="clients"):
-    return r.EventLoopStalled(t=t, process=process, late=late)
+    return r.EventLoopStalled(t=t, process=process, duration=late)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_capacity.py
+++ b/tests/test_fleet_capacity.py
@@ -156,15 +156,15 @@
 
 def request(t, number=1, shard=0, conn=1, retry=0, plan="gold"):
     return r.RequestSent(
-        t=round(t * S), gateway="g0", conn=conn, id=number * 10 + retry, trace=f"{number}.{retry}", product="p", plan=plan,
+        t=round(t * S), gateway="g0", conn=conn, id=number * 10 + retry, trace=f"{number}.{retry}", request_class="p", tenant=plan,
         volume=1, key=7, units=1, timeout=S, shard=shard, retry=retry > 0,
     )  # fmt: skip
 
 
 def answer(t, number=1, how="denied", retry=0, come_back=0.0):
     return r.ResponseReceived(
-        t=round(t * S), gateway="g0", conn=1, id=number * 10 + retry, trace=f"{number}.{retry}", how=how,
-        come_back=round(come_back * S),
+        t=round(t * S), gateway="g0", conn=1, id=number * 10 + retry, trace=f"{number}.{retry}", outcome=how,
+        retry_after=round(come_back * S),
     )  # fmt: skip
 
 
@@ -193,7 +193,7 @@
     assert not capacity.judge_recovery(records, 1, S, 3 * S).breaches
     assert capacity.judge_recovery([*UPS, request(2), answer(2.1)], 1, S, 3 * S).breaches
     assert not capacity.judge_node_overload(records).breaches
-    assert capacity.judge_node_overload([*UPS, r.NodeStopped(t=S, node=10, fell=True)]).breaches
+    assert capacity.judge_node_overload([*UPS, r.NodeStopped(t=S, node=10, overloaded=True)]).breaches
 
 
 def test_retries_after_the_advised_time_are_counted():
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -198,11 +198,11 @@
         ([], {"g1": []}, True),  # never says so
         ([r.GatewayKilled(t=0, gateway="g1")], {"g1": []}, False),
         ([r.GatewayPaused(t=0, gateway="g1")], {"g1": []}, False),
-        ([r.GatewayPaused(t=0, gateway="g1"), r.GatewayPaused(t=1 * S, gateway="g1", on=True)], {"g1": []}, True),
-        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"])], {"g1": []}, False),
-        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0"])], {"g1": []}, True),  # g2 still talks to both
-        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"]), r.NetworkPartitioned(t=6 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": [(8, "south", LEFT)]}, False),
-        ([r.NetworkPartitioned(t=0, some=["g1"], others=["g0", "g2"]), r.NetworkPartitioned(t=3 * S, some=["g1"], others=["g0", "g2"], on=True)], {"g1": []}, True),
+        ([r.GatewayPaused(t=0, gateway="g1"), r.GatewayPaused(t=1 * S, gateway="g1", resumed=True)], {"g1": []}, True),
+        ([r.NetworkPartitioned(t=0, group=["g1"], other_group=["g0", "g2"])], {"g1": []}, False),
+        ([r.NetworkPartitioned(t=0, group=["g1"], other_group=["g0"])], {"g1": []}, True),  # g2 still talks to both
+        ([r.NetworkPartitioned(t=0, group=["g1"], other_group=["g0", "g2"]), r.NetworkPartitioned(t=6 * S, group=["g1"], other_group=["g0", "g2"], healed=True)], {"g1": [(8, "south", LEFT)]}, False),
+        ([r.NetworkPartitioned(t=0, group=["g1"], other_group=["g0", "g2"]), r.NetworkPartitioned(t=3 * S, group=["g1"], other_group=["g0", "g2"], healed=True)], {"g1": []}, True),
     ],
 )  # fmt: skip
 def test_standings_that_differ_for_too_long_are_found(breaks, told, broken):
@@ -221,8 +221,8 @@
 
 def leg(t, node, units=2.0, number=0, gateway="g0"):
     return r.AttemptReceived(
-        t=round(t * S), node=node, gateway=gateway, conn=1, id=number, mark=f"m{number}", trace=f"{number}.0",
-        number=0, product="page-read", volume=1, key=7, units=units, work=units * 4e6,
+        t=round(t * S), node=node, gateway=gateway, conn=1, id=number, idempotency_key=f"m{number}", trace=f"{number}.0",
+        number=0, request_class="page-read", volume=1, key=7, units=units, work=units * 4e6,
     )  # fmt: skip
 
 
@@ -261,15 +261,15 @@
         conn=1,
         id=1,
         trace="1.0",
-        product="p",
-        plan="",
+        request_class="p",
+        tenant="",
         volume=1,
         key=7,
         units=1,
         timeout=S,
         shard=0,
     )
-    told = r.ResponseReceived(t=2 * S, gateway="g0", conn=1, id=1, trace="1.0", how="denied")
+    told = r.ResponseReceived(t=2 * S, gateway="g0", conn=1, id=1, trace="1.0", outcome="denied")
     assert seen.count_avoidable_denials([*ups, asked, told], {100}, 0, 9 * S) == 1
     busy = [leg(1.5, 101, number=n) for n in (1, 2)]
     assert seen.count_avoidable_denials([*ups, asked, told, *busy], {100}, 0, 9 * S) == 0
@@ -283,7 +283,7 @@
 
 
 def appended(value, how):
-    return seen.AppendEnded(t=0, gateway="g0", channel="c", value=value, asked=0, how=how)
+    return seen.AppendEnded(t=0, gateway="g0", channel="c", value=value, requested_at=0, outcome=how)
 
 
 def test_logs_that_differ_lack_or_repeat_entries_are_found():
@@ -355,8 +355,8 @@
 )
 def test_answers_from_before_the_moment_are_found(asked, told, made, broken):
     records = [
-        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", request_class="p", tenant="", volume=1, key=7, units=1, timeout=S),
+        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", outcome="fulfilled", made_at=round(made * S)),
     ]  # fmt: skip
     finding = purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"})
     assert bool(finding.breaches) is broken and finding.tested == (told > 10)
@@ -373,10 +373,10 @@
 )
 def test_what_a_node_made_is_on_its_way_while_the_process_stands_still(asked, told, made, broken):
     records = [
-        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", request_class="p", tenant="", volume=1, key=7, units=1, timeout=S),
         r.GatewayPaused(t=round(9.5 * S), gateway="g0"),
-        r.GatewayPaused(t=12 * S, gateway="g0", on=True),
-        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=round(made * S)),
+        r.GatewayPaused(t=12 * S, gateway="g0", resumed=True),
+        r.ResponseReceived(t=round(told * S), gateway="g0", conn=1, id=1, trace="1.0", outcome="fulfilled", made_at=round(made * S)),
     ]  # fmt: skip
     assert bool(purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"}).breaches) is broken
 
@@ -384,11 +384,11 @@
 def test_a_breach_of_old_answers_says_when_it_was_asked_how_answered_and_how_its_gateway_stood():
     def read(conn, asked, made, told):
         return [
-            r.RequestSent(t=round(asked * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-            r.ResponseReceived(t=round(told * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", how="fulfilled", made=round(made * S)),
+            r.RequestSent(t=round(asked * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", request_class="p", tenant="", volume=1, key=7, units=1, timeout=S),
+            r.ResponseReceived(t=round(told * S), gateway="g0", conn=conn, id=1, trace=f"{conn}.0", outcome="fulfilled", made_at=round(made * S)),
         ]  # fmt: skip
 
-    leg = r.AttemptReceived(t=9 * S, node=1, gateway="g0", conn=9, id=1, mark="m", trace="2.0", number=0, product="p", volume=1, key=7, units=1.0, work=1.0)  # fmt: skip
+    leg = r.AttemptReceived(t=9 * S, node=1, gateway="g0", conn=9, id=1, idempotency_key="m", trace="2.0", number=0, request_class="p", volume=1, key=7, units=1.0, work=1.0)  # fmt: skip
     records = [*read(1, 10.1, 9.5, 10.2), *read(2, 8.9, 9.2, 11.0), *read(3, 8.9, 9.2, 11.0), leg]
     held = [
         seen.ZoneStateSample(t=9 * S, gateway="g0", zones={}, copies="", wall_ms=9000),
@@ -404,9 +404,9 @@
 @pytest.mark.parametrize("asked, broken", [(9.9, False), (10.05, True)])
 def test_an_old_answer_is_excused_by_the_clients_own_lateness_only_if_asked_before_the_moment(asked, broken):
     records = [
-        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", product="p", plan="", volume=1, key=7, units=1, timeout=S),
-        r.ResponseReceived(t=round(10.5 * S), gateway="g0", conn=1, id=1, trace="1.0", how="fulfilled", made=9 * S),
-        r.EventLoopStalled(t=round(10.5 * S), process="clients", late=round(0.3 * S)),
+        r.RequestSent(t=round(asked * S), gateway="g0", conn=1, id=1, trace="1.0", request_class="p", tenant="", volume=1, key=7, units=1, timeout=S),
+        r.ResponseReceived(t=round(10.5 * S), gateway="g0", conn=1, id=1, trace="1.0", outcome="fulfilled", made_at=9 * S),
+        r.EventLoopStalled(t=round(10.5 * S), process="clients", duration=round(0.3 * S)),
     ]  # fmt: skip
     finding = purges.judge_stale_responses(records, {"g0": 10 * S}, S // 4, {"p"})
     assert bool(finding.breaches) is broken and finding.excused == (not broken)
--- a/tests/test_together_worse.py
+++ b/tests/test_together_worse.py
@@ -38,7 +38,9 @@
 
 
 def kept(value, t=5, gateway="g1", channel="c", how="kept"):
-    return seen.AppendEnded(t=t * S, gateway=gateway, channel=channel, value=value, asked=t * S, how=how)
+    return seen.AppendEnded(
+        t=t * S, gateway=gateway, channel=channel, value=value, requested_at=t * S, outcome=how
+    )
 
 
 def read(*entries, gateway="g0"):
@@ -68,12 +70,12 @@
 def test_jobs_of_a_span_are_weighed_by_their_first_try_and_first_answer():
     def asked(job, t, product="p"):
         return r.RequestSent(
-            t=round(t * S), gateway="g0", conn=1, id=1, trace=job, product=product, plan="", volume=1, key=1, units=1,
+            t=round(t * S), gateway="g0", conn=1, id=1, trace=job, request_class=product, tenant="", volume=1, key=1, units=1,
             timeout=S,
         )  # fmt: skip
 
     def told(job, t, how="fulfilled"):
-        return r.ResponseReceived(t=round(t * S), gateway="g0", conn=1, id=1, trace=job, how=how)
+        return r.ResponseReceived(t=round(t * S), gateway="g0", conn=1, id=1, trace=job, outcome=how)
 
     records = [
         asked("1.0", 0.5), told("1.0", 0.6),  # before the span
@@ -96,8 +98,8 @@
         conn=1,
         id=number,
         trace="1.0",
-        product="p",
-        plan="",
+        request_class="p",
+        tenant="",
         volume=1,
         key=7,
         units=1,
@@ -109,8 +111,8 @@
         conn=1,
         id=number,
         trace="1.0",
-        how="fulfilled",
-        made=round(made * S),
+        outcome="fulfilled",
+        made_at=round(made * S),
     )
 
 
