--- a/ochrecourse/audit/calendars.py
+++ b/ochrecourse/audit/calendars.py
@@ -59,13 +59,13 @@
 
 def clock_changes(zone: str, year: int) -> list[dt.date]:
     """The days of a year, by UTC, on which the zone's offset changes."""
-    clock, found_instants = load_zone(zone), []
+    clock, changed_days = load_zone(zone), []
     first = dt.datetime(year, 1, 1, tzinfo=dt.UTC)
     for n in range(365):
         day = first + dt.timedelta(days=n)
         if day.astimezone(clock).utcoffset() != (day + dt.timedelta(days=1)).astimezone(clock).utcoffset():
-            found_instants.append(day.date())
-    return found_instants
+            changed_days.append(day.date())
+    return changed_days
 
 
 def date_at(zone: str, ms: int) -> dt.date:
@@ -77,7 +77,7 @@
 def public_holidays(country: str, region: str, years: tuple[int, ...]) -> frozenset[str]:
     """The public holidays of a country or region, as ISO dates."""
     found = holidays.country_holidays(country, subdiv=region or None, years=years)
-    return frozenset(str(ordered) for ordered in found)
+    return frozenset(str(each) for each in found)
 
 
 def purge_instants(
@@ -90,21 +90,21 @@
     closed_dates = set(site["holidays"])
     if site["country"]:
         closed_dates |= public_holidays(site["country"], site["region"], (first.year, first.year + 1))
-    found_instants = {}
+    due_instants = {}
     for rule in site["rules"]:
-        special = {ordered["date"]: ordered["at"] for ordered in rule["exceptions"]}
+        exceptions_by_date = {each["date"]: each["at"] for each in rule["exceptions"]}
         for n in range(days):
             date = first + dt.timedelta(days=n)
             at = rule["at"]
-            if str(date) in special:
-                at = special[str(date)]
+            if str(date) in exceptions_by_date:
+                at = exceptions_by_date[str(date)]
             elif DAYS[date.weekday()] not in rule["weekdays"]:
                 continue
             elif str(date) in closed_dates and rule["holidays"] != "usual":
                 at = rule["holidays"]
             if at != "none":
-                found_instants[rule["name"], str(date)] = _instant(date, at, clock_walk)
-    return found_instants
+                due_instants[rule["name"], str(date)] = _instant(date, at, clock_walk)
+    return due_instants
 
 
 def _instant(date: dt.date, at: str, clock_walk: LocalClockWalk) -> int:
@@ -124,11 +124,11 @@
     `editions`: the number of each, when it comes into force, and its instants. An occurrence is executed
     once, by the first edition that has it.
     """
-    found_instants: dict[Occurrence, tuple[int, int]] = {}
+    outcomes: dict[Occurrence, tuple[int, int]] = {}
     ordered = sorted(editions, key=lambda edition: edition[1])
     for n, (number, start, instants) in enumerate(ordered):
         until = ordered[n + 1][1] if n + 1 < len(ordered) else end + 1
-        for moment, instant in instants.items():
-            if moment not in found_instants and instant < until:
-                found_instants[moment] = (number, max(instant, start))
-    return found_instants
+        for occurrence, instant in instants.items():
+            if occurrence not in outcomes and instant < until:
+                outcomes[occurrence] = (number, max(instant, start))
+    return outcomes
--- a/ochrecourse/audit/capacity.py
+++ b/ochrecourse/audit/capacity.py
@@ -79,16 +79,16 @@
     finding = Finding("what only a lost zone held is served again once it is back")
     served: dict[int, int] = {}
     shards = shards_only_in(records, zone)
-    request: set[int] = set()
+    requested_shards: set[int] = set()
     for request_try in request_tries(records):
         if (
             request_try.request.shard in shards
             and restored_at <= request_try.request.t < restored_at + within
         ):
-            request.add(request_try.request.shard)
+            requested_shards.add(request_try.request.shard)
             if request_try.response is not None and request_try.response.outcome == "fulfilled":
                 served.setdefault(request_try.request.shard, request_try.response.t)
-    for shard in sorted(request):
+    for shard in sorted(requested_shards):
         finding.tested += 1
         if shard not in served:
             finding.breach(restored_at, f"shard {shard} was not served for {within / SECOND:g} s")
--- a/ochrecourse/audit/copy_reuse.py
+++ b/ochrecourse/audit/copy_reuse.py
@@ -11,7 +11,7 @@
 def judge_copy_use(
     records: Iterable[r.Record], moments: Mapping[str, int], judged_classes: Collection[str]
 ) -> Finding:
-    """Edges of each purge answered from cached copies before it, and again after it.
+    """Of each purge, some edges answered from cached copies before it and some after it.
 
     `moments`: the purge by gateway, ns. Guards against a purge rule that is kept only because copies are
     never used.
--- a/ochrecourse/audit/fleet_state.py
+++ b/ochrecourse/audit/fleet_state.py
@@ -94,9 +94,8 @@
     """Which pairs of gateways can communicate, by the faults that were injected."""
 
     def __init__(self, names: Sequence[str]) -> None:
-        self.unreachable_because: dict[str, set[str]] = {
-            name: set() for name in names
-        }  # reasons why a gateway can reach no other
+        # Reasons why a gateway can reach no other.
+        self.unreachable_because: dict[str, set[str]] = {name: set() for name in names}
         self.partitions: Counter[frozenset[str]] = Counter()
         self.reachable_since: dict[frozenset[str], int] = {}
 
@@ -121,7 +120,7 @@
                 self.reachable_since.setdefault(pair, record.t)
 
 
-_BREAKS = (r.GatewayKilled, r.GatewayStarted, r.GatewayPaused, r.NetworkPartitioned)
+_FAULTS = (r.GatewayKilled, r.GatewayStarted, r.GatewayPaused, r.NetworkPartitioned)
 
 
 def judge_equal_states(
@@ -137,7 +136,7 @@
     last: dict[str, ZoneStateSample] = {}
     differing_since: dict[frozenset[str], int] = {}
     events = sorted(
-        [*(each for each in records if isinstance(each, _BREAKS)), *samples], key=lambda each: each.t
+        [*(each for each in records if isinstance(each, _FAULTS)), *samples], key=lambda each: each.t
     )
     for event in events:
         if not isinstance(event, ZoneStateSample):
@@ -276,8 +275,8 @@
             shard = request_shards.get((each.gateway, each.conn, each.id), -1)
             count += any(
                 len(open_attempts[node]) < IDLE_ATTEMPTS
-                for node, other_sample in shard_of.items()
-                if node not in lost and shard in (-1, other_sample)
+                for node, node_shard in shard_of.items()
+                if node not in lost and shard in (-1, node_shard)
             )
     return count
 
@@ -307,16 +306,16 @@
     """An append answered as kept is in every log once; a refused one is in none."""
     finding = Finding("nothing answered is lost, nothing is there twice")
     for dump in dumps:
-        holders = Counter(dump.values)
+        counts = Counter(dump.values)
         for each in appended:
             if each.channel != dump.channel:
                 continue
             finding.tested += 1
-            if each.outcome == "kept" and not holders[each.value]:
+            if each.outcome == "kept" and not counts[each.value]:
                 finding.breach(each.t, f"{each.value} was kept at {each.gateway}; {dump.gateway} has it not")
-            if each.outcome == "refused" and holders[each.value]:
+            if each.outcome == "refused" and counts[each.value]:
                 finding.breach(each.t, f"{each.value} was refused, and {dump.gateway} has it")
-        for value, count in holders.items():
+        for value, count in counts.items():
             if count > 1:
                 finding.breach(dump.t, f"{value} stands {count} times in the log of {dump.gateway}")
     return finding
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -38,16 +38,16 @@
     "gateway/daemon_parts.py": ["Door", "door"],  # webdav/
     "gateway/webdav_setup.py": ["Door", "door"],  # webdav/
     "cli/alike.py": ["alike", "job", "jobs", "legs", "told"],  # lab/
-    "cli/audit.py": ["jobs", "legs", "people"],  # audit/, and fields of its output
+    "cli/audit.py": ["jobs", "legs", "people"],  # lab/, and words of its help
     "cli/bgp.py": ["held", "jobs"],  # in the commands' help
     "cli/day.py": ["cut", "held", "plans"],  # lab/
-    "cli/day_run.py": ["jobs", "legs", "people", "verdict"],  # lab/, audit/, and fields of its output
+    "cli/day_run.py": ["jobs", "legs", "people", "verdict"],  # lab/, and fields of its output
     "cli/gateway_process.py": ["jobs"],  # a field of a log line
     "cli/load.py": ["PEOPLE", "People", "came", "doors", "jobs", "people"],  # lab/, webdav/
     "cli/members.py": ["went"],  # a word of its output
     "cli/nodes.py": ["PART", "PLAN", "PRODUCT", "products"],  # of the help, which is for users
     "cli/serve.py": ["held"],  # in the command's help
-    "cli/together.py": ["came", "legs"],  # audit/, and fields of its output
+    "cli/together.py": ["came"],  # lab/
     "fleet/log_state.py": ["life"],  # a field of log lines
     "fleet/member.py": ["life"],  # a field of a log line
     "fleet/operator_log.py": ["came", "went"],  # fields of "fleet reach"
