--- a/ochrecourse/cli/day_run.py
+++ b/ochrecourse/cli/day_run.py
@@ -139,7 +139,7 @@
         "kept": not judged.broken,
         "troubles": judged.run.faults,
         **outcome_map(judged.run.outcomes),
-        "legs": judged.rules.legs,
+        "legs": judged.rules.attempts,
         "rules": findings,
         "counts": judged.run.counts,
     }
@@ -176,9 +176,9 @@
     console.print(f"day          {scenario.name}, seed {scenario.seed}: {size}; {faults}")
     for line in outcome_lines(judged.run.outcomes):
         console.print(line)
-    attempts_per_request = rules.legs / max(1, rules.jobs)
+    attempts_per_request = rules.attempts / max(1, rules.requests)
     console.print(
-        f"legs         {rules.legs}, {attempts_per_request:.3f} for each job that reached a gateway"
+        f"legs         {rules.attempts}, {attempts_per_request:.3f} for each job that reached a gateway"
     )
     for name, count in sorted(judged.run.counts.items()):
         if name.startswith(CLIENT_COUNT_PREFIX):
