--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -144,14 +144,14 @@
     same = [node.shard for node in fleet.nodes.values() if node.shard.number == 1]
     same[0].objects[7] = [b"x"]
     assert all(shard.objects == {7: [b"x"]} for shard in same)
-    mend = fleet.strike("zone_lost", 0, 0, 0, 6, "south")
+    mend = fleet.inject_fault("zone_lost", 0, 0, 0, 6, "south")
     lost = [node for node in fleet.nodes.values() if node.shard.zone == 1]
     assert (
         all(node.process.silent for node in lost) and sum(isinstance(x, r.NodeStopped) for x in records) == 3
     )
     mend()
-    assert all(node.process.cold_for and not node.machine.silent for node in lost)
-    fleet.strike("zone_apart", 0, 0, 0, 6, "south")
+    assert all(node.process.cold_for and not node.process.silent for node in lost)
+    fleet.inject_fault("zone_apart", 0, 0, 0, 6, "south")
     deaf = {
         (node.shard.zone, name)
         for node in fleet.nodes.values()
